--- a/benchmarks/capacity/__main__.py
+++ b/benchmarks/capacity/__main__.py
@@ -1,7 +1,8 @@
 """python -m benchmarks.capacity [ROLE...] [--by WHAT] [--sizes N...] [--seed N] [--out FILE] [--page]
 
 Measures slopes and prints JSON lines; with --out merges them into a file; with --page makes the tables of
-docs/CAPACITY.md anew from docs/capacity/slopes.jsonl."""
+docs/CAPACITY.md anew from docs/capacity/slopes.jsonl.
+"""
 
 import argparse
 import os
@@ -38,7 +39,9 @@
     except ValueError:
         found = 0.0
     if not 0.0 < found <= SIZE_MOST:
-        raise argparse.ArgumentTypeError(f"{text!r} is no size; allowed: a number above 0, up to {SIZE_MOST}")
+        raise argparse.ArgumentTypeError(
+            f"{text!r} is no size; allowed: a number above 0, up to {SIZE_MOST}"
+        )
     return found
 
 
@@ -47,11 +50,17 @@
         prog="python -m benchmarks.capacity", description=__doc__.splitlines()[2] if __doc__ else ""
     )
     made.add_argument("roles", nargs="*", metavar="ROLE", help=", ".join(roles.ROLES))
-    made.add_argument("--by", metavar="WHAT", help="only slopes by this: " + ", ".join(records.GROWS))
-    made.add_argument("--sizes", type=size, nargs="+", metavar="N", help="in place of each slope's own sizes")
+    made.add_argument(
+        "--by", metavar="WHAT", help="only slopes by this: " + ", ".join(records.GROWS)
+    )
+    made.add_argument(
+        "--sizes", type=size, nargs="+", metavar="N", help="in place of each slope's own sizes"
+    )
     made.add_argument("--seed", type=int, default=1)
     made.add_argument("--out", type=Path, metavar="FILE", help="merge into this file")
-    made.add_argument("--page", action="store_true", help="make the tables of docs/CAPACITY.md anew")
+    made.add_argument(
+        "--page", action="store_true", help="make the tables of docs/CAPACITY.md anew"
+    )
     return made
 
 
@@ -72,7 +81,9 @@
 
 def chosen(wanted: set[str], by: str | None, sizes: Sequence[float] | None) -> list[Slope]:
     """The slopes of these roles. Raises BadSize."""
-    found = [slope for slope in roles.SLOPES if wanted & set(slope.roles) and by in (None, slope.by)]
+    found = [
+        slope for slope in roles.SLOPES if wanted & set(slope.roles) and by in (None, slope.by)
+    ]
     for slope in found:
         for each in sizes or ():
             if each < slope.least:
@@ -93,7 +104,9 @@
             for role, name, value in slope.measure(each, seed):
                 if role in wanted:
                     kept = float(f"{value:.6g}")
-                    yield Measurement(role, name, records.MEASURES[name], slope.by, each, kept, seed, at)
+                    yield Measurement(
+                        role, name, records.MEASURES[name], slope.by, each, kept, seed, at
+                    )
 
 
 def main(told: Sequence[str] | None = None) -> int:
@@ -107,7 +120,8 @@
         if options.page:
             page.renew(PAGE_FILE, records.read(SLOPES_FILE, roles.RECORDED))
             print(
-                f"{PAGE_FILE.relative_to(ROOT)} is made from {SLOPES_FILE.relative_to(ROOT)}", file=sys.stderr
+                f"{PAGE_FILE.relative_to(ROOT)} is made from {SLOPES_FILE.relative_to(ROOT)}",
+                file=sys.stderr,
             )
             return 0
         kept = records.read(options.out, roles.RECORDED) if options.out is not None else []
--- a/benchmarks/capacity/agent.py
+++ b/benchmarks/capacity/agent.py
@@ -24,11 +24,21 @@
 
     def __init__(self, servers: int, seed: int) -> None:
         self.agent = Agent(
-            fleet="capacity", node="server-0000001", life=LIFE,
+            fleet="capacity",
+            node="server-0000001",
+            life=LIFE,
             voters=[f"10.0.0.{at}:7100" for at in range(VOTERS)],
-            runs=dict(RUNS), holds=HOLDS, child=True, start_ms=10_000.0, drain_ms=5000.0, now=0.0, seed=seed,
-        )  # fmt: skip
-        self.again_ms = max(VoterNode.HEARTBEAT_MS, VoterNode.HEARTBEAT_A_MEMBER_MS * (servers + VOTERS))
+            runs=dict(RUNS),
+            holds=HOLDS,
+            child=True,
+            start_ms=10_000.0,
+            drain_ms=5000.0,
+            now=0.0,
+            seed=seed,
+        )
+        self.again_ms = max(
+            VoterNode.HEARTBEAT_MS, VoterNode.HEARTBEAT_A_MEMBER_MS * (servers + VOTERS)
+        )
         self.meter, self.now, self.due = StepMeter(), 0.0, 0.0
         self.bytes = {"sent": 0, "received": 0}
         self.messages = {"sent": 0, "received": 0}
@@ -52,9 +62,16 @@
         if verb != "agent":
             return {"text": "", "value": None, "index": 1, "agreed": True}
         return {
-            "member": True, "life": LIFE, "standing": SERVING, "permit": 0, "begun": False, "due": ["", ""],
-            "hold": [], "halted": "", "again_ms": self.again_ms,
-        }  # fmt: skip
+            "member": True,
+            "life": LIFE,
+            "standing": SERVING,
+            "permit": 0,
+            "begun": False,
+            "due": ["", ""],
+            "hold": [],
+            "halted": "",
+            "again_ms": self.again_ms,
+        }
 
     def play(self) -> "Driver":
         self.put("start")
@@ -74,9 +91,11 @@
         start=least_ms(lambda: Driver(servers, seed)),
         processor=min(each.meter.share(SPAN_MS) for each in played),
         longest_step=min(each.meter.longest_ms for each in played),
-        sent=last.bytes["sent"] / seconds, received=last.bytes["received"] / seconds,
-        sent_messages=last.messages["sent"] / seconds, received_messages=last.messages["received"] / seconds,
-    )  # fmt: skip
+        sent=last.bytes["sent"] / seconds,
+        received=last.bytes["received"] / seconds,
+        sent_messages=last.messages["sent"] / seconds,
+        received_messages=last.messages["received"] / seconds,
+    )
 
 
 SLOPES = (Slope((ROLE,), "servers", (80, 160, 320, 640, 1280, 2500), by_servers),)
--- a/benchmarks/capacity/bad_hours.py
+++ b/benchmarks/capacity/bad_hours.py
@@ -1,12 +1,19 @@
 """Bad hours: fleets of real members and five real voters in simulated time, of the sizes that the machine
-bears; what goes is the same part of the fleet as at the size."""
+bears; what goes is the same part of the fleet as at the size.
+"""
 
 from collections.abc import Callable, Iterable
 from functools import partial
 from typing import Any
 
 from benchmarks.capacity import assumptions
-from benchmarks.capacity.measured_day import MeasuredDay, fleet_budgets, founded, spending, zone_name
+from benchmarks.capacity.measured_day import (
+    MeasuredDay,
+    fleet_budgets,
+    founded,
+    spending,
+    zone_name,
+)
 from benchmarks.capacity.meter import frozen_heap
 from benchmarks.capacity.slope import Reading, Slope, readings
 from pumicenotch.members.messages import Opinion
@@ -51,7 +58,9 @@
     def opinions(self, some: Iterable[str], by: Iterable[str]) -> set[Opinion]:
         cores: list[Any] = [self.day.processes[name].core for name in by]
         targets = list(some)
-        return {core.members.opinion(name) for core in cores if core is not None for name in targets}
+        return {
+            core.members.opinion(name) for core in cores if core is not None for name in targets
+        }
 
     def others(self, gone: Iterable[str]) -> list[str]:
         left = set(gone)
@@ -173,7 +182,9 @@
     fleet.day.start(back)
     with frozen_heap():
         agreed = fleet.until(lambda: fleet.serving(back), ())
-        rest = fleet.day.until(lambda: fleet.opinions_well(list(fleet.day.processes)), WITHIN_MS, LOOK_MS)
+        rest = fleet.day.until(
+            lambda: fleet.opinions_well(list(fleet.day.processes)), WITHIN_MS, LOOK_MS
+        )
         found = readings(LEADER, agree=agreed) + readings(MEMBERSHIP, settled=agreed + rest)
         return found + fleet.spent()
 
@@ -186,7 +197,9 @@
     budgets = [list(each) for each in fleet_budgets(fleet.zones)]
     gone: set[str] = set()
     for number in range(int(ROLLING_MS / restart_ms)):
-        fleet.day.at(fleet.began + number * restart_ms, partial(restart, fleet, fleet.names[number], gone))
+        fleet.day.at(
+            fleet.began + number * restart_ms, partial(restart, fleet, fleet.names[number], gone)
+        )
     for number in range(int(ROLLING_MS / change_ms)):
         fleet.day.at(fleet.began + number * change_ms, partial(change, fleet, budgets, number))
     with frozen_heap():
--- a/benchmarks/capacity/configuration.py
+++ b/benchmarks/capacity/configuration.py
@@ -1,5 +1,6 @@
 """Role `server.configuration`: configuration as it is today, the whole cell map from a file. No record of a
-route exists yet, so that nothing is measured by routes here."""
+route exists yet, so that nothing is measured by routes here.
+"""
 
 from benchmarks.capacity.assumptions import SERVERS, SERVERS_A_CELL, TENANTS
 from benchmarks.capacity.meter import least_ms, state_bytes
@@ -19,7 +20,8 @@
     cells = {}
     for at in range(many):
         nodes = tuple(
-            Node(f"s{at}-{one}", f"10.{at // 250}.{at % 250}.{one}:7000") for one in range(servers // many)
+            Node(f"s{at}-{one}", f"10.{at // 250}.{at % 250}.{one}:7000")
+            for one in range(servers // many)
         )
         cells[f"c{at}"] = Cell(f"c{at}", nodes)
     names = list(cells)
@@ -52,9 +54,11 @@
     text = dump(cell_map(int(TENANTS.value), int(SERVERS.value)))
     each_ms = least_ms(lambda: load(text))
     return readings(
-        ROLE, received=size * len(text) / DAY_S, processor=size * each_ms / 1000.0 / DAY_S,
+        ROLE,
+        received=size * len(text) / DAY_S,
+        processor=size * each_ms / 1000.0 / DAY_S,
         received_messages=size / DAY_S,
-    )  # fmt: skip
+    )
 
 
 SLOPES = (
--- a/benchmarks/capacity/connections.py
+++ b/benchmarks/capacity/connections.py
@@ -1,5 +1,6 @@
 """Role `server.connections`: the server's core with open connections of callers, in simulated time. Each
-caller keeps one connection and asks now and then whether the server is alive."""
+caller keeps one connection and asks now and then whether the server is alive.
+"""
 
 from itertools import count
 from typing import Any
@@ -27,13 +28,23 @@
 
     def __init__(self, callers: int, seed: int) -> None:
         keywords: dict[str, Any] = {
-            "stages": STAGES, "tenants": [Tenant(1.0, None)], "gauges": GAUGES, "cores": int(CORES.value),
-            "run_factor": 2.0, "crowd_multiple": 8.0,
-        }  # fmt: skip
+            "stages": STAGES,
+            "tenants": [Tenant(1.0, None)],
+            "gauges": GAUGES,
+            "cores": int(CORES.value),
+            "run_factor": 2.0,
+            "crowd_multiple": 8.0,
+        }
         core = Server(
-            keywords=keywords, stages={STAGE: 0}, tenants={TENANT: 0}, seed=seed, stop_ms=5000.0, below=False,
-            memory_mb=512.0, sockets=int(SOCKETS.value),
-        )  # fmt: skip
+            keywords=keywords,
+            stages={STAGE: 0},
+            tenants={TENANT: 0},
+            seed=seed,
+            stop_ms=5000.0,
+            below=False,
+            memory_mb=512.0,
+            sockets=int(SOCKETS.value),
+        )
         super().__init__(core, callers)
         self.serials = count(1)
         self.put("start")
@@ -67,8 +78,14 @@
 
     def request(self, conn: int) -> None:
         message = next(self.messages)
-        fields = {"rid": f"{message:016x}", "t0": str(int(self.now)), "mem": "20", "prio": "0.5",
-                  "peer": str(conn), "acct": TENANT}  # fmt: skip
+        fields = {
+            "rid": f"{message:016x}",
+            "t0": str(int(self.now)),
+            "mem": "20",
+            "prio": "0.5",
+            "peer": str(conn),
+            "acct": TENANT,
+        }
         self.put("task", conn, message, 0.0, STAGE, fields, CODEC_BODY)
 
 
--- a/benchmarks/capacity/core_driver.py
+++ b/benchmarks/capacity/core_driver.py
@@ -17,7 +17,8 @@
 
 class CoreDriver(ABC):
     """Callers are numbered from 1 and keep one connection each. Answers to effects wait until the step that
-    had them has ended."""
+    had them has ended.
+    """
 
     def __init__(self, core: Core, callers: int) -> None:
         self.core, self.callers = core, callers
--- a/benchmarks/capacity/decisions.py
+++ b/benchmarks/capacity/decisions.py
@@ -56,8 +56,19 @@
             if not self.events or due <= self.events[0][0]:
                 self.now, ident = due, next(idents)
                 due += self.chance.uniform(0.5, 1.5) * gap
-                self.meter.run("task", self.control.task, self.now, ident, 0, ident % active, 0.5, None, None,
-                               20.0, None)  # fmt: skip
+                self.meter.run(
+                    "task",
+                    self.control.task,
+                    self.now,
+                    ident,
+                    0,
+                    ident % active,
+                    0.5,
+                    None,
+                    None,
+                    20.0,
+                    None,
+                )
                 continue
             self.now, _, name, details = heapq.heappop(self.events)
             if name == "tick":
@@ -72,9 +83,18 @@
 def build(actions: Any, seed: int, known: int) -> Control:
     tenants = [Tenant(1.0 / known, 20.0 if at % 2 else None) for at in range(known)]
     return Control(
-        actions, 0.0, seed=seed, stages=STAGES, tenants=tenants, gauges=GAUGES, cores=int(CORES.value),
-        run_factor=2.0, crowd_multiple=8.0, servers=2500, callers=1000,
-    )  # fmt: skip
+        actions,
+        0.0,
+        seed=seed,
+        stages=STAGES,
+        tenants=tenants,
+        gauges=GAUGES,
+        cores=int(CORES.value),
+        run_factor=2.0,
+        crowd_multiple=8.0,
+        servers=2500,
+        callers=1000,
+    )
 
 
 class Silent:
@@ -114,7 +134,9 @@
             driver.play(ACTIVE_USUAL, REQUESTS_USUAL)
             driver.meter.end_window()
     span_ms = REPEATS * SPAN_MS
-    return found + readings(ROLE, processor=driver.meter.share(span_ms), longest_step=driver.meter.longest_ms)
+    return found + readings(
+        ROLE, processor=driver.meter.share(span_ms), longest_step=driver.meter.longest_ms
+    )
 
 
 def by_active(size: float, seed: int) -> list[Reading]:
--- a/benchmarks/capacity/distribution.py
+++ b/benchmarks/capacity/distribution.py
@@ -1,5 +1,6 @@
 """Roles `distribution.voter`, `distribution.relay` and `distribution.replica`: configuration as versioned
-changes, in simulated time."""
+changes, in simulated time.
+"""
 
 import pickle
 from functools import partial
@@ -49,7 +50,11 @@
         spread.change()
         began = spread.now
         spread.until(spread.all_current, WITHIN_MS)
-        times += [spread.in_force[address] - began for address in spread.zone if address in spread.in_force]
+        times += [
+            spread.in_force[address] - began
+            for address in spread.zone
+            if address in spread.in_force
+        ]
         spread.run(1000.0)
     return readings(REPLICA, in_force=quantiles(times, n=100)[98])
 
@@ -134,7 +139,9 @@
         routes=max(Load().services, int(part * assumptions.ROUTES.value)),
     )
     spread = Spread(seed, load, children=CHILDREN_USUAL, zones=ZONES_USUAL)
-    return [each for each in changing(spread, CHANGES_USUAL) if each.role == REPLICA] + states(spread)
+    return [each for each in changing(spread, CHANGES_USUAL) if each.role == REPLICA] + states(
+        spread
+    )
 
 
 SLOPES = (
--- a/benchmarks/capacity/fits.py
+++ b/benchmarks/capacity/fits.py
@@ -60,7 +60,9 @@
     weights = 1.0 / np.maximum(np.abs(values), 1e-6 * scale)
     ones, curve = np.ones_like(sizes), CURVES[shape](sizes)
     columns = [ones] if shape == "constant" else [ones, curve]
-    answer = np.linalg.lstsq(np.stack(columns, axis=1) * weights[:, None], values * weights, rcond=None)[0]
+    answer = np.linalg.lstsq(
+        np.stack(columns, axis=1) * weights[:, None], values * weights, rcond=None
+    )[0]
     base, slope = float(answer[0]), float(answer[1]) if len(answer) > 1 else 0.0
     if base < 0.0 and shape != "constant":  # nothing costs less than nothing at size 0
         base = 0.0
--- a/benchmarks/capacity/hollow.py
+++ b/benchmarks/capacity/hollow.py
@@ -1,6 +1,7 @@
 """A fleet at size with few real processes: five voters, a server and an agent run the real code; all other
 members are hollow. A hollow member asks the leader at the real pace, answers and sends probes and whole pages
-at the real rates, and decides nothing. Time is simulated; sizes of messages are those of the real codec."""
+at the real rates, and decides nothing. Time is simulated; sizes of messages are those of the real codec.
+"""
 
 import json
 import random
@@ -113,7 +114,9 @@
         self.server = SERVER
         self.names = [f"server-{at:07d}" for at in range(servers - 1)]
         self.members = [self.member(at, name) for at, name in enumerate(self.names)]
-        self.news = [News(self.who(at), 1, Standing.SERVING, Opinion.ALIVE, "") for at in range(servers - 1)]
+        self.news = [
+            News(self.who(at), 1, Standing.SERVING, Opinion.ALIVE, "") for at in range(servers - 1)
+        ]
         self.recent: deque[News] = deque(maxlen=GOSSIP_MOST)  # what is news at the moment
         self.install_state()
         self.install_members()
@@ -134,7 +137,9 @@
         return Who(name, name, LIFE, BEGAN, self.zone(at), self.region(at))
 
     def member(self, at: int, name: str) -> Member:
-        return Member(name, LIFE, self.zone(at), self.region(at), uses=(self.service(at),), standing=SERVING)
+        return Member(
+            name, LIFE, self.zone(at), self.region(at), uses=(self.service(at),), standing=SERVING
+        )
 
     def install_state(self) -> None:
         """The agreed state with all members in it, at each voter, as a snapshot would bring it."""
@@ -142,8 +147,13 @@
             core: Any = self.day.processes[name].core
             told = json.loads(snapshot.dump(core.state))
             told["members"] += [list(each) for each in self.members]
-            nodes = [[each.name, LIFE, RUNS, HOLDS, "", "", ["", "", 0], 0] for each in self.members]
-            told["form"], told["releases"] = 2, {"level": 2, "stands": [], "nodes": nodes, "releases": []}
+            nodes = [
+                [each.name, LIFE, RUNS, HOLDS, "", "", ["", "", 0], 0] for each in self.members
+            ]
+            told["form"], told["releases"] = (
+                2,
+                {"level": 2, "stands": [], "nodes": nodes, "releases": []},
+            )
             core.state = snapshot.load(json.dumps(told).encode())
             core.detector = FailureDetector(self.day.now, core.state.members)
 
@@ -167,7 +177,9 @@
         for at, name in enumerate(self.names):
             process = self.day.processes[name] = Process(Spec(name, self.zone(at), False, {}), name)
             process.life = 1
-            core = HollowMember(self.who(at), self.day.now + self.chance.uniform(0.0, again_ms), pages)
+            core = HollowMember(
+                self.who(at), self.day.now + self.chance.uniform(0.0, again_ms), pages
+            )
             core.leader, core.again_ms = self.leader, again_ms
             process.core = core  # type: ignore[assignment]
             self.day.alarm(process, core.due)
@@ -178,7 +190,9 @@
         """One probe a period from somebody by chance."""
 
         def one() -> None:
-            self.tell(self.any_hollow(), to, Ping(1, (self.chance.choice(self.news), *self.recent), ()))
+            self.tell(
+                self.any_hollow(), to, Ping(1, (self.chance.choice(self.news), *self.recent), ())
+            )
             self.day.at(self.day.now + self.chance.expovariate(1.0 / PERIOD_MS), one)
 
         self.day.at(self.day.now + self.chance.expovariate(1.0 / PERIOD_MS), one)
@@ -193,7 +207,9 @@
         self.day.at(self.day.now + self.chance.uniform(0.0, each_ms), one)
 
     def pages(self, reply: bool) -> list[Whole]:
-        parts = [tuple(self.news[at : at + NEWS_MOST]) for at in range(0, len(self.news), NEWS_MOST)]
+        parts = [
+            tuple(self.news[at : at + NEWS_MOST]) for at in range(0, len(self.news), NEWS_MOST)
+        ]
         return [Whole(part, reply and at == len(parts) - 1) for at, part in enumerate(parts)]
 
     def page(self, name: str, to: str) -> None:
--- a/benchmarks/capacity/machines.py
+++ b/benchmarks/capacity/machines.py
@@ -1,5 +1,6 @@
 """The machines that are set aside for control: where each role runs, what it spends there, what its loss
-costs."""
+costs.
+"""
 
 from typing import NamedTuple
 
@@ -20,31 +21,45 @@
 
 PLACEMENTS = (
     Placement(
-        "voter, one of them leads", 5, "one in each of regions 1 to 5",
+        "voter, one of them leads",
+        5,
+        "one in each of regions 1 to 5",
         ("voter.leader", "distribution.voter"),
         "one: a spare takes its vote, under its name and address; the leader: 1.1 s (p50), 1.7 s (p99)"
         " without one (docs/fleet.md, `python -m benchmarks.fleet --only leaderless`);"
         " two at once: nothing else; three: no majority, all serve, nothing is agreed until one is back",
     ),
     Placement(
-        "spare voter", 2, "regions 6 and 7", ("voter.follower", "distribution.voter"),
+        "spare voter",
+        2,
+        "regions 6 and 7",
+        ("voter.follower", "distribution.voter"),
         "nothing until a voter is lost as well",
     ),
     Placement(
-        "operators' commands and the lab of releases", 1, "region 1", ("agent",),
+        "operators' commands and the lab of releases",
+        1,
+        "region 1",
+        ("agent",),
         "commands run from any other machine",
     ),
     Placement(
-        "free for what is missing", 2, "regions 2 and 3", (), "nothing: kept for the mechanisms named below"
+        "free for what is missing",
+        2,
+        "regions 2 and 3",
+        (),
+        "nothing: kept for the mechanisms named below",
     ),
-)  # fmt: skip
+)
 assert sum(each.machines for each in PLACEMENTS) == assumptions.CONTROL_MACHINES.value
 
 
 def machines_table(found: list[Row]) -> str:
     lines = []
     for each in PLACEMENTS:
-        lines.append([each.name, str(each.machines), each.where, *spent(found, each.roles), each.loss])
+        lines.append(
+            [each.name, str(each.machines), each.where, *spent(found, each.roles), each.loss]
+        )
     head = "role | machines | placed | processor | sent and received | its loss costs"
     return table(head, lines)
 
@@ -82,7 +97,9 @@
     Trial("it takes 0.49 s to load", 490.0, MAP, KNOWN, STEP, 54_000),
     Trial("1,600 whole ones a day: 66 KB/s", 66e3, MAP, "changes_per_day", "received", 1600),
     Trial("the leader sends 22 KB/s at 100 members", 22e3, "voter.leader", "servers", "sent", 95),
-    Trial("a step of membership: up to 4 ms at 2,500", 4.0, "server.membership", "servers", STEP, 2500),
+    Trial(
+        "a step of membership: up to 4 ms at 2,500", 4.0, "server.membership", "servers", STEP, 2500
+    ),
 )
 ALIKE = 0.25  # of the trial's value: confirmed
 
@@ -97,6 +114,10 @@
         measured = each.size in row.sizes
         value = row.values[row.sizes.index(each.size)] if measured else row.fit.at(each.size)
         off = value / each.value - 1.0
-        verdict = "confirmed" if abs(off) <= ALIKE else f"corrected: {value / each.value:.2g} times that"
-        lines.append([each.told, amount(value, row.unit), "measured" if measured else "by the fit", verdict])
+        verdict = (
+            "confirmed" if abs(off) <= ALIKE else f"corrected: {value / each.value:.2g} times that"
+        )
+        lines.append(
+            [each.told, amount(value, row.unit), "measured" if measured else "by the fit", verdict]
+        )
     return table("trial before | here | basis | verdict", lines)
--- a/benchmarks/capacity/measured_day.py
+++ b/benchmarks/capacity/measured_day.py
@@ -31,7 +31,9 @@
         self.received_messages: dict[str, int] = {}
 
     def note(self, inward: bool, kind: str, size: int) -> None:
-        sizes, counts = (self.received, self.received_messages) if inward else (self.sent, self.sent_messages)
+        sizes, counts = (
+            (self.received, self.received_messages) if inward else (self.sent, self.sent_messages)
+        )
         sizes[kind] = sizes.get(kind, 0) + size
         counts[kind] = counts.get(kind, 0) + 1
 
@@ -69,7 +71,11 @@
             super().put(name, what, *details)
             return
         kind = (
-            f"{what} {details[1]}" if what == "told" else f"{what} {details[2]}" if what == "asked" else what
+            f"{what} {details[1]}"
+            if what == "told"
+            else f"{what} {details[2]}"
+            if what == "asked"
+            else what
         )
         for effect in meter.run(kind, process.core.step, self.now, what, *details):
             self.carry_out(process, effect)
@@ -99,7 +105,11 @@
         kind = str(details[1]) if what == "told" else what
         if sender is not None and self.packed is not None:
             sender.note(False, kind, self.packed.size)
-        if receiver is not None and self.packed is not None and (process.address, to) not in self.cut:
+        if (
+            receiver is not None
+            and self.packed is not None
+            and (process.address, to) not in self.cut
+        ):
             receiver.note(True, kind, self.packed.size)
             receiver.codec_ns += self.packed.unpack_ns
         super().send(process, to, what, *details)
@@ -116,7 +126,9 @@
     return (*each, callers, Budget("all", "fleet", most_out=100))
 
 
-def founded(seed: int, budgets: tuple[Budget, ...], servers: Iterable[tuple[str, str]]) -> MeasuredDay:
+def founded(
+    seed: int, budgets: tuple[Budget, ...], servers: Iterable[tuple[str, str]]
+) -> MeasuredDay:
     """Five voters in five zones, and servers (each with its zone), all agreed to serve."""
     day = MeasuredDay(seed)
     day.budgets = budgets
--- a/benchmarks/capacity/mechanisms.py
+++ b/benchmarks/capacity/mechanisms.py
@@ -19,59 +19,117 @@
 
 MECHANISMS = (
     Mechanism(
-        "server.decisions", "tenants_known", "",
+        "server.decisions",
+        "tenants_known",
+        "",
         "`control.py` `Lines`, `Caps`: a tenant costs from its first request on",
     ),
     Mechanism(
-        "server.decisions", "tenants_seen", "longest_step",
+        "server.decisions",
+        "tenants_seen",
+        "longest_step",
         f"{MISSING}: `control.py` `Caps.split` adds up all tenants' weights where a cap has changed",
     ),
-    Mechanism("server.decisions", "", "", "`control.py` `Queues.sample`: only active tenants are gone over"),
-    Mechanism("server.decisions.before", "", "", "replaced: the sample went over all known tenants"),
-    Mechanism("server.connections", "", "", "`server/callers.py` `Callers.close_idle`, four times a second"),
+    Mechanism(
+        "server.decisions",
+        "",
+        "",
+        "`control.py` `Queues.sample`: only active tenants are gone over",
+    ),
+    Mechanism(
+        "server.decisions.before", "", "", "replaced: the sample went over all known tenants"
+    ),
+    Mechanism(
+        "server.connections",
+        "",
+        "",
+        "`server/callers.py` `Callers.close_idle`, four times a second",
+    ),
     Mechanism(
         "server.configuration", "", "start", "`cells/map.py` `load`, before the server serves"
     ),
-    Mechanism("server.configuration", "", "state", "`cells/map.py` `CellMap`: the whole fleet's map"),
+    Mechanism(
+        "server.configuration", "", "state", "`cells/map.py` `CellMap`: the whole fleet's map"
+    ),
     Mechanism("server.configuration", "", "text", "`cells/map.py` `dump`"),
     Mechanism(
-        "server.configuration", "", "",
+        "server.configuration",
+        "",
+        "",
         "`distribution/node.py` `Node` in its place, with a block `distribution`; whole files else",
     ),
-    Mechanism("distribution.replica", "", "", "`distribution/replica.py` `Replica`, by its subscription"),
-    Mechanism("distribution.relay", "", "", "`distribution/source.py` `Source`, three relays a zone"),
-    Mechanism("distribution.voter", "", "", "`distribution/voter_source.py`, `distribution/publications.py`"),
+    Mechanism(
+        "distribution.replica", "", "", "`distribution/replica.py` `Replica`, by its subscription"
+    ),
+    Mechanism(
+        "distribution.relay", "", "", "`distribution/source.py` `Source`, three relays a zone"
+    ),
+    Mechanism(
+        "distribution.voter",
+        "",
+        "",
+        "`distribution/voter_source.py`, `distribution/publications.py`",
+    ),
     Mechanism("server.process", "", "", "the parts below, held together"),
     Mechanism(
-        "server.membership", "servers", "traffic",
+        "server.membership",
+        "servers",
+        "traffic",
         f"{MISSING}: `members/members.py` `Members.exchange` sends and gets everything each 15 s",
     ),
     Mechanism(
-        "server.membership", "servers", "longest_step",
+        "server.membership",
+        "servers",
+        "longest_step",
         f"{MISSING}: `members/members.py` `probe_next` and `exchange` sort and send all in one step",
     ),
     Mechanism(
-        "server.membership", "", "traffic",
+        "server.membership",
+        "",
+        "traffic",
         f"{MISSING}: `members/members.py` `Members.exchange`, at 640 servers",
     ),
-    Mechanism("server.membership", "", "", "`members/members.py` `Members.gossip`: 12 news a message"),
-    Mechanism("server.agreement", "", "", "`fleet/voter_node.py` `VoterNode.heartbeat_interval_ms`"),
-    Mechanism("voter.leader", "servers", "traffic", "`members/members.py` `Members.exchange`: as n squared"),
-    Mechanism("voter.follower", "servers", "", "`members/members.py` `Members.exchange`: as n squared"),
-    Mechanism("voter.leader", "", "", "`fleet/voter_node.py` `heartbeat_interval_ms`; `agree/voter.py`"),
-    Mechanism("voter.follower", "", "", "`agree/voter.py` `Voter.take`; `fleet/state.py` `State.apply`"),
+    Mechanism(
+        "server.membership", "", "", "`members/members.py` `Members.gossip`: 12 news a message"
+    ),
+    Mechanism(
+        "server.agreement", "", "", "`fleet/voter_node.py` `VoterNode.heartbeat_interval_ms`"
+    ),
+    Mechanism(
+        "voter.leader",
+        "servers",
+        "traffic",
+        "`members/members.py` `Members.exchange`: as n squared",
+    ),
+    Mechanism(
+        "voter.follower", "servers", "", "`members/members.py` `Members.exchange`: as n squared"
+    ),
+    Mechanism(
+        "voter.leader", "", "", "`fleet/voter_node.py` `heartbeat_interval_ms`; `agree/voter.py`"
+    ),
+    Mechanism(
+        "voter.follower", "", "", "`agree/voter.py` `Voter.take`; `fleet/state.py` `State.apply`"
+    ),
     Mechanism("agent", "", "", "`fleet/agent.py` `Agent.hear`: at the pace that the leader names"),
-    Mechanism("router", "tenants_known", "start", "`cells/map.py` `load`, before the router serves"),
     Mechanism(
-        "router.configuration", "", "",
+        "router", "tenants_known", "start", "`cells/map.py` `load`, before the router serves"
+    ),
+    Mechanism(
+        "router.configuration",
+        "",
+        "",
         f"{MISSING}: whole files, read in one piece in the event loop (`route/__main__.py` `maps`)",
     ),
     Mechanism(
-        "router.dials", "", "",
+        "router.dials",
+        "",
+        "",
         f"{MISSING}: `route/__main__.py` `address_of` goes over all nodes and tenants for each dial",
     ),
-    Mechanism("router", "", "", "`route/decide.py` `Router.onward`; `cells/place.py` `unit`, remembered"),
-)  # fmt: skip
+    Mechanism(
+        "router", "", "", "`route/decide.py` `Router.onward`; `cells/place.py` `unit`, remembered"
+    ),
+)
 
 
 def mechanism(role: str, by: str, measure: str) -> str:
--- a/benchmarks/capacity/members.py
+++ b/benchmarks/capacity/members.py
@@ -1,5 +1,6 @@
 """Roles `voter.leader`, `voter.follower`, `server.membership` and `server.agreement`: real processes in a
-fleet whose other members are hollow."""
+fleet whose other members are hollow.
+"""
 
 import random
 from itertools import count
@@ -43,9 +44,11 @@
 
     return readings(
         role,
-        sent=rate(meter.sent), received=rate(meter.received),
-        sent_messages=rate(meter.sent_messages), received_messages=rate(meter.received_messages),
-    )  # fmt: skip
+        sent=rate(meter.sent),
+        received=rate(meter.received),
+        sent_messages=rate(meter.sent_messages),
+        received_messages=rate(meter.received_messages),
+    )
 
 
 def process(role: str, meter: Meter) -> list[Reading]:
@@ -78,8 +81,14 @@
     wired = [msgpack.packb(messages.plain(page)) for page in fleet.pages(False)]
     leader: Any = fleet.day.processes[fleet.leader].core
     dumped = snapshot.dump(leader.state)
-    table, table_ms = state_bytes(lambda: absorbed(fleet, wired)), least_ms(lambda: absorbed(fleet, wired))
-    agreed, agreed_ms = state_bytes(lambda: snapshot.load(dumped)), least_ms(lambda: snapshot.load(dumped))
+    table, table_ms = (
+        state_bytes(lambda: absorbed(fleet, wired)),
+        least_ms(lambda: absorbed(fleet, wired)),
+    )
+    agreed, agreed_ms = (
+        state_bytes(lambda: snapshot.load(dumped)),
+        least_ms(lambda: snapshot.load(dumped)),
+    )
     found = readings(MEMBERSHIP, state=table, start=table_ms)
     for role in (LEADER, FOLLOWER):
         found += readings(role, state=table + agreed, start=table_ms + agreed_ms, text=len(dumped))
@@ -101,7 +110,8 @@
 
 def by_services(size: float, seed: int) -> list[Reading]:
     """Each service is a group of its callers, with a budget of its own; groups are counted anew where members
-    come and go."""
+    come and go.
+    """
     fleet = HollowFleet(SERVERS_USUAL, seed, services=int(size))
     fleet.ordinary()
     fleet.every(DAY_MS / OFTEN_A_DAY, fleet.restart)
@@ -132,7 +142,9 @@
     """A zone's part of the fleet comes back at once."""
     fleet = HollowFleet(int(size), seed)
     fleet.ordinary()
-    joining = fleet.names[: max(2, round(size * assumptions.ZONE.value / assumptions.SERVERS.value))]
+    joining = fleet.names[
+        : max(2, round(size * assumptions.ZONE.value / assumptions.SERVERS.value))
+    ]
     began = fleet.day.now + WARM_MS
     fleet.day.at(began, lambda: fleet.join_at_once(joining))
     found = [each for each in read_fleet(fleet) if each.role in (LEADER, FOLLOWER)]
@@ -155,5 +167,7 @@
     Slope((LEADER, FOLLOWER), "changes_per_s", (0.25, 0.5, 1, 2, 4, 8), by_changes, 0.01),
     Slope(ROLES, "restarts_per_day", (2900, 11_600, 29_000, 58_000, 116_000), by_restarts),
     Slope((LEADER, FOLLOWER), "zone_joining", (160, 320, 640, 1280, 2500), zone_joining, 40),
-    Slope((LEADER, FOLLOWER), "failures_per_day", (2900, 11_600, 29_000, 58_000, 116_000), by_failures),
+    Slope(
+        (LEADER, FOLLOWER), "failures_per_day", (2900, 11_600, 29_000, 58_000, 116_000), by_failures
+    ),
 )
--- a/benchmarks/capacity/meter.py
+++ b/benchmarks/capacity/meter.py
@@ -17,7 +17,8 @@
 
 class StepMeter:
     """Sums the processor time of steps and keeps the longest: of several windows that are alike the one where
-    it was least, as whatever else runs on the machine only makes steps longer."""
+    it was least, as whatever else runs on the machine only makes steps longer.
+    """
 
     def __init__(self) -> None:
         self.total_ns = self.longest_ns = self.steps = 0
--- a/benchmarks/capacity/page.py
+++ b/benchmarks/capacity/page.py
@@ -1,5 +1,6 @@
 """docs/CAPACITY.md: its prose is written by hand, its tables are made from the slopes file, each between two
-marks: `<!-- table: NAME -->` and `<!-- end -->`."""
+marks: `<!-- table: NAME -->` and `<!-- end -->`.
+"""
 
 import re
 from collections.abc import Callable, Iterable
@@ -43,7 +44,9 @@
     "follower": role_tables.role_table("voter.follower"),
     "router": role_tables.role_table("router", "router.configuration", "router.dials"),
 }
-OF_MEASUREMENTS: dict[str, Callable[[Iterable[Measurement]], str]] = {"commits": role_tables.commits}
+OF_MEASUREMENTS: dict[str, Callable[[Iterable[Measurement]], str]] = {
+    "commits": role_tables.commits
+}
 
 
 def renewed(text: str, measurements: list[Measurement]) -> str:
@@ -69,5 +72,7 @@
     try:
         text = path.read_text(encoding="utf-8")
     except OSError as error:
-        raise BadPage(f"{path}:1: {error.strerror}; allowed: the page with its prose and marks") from None
+        raise BadPage(
+            f"{path}:1: {error.strerror}; allowed: the page with its prose and marks"
+        ) from None
     path.write_text(renewed(text, measurements), encoding="utf-8")
--- a/benchmarks/capacity/records.py
+++ b/benchmarks/capacity/records.py
@@ -103,7 +103,9 @@
         value = raw[name]
         finite = type(value) in (int, float) and least <= value < float("inf")
         if not finite or (name == "size" and value == 0):
-            raise wrong(f"{name} {value!r}", "a number above 0" if name == "size" else "a number from 0 on")
+            raise wrong(
+                f"{name} {value!r}", "a number above 0" if name == "size" else "a number from 0 on"
+            )
     if type(raw["seed"]) is not int:
         raise wrong(f"seed {raw['seed']!r}", "a whole number")
     if not isinstance(raw["commit"], str) or not raw["commit"]:
--- a/benchmarks/capacity/resident.py
+++ b/benchmarks/capacity/resident.py
@@ -1,5 +1,6 @@
 """Role `server.process`: the resident memory of a process that holds everything a server holds for control at
-a size, measured in a process of its own: `python -m benchmarks.capacity.resident TENANTS SERVERS CALLERS`."""
+a size, measured in a process of its own: `python -m benchmarks.capacity.resident TENANTS SERVERS CALLERS`.
+"""
 
 import subprocess
 import sys
@@ -21,7 +22,8 @@
 
 def hold(tenants: int, servers: int, callers: int) -> int:
     """Builds it all, and says what the process holds then beyond one that only loaded the modules, as well as
-    those modules."""
+    those modules.
+    """
     from benchmarks.capacity import configuration, connections, decisions
     from pumicenotch.cells.fence import Fence
     from pumicenotch.cells.map import dump, load
@@ -34,7 +36,14 @@
     fence = Fence(0.0, configuration.WINDOW_MS, load(text))
     members = Members(Who("me", "me", "life", 1, "z", "r"), 0.0, ["seed"], None)
     for at in range(servers):
-        who = Who(f"server-{at:07d}", f"10.0.{at // 250}.{at % 250}:7200", f"{at:012x}", at, "zone", "region")
+        who = Who(
+            f"server-{at:07d}",
+            f"10.0.{at // 250}.{at % 250}:7200",
+            f"{at:012x}",
+            at,
+            "zone",
+            "region",
+        )
         members.heard(News(who, 1, Standing.SERVING, Opinion.ALIVE, who.name))
     kept = (control, driver, fence, members)
     return resident_bytes() if kept else 0
--- a/benchmarks/capacity/role_tables.py
+++ b/benchmarks/capacity/role_tables.py
@@ -89,9 +89,7 @@
                 row.command,
             ]
         )
-    head = (
-        "event | role | measure | largest measured | at the size | basis | fit | residual | tried | command"
-    )
+    head = "event | role | measure | largest measured | at the size | basis | fit | residual | tried | command"
     return table(head, lines) if lines else "not measured\n"
 
 
--- a/benchmarks/capacity/router.py
+++ b/benchmarks/capacity/router.py
@@ -1,5 +1,6 @@
 """Role `router`: the routing reducer with its cell map, callers and connections to nodes, in simulated time.
-Nodes answer at once."""
+Nodes answer at once.
+"""
 
 from itertools import count
 from typing import Any
@@ -15,7 +16,9 @@
 from pumicenotch.server.effects import Dial, Write
 
 ROLE = "router"
-MAP = "router.configuration"  # the whole cell map, read again in the event loop when its file changes
+MAP = (
+    "router.configuration"  # the whole cell map, read again in the event loop when its file changes
+)
 DIALS = "router.dials"  # the address of a node, looked up for each dial
 STAGE = "read"
 SPAN_MS, TICK_MS = 2000.0, 25.0
@@ -32,9 +35,14 @@
 
     def __init__(self, cells: CellMap, callers: int, seed: int) -> None:
         core = Router(
-            cells=cells, confirmed=UNIX_MS, stages=STAGES, numbers={STAGE: 0}, seed=seed, stop_ms=5000.0,
+            cells=cells,
+            confirmed=UNIX_MS,
+            stages=STAGES,
+            numbers={STAGE: 0},
+            seed=seed,
+            stop_ms=5000.0,
             sockets=int(SOCKETS.value),
-        )  # fmt: skip
+        )
         super().__init__(core, callers)
         self.tenants = list(cells.tenants)
         self.asked = count()
@@ -61,8 +69,14 @@
 
     def request(self, at: int) -> None:
         message = next(self.messages)
-        fields = {"rid": f"{message:016x}", "t0": str(int(UNIX_MS + self.now)), "mem": "20", "prio": "0.5",
-                  "peer": "1", "acct": self.tenants[at * 31 % len(self.tenants)]}  # fmt: skip
+        fields = {
+            "rid": f"{message:016x}",
+            "t0": str(int(UNIX_MS + self.now)),
+            "mem": "20",
+            "prio": "0.5",
+            "peer": "1",
+            "acct": self.tenants[at * 31 % len(self.tenants)],
+        }
         self.put("task", 1 + at % self.callers, message, UNIX_MS, STAGE, fields, BODY)
 
 
@@ -105,7 +119,9 @@
 
 
 SLOPES = (
-    Slope((ROLE, MAP, DIALS), "tenants_known", (300, 1000, 3000, 10_000, 30_000, 54_000), by_tenants),
+    Slope(
+        (ROLE, MAP, DIALS), "tenants_known", (300, 1000, 3000, 10_000, 30_000, 54_000), by_tenants
+    ),
     Slope((ROLE, MAP, DIALS), "servers", (80, 160, 320, 640, 1280, 2500), by_servers, 8),
     Slope((ROLE,), "callers", (20, 37, 74, 148, 296, 1000), by_callers),
     Slope((ROLE,), "requests_per_s", (160, 320, 640, 1280, 2560), by_requests),
--- a/benchmarks/capacity/rows.py
+++ b/benchmarks/capacity/rows.py
@@ -104,13 +104,17 @@
 
 def rows(measurements: Iterable[Measurement]) -> list[Row]:
     """One for each role, by and measure; of several seeds the mean."""
-    found: dict[tuple[str, str, str, str], dict[float, list[float]]] = defaultdict(lambda: defaultdict(list))
+    found: dict[tuple[str, str, str, str], dict[float, list[float]]] = defaultdict(
+        lambda: defaultdict(list)
+    )
     for each in measurements:
         found[each.role, each.by, each.measure, each.unit][each.size].append(each.value)
     made = []
     for (role, by, measure, unit), sizes in found.items():
         order = sorted(sizes)
-        made.append(Row(role, by, measure, unit, tuple(order), tuple(mean(sizes[size]) for size in order)))
+        made.append(
+            Row(role, by, measure, unit, tuple(order), tuple(mean(sizes[size]) for size in order))
+        )
     return made + traffic(made)
 
 
@@ -121,19 +125,30 @@
         if row.measure in ("sent", "received"):
             found[row.role, row.by].append(row)
     return [
-        Row(role, by, "traffic", "bytes/s", parts[0].sizes,
-            tuple(sum(each) for each in zip(*(part.values for part in parts), strict=True)))
+        Row(
+            role,
+            by,
+            "traffic",
+            "bytes/s",
+            parts[0].sizes,
+            tuple(sum(each) for each in zip(*(part.values for part in parts), strict=True)),
+        )
         for (role, by), parts in found.items()
-    ]  # fmt: skip
+    ]
 
 
 def worst(some: Iterable[Row], role: str, measure: str, by: str = "") -> Row | None:
     """Of the slopes of one role and measure (and of one thing that grows, if named) the one that comes to the
-    most at the size."""
-    found = [row for row in some if (row.role, row.measure) == (role, measure) and row.by not in EVENTS]
+    most at the size.
+    """
+    found = [
+        row for row in some if (row.role, row.measure) == (role, measure) and row.by not in EVENTS
+    ]
     found = [row for row in found if by in ("", row.by)]
     return max(found, key=lambda row: row.value, default=None)
 
 
 def find(some: Iterable[Row], role: str, by: str, measure: str) -> Row | None:
-    return next((row for row in some if (row.role, row.by, row.measure) == (role, by, measure)), None)
+    return next(
+        (row for row in some if (row.role, row.by, row.measure) == (role, by, measure)), None
+    )
--- a/benchmarks/capacity/spread.py
+++ b/benchmarks/capacity/spread.py
@@ -1,6 +1,7 @@
 """The distribution of configuration in simulated time: five voters' sources, relays of all zones, and the
 replicas of one zone, all of them the real code. Other zones have relays alone, each subscribed to what their
-servers would need."""
+servers would need.
+"""
 
 import random
 from collections.abc import Callable, Iterable
@@ -64,7 +65,9 @@
         cells, services = set[str](), set[str]()
         for at in servers:
             cells.add(f"cell-{at % self.cells:04d}")
-            services |= {f"service-{(at * SERVED_SERVICES + one) % self.services:04d}" for one in range(2)}
+            services |= {
+                f"service-{(at * SERVED_SERVICES + one) % self.services:04d}" for one in range(2)
+            }
         return Subscription({"routes": services, "tenants": cells, "homes": cells})
 
 
@@ -82,7 +85,11 @@
     for index, (verb, *args) in enumerate(entries, 1):
         readers = book.verbs[verb]
         read = tuple(reader(value) for reader, value in zip(readers, args, strict=True))
-        outcome = meter.run(verb, book.apply, index, verb, read) if meter else book.apply(index, verb, read)
+        outcome = (
+            meter.run(verb, book.apply, index, verb, read)
+            if meter
+            else book.apply(index, verb, read)
+        )
         assert outcome.good, outcome
 
 
@@ -96,7 +103,9 @@
 class Spread(SimulatedTime):
     """`children` replicas beside the relays of one zone; `zones` in all."""
 
-    def __init__(self, seed: int, load: Load, *, children: int, zones: int, cold: bool = False) -> None:
+    def __init__(
+        self, seed: int, load: Load, *, children: int, zones: int, cold: bool = False
+    ) -> None:
         super().__init__()
         self.random = random.Random(seed)
         self.load = load
@@ -156,7 +165,9 @@
         began = self.now
         while not met():
             if self.now - began > within_ms:
-                behind = [address for address in self.zone if self.version(address) < self.book.version]
+                behind = [
+                    address for address in self.zone if self.version(address) < self.book.version
+                ]
                 raise AssertionError(f"not within {within_ms:g} ms: {len(behind)} are behind")
             self.run(20.0)
         return self.now - began
@@ -168,7 +179,9 @@
     def all_current(self) -> bool:
         replicas = [address for address in self.processes if address not in self.voters]
         return all(
-            self.version(address) == self.book.version for address in replicas if self.processes[address].up
+            self.version(address) == self.book.version
+            for address in replicas
+            if self.processes[address].up
         )
 
     def put(self, address: str, event: Any) -> None:
@@ -176,7 +189,11 @@
         if not process.up:
             return
         core = process.core
-        kind = type(event.message).__name__ if isinstance(event, events.Received) else type(event).__name__
+        kind = (
+            type(event.message).__name__
+            if isinstance(event, events.Received)
+            else type(event).__name__
+        )
         done = meter.run(kind, core.step, self.now, event) if meter else core.step(self.now, event)
         for effect in done:
             match effect:
@@ -238,9 +255,14 @@
 
     def change(self) -> None:
         """One route, one tenant by chance."""
-        route, tenant = self.random.randrange(self.load.routes), self.random.randrange(self.load.tenants)
+        route, tenant = (
+            self.random.randrange(self.load.routes),
+            self.random.randrange(self.load.tenants),
+        )
         upstream = f"10.0.{self.random.randrange(250)}.1:80"
-        self.publish([self.load.route(route, upstream), self.load.tenant(tenant, self.random.random())])
+        self.publish(
+            [self.load.route(route, upstream), self.load.tenant(tenant, self.random.random())]
+        )
 
     def kill(self, address: str) -> None:
         """It is gone, and the others of the zone think it dead at once."""
@@ -255,8 +277,13 @@
 
     def busiest_relay(self) -> str:
         relays = [address for address in self.zone if self.is_relay(address)]
-        return max(relays, key=lambda address: len(self.processes[address].core.status(self.now)["sources"])
-                   + self.processes[address].core.status(self.now)["children"])  # fmt: skip
+        return max(
+            relays,
+            key=lambda address: (
+                len(self.processes[address].core.status(self.now)["sources"])
+                + self.processes[address].core.status(self.now)["children"]
+            ),
+        )
 
     def a_replica(self) -> str:
         return next((address for address in self.zone if not self.is_relay(address)), self.zone[0])
--- a/benchmarks/capacity/totals.py
+++ b/benchmarks/capacity/totals.py
@@ -9,7 +9,8 @@
 
 class Part(NamedTuple):
     """Of a server; `by` is what grows in it, "" whatever comes to the most. `whole` and `changes` say with
-    which way of configuration it is there."""
+    which way of configuration it is there.
+    """
 
     role: str
     by: str = ""
@@ -35,14 +36,17 @@
 def server_total(found: list[Row]) -> str:
     """What a server spends on control, part by part, against its budget."""
     figures = {
-        part: [worst(found, part.role, measure, part.by) for measure in MEASURES] for part in SERVER_PARTS
+        part: [worst(found, part.role, measure, part.by) for measure in MEASURES]
+        for part in SERVER_PARTS
     }
     lines = [[part.role, *map(cell, own)] for part, own in figures.items()]
     whole = [own for part, own in figures.items() if part.whole]
     lines += sum_lines("configuration as whole files", whole)
     relay = [own for part, own in figures.items() if part.changes]
     lines += sum_lines("as changes, on a relay", relay)
-    replica = [own for part, own in figures.items() if part.changes and part.role != "distribution.relay"]
+    replica = [
+        own for part, own in figures.items() if part.changes and part.role != "distribution.relay"
+    ]
     lines += sum_lines("as changes, on any other", replica)
     lines.append(["budget", *(amount(each.value, each.unit) for each in BUDGETS)])
     return table("part | processor | sent and received | state | longest step", lines)
@@ -50,7 +54,9 @@
 
 def sum_lines(name: str, some: list[list[Row | None]]) -> list[list[str]]:
     """The sums (of steps the longest) and their shares of the budgets."""
-    columns = [[row.value for row in column if row is not None] for column in zip(*some, strict=True)]
+    columns = [
+        [row.value for row in column if row is not None] for column in zip(*some, strict=True)
+    ]
     totals = [*map(sum, columns[:-1]), max(columns[-1], default=0.0)]
     shares = [each / budget.value for each, budget in zip(totals, BUDGETS, strict=True)]
     return [
@@ -69,7 +75,12 @@
     ("server.decisions", "tenants_known", "the sample of the tenants", 1.0),
     ("server.connections", "callers", "the look for idle connections", 4.0),
     ("server.membership", "servers", "a probe with an exchange of everything", 1.0 / 15.0),
-    ("server.configuration", "tenants_known", "a whole cell map read", assumptions.CHANGES.value / 86_400.0),
+    (
+        "server.configuration",
+        "tenants_known",
+        "a whole cell map read",
+        assumptions.CHANGES.value / 86_400.0,
+    ),
     ("distribution.replica", "records_per_publication", "a slice of a publication of 54,000", 1.0),
     ("distribution.relay", "children", "its longest, taken as one a second", 1.0),
 )
@@ -88,10 +99,15 @@
             lines.append([role, what, "not measured", "-", "-", "-"])
             continue
         met = min(1.0, row.value / 1000.0 * rate)
-        lines.append([role, what, amount(row.value, "ms"), f"{rate:.3g}/s", percent(met), rank(met)])
+        lines.append(
+            [role, what, amount(row.value, "ms"), f"{rate:.3g}/s", percent(met), rank(met)]
+        )
         sums["whole"] += met if not role.startswith("distribution.") else 0.0
         sums["changes"] += met if role != "server.configuration" else 0.0
-    for name, title in (("whole", "configuration as whole files"), ("changes", "as changes, on a relay")):
+    for name, title in (
+        ("whole", "configuration as whole files"),
+        ("changes", "as changes, on a relay"),
+    ):
         lines.append([f"**{title}**", "any of them", "", "", percent(sums[name]), rank(sums[name])])
     return table("part | step | longest | how often | requests that meet it | which", lines)
 
@@ -106,7 +122,10 @@
     lines = [["requests a server, mean", f"{mean:.0f}/s", "320,000 requests/s over 2,500 servers"]]
     busiest = mean * assumptions.UNEVEN.value
     lines.append(["requests a server, busiest", f"{busiest:.0f}/s", "assumed uneven, below"])
-    for role, what in (("server.connections", "the whole core"), ("server.decisions", "the decisions alone")):
+    for role, what in (
+        ("server.connections", "the whole core"),
+        ("server.decisions", "the decisions alone"),
+    ):
         row = find(found, role, "requests_per_s", "processor")
         if row is not None:
             each = row.value / row.target
@@ -114,15 +133,24 @@
                 [
                     f"requests that {what} bears in one process",
                     f"{1.0 / each:,.0f}/s",
-                    f"{1e6 * each:.0f} us a request at {row.target:.0f}/s; sockets not in it; " + row.command,
+                    f"{1e6 * each:.0f} us a request at {row.target:.0f}/s; sockets not in it; "
+                    + row.command,
                 ]
             )
     row = find(found, "server.connections", "callers", "state")
     lines.append(
-        ["connections of callers a server", count(assumptions.CALLERS_AT_SERVER.value), "assumed, below"]
+        [
+            "connections of callers a server",
+            count(assumptions.CALLERS_AT_SERVER.value),
+            "assumed, below",
+        ]
     )
     lines.append(
-        ["bound by descriptors", count(assumptions.SOCKETS.value / 2.0), "half of them go to callers"]
+        [
+            "bound by descriptors",
+            count(assumptions.SOCKETS.value / 2.0),
+            "half of them go to callers",
+        ]
     )
     if row is not None:
         each = row.fit.slope
--- a/benchmarks/cells.py
+++ b/benchmarks/cells.py
@@ -27,7 +27,11 @@
         cells[name] = Cell(name, tuple(Node(f"{name}-{one}") for one in range(min(CELL, nodes))))
     names = list(cells)
     return CellMap(
-        1, cells, {f"t{at}": Tenant(names[at % len(names)], 4) for at in range(tenants)}, 37794.0, 0.0
+        1,
+        cells,
+        {f"t{at}": Tenant(names[at % len(names)], 4) for at in range(tenants)},
+        37794.0,
+        0.0,
     )
 
 
@@ -53,7 +57,9 @@
 
 def main() -> None:
     base = 0.0
-    print(f"{'tenants':>8} {'nodes':>6} {'walk us':>8} {'ratio':>6} {'fence us':>9} {'a move ms':>10}")
+    print(
+        f"{'tenants':>8} {'nodes':>6} {'walk us':>8} {'ratio':>6} {'fence us':>9} {'a move ms':>10}"
+    )
     for tenants, nodes in ((10, 4), (100, 16), (1000, 100), (10_000, 1000)):
         made = fleet(tenants, nodes)
         each = cost(made, route)
@@ -61,11 +67,15 @@
         fence = Fence(0.0, 37794.0, made)
         names = list(made.tenants)
         # type: ignore[misc]
-        judged = cost(made, lambda _, at, f=fence, n=names: f.judge(9e4, n[at % len(n)], 2, Role.ASK, False))
+        judged = cost(
+            made, lambda _, at, f=fence, n=names: f.judge(9e4, n[at % len(n)], 2, Role.ASK, False)
+        )
         began = time.perf_counter()
         moves.move(made, ["t0"], list(made.cells)[-1], 0.0, 2)
         took = (time.perf_counter() - began) * 1000.0
-        print(f"{tenants:>8} {nodes:>6} {each:>8.1f} {each / base:>6.2f} {judged:>9.2f} {took:>10.2f}")
+        print(
+            f"{tenants:>8} {nodes:>6} {each:>8.1f} {each / base:>6.2f} {judged:>9.2f} {took:>10.2f}"
+        )
 
 
 if __name__ == "__main__":
--- a/benchmarks/cold_start.py
+++ b/benchmarks/cold_start.py
@@ -11,7 +11,8 @@
 of mean work, with the share of it that came from callers told of the start; and the mean of those wanting a
 core. N is cores x (1 + (multiple - 1) x speed), the crowd that the settings allow then. Exit status 1 where
 one is above, over two thirds of it (of the arrivals) from callers that were told. Last in a line: the tasks
-by what their callers had in mind as they sent them: no value yet, one that they forgot, or a value."""
+by what their callers had in mind as they sent them: no value yet, one that they forgot, or a value.
+"""
 
 import asyncio
 import json
@@ -61,10 +62,19 @@
         return crowd + 2.0 * sqrt(crowd) + 2.0
 
     def settings(self) -> dict[str, Any]:
-        family = {"cores": self.cores, "memory-kb": 9e4, "meters": ["core_use", "on_cores"], "below": "off"}
+        family = {
+            "cores": self.cores,
+            "memory-kb": 9e4,
+            "meters": ["core_use", "on_cores"],
+            "below": "off",
+        }
         family |= {"signal": self.kind, "callers": GATEWAYS, "cold": True}
         family["said-for"] = int(1e6 * self.said_for_s)
-        rules = {"cold-share": self.share, "warm-after": int(1e6 * WARM_S), "fall": int(1e6 * FALL_S)}
+        rules = {
+            "cold-share": self.share,
+            "warm-after": int(1e6 * WARM_S),
+            "fall": int(1e6 * FALL_S),
+        }
         rules["fall-multiple"] = MULTIPLE
         return {"classes": [CLASS], "family-info": family, "rules": rules, "servers": 30}
 
@@ -89,7 +99,9 @@
     def __str__(self) -> str:
         first = self.first_fall_told
         fall = "" if first is None else f", first fall {100 * first:.0f}%"
-        return f"{self.value:.1f} of {self.allowed:.1f} (by told callers {100 * self.told:.0f}%{fall})"
+        return (
+            f"{self.value:.1f} of {self.allowed:.1f} (by told callers {100 * self.told:.0f}%{fall})"
+        )
 
 
 class Caller:
@@ -108,7 +120,9 @@
         chance = self.play.random.random()
         match case.kind:
             case "tokens":
-                return peer is None or len(peer.open) < int(self.value) + (chance < self.value % 1.0)
+                return peer is None or len(peer.open) < int(self.value) + (
+                    chance < self.value % 1.0
+                )
             case "min_rank":
                 return rank >= self.value
         return chance < self.value
@@ -130,7 +144,9 @@
                     )
                 play.send(self, rank)
 
-    def answered(self, peer: GatewayPeer, message: int, kind: str, _: bytes, fields: dict[str, str]) -> None:
+    def answered(
+        self, peer: GatewayPeer, message: int, kind: str, _: bytes, fields: dict[str, str]
+    ) -> None:
         peer.open.pop(message)
         self.play.answers[kind] += 1
         if "hint" in fields:  # without a signal in the settings nothing is told
@@ -142,17 +158,23 @@
         self.case, self.loop = case, asyncio.get_running_loop()
         self.random = random.Random(case.seed)
         self.work = Work(Cores(case.cores, 1.0, 0.0, MULTIPLE))
-        self.stage = Stage(name="work", share=1.0, work_ms=MEAN_WORK_MS, due_ms=2500.0, limit_ms=6300.0)
+        self.stage = Stage(
+            name="work", share=1.0, work_ms=MEAN_WORK_MS, due_ms=2500.0, limit_ms=6300.0
+        )
         self.pool: PoolPeer | None = None
         self.bound = asyncio.Event()
         self.began = 0.0
         self.address = (HERE, 0)
         self.tasks: dict[str, Arrival] = {}
-        self.got: deque[tuple[float, float, bool]] = deque()  # when, in requests of mean work, from one told
+        self.got: deque[tuple[float, float, bool]] = (
+            deque()
+        )  # when, in requests of mean work, from one told
         self.crowd: deque[int] = deque(maxlen=round(FALL_S / STEP_S))
         self.arrivals, self.on_cores = Most(), Most()
         self.answers: Counter[str] = Counter()
-        self.knew: Counter[str] = Counter()  # tasks by what their callers had in mind as they sent them
+        self.knew: Counter[str] = (
+            Counter()
+        )  # tasks by what their callers had in mind as they sent them
 
     def now(self) -> float:
         """Seconds from the pool's start."""
@@ -161,7 +183,9 @@
     def send(self, caller: Caller, rank: float) -> None:
         now = self.now()
         age = now - caller.value_at
-        self.knew["none" if age > 1e6 else "forgotten" if age > self.case.said_for_s else "value"] += 1
+        self.knew[
+            "none" if age > 1e6 else "forgotten" if age > self.case.said_for_s else "value"
+        ] += 1
         sigma = sqrt(log(1.0 + VARIATION**2))
         work = MEAN_WORK_MS * self.random.lognormvariate(-0.5 * sigma * sigma, sigma)
         name = rid(f"{len(self.tasks):x}")
@@ -197,7 +221,9 @@
             case "poll":
                 self.pool.tell("polled", cookie=told["cookie"], stats=self.work.cores.gauges(0)[:2])
             case "spawn":
-                self.work.spawn(1000.0 * self.now(), told["call"], self.tasks[told["call"]], self.stage)
+                self.work.spawn(
+                    1000.0 * self.now(), told["call"], self.tasks[told["call"]], self.stage
+                )
             case "suspend" | "proceed":
                 self.work.pause(told["call"], msg == "suspend")
 
@@ -216,7 +242,9 @@
             self.on_cores.look(mean, self.case.allowed(self.now()), 0.0)
 
     async def run(self, folder: Path) -> None:
-        listener = await self.loop.create_server(partial(PoolPeer, self.linked, self.command), HERE, 0)
+        listener = await self.loop.create_server(
+            partial(PoolPeer, self.linked, self.command), HERE, 0
+        )
         pool = "{}:{}".format(*listener.sockets[0].getsockname()[:2])
         limits = {"cores": 1.0, "memory_mb": 192, "sockets": 1024}
         told = {"name": "n1", "listen": f"{HERE}:0", "pool": pool, "seed": f"{self.case.seed:x}"}
@@ -240,7 +268,9 @@
 
     async def load(self) -> None:
         callers = [Caller(self, number) for number in range(GATEWAYS)]
-        running = [asyncio.create_task(each) for each in (self.step(), *(one.run() for one in callers))]
+        running = [
+            asyncio.create_task(each) for each in (self.step(), *(one.run() for one in callers))
+        ]
         done, _ = await asyncio.wait(running, timeout=PLAY_S, return_when=asyncio.FIRST_EXCEPTION)
         for each in running:
             each.cancel()
@@ -270,22 +300,38 @@
 
 async def main(case: Case, seeds: int) -> int:
     room = asyncio.Semaphore(AT_ONCE)
-    cases = [case._replace(share=share, seed=seed) for share in SHARES for seed in range(1, seeds + 1)]
+    cases = [
+        case._replace(share=share, seed=seed) for share in SHARES for seed in range(1, seeds + 1)
+    ]
     plays = await asyncio.gather(*(played(each, room) for each in cases))
-    print(f"{case.kind}, load {case.load:g}, in mind for {case.said_for_s:g} s, {case.cores} cores, "
-          f"list {case.list}")  # fmt: skip
+    print(
+        f"{case.kind}, load {case.load:g}, in mind for {case.said_for_s:g} s, {case.cores} cores, "
+        f"list {case.list}"
+    )
     for play in plays:
         answers = ", ".join(f"{kind} {count}" for kind, count in sorted(play.answers.items()))
         knew = ", ".join(f"{kind} {count}" for kind, count in sorted(play.knew.items()))
         on_cores = f"{play.on_cores.value:.1f} of {play.on_cores.allowed:.1f}"
-        print(f"share {play.case.share:g}, seed {play.case.seed}: arrived {play.arrivals}; "
-              f"on cores {on_cores}; {answers}; sent knowing {knew}")  # fmt: skip
-    return int(any(play.arrivals.falls or play.on_cores.first_fall_told is not None for play in plays))
+        print(
+            f"share {play.case.share:g}, seed {play.case.seed}: arrived {play.arrivals}; "
+            f"on cores {on_cores}; {answers}; sent knowing {knew}"
+        )
+    return int(
+        any(play.arrivals.falls or play.on_cores.first_fall_told is not None for play in plays)
+    )
 
 
 if __name__ == "__main__":
     words = sys.argv[1:]
     told = dict(zip(("kind", "load", "said_for_s", "cores", "seeds", "list"), words, strict=False))
     seeds = int(told.pop("seeds", "3"))
-    kinds: dict[str, Any] = {"kind": str, "load": float, "said_for_s": float, "cores": int, "list": str}
-    sys.exit(asyncio.run(main(Case(**{name: kinds[name](word) for name, word in told.items()}), seeds)))
+    kinds: dict[str, Any] = {
+        "kind": str,
+        "load": float,
+        "said_for_s": float,
+        "cores": int,
+        "list": str,
+    }
+    sys.exit(
+        asyncio.run(main(Case(**{name: kinds[name](word) for name, word in told.items()}), seeds))
+    )
--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -53,7 +53,9 @@
 def cost(pooled: bool, many: int, seed: int) -> float:
     """Microseconds an event."""
     stages = [*STAGES * max(1, many // 4)]
-    numbers = {str(at): at % 4 for at in range(len(stages))} | {str(at): at for at in range(len(stages))}
+    numbers = {str(at): at % 4 for at in range(len(stages))} | {
+        str(at): at for at in range(len(stages))
+    }
     world = World(seed, max(3, many), 1.2, stages, **KINDS[0])
     if pooled:
         world.control.pool(0.0, Pools(0.0, PLAN, stages, numbers))
@@ -91,7 +93,8 @@
 
 class Longest:
     """A control of which the longest event, the longest tick and the time in ticks are kept, in nanoseconds
-    of processor time."""
+    of processor time.
+    """
 
     def __init__(self, control: Control) -> None:
         self.control, self.longest_event, self.longest_tick, self.in_ticks = control, 0, 0, 0
@@ -144,7 +147,9 @@
     world.play()
     gc.enable()
     seconds = world.LENGTH_MS / 1000.0
-    return Cost(longest.longest_event / 1e6, longest.longest_tick / 1e6, longest.in_ticks / 1e6 / seconds)
+    return Cost(
+        longest.longest_event / 1e6, longest.longest_tick / 1e6, longest.in_ticks / 1e6 / seconds
+    )
 
 
 def bytes_a_tenant(known: int) -> tuple[float, float]:
@@ -161,14 +166,19 @@
 
 
 def tenants(rounds: int, sizes: tuple[int, ...]) -> None:
-    print(f"{'known':>7} {'active':>7} {'past':>5} {'event ms':>9} {'tick ms':>8} {'ticks ms/s':>11}")
+    print(
+        f"{'known':>7} {'active':>7} {'past':>5} {'event ms':>9} {'tick ms':>8} {'ticks ms/s':>11}"
+    )
     for known in sizes:
         cases = [(active, past) for active in ACTIVE if active < known for past in ("none", "all")]
         for active, past in [*cases, (known, "none")]:
             costs = [cost_of_tenants(seed, known, active, past) for seed in range(rounds)]
             event, tick = min(cost.event for cost in costs), min(cost.tick for cost in costs)
             ticks = min(cost.ticks for cost in costs)
-            print(f"{known:>7} {active:>7} {past:>5} {event:>9.2f} {tick:>8.2f} {ticks:>11.2f}", flush=True)
+            print(
+                f"{known:>7} {active:>7} {past:>5} {event:>9.2f} {tick:>8.2f} {ticks:>11.2f}",
+                flush=True,
+            )
     print(f"{'known':>7} {'bytes known':>12} {'bytes used':>11}")
     for known in sizes:
         made, used = bytes_a_tenant(known)
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -1,5 +1,6 @@
 """What a fleet costs and how fast it is, in simulated time: `python -m benchmarks.fleet`. Prints one JSON
-object a measurement. Sizes grow; real time is dominated by the number of messages."""
+object a measurement. Sizes grow; real time is dominated by the number of messages.
+"""
 
 import argparse
 import json
@@ -16,21 +17,45 @@
     """Time to drain all nodes and have them back, against the shortest that the budgets allow."""
     at_once = max(2, many // 10)
     a_zone = math.ceil(at_once / 3)
-    day = usual(seed, nodes=many, budgets=[
-        Budget("zones", "zone", most_out=a_zone), Budget("all", "fleet", most_out=at_once),
-    ])  # fmt: skip
+    day = usual(
+        seed,
+        nodes=many,
+        budgets=[
+            Budget("zones", "zone", most_out=a_zone),
+            Budget("all", "fleet", most_out=at_once),
+        ],
+    )
     left: list[str] = []
     day.on_leave = left.append
     began, real = day.now, time.perf_counter()
     for at in range(0, many, 500):
-        day.agreed("drain", f"d{at}", tuple(f"n{n}" for n in range(at, min(many, at + 500))), "kernel", "op")
-    day.until(lambda: len(left) >= many and not day.away and bool(day.leader()) and not any(
-        map(day.state().is_out, day.state().members.values())), 3_600_000.0)  # fmt: skip
+        day.agreed(
+            "drain",
+            f"d{at}",
+            tuple(f"n{n}" for n in range(at, min(many, at + 500))),
+            "kernel",
+            "op",
+        )
+    day.until(
+        lambda: (
+            len(left) >= many
+            and not day.away
+            and bool(day.leader())
+            and not any(map(day.state().is_out, day.state().members.values()))
+        ),
+        3_600_000.0,
+    )
     took = day.now - began
     turns = max(math.ceil(many / at_once), math.ceil(math.ceil(many / 3) / a_zone))
     shortest = turns * (DRAIN_MS + 200.0 + RESTART_MS)
-    return {"nodes": many, "seed": seed, "took_s": round(took / 1000.0, 2), "shortest_s": shortest / 1000.0,
-            "part": round(shortest / took, 3), "real_s": round(time.perf_counter() - real, 1)}  # fmt: skip
+    return {
+        "nodes": many,
+        "seed": seed,
+        "took_s": round(took / 1000.0, 2),
+        "shortest_s": shortest / 1000.0,
+        "part": round(shortest / took, 3),
+        "real_s": round(time.perf_counter() - real, 1),
+    }
 
 
 def leaderless(times: int, seed: int) -> dict[str, float]:
@@ -42,7 +67,9 @@
         before = day.leader()
         day.kill(before)
         # type: ignore[misc]
-        gaps.append(day.until(lambda day=day, before=before: day.leader() not in ("", before), step_ms=5.0))
+        gaps.append(
+            day.until(lambda day=day, before=before: day.leader() not in ("", before), step_ms=5.0)
+        )
     cuts = quantiles(gaps, n=100)
     return {
         "deaths": times,
@@ -64,7 +91,8 @@
 def detection(many: int, seed: int, span_s: int = 0) -> dict[str, float]:
     """A death known to the first and to all; then false deaths, each where one other held it, with a tenth
     of the messages lost and a core at 90%: a message waits as in a queue, nine times its service of 2 ms on
-    average."""
+    average.
+    """
     day = usual(seed, nodes=many)
     day.kill("n0")
     first = day.until(lambda: Opinion.DEAD in opinions(day, "n0"), 600_000.0, 100.0)
@@ -79,9 +107,14 @@
     span_s = span_s or (3600 if many <= 30 else 600)
     for _ in range(span_s):
         day.run(1000.0)
-        now = {(other, name) for other, process in day.processes.items() if process.core is not None
-               for name in names if process.core.members.news.get(name) is not None
-               and process.core.members.news[name].opinion is Opinion.DEAD}  # fmt: skip
+        now = {
+            (other, name)
+            for other, process in day.processes.items()
+            if process.core is not None
+            for name in names
+            if process.core.members.news.get(name) is not None
+            and process.core.members.news[name].opinion is Opinion.DEAD
+        }
         false += len(now - held)
         held = now
     return {
@@ -108,7 +141,9 @@
     }
     for role, names in roles.items():
         for at, unit in enumerate(("bytes", "messages")):
-            sent = [(getattr(day.processes[name], unit) - before[name][at]) / 30.0 for name in names]
+            sent = [
+                (getattr(day.processes[name], unit) - before[name][at]) / 30.0 for name in names
+            ]
             found[f"{role}_{unit}_per_s"] = round(sum(sent) / len(sent), 1)
     return found
 
@@ -118,7 +153,9 @@
     parser.add_argument("--sizes", type=int, nargs="+", default=[10, 30, 100, 300])
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--deaths", type=int, default=200)
-    parser.add_argument("--only", nargs="+", default=["drain_all", "leaderless", "detection", "traffic"])
+    parser.add_argument(
+        "--only", nargs="+", default=["drain_all", "leaderless", "detection", "traffic"]
+    )
     told = parser.parse_args()
     for name in told.only:
         job = globals()[name]
--- a/benchmarks/regions.py
+++ b/benchmarks/regions.py
@@ -1,6 +1,7 @@
 """The greedy plan against the optimum, by drawn fleets: `pip install 'pumicenotch[bench]'`, then `python -m
 benchmarks.regions`. The optimum is of two linear programs (HiGHS by scipy): first the most worth that can be
-served, then, of all plans that serve it, the one that carries least work far."""
+served, then, of all plans that serve it, the one that carries least work far.
+"""
 
 import argparse
 import json
@@ -19,11 +20,17 @@
 def drawn(seed: int, regions: int, zones: int) -> tuple[list[Zone], dict[tuple[str, str], float]]:
     """Zones that differ, one or two of them lost, at loads of 40 to 100% of their own."""
     chance = np.random.default_rng(seed)
-    made = [Zone(f"z{at}", f"r{at % regions}", float(chance.uniform(50.0, 150.0))) for at in range(zones)]
+    made = [
+        Zone(f"z{at}", f"r{at % regions}", float(chance.uniform(50.0, 150.0)))
+        for at in range(zones)
+    ]
     for at in chance.choice(zones, int(chance.integers(1, 3)), replace=False):
         made[at] = made[at]._replace(state=LOST)
-    demand = {(zone.name, kind): zone.room * float(chance.uniform(0.4, 1.0)) * part
-              for zone in made for kind, part in PARTS.items()}  # fmt: skip
+    demand = {
+        (zone.name, kind): zone.room * float(chance.uniform(0.4, 1.0)) * part
+        for zone in made
+        for kind, part in PARTS.items()
+    }
     return made, demand
 
 
@@ -31,7 +38,9 @@
     """The worth served, and the work times distance that it takes at the least."""
     held = {zone.name: zone for zone in zones}
     worth = {kind.name: kind.worth for kind in KINDS}
-    pairs = [(origin, kind, zone.name) for origin, kind in demand for zone in zones if zone.state == WELL]
+    pairs = [
+        (origin, kind, zone.name) for origin, kind in demand for zone in zones if zone.state == WELL
+    ]
     keys, names = list(demand), [zone.name for zone in zones if zone.state == WELL]
     rows = np.zeros((len(keys) + 2 * len(names), len(pairs)))
     limits = np.zeros(len(rows))
@@ -43,7 +52,9 @@
         limits[len(keys) + at] = held[name].room
         rows[len(keys) + len(names) + at] = [pair[2] == name != pair[0] for pair in pairs]
         own = sum(work for (origin, _), work in demand.items() if origin == name)
-        limits[len(keys) + len(names) + at] = max(0.0, held[name].room * (1.0 - held[name].reserve) - own)
+        limits[len(keys) + len(names) + at] = max(
+            0.0, held[name].room * (1.0 - held[name].reserve) - own
+        )
     gain = np.array([worth[pair[1]] for pair in pairs])
     best = linprog(-gain, rows, limits, method="highs")
     cost = np.array([far(held, {}, pair[0], pair[2]) for pair in pairs])
@@ -66,8 +77,12 @@
             served += work * worth[way.kind]
             carried += work * far(held, {}, way.origin, way.target)
     best, near = optimum(made, demand)
-    return {"worth": served / best, "carried": carried / near if near > 1e-6 else 1.0, "ms": took,
-            "ways": float(len(plan.ways))}  # fmt: skip
+    return {
+        "worth": served / best,
+        "carried": carried / near if near > 1e-6 else 1.0,
+        "ms": took,
+        "ways": float(len(plan.ways)),
+    }
 
 
 def main() -> None:
@@ -85,8 +100,11 @@
         }
         for name in ("worth", "carried", "ms", "ways"):
             cuts = quantiles([each[name] for each in found], n=100)
-            line |= {f"{name}_p50": round(cuts[49], 4), f"{name}_p99": round(cuts[98], 4),
-                     f"{name}_p1": round(cuts[0], 4)}  # fmt: skip
+            line |= {
+                f"{name}_p50": round(cuts[49], 4),
+                f"{name}_p99": round(cuts[98], 4),
+                f"{name}_p1": round(cuts[0], 4),
+            }
         print(json.dumps(line), flush=True)
 
 
--- a/benchmarks/release.py
+++ b/benchmarks/release.py
@@ -1,6 +1,7 @@
 """How the judgement of releases fares, by drawn days: `python -m benchmarks.release`. Twelve members in
 three zones, three classes; waves of one, three and all but three; load that doubles, members that differ,
-bursts in which tasks of one member go badly together."""
+bursts in which tasks of one member go badly together.
+"""
 
 import argparse
 import json
@@ -40,16 +41,25 @@
             burst = 0.3 if self.chance.random() < 0.01 else 0.0
             for number, name in enumerate(CLASSES):
                 tasks = int(self.chance.poisson(RATE * load))
-                more = self.harm if member in released and (not self.one_class or number == 0) else 0.0
+                more = (
+                    self.harm if member in released and (not self.one_class or number == 0) else 0.0
+                )
                 bad = min(1.0, BASE * self.differ[member] + crowd + burst + more)
-                found.append(Told(f"z{member // A_ZONE}/{name}", member in released, tasks,
-                                  int(self.chance.binomial(tasks, bad))))  # fmt: skip
+                found.append(
+                    Told(
+                        f"z{member // A_ZONE}/{name}",
+                        member in released,
+                        tasks,
+                        int(self.chance.binomial(tasks, bad)),
+                    )
+                )
         return found
 
 
 def played(seed: int, harm: float, one_class: bool) -> tuple[int, int, int]:
     """Seconds until the judge and the fixed threshold halt it (-1: never), and members that had it by
-    then."""
+    then.
+    """
     day, judge, fixed = Day(seed, harm, one_class), Judge(), Threshold()
     judged = thresholded = -1
     had = len(WAVES[-1])
@@ -72,24 +82,37 @@
     judged = sorted(each[0] for each in found if each[0] >= 0)
     fixed = sorted(each[1] for each in found if each[1] >= 0)
     return {
-        "harm": harm, "one_class": one_class, "days": days, "seed": seed, "judge_halts": len(judged) / days,
+        "harm": harm,
+        "one_class": one_class,
+        "days": days,
+        "seed": seed,
+        "judge_halts": len(judged) / days,
         "judge_p50_s": judged[len(judged) // 2] if judged else -1.0,
         "judge_worst_s": judged[-1] if judged else -1.0,
         "members_worst": max((each[2] for each in found if each[0] >= 0), default=0),
-        "threshold_halts": len(fixed) / days, "threshold_p50_s": fixed[len(fixed) // 2] if fixed else -1.0,
-    }  # fmt: skip
+        "threshold_halts": len(fixed) / days,
+        "threshold_p50_s": fixed[len(fixed) // 2] if fixed else -1.0,
+    }
 
 
 def whole(many: int, seed: int) -> dict[str, float | str]:
     """A whole release in simulated time, voters, servers and agents, against the shortest that budgets and
-    soaks allow: of each wave as many turns of drain, end and start as it needs, and its soak."""
+    soaks allow: of each wave as many turns of drain, end and start as it needs, and its soak.
+    """
     at_once = max(2, many // 10)
     a_zone = math.ceil(at_once / ZONES)
     real = time.perf_counter()
-    day = releasing.usual(seed, nodes=many, budgets=(
-        Budget("zones", "zone", most_out=a_zone), Budget("all", "fleet", most_out=at_once),
-    ))  # fmt: skip
-    members = [each for each in day.state().members.values() if each.name in day.state().releases.nodes]
+    day = releasing.usual(
+        seed,
+        nodes=many,
+        budgets=(
+            Budget("zones", "zone", most_out=a_zone),
+            Budget("all", "fleet", most_out=at_once),
+        ),
+    )
+    members = [
+        each for each in day.state().members.values() if each.name in day.state().releases.nodes
+    ]
     waves = waves_of(members, mixed=True)
     day.run(10_000.0)  # so that what is usual is known
     day.plan(waves=waves, mixed=True, soak_ms=SOAK_MS)
@@ -103,15 +126,22 @@
         turns = max(math.ceil(len(wave) / at_once), math.ceil(max(zones.values()) / a_zone))
         shortest += turns * turn + SOAK_MS
     return {
-        "nodes": many, "seed": seed, "state": day.stands(), "took_s": round(took / 1000.0, 2),
-        "shortest_s": round(shortest / 1000.0, 2), "part": round(shortest / took, 3), "waves": len(waves),
+        "nodes": many,
+        "seed": seed,
+        "state": day.stands(),
+        "took_s": round(took / 1000.0, 2),
+        "shortest_s": round(shortest / 1000.0, 2),
+        "part": round(shortest / took, 3),
+        "waves": len(waves),
         "real_s": round(time.perf_counter() - real, 1),
-    }  # fmt: skip
+    }
 
 
 def main() -> None:
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("--whole", type=int, nargs="*", default=[], help="nodes of whole releases instead")
+    parser.add_argument(
+        "--whole", type=int, nargs="*", default=[], help="nodes of whole releases instead"
+    )
     parser.add_argument("--days", type=int, default=200)
     parser.add_argument("--seed", type=int, default=1)
     told = parser.parse_args()
--- a/benchmarks/restarts.py
+++ b/benchmarks/restarts.py
@@ -4,7 +4,8 @@
 
 Each restart is a process of the program against stand-ins on loopback; for every third the registry is down
 for the first two seconds. Prints the distribution in seconds. Exit status 1 where fewer than nine in ten are
-ready within ten seconds."""
+ready within ten seconds.
+"""
 
 import sys
 import tempfile
@@ -47,7 +48,10 @@
     told = {part: took[min(count - 1, int(part * count))] for part in (0.0, 0.5, 0.9, 0.99)}
     ready = sum(each <= READY_S for each in took)
     print(f"{count} restarts, {at_once} at once: {ready} ready within {READY_S:g} s")
-    print(" ".join(f"p{100 * part:g}={each:.2f}" for part, each in told.items()), f"most={took[-1]:.2f}")
+    print(
+        " ".join(f"p{100 * part:g}={each:.2f}" for part, each in told.items()),
+        f"most={took[-1]:.2f}",
+    )
     return 0 if ready >= PART * count else 1
 
 
--- a/benchmarks/returning.py
+++ b/benchmarks/returning.py
@@ -5,7 +5,8 @@
 Each server is a process of the program with tasks that wait for their calls while the dependency refuses;
 then it listens, answering each call after a tenth of a second. Its budget is the sum of the shares that the
 servers were told, N; beyond it only 2 x root of N + 2 is chance. Prints the most calls in hand, by second;
-exit status 1 where they are more."""
+exit status 1 where they are more.
+"""
 
 import re
 import socket
@@ -63,7 +64,11 @@
     family: dict[str, Any] = {"cores": 8, "memory-kb": 9e4, "meters": ["core_use", "on_cores"]}
     family["below"] = "common"
     family |= {"dep-window": 5_000_000, "stays-for": 200_000}
-    settings: dict[str, Any] = {**SETTINGS, "servers": 30, "family-info": {**family, "call-share": share}}
+    settings: dict[str, Any] = {
+        **SETTINGS,
+        "servers": 30,
+        "family-info": {**family, "call-share": share},
+    }
     with (
         tempfile.TemporaryDirectory() as folder,
         Program(Path(folder), db=address, settings=settings) as program,
--- a/pumicenotch/__main__.py
+++ b/pumicenotch/__main__.py
@@ -1,5 +1,6 @@
 """Reads LB_CONFIG and, where PUMICENOTCH_CONFIG names one, the file of ours; wires the core to its sockets,
-and handles the signals."""
+and handles the signals.
+"""
 
 import signal
 
@@ -51,7 +52,8 @@
 
 class Reloads:
     """One at a time, beside all else: reading a file may take a second, and a notice to leave must not wait
-    for it. Those asked for while one is on its way come to one more."""
+    for it. Those asked for while one is on its way come to one more.
+    """
 
     def __init__(self) -> None:
         self.wanted = anyio.Event()
@@ -64,7 +66,9 @@
                 await reload(hub, values)
             except Exception as error:
                 hub.fault("reload", error)
-                hub.put("met", "reloads_failed", f"reload: {error!r}; the running values stay in force")
+                hub.put(
+                    "met", "reloads_failed", f"reload: {error!r}; the running values stay in force"
+                )
 
 
 async def reload(hub: Hub, values: dict[str, Any]) -> None:
@@ -93,7 +97,9 @@
     if ours is not None and ours.plan != values["ours"].plan:
         values["ours"], plan = ours, ours.plan
         hub.put(
-            "repool", maker(plan, values), "class pools of the file are in force" if plan else "pools are off"
+            "repool",
+            maker(plan, values),
+            "class pools of the file are in force" if plan else "pools are off",
         )
 
 
@@ -109,7 +115,8 @@
 
 async def replanned(config: str) -> Any:
     """What the file of ours says now; None where none was named. The file is read in a process of its own,
-    while this one goes on."""
+    while this one goes on.
+    """
     if not config:
         return None
     from pumicenotch.config import compiled
@@ -174,7 +181,8 @@
 
 async def join(hub: Hub, group: TaskGroup, ours: Any, seed: int, sockets: int) -> Any:
     """This server's place in its fleet. Its work never waits for any of it; nothing of it is loaded where
-    the file of ours names none. Returns what is told when the server leaves and ends."""
+    the file of ours names none. Returns what is told when the server leaves and ends.
+    """
     from pumicenotch.net import fleet
 
     return await fleet.member(hub, group, ours.fleet, ours.distribution, seed, sockets)
@@ -182,11 +190,14 @@
 
 async def listening(host: str, port: int, most_s: float) -> SocketListener:
     """A process before this one may still drain at that address, for as long as its notice lasts. OSError
-    when that is over."""
+    when that is over.
+    """
     until, told = anyio.current_time() + most_s, False
     while True:
         try:
-            many = await anyio.create_tcp_listener(local_host=host, local_port=port, backlog=gateways.BACKLOG)
+            many = await anyio.create_tcp_listener(
+                local_host=host, local_port=port, backlog=gateways.BACKLOG
+            )
             return cast(SocketListener, many.listeners[0])
         except OSError as error:
             if error.errno != errno.EADDRINUSE or anyio.current_time() > until:
@@ -226,7 +237,9 @@
         logger.info("callers are told a {}: the settings are of that shape", values["shape"])
         group.start_soon(clock.run, lambda: hub.put("time"))
         if getattr(values["ours"], "fleet", None) is not None:
-            values["peers"] = await join(hub, group, values["ours"], values["seed"], values["sockets"])
+            values["peers"] = await join(
+                hub, group, values["ours"], values["seed"], values["sockets"]
+            )
         peers = values["peers"]
         await hub.exit.wait()
         if peers is not None:
@@ -260,11 +273,18 @@
     values["sockets"] = start.read("limits.sockets", pairs, int, 1024)
     values["shape"] = start.shape(settings)
     values["keywords"] = start.keywords(settings)
-    values["stages"], values["tenants"] = start.named(settings, "classes"), start.named(settings, "tenants")
+    values["stages"], values["tenants"] = (
+        start.named(settings, "classes"),
+        start.named(settings, "tenants"),
+    )
     if not values["stages"]:
-        raise start.BadStart("missing start value settings.classes: no task could be told from another")
+        raise start.BadStart(
+            "missing start value settings.classes: no task could be told from another"
+        )
     if values["stop_ms"] is None:
-        raise start.BadStart("missing start value stop_ms: the time from the notice to the end, in ms")
+        raise start.BadStart(
+            "missing start value stop_ms: the time from the notice to the end, in ms"
+        )
     start.bounded(pairs, BOUNDS)
     return values
 
@@ -280,14 +300,16 @@
     if given != resource.RLIM_INFINITY:
         told["sockets"] = min(told["sockets"], given)
     return Server(
-        below=values["db"] is not None, decides=decides,
+        below=values["db"] is not None,
+        decides=decides,
         pools=maker(getattr(values["ours"], "plan", None), values),
-        fence=fence_of(values), node=getattr(values["ours"], "node", ""),
+        fence=fence_of(values),
+        node=getattr(values["ours"], "node", ""),
         **{
             name: told[name]
             for name in ("keywords", "stages", "tenants", "seed", "stop_ms", "memory_mb", "sockets")
         },
-    )  # fmt: skip
+    )
 
 
 def main(decides: type[Control] = Control) -> None:
--- a/pumicenotch/adapter/__main__.py
+++ b/pumicenotch/adapter/__main__.py
@@ -61,7 +61,9 @@
     host, batch = Host(), 0
     while first := source.read(1):
         batch += 1
-        (length,) = codec.LENGTH.unpack(first + whole(source, codec.LENGTH.size - 1, "length", batch))
+        (length,) = codec.LENGTH.unpack(
+            first + whole(source, codec.LENGTH.size - 1, "length", batch)
+        )
         body = whole(source, length, "frame", batch)
         if length < 8:
             raise codec.BadFrame(f"frame of batch {batch} has no clock")
--- a/pumicenotch/adapter/codec.py
+++ b/pumicenotch/adapter/codec.py
@@ -7,9 +7,15 @@
 from pumicenotch.interface import Outcome
 
 OUTCOMES = {
-    0: Outcome.OK, 13: Outcome.ERROR, 8: Outcome.FULL, 4: Outcome.TIMEOUT,
-    14: Outcome.UNREACHED, 10: Outcome.RESET, 1: Outcome.CANCELLED, 9: Outcome.MOOT,
-}  # fmt: skip
+    0: Outcome.OK,
+    13: Outcome.ERROR,
+    8: Outcome.FULL,
+    4: Outcome.TIMEOUT,
+    14: Outcome.UNREACHED,
+    10: Outcome.RESET,
+    1: Outcome.CANCELLED,
+    9: Outcome.MOOT,
+}
 
 LENGTH = struct.Struct(">I")
 CODE = struct.Struct(">H")
@@ -151,9 +157,20 @@
 
 
 def work_item(frame: bytes, at: int) -> Decoded:
-    task, work, waited, _, flags, limit, _, same, stage, _, tenant, kb = WORK_ITEM.unpack_from(frame, at)
+    task, work, waited, _, flags, limit, _, same, stage, _, tenant, kb = WORK_ITEM.unpack_from(
+        frame, at
+    )
     hint = work / 1000.0 if flags & 1 else None
-    arguments = (task, stage, tenant, waited / 1000.0, limit / 1000.0 or None, hint, kb, same or None)
+    arguments = (
+        task,
+        stage,
+        tenant,
+        waited / 1000.0,
+        limit / 1000.0 or None,
+        hint,
+        kb,
+        same or None,
+    )
     return "task", arguments, at + WORK_ITEM.size
 
 
@@ -186,7 +203,14 @@
 
 
 DECODERS: dict[int, Callable[[bytes, int], Decoded]] = {
-    1000: ring, 1010: plain("caller_gone", HANDLE), 1020: plain("crash_now", struct.Struct(">")),
-    1030: plain("for", FOR), 1040: result, 1050: attach, 1060: retire_soon, 1070: dep_reply,
-    1080: work_item, 1090: plain("at_call", HANDLE),
-}  # fmt: skip
+    1000: ring,
+    1010: plain("caller_gone", HANDLE),
+    1020: plain("crash_now", struct.Struct(">")),
+    1030: plain("for", FOR),
+    1040: result,
+    1050: attach,
+    1060: retire_soon,
+    1070: dep_reply,
+    1080: work_item,
+    1090: plain("at_call", HANDLE),
+}
--- a/pumicenotch/agree/found.py
+++ b/pumicenotch/agree/found.py
@@ -4,7 +4,8 @@
 them knows nothing, the first by name founds the fleet: each has promised itself to that founder's life, and
 takes its seats from nobody else. Where any knows of a fleet, nothing is founded ever: who is new asks for a
 seat instead. Its leader takes the seat of the name's former life out, has the new one learn the log, then
-gives it the vote."""
+gives it the vote.
+"""
 
 from collections.abc import Callable, Iterable, Mapping
 from typing import Any, NamedTuple
@@ -22,7 +23,8 @@
 
 class Founding:
     """The part of a voter's process before it has a voter. `say` and `said` carry tuples:
-    ("who", seat), ("fresh", seat, founder), ("known", seat), ("found", founder, seats)."""
+    ("who", seat), ("fresh", seat, founder), ("known", seat), ("found", founder, seats).
+    """
 
     ASK_MS = 250.0  # between rounds of asking: some times as long as a round takes
 
@@ -85,7 +87,8 @@
 def seated(voter: Voter, wanting: Mapping[str, str], alive: Callable[[str], bool]) -> Seats | None:
     """The next change of seats that a leader is to propose, one at a time, for those names that want one
     with the life that they have now; None where nothing is to change or not yet. `alive` says whether a
-    seat's process was heard from lately: the name of one that was is taken."""
+    seat's process was heard from lately: the name of one that was is taken.
+    """
     seats = voter.log.seats
     if voter.role != LEADER or not voter.settled():
         return None
--- a/pumicenotch/agree/messages.py
+++ b/pumicenotch/agree/messages.py
@@ -5,7 +5,8 @@
 
 class Seats(NamedTuple):
     """Who takes part: `voters` count for majorities, `learners` only get the log. A seat is NAME/LIFE: a
-    process that has lost its memory is another seat under the same name."""
+    process that has lost its memory is another seat under the same name.
+    """
 
     voters: tuple[str, ...] = ()
     learners: tuple[str, ...] = ()
@@ -86,9 +87,14 @@
 
 Message = AskVote | Vote | Append | Appended | Install | Installed | StandNow
 KINDS: dict[str, type[Any]] = {
-    "ask-vote": AskVote, "vote": Vote, "append": Append, "appended": Appended, "install": Install,
-    "installed": Installed, "stand-now": StandNow,
-}  # fmt: skip
+    "ask-vote": AskVote,
+    "vote": Vote,
+    "append": Append,
+    "appended": Appended,
+    "install": Install,
+    "installed": Installed,
+    "stand-now": StandNow,
+}
 NAMES = {kind: name for name, kind in KINDS.items()}
 
 
@@ -109,7 +115,9 @@
         for name, value in zip(kind._fields, values, strict=True):
             wanted = kind.__annotations__[name]
             if wanted in (int, bool, bytes) and type(value) is not wanted:
-                raise BadMessage(f"{told[0]}.{name}: {wanted.__name__} is wanted, not {value!r:.40}")
+                raise BadMessage(
+                    f"{told[0]}.{name}: {wanted.__name__} is wanted, not {value!r:.40}"
+                )
             if wanted is int and value < 0:
                 raise BadMessage(f"{told[0]}.{name}: {value} is below 0")
         if kind is Append:
--- a/pumicenotch/agree/voter.py
+++ b/pumicenotch/agree/voter.py
@@ -2,7 +2,8 @@
 
 Safe whatever clocks do: time only says when to try for a leader, never who leads or what is agreed. Hence
 reads by a round of heartbeats (thesis, 6.4), not by a lease, which trusts clocks to run alike and a process
-not to be stopped between its look at the clock and its answer."""
+not to be stopped between its look at the clock and its answer.
+"""
 
 from collections.abc import Callable
 from typing import Any, ClassVar
@@ -28,18 +29,24 @@
     Unreadable,
     Vote,
     Wake,
-)  # fmt: skip
+)
 
 FOLLOWER, ASKING, CANDIDATE, LEADER = "follower", "asking", "candidate", "leader"
 
 
 class Voter:
     BEAT_MS = 100.0  # between a leader's heartbeats: some round trips between regions
-    ELECTION_MS = 1000.0  # of silence, up to twice that by chance: ten lost heartbeats are no accident
-    ENTRIES_MOST = 16  # in one message: of 64 KB each at the most, so that a frame stays under its bound
+    ELECTION_MS = (
+        1000.0  # of silence, up to twice that by chance: ten lost heartbeats are no accident
+    )
+    ENTRIES_MOST = (
+        16  # in one message: of 64 KB each at the most, so that a frame stays under its bound
+    )
     PIECE_MOST = 16 * 1024  # of a snapshot in one message
 
-    def __init__(self, me: str, now: float, seats: Seats, chance: Callable[[float, float], float]) -> None:
+    def __init__(
+        self, me: str, now: float, seats: Seats, chance: Callable[[float, float], float]
+    ) -> None:
         self.me, self.chance = me, chance
         self.now = now
         self.effects: list[Effect] = []
@@ -50,7 +57,9 @@
         self.heard_at = float("-inf")  # of a leader
         self.due = 0.0  # for an election, or a leader's next heartbeat
         self.votes: set[str] = set()
-        self.next: dict[str, int] = {}  # of a leader: what each follower gets next, has, and when it answered
+        self.next: dict[
+            str, int
+        ] = {}  # of a leader: what each follower gets next, has, and when it answered
         self.match: dict[str, int] = {}
         self.answered_at: dict[str, float] = {}
         self.answered_round: dict[str, int] = {}
@@ -69,11 +78,14 @@
 
     # Inputs
 
-    INPUTS: ClassVar = frozenset(("time", "message", "stored", "propose", "read", "change", "hand_over"))
+    INPUTS: ClassVar = frozenset(
+        ("time", "message", "stored", "propose", "read", "change", "hand_over")
+    )
 
     def step(self, now: float, name: str, *details: Any) -> list[Effect]:
         """One input: `time`, `message` (sender, message), `stored` (serial), `propose` (data), `read` (key),
-        `change` (seats), `hand_over` (seat, or "" for whoever is furthest). Time never goes back."""
+        `change` (seats), `hand_over` (seat, or "" for whoever is furthest). Time never goes back.
+        """
         self.now = max(self.now, now)
         assert name in self.INPUTS, name
         getattr(self, name)(*details)
@@ -133,7 +145,8 @@
 
     def ask(self) -> None:
         """Whether a majority would vote for it. Until then its term stays, so that a voter that was cut off
-        disturbs nobody when it is back, however often its link comes and goes."""
+        disturbs nobody when it is back, however often its link comes and goes.
+        """
         self.role, self.votes = ASKING, {self.me}
         self.lead_is("")
         self.rest()
@@ -246,7 +259,8 @@
 
     def feed(self, seat: str, beat: bool = False) -> None:
         """What it lacks, taken as received until it says otherwise: a lost message shows by the next
-        heartbeat's refusal."""
+        heartbeat's refusal.
+        """
         index = self.next[seat] - 1
         if index < self.log.base:
             if beat:
@@ -254,15 +268,29 @@
             return
         entries = self.log.since(index + 1, self.ENTRIES_MOST)
         if entries or beat:
-            self.send(seat, Append(self.term, index, self.log.term(index), entries, self.commit, self.round))
+            self.send(
+                seat,
+                Append(self.term, index, self.log.term(index), entries, self.commit, self.round),
+            )
             self.next[seat] = index + len(entries) + 1
 
     def install(self, seat: str) -> None:
         offset = self.offsets.get(seat, 0)
         piece = self.log.state[offset : offset + self.PIECE_MOST]
         last = offset + len(piece) >= len(self.log.state)
-        self.send(seat, Install(self.term, self.log.base, self.log.base_term, self.log.seats_at_base, offset,
-                                piece, last, self.round))  # fmt: skip
+        self.send(
+            seat,
+            Install(
+                self.term,
+                self.log.base,
+                self.log.base_term,
+                self.log.seats_at_base,
+                offset,
+                piece,
+                last,
+                self.round,
+            ),
+        )
 
     def appended(self, sender: str, said: Appended) -> None:
         if self.role != LEADER or said.term != self.term or sender not in self.next:
@@ -273,7 +301,9 @@
             self.next[sender] = max(self.next[sender], said.at + 1)
             self.advance()
         else:
-            self.next[sender] = max(self.match.get(sender, 0), min(self.next[sender] - 1, said.at)) + 1
+            self.next[sender] = (
+                max(self.match.get(sender, 0), min(self.next[sender] - 1, said.at)) + 1
+            )
         if self.next[sender] <= self.log.last:
             self.feed(sender)
         if sender == self.target and self.match.get(sender, 0) == self.log.last:
@@ -327,14 +357,17 @@
 
     def settled(self) -> bool:
         """Whether a change may be proposed: none is open, and something of this term is agreed. Without the
-        latter two leaders' changes may overlap in no voter (the correction of 2015)."""
+        latter two leaders' changes may overlap in no voter (the correction of 2015).
+        """
         return self.log.seats_index <= self.commit and self.log.term(self.commit) == self.term
 
     def change(self, seats: Seats) -> int:
         """At most one voter more or less. 0 where it cannot be now."""
         if self.role != LEADER or self.target or not self.settled() or not seats.voters:
             return 0
-        if len(set(seats.voters) ^ set(self.log.seats.voters)) > 1 or len(set(seats.all)) < len(seats.all):
+        if len(set(seats.voters) ^ set(self.log.seats.voters)) > 1 or len(set(seats.all)) < len(
+            seats.all
+        ):
             return 0
         self.append(Entry(self.term, "seats", seats))
         self.to_followers()
@@ -360,7 +393,8 @@
 
     def read(self, key: Any) -> None:
         """Readable follows once a majority has answered a heartbeat sent after this; never where another
-        leader may have agreed on more."""
+        leader may have agreed on more.
+        """
         if self.role != LEADER or self.log.term(self.commit) != self.term:
             self.effects.append(Unreadable(key))
             return
@@ -386,7 +420,9 @@
         if isinstance(message, AskVote):
             self.asked_vote(sender, message)
             return
-        if message.term > self.term and not (isinstance(message, Vote) and message.pre and message.granted):
+        if message.term > self.term and not (
+            isinstance(message, Vote) and message.pre and message.granted
+        ):
             self.follow(message.term, "")
         match message:
             case Vote():
@@ -415,9 +451,13 @@
         if told.at < self.log.base:  # in the snapshot already: agreed, hence the same
             skipped = self.log.base - told.at
             if skipped > len(told.entries):
-                self.send(sender, Appended(self.term, True, told.at + len(told.entries), told.round))
+                self.send(
+                    sender, Appended(self.term, True, told.at + len(told.entries), told.round)
+                )
                 return
-            told = told._replace(at=self.log.base, at_term=self.log.base_term, entries=told.entries[skipped:])
+            told = told._replace(
+                at=self.log.base, at_term=self.log.base_term, entries=told.entries[skipped:]
+            )
         if self.log.term(told.at) != told.at_term:
             self.send(sender, Appended(self.term, False, self.where(told.at), told.round))
             return
--- a/pumicenotch/cells/fence.py
+++ b/pumicenotch/cells/fence.py
@@ -6,7 +6,8 @@
 know the fingerprint, swears it off: the asker's epoch is the newest now, whatever was sent under older maps
 is refused however late it comes, and under the asker's own epoch the fingerprint has another home. The
 newest epoch is known from stamps, and after a restart from the node's own file of the map, which holds an
-epoch before any router goes by it."""
+epoch before any router goes by it.
+"""
 
 from enum import Enum, auto
 
@@ -26,7 +27,11 @@
     NO_WORD = auto()  # it cannot tell whether it ran: it has not been up for a window
 
 
-WORDS = {Verdict.CLEAR: "clear", Verdict.OLD_MAP: "old", Verdict.NO_WORD: "no-word"}  # as the wire has them
+WORDS = {
+    Verdict.CLEAR: "clear",
+    Verdict.OLD_MAP: "old",
+    Verdict.NO_WORD: "no-word",
+}  # as the wire has them
 
 
 class Fence:
@@ -69,7 +74,8 @@
     def admits(self, node: str, tenant: str, epoch: int | None) -> bool:
         """Whether a task that has no fingerprint may run on this node of that name. A stamp newer than this
         node's map is believed: the router knows more. One as old or older is not, nor a caller that brings
-        none."""
+        none.
+        """
         if self.cells is None or self.cells.serves(node, tenant):
             return True
         return epoch is not None and epoch > self.newest(tenant)
--- a/pumicenotch/cells/map.py
+++ b/pumicenotch/cells/map.py
@@ -2,7 +2,8 @@
 counts still.
 
 Maps are numbered by epochs. One epoch has one content: a map that comes twice changes nothing, another
-content under a known epoch is refused, and a lower epoch never replaces a higher."""
+content under a known epoch is refused, and a lower epoch never replaces a higher.
+"""
 
 import json
 from collections.abc import Mapping
@@ -48,7 +49,8 @@
 
 class Homes(NamedTuple):
     """Where a fingerprint belongs. Each of `ask` must have sworn off the fingerprint before `home` may run
-    it."""
+    it.
+    """
 
     home: Node
     ask: tuple[Node, ...]
@@ -59,7 +61,9 @@
     cells: Mapping[str, Cell]
     tenants: Mapping[str, Tenant]
     window_ms: float  # for which a node remembers a fingerprint
-    lease_ms: float = 0.0  # for which a router may go by a map that nobody has confirmed; 0: for good
+    lease_ms: float = (
+        0.0  # for which a router may go by a map that nobody has confirmed; 0: for good
+    )
     fallback: str = ""  # the cell of tenants that the map does not name; "": they are rejected
 
     def tenant(self, name: str) -> Tenant | None:
@@ -90,7 +94,8 @@
 
     def stamp(self, name: str) -> int:
         """The epoch since when the tenant's nodes are what they are: what its tasks carry. Maps that change
-        nothing for a tenant leave its stamp, so that routers with older ones go on serving it."""
+        nothing for a tenant leave its stamp, so that routers with older ones go on serving it.
+        """
         tenant = self.tenant(name)
         return max(tenant.since, self.cells[tenant.cell].since) if tenant is not None else 0
 
@@ -102,7 +107,9 @@
         formers = [former for cell in self.cells.values() for former in cell.former]
         formers += [former for tenant in self.tenants.values() for former in tenant.former]
         found = {node.name: node.address for former in formers for node in former.nodes}
-        return found | {node.name: node.address for cell in self.cells.values() for node in cell.nodes}
+        return found | {
+            node.name: node.address for cell in self.cells.values() for node in cell.nodes
+        }
 
     def digest(self) -> str:
         return blake2b(json.dumps(plain(self), sort_keys=True).encode(), digest_size=12).hexdigest()
@@ -116,9 +123,13 @@
         raise BadMap("window_ms must be above 0 and lease_ms not below")
     for name, cell in cells.cells.items():
         if not cell.nodes:
-            raise BadMap(f"cell {name}: no nodes: name one at the least, or move its tenants and take it out")
+            raise BadMap(
+                f"cell {name}: no nodes: name one at the least, or move its tenants and take it out"
+            )
         if not 1 <= cell.since <= cells.epoch:
-            raise BadMap(f"cell {name}: since {cell.since}: 1 to the map's epoch {cells.epoch} is allowed")
+            raise BadMap(
+                f"cell {name}: since {cell.since}: 1 to the map's epoch {cells.epoch} is allowed"
+            )
         names = [node.name for node in cell.nodes]
         if len(set(names)) < len(names):
             raise BadMap(f"cell {name}: a node stands twice")
@@ -126,7 +137,9 @@
             raise BadMap(f"cell {name}: a weight must be above 0")
     for name, tenant in cells.tenants.items():
         if tenant.cell not in cells.cells:
-            raise BadMap(f"tenant {name}: no cell {tenant.cell!r}; cells: {', '.join(sorted(cells.cells))}")
+            raise BadMap(
+                f"tenant {name}: no cell {tenant.cell!r}; cells: {', '.join(sorted(cells.cells))}"
+            )
         if not 1 <= tenant.since <= cells.epoch:
             raise BadMap(
                 f"tenant {name}: since {tenant.since}: 1 to the map's epoch {cells.epoch} is allowed"
@@ -140,11 +153,14 @@
 
 def newer(held: CellMap | None, other: CellMap) -> bool:
     """Whether the other replaces the one that is held. Raises BadMap where one epoch has two contents:
-    whoever made them must not go on."""
+    whoever made them must not go on.
+    """
     if held is None or other.epoch > held.epoch:
         return True
     if other.epoch == held.epoch and other.digest() != held.digest():
-        raise BadMap(f"epoch {other.epoch} has two contents: make the next epoch from the newest map")
+        raise BadMap(
+            f"epoch {other.epoch} has two contents: make the next epoch from the newest map"
+        )
     return False
 
 
@@ -153,17 +169,29 @@
         return [list(node) for node in some]
 
     def formers(some: tuple[Former, ...]) -> list[dict[str, Any]]:
-        return [{"nodes": nodes(each.nodes), "span": each.span, "until": each.until} for each in some]
+        return [
+            {"nodes": nodes(each.nodes), "span": each.span, "until": each.until} for each in some
+        ]
 
     return {
-        "epoch": cells.epoch, "window_ms": cells.window_ms, "lease_ms": cells.lease_ms,
+        "epoch": cells.epoch,
+        "window_ms": cells.window_ms,
+        "lease_ms": cells.lease_ms,
         "fallback": cells.fallback,
-        "cells": {name: {"nodes": nodes(cell.nodes), "former": formers(cell.former), "since": cell.since}
-                  for name, cell in cells.cells.items()},
-        "tenants": {name: {"cell": each.cell, "span": each.span, "former": formers(each.former),
-                           "since": each.since}
-                    for name, each in cells.tenants.items()},
-    }  # fmt: skip
+        "cells": {
+            name: {"nodes": nodes(cell.nodes), "former": formers(cell.former), "since": cell.since}
+            for name, cell in cells.cells.items()
+        },
+        "tenants": {
+            name: {
+                "cell": each.cell,
+                "span": each.span,
+                "former": formers(each.former),
+                "since": each.since,
+            }
+            for name, each in cells.tenants.items()
+        },
+    }
 
 
 def dump(cells: CellMap) -> str:
@@ -178,7 +206,9 @@
         return tuple(Node(str(one), str(address), float(weight)) for one, address, weight in some)
 
     def formers(some: Any) -> tuple[Former, ...]:
-        return tuple(Former(nodes(each["nodes"]), int(each["span"]), float(each["until"])) for each in some)
+        return tuple(
+            Former(nodes(each["nodes"]), int(each["span"]), float(each["until"])) for each in some
+        )
 
     try:
         told = json.loads(text)
@@ -187,14 +217,27 @@
         inside = told["map"]
         found = CellMap(
             int(inside["epoch"]),
-            {key: Cell(key, nodes(each["nodes"]), formers(each["former"]), int(each["since"]))
-             for key, each in inside["cells"].items()},
-            {key: Tenant(str(each["cell"]), int(each["span"]), formers(each["former"]), int(each["since"]))
-             for key, each in inside["tenants"].items()},
-            float(inside["window_ms"]), float(inside["lease_ms"]), str(inside["fallback"]),
-        )  # fmt: skip
+            {
+                key: Cell(key, nodes(each["nodes"]), formers(each["former"]), int(each["since"]))
+                for key, each in inside["cells"].items()
+            },
+            {
+                key: Tenant(
+                    str(each["cell"]),
+                    int(each["span"]),
+                    formers(each["former"]),
+                    int(each["since"]),
+                )
+                for key, each in inside["tenants"].items()
+            },
+            float(inside["window_ms"]),
+            float(inside["lease_ms"]),
+            str(inside["fallback"]),
+        )
         if found.digest() != told["digest"]:
-            raise BadMap(f"{name}:1: digest: the map does not fit its checksum: torn, or changed by hand")
+            raise BadMap(
+                f"{name}:1: digest: the map does not fit its checksum: torn, or changed by hand"
+            )
         return check(found)
     except BadMap as error:
         raise BadMap(str(error) if str(error).startswith(name) else f"{name}:1: {error}") from None
--- a/pumicenotch/cells/moves.py
+++ b/pumicenotch/cells/moves.py
@@ -5,7 +5,8 @@
 older one. Only when every node of the old and the new place has it do routers get it. When all have, a
 second map settles it: from then on the former nodes count for one window more. Nothing else is remembered: a
 control plane that dies reads the newest map and the acknowledgements again, and goes on or aborts from
-there."""
+there.
+"""
 
 from collections.abc import Iterable, Mapping
 from enum import Enum, auto
@@ -38,7 +39,9 @@
         # A whole place is left, whatever part of it the token's home was; what its old cell had been counts
         # too.
         formers = [left(cells, name, held), *cells.cells[held.cell].former]
-        tenants[name] = Tenant(cell, span, (*living(held.former, now), *living(formers, now)), epoch)
+        tenants[name] = Tenant(
+            cell, span, (*living(held.former, now), *living(formers, now)), epoch
+        )
     return check(cells._replace(epoch=epoch, tenants=tenants))
 
 
@@ -60,9 +63,13 @@
     cells: CellMap, cell: str, now: float, weights: dict[str, float], slack: float = 0.25
 ) -> CellMap:
     """The next map, in which nobody lives in that cell: its tenants go to the others by weight, within a
-    bound."""
-    others = [Node(name, weight=sum(node.weight for node in each.nodes))
-              for name, each in cells.cells.items() if name != cell]  # fmt: skip
+    bound.
+    """
+    others = [
+        Node(name, weight=sum(node.weight for node in each.nodes))
+        for name, each in cells.cells.items()
+        if name != cell
+    ]
     if not others:
         raise BadMap(f"cell {cell} is the only one: nowhere to go")
     if cells.fallback == cell:
@@ -80,19 +87,27 @@
 
     To be made once every node concerned has the open one, and every router, or where a lease bounds those
     that have not; see `progress`. It changes no tenant's stamp: routers that have not heard of it ask on,
-    which is safe."""
+    which is safe.
+    """
     until = now + cells.window_ms + cells.lease_ms
 
     def closed(formers: tuple[Former, ...]) -> tuple[Former, ...]:
         return tuple(
-            each._replace(until=until) if each.until == OPEN else each for each in living(formers, now)
+            each._replace(until=until) if each.until == OPEN else each
+            for each in living(formers, now)
         )
 
     return check(
         cells._replace(
             epoch=cells.epoch + 1,
-            cells={name: each._replace(former=closed(each.former)) for name, each in cells.cells.items()},
-            tenants={name: each._replace(former=closed(each.former)) for name, each in cells.tenants.items()},
+            cells={
+                name: each._replace(former=closed(each.former))
+                for name, each in cells.cells.items()
+            },
+            tenants={
+                name: each._replace(former=closed(each.former))
+                for name, each in cells.tenants.items()
+            },
         )
     )
 
@@ -118,9 +133,12 @@
     found = {
         node.name for name in names for cells in (before, after) for node in cells.nodes(name)
     } | {
-        node.name for name in names if (held := after.tenant(name)) is not None
-        for former in (*held.former, *after.cells[held.cell].former) for node in former.nodes
-    }  # fmt: skip
+        node.name
+        for name in names
+        if (held := after.tenant(name)) is not None
+        for former in (*held.former, *after.cells[held.cell].former)
+        for node in former.nodes
+    }
     return tuple(sorted(found))
 
 
@@ -135,7 +153,9 @@
 ) -> Progress:
     """Where the change from one map to the next stands, by the epochs that nodes and routers acknowledged."""
     names = changed(before, after)
-    missing = tuple(name for name in concerned(before, after, names) if nodes.get(name, 0) < after.epoch)
+    missing = tuple(
+        name for name in concerned(before, after, names) if nodes.get(name, 0) < after.epoch
+    )
     if missing:
         some = any(epoch >= after.epoch for epoch in nodes.values())
         return Progress(Stage.TELLING_NODES if some else Stage.DRAFTED, missing)
@@ -150,14 +170,17 @@
     ]
     if any(former.until == OPEN for former in formers):
         return Progress(Stage.OPEN, ())
-    return Progress(Stage.SETTLING if any(former.counts(now) for former in formers) else Stage.DONE, ())
+    return Progress(
+        Stage.SETTLING if any(former.counts(now) for former in formers) else Stage.DONE, ()
+    )
 
 
 def may_tell_routers(
     before: CellMap, after: CellMap, nodes: dict[str, int], force: Iterable[str] = ()
 ) -> bool:
     """Whether the new map may go to routers. A node that is forced is taken for dead: it must be ended
-    before, or it could run, by an old map, what its tenants' new nodes run too."""
+    before, or it could run, by an old map, what its tenants' new nodes run too.
+    """
     ready = set(force) | {name for name, epoch in nodes.items() if epoch >= after.epoch}
     return set(concerned(before, after, changed(before, after))) <= ready
 
@@ -165,7 +188,8 @@
 def abort(before: CellMap, after: CellMap, now: float) -> CellMap:
     """The map after a move that is taken back: the tenants live where they lived, and what their new place
     may have run counts as long as any other former home. It is a move like every other: there is no way back
-    but onward."""
+    but onward.
+    """
     back = {}
     for name in changed(before, after):
         old, new = before.tenant(name), after.tenant(name)
--- a/pumicenotch/cells/place.py
+++ b/pumicenotch/cells/place.py
@@ -1,7 +1,8 @@
 """Placement: weighted rendezvous, shuffle sharding, bounded loads. Pure functions; the same on every machine.
 
 Weighted rendezvous after Schindelhauer and Schomaker: each node's score for a key is -weight / ln(u), with u
-drawn by a hash of the two; the highest wins. A node that comes or goes changes only what it wins or held."""
+drawn by a hash of the two; the highest wins. A node that comes or goes changes only what it wins or held.
+"""
 
 from collections.abc import Iterable, Mapping, Sequence
 from functools import lru_cache
@@ -39,20 +40,25 @@
 
 def shard(tenant: str, nodes: Sequence[Node], span: int) -> tuple[Node, ...]:
     """The nodes of a cell that a tenant spans: all for 0, else that many by its own ranking, so that two
-    tenants share all of theirs by chance only."""
+    tenants share all of theirs by chance only.
+    """
     if not span or span >= len(nodes):
         return tuple(nodes)
     return tuple(ranked(tenant, nodes)[:span])
 
 
 def bounded(
-    weights: Mapping[str, float], cells: Sequence[Node], slack: float, pins: Mapping[str, str] | None = None
+    weights: Mapping[str, float],
+    cells: Sequence[Node],
+    slack: float,
+    pins: Mapping[str, str] | None = None,
 ) -> dict[str, str]:
     """Tenants (by their weight) to cells, none with more than (1 + slack) of its part (Mirrokni, Thorup and
     Zadimoghaddam, 2016). Heavy tenants choose first, so that a light one is what gives way; among equals the
     name decides. Pinned ones stay where they are told, and count.
 
-    Raises ValueError for a pin to no cell, or a slack that is not above 0."""
+    Raises ValueError for a pin to no cell, or a slack that is not above 0.
+    """
     if slack <= 0.0:
         raise ValueError(f"slack {slack:g}: above 0 is allowed: at 0 nothing would fit")
     pins = pins or {}
@@ -63,7 +69,9 @@
     total, capacity = sum(weights.values()), sum(cell.weight for cell in cells)
     heaviest = max(weights.values(), default=0.0)
     room = {
-        cell.name: max((1.0 + slack) * total * cell.weight / capacity, heaviest if len(cells) == 1 else 0.0)
+        cell.name: max(
+            (1.0 + slack) * total * cell.weight / capacity, heaviest if len(cells) == 1 else 0.0
+        )
         for cell in cells
     }
     found: dict[str, str] = {}
--- a/pumicenotch/cells/views.py
+++ b/pumicenotch/cells/views.py
@@ -1,18 +1,23 @@
 """What a router has seen of each node, and which it would send a task to. One reducer; chance is handed in.
 
 A view is knowledge with an age: what a node said or did counts in full at first and fades to nothing known,
-so that a node that nobody sends to is tried again by itself. Advice is kept to whatever else is seen."""
+so that a node that nobody sends to is tried again by itself. Advice is kept to whatever else is seen.
+"""
 
 from collections.abc import Callable, Iterable, Sequence
 from math import exp
 from typing import NamedTuple
 
-FADE_MS = 4000.0  # after which what was seen counts a third: some reports of load, a restart of a node
+FADE_MS = (
+    4000.0  # after which what was seen counts a third: some reports of load, a restart of a node
+)
 # tries in a row that came to nothing, after which a node is ejected: one is a connection, three a node
 PATIENCE = 3
 # doubling: a restart takes seconds, a dead node costs a probe a minute
 EJECTED_MS, EJECTED_MOST_MS = 1000.0, 30_000.0
-FLOOR = 0.5  # of a cell's nodes are never ejected: when most look dead, the looker may be what is wrong
+FLOOR = (
+    0.5  # of a cell's nodes are never ejected: when most look dead, the looker may be what is wrong
+)
 
 
 class View:
@@ -49,7 +54,9 @@
 class Views:
     """Views of nodes by name. `draw` gives numbers from 0 to 1 from one seeded generator."""
 
-    MOST = 4096  # nodes remembered: more than any router's map; then the one not seen for longest goes
+    MOST = (
+        4096  # nodes remembered: more than any router's map; then the one not seen for longest goes
+    )
 
     def __init__(self, draw: Callable[[], float]) -> None:
         self.draw = draw
@@ -69,7 +76,9 @@
     def keep(self, nodes: Iterable[str]) -> None:
         """The map has these nodes and no others: what is open on the others stays known until it ends."""
         known = set(nodes)
-        for name in [each for each, view in self.views.items() if each not in known and not view.open]:
+        for name in [
+            each for each, view in self.views.items() if each not in known and not view.open
+        ]:
             del self.views[name]
 
     # What happens
@@ -79,8 +88,15 @@
         view.open += 1
         view.probing = view.probing or probe
 
-    def answered(self, now: float, node: str, took_ms: float, load: float | None, away_ms: float,
-                 served: bool) -> None:  # fmt: skip
+    def answered(
+        self,
+        now: float,
+        node: str,
+        took_ms: float,
+        load: float | None,
+        away_ms: float,
+        served: bool,
+    ) -> None:
         """Any whole answer: the node is alive. Its advice counts; how long it took counts if it served."""
         view = self.view(node)
         view.open = max(0, view.open - 1)
@@ -116,17 +132,24 @@
 
     def ejected(self, now: float, nodes: Sequence[str]) -> set[str]:
         """Those of these nodes that get nothing for now. Never more than all but the floor: those that were
-        ejected last are taken back first."""
+        ejected last are taken back first.
+        """
         out = [node for node in nodes if self.view(node).ejected_until > now]
         most = int((1.0 - FLOOR) * len(nodes))
-        out.sort(key=lambda node: (self.view(node).ejections, self.view(node).ejected_until), reverse=True)
+        out.sort(
+            key=lambda node: (self.view(node).ejections, self.view(node).ejected_until),
+            reverse=True,
+        )
         return set(out[:most])
 
-    def choose(self, now: float, nodes: Sequence[tuple[str, float]], probes: bool = True) -> list[Choice]:
+    def choose(
+        self, now: float, nodes: Sequence[tuple[str, float]], probes: bool = True
+    ) -> list[Choice]:
         """The nodes of a tenant (with their weights) by preference, for a task that any of them may run.
         Those that drain, asked to be stayed away from, or are ejected come not at all; one whose time is
         over comes first, as a probe, if this task may be one. Empty: all said that they want none, and none
-        is to be bothered."""
+        is to be bothered.
+        """
         names = [node for node, _ in nodes]
         for node, weight in nodes:
             self.view(node, weight).weight = weight
@@ -148,7 +171,8 @@
 
     def cost(self, now: float, view: View) -> float:
         """What one task more would meet there: its open ones by the weight it asks for, stretched by how
-        late it answers against the others. Some chance, or all routers would pick the same one."""
+        late it answers against the others. Some chance, or all routers would pick the same one.
+        """
         late = 1.0
         if self.typical_ms and view.answer_ms:
             part = view.fresh(now, view.answered_at)
--- a/pumicenotch/cells/walk.py
+++ b/pumicenotch/cells/walk.py
@@ -2,7 +2,8 @@
 
 A walk has exactly one end, whatever the nodes do. It never sends a fingerprinted task to be run before every
 former home has sworn it off, and never sends a task again that may have run: a fingerprinted one only to its
-home, which knows it."""
+home, which knows it.
+"""
 
 from enum import Enum, auto
 from typing import NamedTuple
@@ -26,8 +27,10 @@
 
 
 SAYS = {
-    Verdict.CLEAR: Said.CLEAR, Verdict.OLD_MAP: Said.OLD_MAP, Verdict.NO_WORD: Said.NO_WORD,
-}  # fmt: skip
+    Verdict.CLEAR: Said.CLEAR,
+    Verdict.OLD_MAP: Said.OLD_MAP,
+    Verdict.NO_WORD: Said.NO_WORD,
+}
 
 
 class Send(NamedTuple):
@@ -38,7 +41,8 @@
 
 class End(NamedTuple):
     """The one answer: `served`, `rejected` (it never ran) or `failed`; why, for the counters; when to come
-    back."""
+    back.
+    """
 
     kind: str
     why: str
@@ -52,7 +56,8 @@
 
 class Walk:
     """One task through the nodes that its map names. `homes` for a fingerprinted one; others take `choices`,
-    the nodes of its tenant by preference, of which each is tried once at the most."""
+    the nodes of its tenant by preference, of which each is tried once at the most.
+    """
 
     def __init__(self, effect: Effect, epoch: int, homes: Homes | None, choices: list[str]) -> None:
         self.effect, self.epoch = effect, epoch
@@ -82,7 +87,8 @@
 
     def said(self, said: Said, may_try_on: bool = True) -> Step:
         """What a node answered, or what became of the way to it; `may_try_on`: the budget holds another
-        try."""
+        try.
+        """
         if said is Said.SERVED:
             return self.end("served", "served")
         if said is Said.FAILED:
@@ -110,8 +116,15 @@
         return self.end("failed" if said is Said.BROKEN else "rejected", "no_try_left", SOON_MS)
 
 
-def walk(cells: CellMap, confirmed: float, now: float, tenant: str, effect: Effect, token: str,
-         choices: list[str]) -> Walk | End:  # fmt: skip
+def walk(
+    cells: CellMap,
+    confirmed: float,
+    now: float,
+    tenant: str,
+    effect: Effect,
+    token: str,
+    choices: list[str],
+) -> Walk | End:
     """The walk of a task by that map, which was last confirmed at that time (Unix ms); or its end at once."""
     if cells.lease_ms and now - confirmed > cells.lease_ms and effect is not Effect.RESTARTABLE:
         # A newer map may give its tenant other nodes by now, and count on nobody going by this one.
--- a/pumicenotch/cli/agent.py
+++ b/pumicenotch/cli/agent.py
@@ -1,5 +1,6 @@
 """How an agent is started: of the version in its own slot, unless that one has been tried and never spoke
-with its fleet. This much of it is never released, so that whatever was can be gone back from."""
+with its fleet. This much of it is never released, so that whatever was can be gone back from.
+"""
 
 import sys
 from pathlib import Path
--- a/pumicenotch/cli/app.py
+++ b/pumicenotch/cli/app.py
@@ -1,5 +1,6 @@
 """The parts of the command that every installation needs; `lab` is added where its libraries are
-installed."""
+installed.
+"""
 
 import json
 import os
@@ -13,9 +14,10 @@
 from pumicenotch.config import compiled
 
 app = App(
-    name="pumicenotch", help="Admission and scheduling for servers behind balancers that cannot be changed.",
+    name="pumicenotch",
+    help="Admission and scheduling for servers behind balancers that cannot be changed.",
     version_flags=[],
-)  # fmt: skip
+)
 GOOD, SHORT, WRONG = 0, 1, 2
 
 
@@ -59,15 +61,23 @@
     if json_logs:
         environment["PUMICENOTCH_LOG"] = "json"
     if not environment.get("LB_CONFIG"):
-        wrong("pumicenotch serve: LB_CONFIG is not set: it names the JSON file of the start values; "
-              "`pumicenotch lab up` runs a server with a world round it")  # fmt: skip
+        wrong(
+            "pumicenotch serve: LB_CONFIG is not set: it names the JSON file of the start values; "
+            "`pumicenotch lab up` runs a server with a world round it"
+        )
     # In the place of this process: what read the file leaves no memory behind.
     os.execve(sys.executable, [sys.executable, "-m", "pumicenotch"], environment)
 
 
-def become(module: str, config: str, json_logs: bool, more: Mapping[str, str] | None = None) -> NoReturn:
+def become(
+    module: str, config: str, json_logs: bool, more: Mapping[str, str] | None = None
+) -> NoReturn:
     """That module of the program goes on in the place of this process, with its file."""
-    environment = {**os.environ, **(more or {}), **({"PUMICENOTCH_LOG": "json"} if json_logs else {})}
+    environment = {
+        **os.environ,
+        **(more or {}),
+        **({"PUMICENOTCH_LOG": "json"} if json_logs else {}),
+    }
     os.execve(sys.executable, [sys.executable, "-m", module, os.path.abspath(config)], environment)
 
 
@@ -87,9 +97,13 @@
 
 @app.command
 def check(
-    file: str, /, *, as_json: Annotated[bool, Parameter(name="--json", negative="")] = False,
-    compile: Annotated[bool, Parameter(negative="")] = False, settings: str = "",
-) -> None:  # fmt: skip
+    file: str,
+    /,
+    *,
+    as_json: Annotated[bool, Parameter(name="--json", negative="")] = False,
+    compile: Annotated[bool, Parameter(negative="")] = False,
+    settings: str = "",
+) -> None:
     """Read a file of ours and say what it means, or what is wrong with it.
 
     Parameters
@@ -128,7 +142,9 @@
         print("; ".join(parts))
     for name, value in told.items():
         if value:
-            print(f"{name.replace('_', ' ')}: {', '.join(value) if isinstance(value, list) else value}")
+            print(
+                f"{name.replace('_', ' ')}: {', '.join(value) if isinstance(value, list) else value}"
+            )
 
 
 @app.command
--- a/pumicenotch/cli/cells.py
+++ b/pumicenotch/cli/cells.py
@@ -1,5 +1,6 @@
 """`pumicenotch cells`: maps from maps. Nothing is sent anywhere: a map is a file, whole or not there, and
-who carries it to nodes and routers tells back which epoch each has."""
+who carries it to nodes and routers tells back which epoch each has.
+"""
 
 import json
 import sys
@@ -14,7 +15,9 @@
 from pumicenotch.config.files import cell_map, put
 from pumicenotch.config.hcl import BadFile
 
-cells = App(name="cells", help="Cell maps: make the first, move tenants, see how far a move has come.")
+cells = App(
+    name="cells", help="Cell maps: make the first, move tenants, see how far a move has come."
+)
 Json = Annotated[bool, Parameter(name="--json", negative="")]
 
 
@@ -35,7 +38,9 @@
     if out.exists():
         before = held(out)
         if before.epoch >= made.epoch:
-            wrong(f"{out}: holds epoch {before.epoch} already: epoch {made.epoch} does not replace it")
+            wrong(
+                f"{out}: holds epoch {before.epoch} already: epoch {made.epoch} does not replace it"
+            )
     try:
         put(out, dump(made) + "\n")
     except OSError as error:
@@ -108,9 +113,13 @@
     nodes, routers = told(acks)
     found = moves.progress(old, new, nodes, routers, now())
     if found.stage in (moves.Stage.DRAFTED, moves.Stage.TELLING_NODES):
-        wrong(f"{map}: epoch {new.epoch} is not known to {', '.join(found.waits_for)}: tell them first")
+        wrong(
+            f"{map}: epoch {new.epoch} is not known to {', '.join(found.waits_for)}: tell them first"
+        )
     if found.stage is moves.Stage.TELLING_ROUTERS and not new.lease_ms:
-        wrong(f"{map}: routers {', '.join(found.waits_for)} have not epoch {new.epoch}; no lease bounds them")
+        wrong(
+            f"{map}: routers {', '.join(found.waits_for)} have not epoch {new.epoch}; no lease bounds them"
+        )
     kept(moves.settle(new, now()), out)
 
 
@@ -135,12 +144,13 @@
             "nodes": [node.name for node in cell.nodes],
             "tenants": sorted(each for each, tenant in made.tenants.items() if tenant.cell == name),
             "settling": sorted(
-                each for each, tenant in made.tenants.items()
+                each
+                for each, tenant in made.tenants.items()
                 if tenant.cell == name and any(former.counts(at) for former in tenant.former)
             ),
         }
         for name, cell in made.cells.items()
-    }  # fmt: skip
+    }
     if as_json:
         print(json.dumps({"epoch": made.epoch, "cells": rows}))
         return
@@ -153,7 +163,11 @@
 def told(path: Path) -> tuple[dict[str, int], dict[str, int]]:
     try:
         said = json.loads(path.read_text())
-        return tuple({str(name): int(epoch) for name, epoch in said[kind].items()}
-                     for kind in ("nodes", "routers"))  # type: ignore[return-value]  # fmt: skip
+        return tuple(
+            {str(name): int(epoch) for name, epoch in said[kind].items()}
+            for kind in ("nodes", "routers")
+        )  # type: ignore[return-value]
     except (OSError, ValueError, KeyError, TypeError, AttributeError) as error:
-        wrong(f'{path}:1: wanted {{"nodes": {{NAME: EPOCH}}, "routers": {{NAME: EPOCH}}}}: {error!r}')
+        wrong(
+            f'{path}:1: wanted {{"nodes": {{NAME: EPOCH}}, "routers": {{NAME: EPOCH}}}}: {error!r}'
+        )
--- a/pumicenotch/cli/configuration.py
+++ b/pumicenotch/cli/configuration.py
@@ -13,7 +13,14 @@
 
 @fleet.command
 def publish(
-    file: Path, /, *, reason: str, at: At, fleet: Name, previous: int | None = None, as_json: Json = False
+    file: Path,
+    /,
+    *,
+    reason: str,
+    at: At,
+    fleet: Name,
+    previous: int | None = None,
+    as_json: Json = False,
 ) -> None:
     """Publish changes of the configuration, whole or not at all, as the next version.
 
@@ -50,7 +57,9 @@
     print(json.dumps(result) if as_json else result["text"])
 
 
-def published(session: Session, told: PublicationFile, reason: str, previous: int | None) -> dict[str, Any]:
+def published(
+    session: Session, told: PublicationFile, reason: str, previous: int | None
+) -> dict[str, Any]:
     """What came of it. Raises Refused and Unreached."""
     if previous is None:
         previous = int(session.ask("configuration")["version"])
@@ -93,7 +102,9 @@
         print(f"and {found['behind_unnamed']} more")
     if found["missing_count"]:
         more = found["missing_count"] - len(found["missing"])
-        print(f"not heard of: {', '.join(found['missing'])}" + (f" and {more} more" if more else ""))
+        print(
+            f"not heard of: {', '.join(found['missing'])}" + (f" and {more} more" if more else "")
+        )
     for row in found["history"]:
         at = time.strftime("%Y-%m-%d %H:%M:%S", time.gmtime(row["at_ms"] / 1000.0))
         print(f"{row['version']:>7}  {at}  {row['by']}: {row['why']} ({row['changes']} records)")
@@ -101,8 +112,14 @@
 
 def print_instance(found: dict[str, Any]) -> None:
     """What one server says of itself."""
-    age = "never known to be current" if found["age_ms"] is None else f"{found['age_ms'] / 1000.0:.1f} s old"
-    print(f"version {found['version']} in force, {age}; the newest that it knows of is {found['newest']}")
+    age = (
+        "never known to be current"
+        if found["age_ms"] is None
+        else f"{found['age_ms'] / 1000.0:.1f} s old"
+    )
+    print(
+        f"version {found['version']} in force, {age}; the newest that it knows of is {found['newest']}"
+    )
     print(f"{'relay' if found['relay'] else 'no relay'}, {found['children']} children")
     print(f"sources: {', '.join(found['sources']) or 'none'}")
     if found["error"] is not None:
@@ -128,6 +145,10 @@
     if as_json:
         print(json.dumps(found))
         return
-    age = "never known to be current" if found["age_ms"] is None else f"{found['age_ms'] / 1000.0:.1f} s old"
+    age = (
+        "never known to be current"
+        if found["age_ms"] is None
+        else f"{found['age_ms'] / 1000.0:.1f} s old"
+    )
     print(json.dumps(found["value"]))
     print(f"version {found['version']} at {found['instance']}, {age}")
--- a/pumicenotch/cli/fleet.py
+++ b/pumicenotch/cli/fleet.py
@@ -1,5 +1,6 @@
 """`pumicenotch fleet`: what is agreed, and asking for more. Goes to any process of the fleet; from there to
-whoever leads."""
+whoever leads.
+"""
 
 import getpass
 import json
@@ -13,7 +14,9 @@
 
 from pumicenotch.cli.session import IN_ALL_S, Connection, Refused, Unreached, asked
 
-fleet = App(name="fleet", help="Drains agreed across the fleet: ask, see who waits and why, halt, resume.")
+fleet = App(
+    name="fleet", help="Drains agreed across the fleet: ask, see who waits and why, halt, resume."
+)
 Json = Annotated[bool, Parameter(name="--json", negative="")]
 At = Annotated[list[str], Parameter(name="--at", env_var="PUMICENOTCH_FLEET_AT")]
 Name = Annotated[str, Parameter(name="--fleet", env_var="PUMICENOTCH_FLEET")]
@@ -62,7 +65,9 @@
         return
     widths = [max(len(row[at]) for row in [head, *rows]) for at in range(len(head))]
     for row in [head, *rows]:
-        print("  ".join(cell.ljust(width) for cell, width in zip(row, widths, strict=True)).rstrip())
+        print(
+            "  ".join(cell.ljust(width) for cell, width in zip(row, widths, strict=True)).rstrip()
+        )
 
 
 @fleet.command
@@ -85,10 +90,14 @@
     if local:
         halted = found["halted"] or "not halted"
         print(f"{found['name']} of {found['fleet']}: opinions {found['opinions']}; {halted}")
-        rows = [[row["name"], row["zone"], row["standing"], row["opinion"]] for row in found["members"]]
+        rows = [
+            [row["name"], row["zone"], row["standing"], row["opinion"]] for row in found["members"]
+        ]
         table(rows, ["member", "zone", "says", "is thought"])
         return
-    print(f"fleet {found['fleet']}: {found['members']} members, {found['out']} out, as of {found['index']}")
+    print(
+        f"fleet {found['fleet']}: {found['members']} members, {found['out']} out, as of {found['index']}"
+    )
     print(f"{found['leader']} leads in term {found['term']}; voters {', '.join(found['seats'])}")
     if found["halted"]:
         print(found["halted"])
@@ -109,8 +118,10 @@
         for row in found["rows"]
     ]
     table(rows, ["out", "zone", "as", "permit", "epoch", "for", "reason"])
-    table([[row["name"], seconds(row["ms"]), row["by"], row["why"]] for row in found["waiting"]],
-          ["waits", "for", "asked by", "why"])  # fmt: skip
+    table(
+        [[row["name"], seconds(row["ms"]), row["by"], row["why"]] for row in found["waiting"]],
+        ["waits", "for", "asked by", "why"],
+    )
     table(
         [
             [
@@ -156,7 +167,8 @@
 @fleet.command
 def free(name: str, /, *, reason: str, at: At, fleet: Name, as_json: Json = False) -> None:
     """End the permit of one that will not come back. It stays counted as out until it serves or is
-    forgotten."""
+    forgotten.
+    """
     told(fleet, at, as_json, "free", new(), name, reason, me())
 
 
@@ -235,7 +247,9 @@
         return
     stands = f"out against its will: {found['against']}" if found["against"] else found["standing"]
     permit = (
-        f"; permit of epoch {found['permit']} ({found['kind']}: {found['reason']})" if found["permit"] else ""
+        f"; permit of epoch {found['permit']} ({found['kind']}: {found['reason']})"
+        if found["permit"]
+        else ""
     )
     print(f"{name}: {stands}{permit}" + (f", for {seconds(found['ms'])}" if found["ms"] else ""))
     if found["waits"]:
--- a/pumicenotch/cli/lab.py
+++ b/pumicenotch/cli/lab.py
@@ -14,7 +14,10 @@
 from pumicenotch.lab import experiment, experiment_file, experiment_results
 from pumicenotch.lab.guard import MachineTooSmall, RunFailed
 
-lab = App(name="lab", help="Real servers with an emulated world round them: experiments and their results.")
+lab = App(
+    name="lab",
+    help="Real servers with an emulated world round them: experiments and their results.",
+)
 Json = Annotated[bool, Parameter(name="--json", negative="")]
 Sets = Annotated[list[str] | None, Parameter(name="--set", negative="", consume_multiple=False)]
 
@@ -43,9 +46,15 @@
 
 @lab.command
 def run(
-    name: str, /, *, seed: int | None = None, seeds: int | None = None, set_: Sets = None,
-    out: Path | None = None, as_json: Json = False,
-) -> None:  # fmt: skip
+    name: str,
+    /,
+    *,
+    seed: int | None = None,
+    seeds: int | None = None,
+    set_: Sets = None,
+    out: Path | None = None,
+    as_json: Json = False,
+) -> None:
     """Run an experiment. Exit status 1: a bound is not kept or a rule was broken.
 
     Parameters
@@ -80,7 +89,9 @@
     try:
         for _ in experiment.runs(told, path, logs, experiment.workers(told), found.append):
             ran = found[-1]
-            print(f"{ran.arm} seed {ran.seed}: utility {ran.figures['utility']:.3f}", file=sys.stderr)
+            print(
+                f"{ran.arm} seed {ran.seed}: utility {ran.figures['utility']:.3f}", file=sys.stderr
+            )
     except KeyboardInterrupt:
         whole = False
         signal.signal(signal.SIGTERM, signal.SIG_IGN)  # what runs is ending already
@@ -119,7 +130,10 @@
         bounds.add_column(column)
     for row in summary["verdict"]:
         bounds.add_row(
-            row["bound"], str(row["figure"]), str(row.get("spread", "")), "yes" if row["kept"] else "NO"
+            row["bound"],
+            str(row["figure"]),
+            str(row.get("spread", "")),
+            "yes" if row["kept"] else "NO",
         )
     console.print(bounds)
     for text in summary["broken"][:10]:
--- a/pumicenotch/cli/release.py
+++ b/pumicenotch/cli/release.py
@@ -38,13 +38,26 @@
 
 @release.command
 def plan(
-    name: str, /, *, version: str, at: At, fleet: Name,
+    name: str,
+    /,
+    *,
+    version: str,
+    at: At,
+    fleet: Name,
     slot: Literal["program", "config", "map", "agent", "budgets"] = "program",
-    replaces: str = "", level: int | None = None, share: list[float] | None = None, mixed: bool = False,
-    order: Literal["", "below-first", "callers-first"] = "", soak_s: float = 60.0, wait_s: float = 300.0,
-    only_halt: bool = False, gate: int = 0, urgent: bool = False, budgets: Path | None = None,
+    replaces: str = "",
+    level: int | None = None,
+    share: list[float] | None = None,
+    mixed: bool = False,
+    order: Literal["", "below-first", "callers-first"] = "",
+    soak_s: float = 60.0,
+    wait_s: float = 300.0,
+    only_halt: bool = False,
+    gate: int = 0,
+    urgent: bool = False,
+    budgets: Path | None = None,
     as_json: Json = False,
-) -> None:  # fmt: skip
+) -> None:
     """Plan a release; nothing happens yet. Agents fetch the version meanwhile.
 
     Parameters
@@ -96,8 +109,21 @@
         waves = answer(fleet, at, "waves", shares, mixed, order)["waves"]
         if not waves:
             wrong("no agent has spoken: no node can take a version", 1)
-    entry = (name, slot, version, replaces, LEVEL if level is None else level, waves, round(soak_s * 1000),
-             round(wait_s * 1000), not only_halt, gate, urgent, mixed, made)  # fmt: skip
+    entry = (
+        name,
+        slot,
+        version,
+        replaces,
+        LEVEL if level is None else level,
+        waves,
+        round(soak_s * 1000),
+        round(wait_s * 1000),
+        not only_halt,
+        gate,
+        urgent,
+        mixed,
+        made,
+    )
     result = answer(fleet, at, "plan", new(), entry, me())
     if as_json:
         print(json.dumps({**result, "waves": waves}))
@@ -109,14 +135,28 @@
 
 
 def word(
-    name: str, what: str, reason: str, at: list[str], fleet: str, as_json: bool, seen: list[str] | None = None
+    name: str,
+    what: str,
+    reason: str,
+    at: list[str],
+    fleet: str,
+    as_json: bool,
+    seen: list[str] | None = None,
 ) -> None:
     told(fleet, at, as_json, "release", new(), name, what, seen or [], reason, me())
 
 
 @release.command
-def start(name: str, /, *, at: At, fleet: Name, reason: Why = "as planned", follow: bool = False,
-          as_json: Json = False) -> None:  # fmt: skip
+def start(
+    name: str,
+    /,
+    *,
+    at: At,
+    fleet: Name,
+    reason: Why = "as planned",
+    follow: bool = False,
+    as_json: Json = False,
+) -> None:
     """Start a planned release.
 
     Parameters
@@ -132,7 +172,9 @@
         last = answer(fleet, at, "one_release", name)
         line = f"{last['stands']}: {last['has']} of {last['nodes']} have it; {last['asks'] or last['judged']}"
         if line != before and not as_json:
-            print(line, file=sys.stderr, end="\r\x1b[K" if sys.stderr.isatty() else "\n", flush=True)
+            print(
+                line, file=sys.stderr, end="\r\x1b[K" if sys.stderr.isatty() else "\n", flush=True
+            )
         before = line
         if last["state"] in (*OVER, "halted") or last["asks"]:
             break
@@ -170,9 +212,20 @@
             print(f"{what}: {found[what]}")
     for _, by, why in found["halts"]:
         print(f"HALT by {by}: {why}")
-    table([[row["name"], row["zone"], str(row["wave"]), row["runs"][:12], "yes" if row["serves"] else "no",
-            row["trouble"] or row["waits"]] for row in found["rows"]],
-          ["node", "zone", "wave", "runs", "serves", "trouble"])  # fmt: skip
+    table(
+        [
+            [
+                row["name"],
+                row["zone"],
+                str(row["wave"]),
+                row["runs"][:12],
+                "yes" if row["serves"] else "no",
+                row["trouble"] or row["waits"],
+            ]
+            for row in found["rows"]
+        ],
+        ["node", "zone", "wave", "runs", "serves", "trouble"],
+    )
 
 
 @release.command
@@ -188,7 +241,8 @@
 @release.command
 def resume(name: str, /, *, reason: Why, at: At, fleet: Name, as_json: Json = False) -> None:
     """Go on, forwards or back, where a halt has stopped it: ends the halts that there are now, and no later
-    one."""
+    one.
+    """
     word(name, "resume", reason, at, fleet, as_json, seen(name, at, fleet))
 
 
@@ -213,8 +267,11 @@
 @release.command
 def log(name: str = "", /, *, at: At, fleet: Name, many: int = 100, as_json: Json = False) -> None:
     """What was agreed of releases lately, by whom and why."""
-    rows = [row for row in answer(fleet, at, "log", many)["log"]
-            if row["what"].startswith(f"release {name}") or " may move to " in row["what"]]  # fmt: skip
+    rows = [
+        row
+        for row in answer(fleet, at, "log", many)["log"]
+        if row["what"].startswith(f"release {name}") or " may move to " in row["what"]
+    ]
     if as_json:
         print(json.dumps(rows))
         return
--- a/pumicenotch/config/agent.py
+++ b/pumicenotch/config/agent.py
@@ -35,11 +35,17 @@
     voters: Annotated[tuple[Address, ...], Field(min_length=1, max_length=7)]
     home: Annotated[str, Field(min_length=1)]  # the agent's own folder
     source: Annotated[str, Field(min_length=1)]  # versions are fetched from there
-    command: Annotated[tuple[str, ...], Field(min_length=1)]  # {program}, {config}, {map} stand for folders
+    command: Annotated[
+        tuple[str, ...], Field(min_length=1)
+    ]  # {program}, {config}, {map} stand for folders
     environment: tuple[str, ...] = ()  # NAME=VALUE, with the same
     slot: tuple[Slot, ...]
-    start_ms: Annotated[float, Field(gt=0.0, le=3_600_000.0)] = 30_000.0  # until it serves, else it is silent
-    drain_ms: Annotated[float, Field(gt=0.0, le=3_600_000.0)] = 30_000.0  # for a drain, before it is ended
+    start_ms: Annotated[float, Field(gt=0.0, le=3_600_000.0)] = (
+        30_000.0  # until it serves, else it is silent
+    )
+    drain_ms: Annotated[float, Field(gt=0.0, le=3_600_000.0)] = (
+        30_000.0  # for a drain, before it is ended
+    )
     seed: Annotated[int, Field(ge=0)] = 0
 
     @model_validator(mode="after")
@@ -55,7 +61,9 @@
             try:
                 text.format(**known, home="")
             except (KeyError, IndexError, ValueError) as error:
-                raise ValueError(f"{text!r}: {error}: known: {{home}}, {', '.join(known)}") from None
+                raise ValueError(
+                    f"{text!r}: {error}: known: {{home}}, {', '.join(known)}"
+                ) from None
         return self
 
 
--- a/pumicenotch/config/cells.py
+++ b/pumicenotch/config/cells.py
@@ -1,5 +1,6 @@
 """The schema of a first cell map in HCL. Every later map is made from the one before, by the command
-`cells`."""
+`cells`.
+"""
 
 from pathlib import Path
 from typing import Annotated
@@ -38,7 +39,9 @@
     window_ms: Annotated[float, Field(gt=0.0)]
     lease_ms: Annotated[float, Field(ge=0.0)] = 0.0
     fallback: str = ""
-    slack: Annotated[float, Field(gt=0.0, le=10.0)] = 0.25  # over its even part that a cell may be given
+    slack: Annotated[float, Field(gt=0.0, le=10.0)] = (
+        0.25  # over its even part that a cell may be given
+    )
 
 
 def first(path: str | Path) -> CellMap:
@@ -50,7 +53,9 @@
             raise BadFile(f"{path}:1: cell {block.name}: stands twice")
         nodes = tuple(Node(each.name, each.address, each.weight) for each in block.node)
         cells[block.name] = Cell(block.name, nodes)
-    places = [Node(name, weight=sum(node.weight for node in cell.nodes)) for name, cell in cells.items()]
+    places = [
+        Node(name, weight=sum(node.weight for node in cell.nodes)) for name, cell in cells.items()
+    ]
     pins = {each.name: each.cell for each in told.tenant if each.cell is not None}
     try:
         found = bounded({each.name: each.weight for each in told.tenant}, places, told.slack, pins)
--- a/pumicenotch/config/compiled.py
+++ b/pumicenotch/config/compiled.py
@@ -25,12 +25,18 @@
     node: str = ""  # this node's name in the cell map
     map: str = ""  # the file of the cell map; "": the node knows of no cells
     fleet: "FleetSettings | None" = None  # its place in a fleet, if it is in one
-    distribution: "InstanceSettings | None" = None  # its part in distributing configuration, if it has one
+    distribution: "InstanceSettings | None" = (
+        None  # its part in distributing configuration, if it has one
+    )
 
 
 def dump(ours: Ours) -> str:
     plan = ours.plan
-    told = {**plan._asdict(), "pools": [pool._asdict() for pool in plan.pools]} if plan is not None else None
+    told = (
+        {**plan._asdict(), "pools": [pool._asdict() for pool in plan.pools]}
+        if plan is not None
+        else None
+    )
     fleet = ours.fleet._asdict() if ours.fleet is not None else None
     cells = {"node": ours.node, "map": ours.map}
     distribution = None
@@ -66,7 +72,9 @@
             distribution = instance_settings_of(told["distribution"])
         if told["plan"] is None:
             return Ours(None, node, map_file, fleet, distribution)
-        pools = tuple(Pool(**{**pool, "stages": tuple(pool["stages"])}) for pool in told["plan"]["pools"])
+        pools = tuple(
+            Pool(**{**pool, "stages": tuple(pool["stages"])}) for pool in told["plan"]["pools"]
+        )
         plan = Plan(**{**told["plan"], "pools": pools})
         check(plan)
     except BadPlan as error:
@@ -74,7 +82,9 @@
     except (ValueError, KeyError, TypeError) as error:
         if isinstance(error, BadConfig):
             raise
-        raise BadConfig(f"{name}:1: no compiled plan ({type(error).__name__}): compile it anew") from None
+        raise BadConfig(
+            f"{name}:1: no compiled plan ({type(error).__name__}): compile it anew"
+        ) from None
     return Ours(plan, node, map_file, fleet, distribution)
 
 
@@ -87,7 +97,8 @@
     """What such a process made of the file. Raises BadConfig with what it said."""
     if status:
         raise BadConfig(
-            errors.decode(errors="replace").strip()[:4000] or f"{path}:1: its reader failed ({status})"
+            errors.decode(errors="replace").strip()[:4000]
+            or f"{path}:1: its reader failed ({status})"
         )
     return load(out.decode(errors="replace"), path)
 
@@ -98,7 +109,9 @@
         with open(path, encoding="utf-8") as file:
             return load(file.read(), path)
     except (OSError, UnicodeDecodeError) as error:
-        raise BadConfig(f"{path}:1: cannot be read: {getattr(error, 'strerror', None) or error}") from None
+        raise BadConfig(
+            f"{path}:1: cannot be read: {getattr(error, 'strerror', None) or error}"
+        ) from None
 
 
 def environment(path: str, ours: Ours) -> dict[str, str]:
@@ -119,14 +132,21 @@
     if ours.distribution is not None:
         fleet += f"; takes published configuration of {ours.distribution.meaning()}"
     if plan is None:
-        return {"pools": [], "meaning": "no pools: all classes are as one", "cells": cells, "fleet": fleet}
+        return {
+            "pools": [],
+            "meaning": "no pools: all classes are as one",
+            "cells": cells,
+            "fleet": fleet,
+        }
     return {
         "cells": cells,
         "fleet": fleet,
         "pools": [pool._asdict() for pool in plan.pools],
         "limits": "fixed parts" if plan.fixed else "follow demand and capacity",
         "repeats": f"{plan.retry_ratio:g} for a first try while places are short, up to {plan.retry_burst:g}",
-        "unmarked_repeats": f"same within {plan.likeness_ms:g} ms" if plan.likeness_ms else "not seen",
+        "unmarked_repeats": f"same within {plan.likeness_ms:g} ms"
+        if plan.likeness_ms
+        else "not seen",
         "reading": f"{plan.reading:g} of what is read is kept for reserved pools while reading is behind",
         "unknown_stages": unknown(plan, stages) if stages else [],
-    }  # fmt: skip
+    }
--- a/pumicenotch/config/distribution.py
+++ b/pumicenotch/config/distribution.py
@@ -117,9 +117,11 @@
 
     def instance_settings(self, services: tuple[str, ...], cell: str) -> InstanceSettings:
         """`services` and `cell` are what the server is for: what it subscribes to unless the block says
-        otherwise."""
+        otherwise.
+        """
         subscribed = tuple(
-            ScopesOfTable(block.name, None if block.all else block.scopes) for block in self.subscribe
+            ScopesOfTable(block.name, None if block.all else block.scopes)
+            for block in self.subscribe
         )
         return InstanceSettings(
             subscription=subscribed or default_subscription(services, cell),
--- a/pumicenotch/config/file.py
+++ b/pumicenotch/config/file.py
@@ -66,9 +66,14 @@
             for each in self.pool
         )
         return plan.Plan(
-            pools, self.fixed_limits, self.retries.ratio, self.retries.burst, self.retries.callers_most,
-            self.retries.likeness_ms, self.reading.reserve,
-        )  # fmt: skip
+            pools,
+            self.fixed_limits,
+            self.retries.ratio,
+            self.retries.burst,
+            self.retries.callers_most,
+            self.retries.likeness_ms,
+            self.reading.reserve,
+        )
 
 
 def plan_of(path: str | Path) -> plan.Plan | None:
--- a/pumicenotch/config/files.py
+++ b/pumicenotch/config/files.py
@@ -8,7 +8,8 @@
 
 def put(path: Path, text: str) -> None:
     """In the place of what was there, at once: a full disk or a crash leaves the old, and so does a power
-    loss. Raises OSError."""
+    loss. Raises OSError.
+    """
     temporary = path.with_name(path.name + ".new")
     with temporary.open("w", encoding="utf-8") as file:
         file.write(text)
@@ -19,10 +20,13 @@
 
 def cell_map(path: str | Path) -> tuple[CellMap, float]:
     """The map in that file, and when the file was last confirmed: written, or touched (Unix ms). Raises
-    BadMap."""
+    BadMap.
+    """
     try:
         with open(path, encoding="utf-8") as file:
             confirmed = os.fstat(file.fileno()).st_mtime * 1000.0
             return load(file.read(), str(path)), confirmed
     except (OSError, UnicodeDecodeError) as error:
-        raise BadMap(f"{path}:1: cannot be read: {getattr(error, 'strerror', None) or error}") from None
+        raise BadMap(
+            f"{path}:1: cannot be read: {getattr(error, 'strerror', None) or error}"
+        ) from None
--- a/pumicenotch/config/fleet.py
+++ b/pumicenotch/config/fleet.py
@@ -46,9 +46,19 @@
 
     def settings(self) -> FleetSettings:
         return FleetSettings(
-            self.name, self.member, self.listen, self.voters, self.seeds, self.zone, self.region, self.cell,
-            self.serves, self.uses, self.capacity, advertise=self.advertise or "",
-        )  # fmt: skip
+            self.name,
+            self.member,
+            self.listen,
+            self.voters,
+            self.seeds,
+            self.zone,
+            self.region,
+            self.cell,
+            self.serves,
+            self.uses,
+            self.capacity,
+            advertise=self.advertise or "",
+        )
 
 
 class VoterBlock(Schema):
@@ -126,7 +136,14 @@
         names = tuple((block.name, block.address) for block in self.voter)
         manual_members = tuple(
             budgets.Member(
-                each.name, "", each.zone, each.region, each.cell, each.serves, each.uses, each.capacity
+                each.name,
+                "",
+                each.zone,
+                each.region,
+                each.cell,
+                each.serves,
+                each.uses,
+                each.capacity,
             )
             for each in self.by_hand
         )
--- a/pumicenotch/config/hcl.py
+++ b/pumicenotch/config/hcl.py
@@ -1,5 +1,6 @@
 """HCL text to blocks with the lines that they stand on. Values are plain: no expressions, references,
-functions."""
+functions.
+"""
 
 import json
 from collections.abc import Iterator
@@ -15,7 +16,8 @@
 
 class BadFile(ValueError):
     """What is wrong with a file: a line each, `FILE:LINE: block.attribute: what is wrong and what is
-    allowed`."""
+    allowed`.
+    """
 
     def __init__(self, *faults: str) -> None:
         super().__init__("\n".join(faults))
@@ -44,7 +46,9 @@
     try:
         tree = hcl2.parses_to_tree(text.rstrip() + "\n")
     except UnexpectedCharacters as error:
-        raise BadFile(f"{name}:{error.line}: no HCL at column {error.column}: {error.char!r}") from None
+        raise BadFile(
+            f"{name}:{error.line}: no HCL at column {error.column}: {error.char!r}"
+        ) from None
     except UnexpectedInput as error:
         token = getattr(error, "token", None)
         met = (
@@ -65,7 +69,11 @@
 
 
 def trees(tree: Tree[Token]) -> list[Tree[Token]]:
-    return [part for part in tree.children if isinstance(part, Tree) and part.data != "new_line_or_comment"]
+    return [
+        part
+        for part in tree.children
+        if isinstance(part, Tree) and part.data != "new_line_or_comment"
+    ]
 
 
 def line(tree: Tree[Token]) -> int:
@@ -82,11 +90,15 @@
         if part.data == "attribute":
             if word in block.attributes:
                 first = block.attributes[word][1]
-                raise BadFile(f"{name}:{at}: {word}: stands twice, first in line {first}: once is allowed")
+                raise BadFile(
+                    f"{name}:{at}: {word}: stands twice, first in line {first}: once is allowed"
+                )
             block.attributes[word] = (value(rest[0], f"{name}:{at}: {word}"), at)
         elif part.data == "block":
             labels = [
-                string(each, f"{name}:{at}: {word}") for each in rest if each.data in ("string", "identifier")
+                string(each, f"{name}:{at}: {word}")
+                for each in rest
+                if each.data in ("string", "identifier")
             ]
             inner = Block(word, labels, at)
             fill(inner, rest[-1], name)
@@ -141,11 +153,17 @@
             found[str(value(trees(key)[0], where))] = value(held, where)
         return found
     if kind == "identifier":
-        raise BadFile(f"{where}: {text_of(tree)!r} is a reference: write text in quotes, or a number")
-    raise BadFile(f"{where}: {text_of(tree).strip()[:40]!r} would be computed: only plain values are allowed")
+        raise BadFile(
+            f"{where}: {text_of(tree)!r} is a reference: write text in quotes, or a number"
+        )
+    raise BadFile(
+        f"{where}: {text_of(tree).strip()[:40]!r} would be computed: only plain values are allowed"
+    )
 
 
 def values(tree: Tree[Token]) -> Iterator[Tree[Token]]:
     yield from (
-        part for part in tree.children if isinstance(part, Tree) and part.data != "new_line_or_comment"
+        part
+        for part in tree.children
+        if isinstance(part, Tree) and part.data != "new_line_or_comment"
     )
--- a/pumicenotch/config/publication.py
+++ b/pumicenotch/config/publication.py
@@ -16,7 +16,9 @@
 FORM_REMEDY = 'give {"table": ..., "key": ..., "value": {...} or null}'
 
 # Which forms are accepted is the voters' to say: they may know newer ones than this program.
-ANY_FORM: Mapping[str, Table] = {name: table._replace(form=sys.maxsize) for name, table in TABLES.items()}
+ANY_FORM: Mapping[str, Table] = {
+    name: table._replace(form=sys.maxsize) for name, table in TABLES.items()
+}
 
 
 class BadPublicationFile(ValueError):
@@ -78,7 +80,9 @@
     if not isinstance(table, str) or not isinstance(key, str):
         raise InvalidRecord("line", "table and key are no texts", FORM_REMEDY)
     if value is not None and not isinstance(value, dict):
-        raise InvalidRecord(f"record {table}:{key}", "the value is neither object nor null", FORM_REMEDY)
+        raise InvalidRecord(
+            f"record {table}:{key}", "the value is neither object nor null", FORM_REMEDY
+        )
     change = Change(table, key, None if value is None else text_of(table, key, value))
     check_change(ANY_FORM, change)
     return change
@@ -95,12 +99,16 @@
     try:
         return canonical(value)
     except (ValueError, RecursionError) as error:
-        raise InvalidRecord(f"record {table}:{key}", f"no plain JSON value ({error})", FORM_REMEDY) from None
+        raise InvalidRecord(
+            f"record {table}:{key}", f"no plain JSON value ({error})", FORM_REMEDY
+        ) from None
 
 
 def check_repeated(change: Change, first_lines: dict[tuple[str, str], int], number: int) -> None:
     first = first_lines.setdefault((change.table, change.key), number)
     if first != number:
         raise InvalidRecord(
-            f"record {change.table}:{change.key}", f"it stands in line {first} already", "name a record once"
+            f"record {change.table}:{change.key}",
+            f"it stands in line {first} already",
+            "name a record once",
         )
--- a/pumicenotch/config/schema.py
+++ b/pumicenotch/config/schema.py
@@ -13,7 +13,8 @@
 
 class Schema(BaseModel):
     """A block of a file of ours. A field `name` is the block's label; a tuple of schemas is a block that may
-    stand any number of times; a schema is one that stands once at the most; all else is an attribute."""
+    stand any number of times; a schema is one that stands once at the most; all else is an attribute.
+    """
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
@@ -61,10 +62,16 @@
 
 
 def flat(
-    block: Block, name: str, model: type[BaseModel], at: Place, lines: dict[Place, int], faults: list[str]
+    block: Block,
+    name: str,
+    model: type[BaseModel],
+    at: Place,
+    lines: dict[Place, int],
+    faults: list[str],
 ) -> dict[str, Any]:
     """The block as a plain dict that the model takes. Names that the model lacks are faults, with the nearest
-    that it has."""
+    that it has.
+    """
     found: dict[str, Any] = {}
     where = [str(part) for part in at if isinstance(part, str)]
     attributes = [field for field in model.model_fields if inner(model, field)[0] is None]
@@ -79,7 +86,9 @@
             )
             return
         near = get_close_matches(word, names, 1, 0.5)
-        hint = f"did you mean {near[0]}?" if near else f"allowed: {', '.join(sorted(names)) or 'none'}"
+        hint = (
+            f"did you mean {near[0]}?" if near else f"allowed: {', '.join(sorted(names)) or 'none'}"
+        )
         faults.append(f"{name}:{line}: {full}: unknown {kind}; {hint}")
 
     if "name" in attributes and at and "name" not in block.attributes:
--- a/pumicenotch/config/versions.py
+++ b/pumicenotch/config/versions.py
@@ -18,7 +18,8 @@
 
 def content(folder: Path) -> str:
     """The version that a folder holds: of every file its path, whether it may be run, and its bytes; compiled
-    Python is left out. Raises BadVersion."""
+    Python is left out. Raises BadVersion.
+    """
     whole = hashlib.sha256()
     try:
         found = sorted(path for path in folder.rglob("*") if path.is_file() or path.is_symlink())
--- a/pumicenotch/control.py
+++ b/pumicenotch/control.py
@@ -15,17 +15,38 @@
 from operator import mul, sub
 from typing import Any
 
-from pumicenotch.interface import Actions, Below, Effect, Halt, Outcome, Pools, Signal, Stage, State, Tenant
-
-TICK_MS = 25.0  # the one timer: half the least slack seen fit for an answer, and cheap in any language
-SAMPLE_MS = 1000.0  # the paper's 2 s halved: a surge of some seconds would be over before four long samples
-NEVER_RAN = (Outcome.FULL, Outcome.UNREACHED, Outcome.MOOT)  # outcomes that prove a call never took effect
+from pumicenotch.interface import (
+    Actions,
+    Below,
+    Effect,
+    Halt,
+    Outcome,
+    Pools,
+    Signal,
+    Stage,
+    State,
+    Tenant,
+)
+
+TICK_MS = (
+    25.0  # the one timer: half the least slack seen fit for an answer, and cheap in any language
+)
+SAMPLE_MS = (
+    1000.0  # the paper's 2 s halved: a surge of some seconds would be over before four long samples
+)
+NEVER_RAN = (
+    Outcome.FULL,
+    Outcome.UNREACHED,
+    Outcome.MOOT,
+)  # outcomes that prove a call never took effect
 
 
 class Task:
     """One try as it was read, and how far it is."""
 
-    def __init__(self, ident: int, stage_no: int, stage: Stage, tenant: int, arrived: float) -> None:
+    def __init__(
+        self, ident: int, stage_no: int, stage: Stage, tenant: int, arrived: float
+    ) -> None:
         self.id, self.stage_no, self.stage, self.tenant = ident, stage_no, stage, tenant
         self.arrived, self.state, self.answered = arrived, State.HELD, False
         self.work: float | None = None
@@ -58,9 +79,13 @@
 class Duty:
     """Rules 1 and 3: every task read gets one answer by its time limit, or before the process stops."""
 
-    MARGIN_MS = TICK_MS + 10.0  # answered this long before the limit: a tick late still leaves time in hand
+    MARGIN_MS = (
+        TICK_MS + 10.0
+    )  # answered this long before the limit: a tick late still leaves time in hand
 
-    def __init__(self, agenda: Agenda, drain_grace_ms: float, answer: Callable[[float, Task], None]) -> None:
+    def __init__(
+        self, agenda: Agenda, drain_grace_ms: float, answer: Callable[[float, Task], None]
+    ) -> None:
         self.agenda, self.drain_grace_ms, self.answer = agenda, drain_grace_ms, answer
         self.tasks: dict[int, Task] = {}
         self.last_arrival = self.stop = float("inf")
@@ -106,14 +131,36 @@
 class Limit:
     """DESIGN's total limit, under the guards of rule 4: memory, and the crowd on the cores."""
 
-    STEP, FACTOR, MISSES = 0.25, 0.5, 0.1  # DESIGN's first values, and its tenth of a sample's responses
-    CROWDED, GIVEN_BACK = 1.25, 0.9  # wanting a core, for each: more only stretches runs; a slot a sample
-    MEMORY_USED = 0.94  # full is death; held tasks of one batch and rounding stay well inside the rest
+    STEP, FACTOR, MISSES = (
+        0.25,
+        0.5,
+        0.1,
+    )  # DESIGN's first values, and its tenth of a sample's responses
+    CROWDED, GIVEN_BACK = (
+        1.25,
+        0.9,
+    )  # wanting a core, for each: more only stretches runs; a slot a sample
+    MEMORY_USED = (
+        0.94  # full is death; held tasks of one batch and rounding stay well inside the rest
+    )
     CROWD_USED = 0.8  # of the crowd survived; reading and checks crowd the cores as well
 
-    def __init__(self, now: float, cores: int, memory_kb: float, run_factor: float, multiple: float,
-                 speed: float, warm_ms: float) -> None:
-        self.cores, self.memory_kb, self.run_factor, self.multiple = cores, memory_kb, run_factor, multiple
+    def __init__(
+        self,
+        now: float,
+        cores: int,
+        memory_kb: float,
+        run_factor: float,
+        multiple: float,
+        speed: float,
+        warm_ms: float,
+    ) -> None:
+        self.cores, self.memory_kb, self.run_factor, self.multiple = (
+            cores,
+            memory_kb,
+            run_factor,
+            multiple,
+        )
         self.started, self.cold_speed, self.warm_ms = now, speed, max(warm_ms, 1.0)
         self.limit, self.used_kb = float(cores), 0.0
         self.wanted = 0.0  # mean of those wanting a core, over about half a sample
@@ -122,10 +169,14 @@
 
     def speed(self, now: float) -> float:
         """The share of its speed that the server has at the least."""
-        return min(1.0, self.cold_speed + (1.0 - self.cold_speed) * (now - self.started) / self.warm_ms)
+        return min(
+            1.0, self.cold_speed + (1.0 - self.cold_speed) * (now - self.started) / self.warm_ms
+        )
 
     def most(self, now: float) -> float:
-        return max(1.0, self.CROWD_USED * self.cores * (1.0 + (self.multiple - 1.0) * self.speed(now)))
+        return max(
+            1.0, self.CROWD_USED * self.cores * (1.0 + (self.multiple - 1.0) * self.speed(now))
+        )
 
     def total(self, now: float) -> int:
         return max(1, int(min(self.limit, self.most(now))))
@@ -154,7 +205,13 @@
 
     def sample(self) -> None:
         late, self.late, self.responses = self.late > self.MISSES * self.responses, 0, 0
-        factor = self.FACTOR if late else self.GIVEN_BACK if self.wanted > self.CROWDED * self.cores else 1.0
+        factor = (
+            self.FACTOR
+            if late
+            else self.GIVEN_BACK
+            if self.wanted > self.CROWDED * self.cores
+            else 1.0
+        )
         self.limit = max(float(self.cores), factor * self.limit)
 
 
@@ -172,8 +229,16 @@
     def read(self, *_: object) -> tuple[float, bool]:
         return 1.0, False
 
-    def place(self, now: float, lane: int, repeat: bool, beyond: bool, waiting: Collection[int],
-              usual_ms: float, room: bool) -> tuple[int, float, float, bool]:
+    def place(
+        self,
+        now: float,
+        lane: int,
+        repeat: bool,
+        beyond: bool,
+        waiting: Collection[int],
+        usual_ms: float,
+        room: bool,
+    ) -> tuple[int, float, float, bool]:
         return 0, self.queues.caps.total, usual_ms, room
 
     def next(self, now: float, waiting: Collection[int]) -> int | None:
@@ -215,7 +280,10 @@
     """The tenants that have sent, by number. All begin alike, so each is made when first asked for."""
 
     def __init__(self, tenants: list[Tenant], servers: int) -> None:
-        self.allowances, self.servers = [tenant.allowance_per_s for tenant in tenants] or [None], servers
+        self.allowances, self.servers = (
+            [tenant.allowance_per_s for tenant in tenants] or [None],
+            servers,
+        )
 
     def __missing__(self, tenant: int) -> Line:
         return self.setdefault(tenant, Line(self.allowances[tenant], self.servers))
@@ -224,7 +292,8 @@
 class Caps(dict[int, float]):
     """The tenants' caps, each worked out when first asked for after a change. A tenant weighs as much as the
     one before it, times the table's ratio for its v. The ratio is exactly 1 where v rounds to 0, so only the
-    other tenants, the uneven ones, need a multiplication."""
+    other tenants, the uneven ones, need a multiplication.
+    """
 
     V_MOST = 6  # DESIGN's clamp
     DENSE = 0.25  # of all tenants uneven: beyond, weighing all of them one by one takes less time
@@ -238,7 +307,9 @@
     def rebuild(self, total: int) -> None:
         """The table from v to S_i/S_{i-1}: even steps of its logarithm, up to what the floors leave."""
         self.total, self.floor = total, min(1.0, 0.5 * total / self.known)
-        widest = log((total - (self.known - 1) * self.floor) / self.floor) if self.known > 1 else 0.0
+        widest = (
+            log((total - (self.known - 1) * self.floor) / self.floor) if self.known > 1 else 0.0
+        )
         self.table = [exp(widest * v / self.V_MOST) for v in range(-self.V_MOST, self.V_MOST + 1)]
         self.clear()
 
@@ -255,7 +326,9 @@
     def split(self) -> None:
         """Multiplies and adds up in the tenants' order: in any other the last bits differ."""
         dense = len(self.uneven) > self.DENSE * self.known
-        self.starts = range(1, self.known) if dense else self.uneven  # each weight's first tenant, but for 0
+        self.starts = (
+            range(1, self.known) if dense else self.uneven
+        )  # each weight's first tenant, but for 0
         rows = self.rows[1:] if dense else map(self.rows.__getitem__, self.uneven)
         self.weights = list(accumulate(map(self.table.__getitem__, rows), mul, initial=1.0))
         sizes = map(sub, chain(self.uneven, (self.known,)), chain((0,), self.uneven))
@@ -271,11 +344,16 @@
 
 class Queues:
     """HWCS: a queue and a cap per tenant; floors reserved, the rest split by compensated PI. A sample goes
-    through the active tenants only: an idle one keeps its v, and its queue is not long."""
+    through the active tenants only: an idle one keeps its v, and its queue is not long.
+    """
 
     KP, KI = 0.47, 0.16  # DESIGN's gains
     THRESHOLD, WINDOW = 0.66, 4  # DESIGN's 20 in 30 of a queue's length, and four samples
-    REFERENCES = (inverse(1.0), inverse(3.0), inverse(3.0**-1))  # 1:1, and 1:3 against either, by marks apart
+    REFERENCES = (
+        inverse(1.0),
+        inverse(3.0),
+        inverse(3.0**-1),
+    )  # 1:1, and 1:3 against either, by marks apart
     LENGTH = 30  # DESIGN's q_len, the most that a queue may hold however fast it drains
     HOLD = 0.7  # of the due time may go by in a full queue: the rest is for the run and its calls
 
@@ -294,7 +372,10 @@
         for at in means:
             if at - 1 in means:
                 before, line = self.lines[at - 1], self.lines[at]
-                error = inverse(means[at] / means[at - 1]) - self.REFERENCES[line.marked - before.marked]
+                error = (
+                    inverse(means[at] / means[at - 1])
+                    - self.REFERENCES[line.marked - before.marked]
+                )
                 v = line.v + (self.KP + self.KI) * error - self.KP * line.error
                 line.v, line.error = max(-Caps.V_MOST, min(Caps.V_MOST, v)), error
                 self.caps.set_v(at, line.v)
@@ -366,8 +447,15 @@
     PATIENCE = 5.0  # times the recent time: hardly any call that comes back at all takes longer
     TRIES = 3  # of one call: the third time, what is below is failing and not merely full
 
-    def __init__(self, agenda: Agenda, actions: Actions, chance: random.Random, most: float,
-                 window_ms: float, linger_ms: float) -> None:
+    def __init__(
+        self,
+        agenda: Agenda,
+        actions: Actions,
+        chance: random.Random,
+        most: float,
+        window_ms: float,
+        linger_ms: float,
+    ) -> None:
         self.agenda, self.actions, self.jitter = agenda, actions, chance.uniform
         self.window_ms, self.linger_ms = window_ms, linger_ms
         self.most = self.SHARE_USED * most  # calls in hand, which the pace aims at
@@ -388,7 +476,12 @@
         self.tokens = min(max(1.0, 0.25 * self.most), self.tokens + gained)
         self.filled_at = now
         hand = len(self.in_hand) + self.lingering
-        if not self.waiting or self.tokens < 1.0 or now < self.free_at or hand + 1 > max(1.0, self.most):
+        if (
+            not self.waiting
+            or self.tokens < 1.0
+            or now < self.free_at
+            or hand + 1 > max(1.0, self.most)
+        ):
             return None
         return self.waiting.pop(0)
 
@@ -396,7 +489,9 @@
         give_up_ms = task.limit - now
         if task.stage.effect is Effect.RESTARTABLE or task.stage.skip_utility > 0.0:
             # Given up while there is time to call again or go on without: a cut or a hang below.
-            give_up_ms = min(give_up_ms, max(self.PATIENCE * self.recent_ms, 0.25 * (task.due - now)))
+            give_up_ms = min(
+                give_up_ms, max(self.PATIENCE * self.recent_ms, 0.25 * (task.due - now))
+            )
         if self.most < 1.0:
             # One call may not hold the only place for more than half of what the window allows.
             give_up_ms = min(give_up_ms, 0.5 * self.most * self.window_ms - self.linger_ms)
@@ -425,16 +520,22 @@
 
     def turn_ms(self, now: float) -> float:
         """Until a call asked for now may start: after the places that the share gives are taken, each one
-        ahead holds a place for the recent time of a call."""
+        ahead holds a place for the recent time of a call.
+        """
         ahead = len(self.waiting) + len(self.in_hand) + self.lingering + 1 - max(1.0, self.most)
-        return max(0.0, self.free_at - now) + max(0.0, ahead) * self.recent_ms / max(self.most, 0.01)
+        return max(0.0, self.free_at - now) + max(0.0, ahead) * self.recent_ms / max(
+            self.most, 0.01
+        )
 
 
 class Level:
     """Where a stage is dear, tasks of less utility are let in by a chance that falls while reading is behind
-    or many of the dear are lost. Where all are worth about as much it never acts."""
+    or many of the dear are lost. Where all are worth about as much it never acts.
+    """
 
-    DEAR = 2.0  # times a stage's mean utility: with less, what the others lose outweighs what is won
+    DEAR = (
+        2.0  # times a stage's mean utility: with less, what the others lose outweighs what is won
+    )
     CUT, OPEN = 0.6, 1.1  # of the share let in, a sample: a backlog fills faster than it drains
     BEHIND, LOST = 0.1, 0.3  # of its time that the mean task waits unread; of the dear, not served
 
@@ -443,7 +544,11 @@
         self.chance, self.least, most = chance, max(1e-9, min(utilities)), max(1e-9, *utilities)
         self.dear = most if most > self.DEAR * sum(utilities) / len(utilities) else float("inf")
         self.floor, self.keep = (self.least / most) ** 2, 1.0  # share let in of the least useful
-        self.unread, self.asked, self.lost = 0.0, 0, 0  # mean share of its time unread; dear of this sample
+        self.unread, self.asked, self.lost = (
+            0.0,
+            0,
+            0,
+        )  # mean share of its time unread; dear of this sample
 
     def read(self, unread: float, utility: float) -> None:
         self.unread += 0.05 * (unread - self.unread)
@@ -460,7 +565,9 @@
         self.unread *= 1.0 if read else 0.5  # of what nobody sends nothing is known
         tight = self.unread > self.BEHIND or self.lost > self.LOST * self.asked + 1
         self.asked = self.lost = 0
-        self.keep = min(1.0, max(self.floor, self.CUT * self.keep if tight else self.OPEN * self.keep + 0.01))
+        self.keep = min(
+            1.0, max(self.floor, self.CUT * self.keep if tight else self.OPEN * self.keep + 0.01)
+        )
 
 
 class Signals:
@@ -468,15 +575,34 @@
 
     GAIN = 0.5  # of the share turned away in a sample: shut in a few samples, with little overshoot
     OPEN = 0.8  # a sample leaves this much of it, or a few rejections would hold it shut for good
-    MOST = 0.95  # never wholly shut while serving: without tasks nothing would show that there is room
+    MOST = (
+        0.95  # never wholly shut while serving: without tasks nothing would show that there is room
+    )
     # Connections a core beyond which idle ones are closed sooner: more than come back within seconds.
     LINKS, IDLE_LEAST_MS = 16.0, 1000.0
     KEEPS_UP = 0.05  # of its time that a task waits unread: beyond, reading waits for connections made anew
-    LOST, BAD, GOOD = 0.5, 4, 5  # of its time unread: bad for four samples at most, then good for five
-
-    def __init__(self, actions: Actions, signal: Signal, speed: float, cores: int, callers: int,
-                 idle_ms: float, listed: bool) -> None:
-        self.actions, self.signal, self.idle_ms, self.idle_most_ms = actions, signal, idle_ms, idle_ms
+    LOST, BAD, GOOD = (
+        0.5,
+        4,
+        5,
+    )  # of its time unread: bad for four samples at most, then good for five
+
+    def __init__(
+        self,
+        actions: Actions,
+        signal: Signal,
+        speed: float,
+        cores: int,
+        callers: int,
+        idle_ms: float,
+        listed: bool,
+    ) -> None:
+        self.actions, self.signal, self.idle_ms, self.idle_most_ms = (
+            actions,
+            signal,
+            idle_ms,
+            idle_ms,
+        )
         # One running and one held a core until a sample is taken; then what gets through by the due time.
         self.callers = max(1, callers)
         self.credit = 2.0 * cores / self.callers
@@ -484,7 +610,9 @@
         self.read = self.turned_away = 0
         self.listed, self.good, self.since = listed, True, self.GOOD  # samples since health changed
         self.shut, self.said, self.leaving = 0.0, -1.0, False
-        actions.health(True, stored=True)  # checks from store spare the cores, and what lies below, real work
+        actions.health(
+            True, stored=True
+        )  # checks from store spare the cores, and what lies below, real work
         self.say(speed)
 
     def leave(self) -> None:
@@ -501,7 +629,9 @@
         self.say(speed)  # a cold server asks for what it can do
         self.close_idle(links, unread)
         self.since += 1
-        turn = unread > self.LOST and self.since >= self.GOOD if self.good else self.since >= self.BAD
+        turn = (
+            unread > self.LOST and self.since >= self.GOOD if self.good else self.since >= self.BAD
+        )
         if self.listed and not self.leaving and (turn or (not self.good and unread < Level.BEHIND)):
             self.good, self.since = not self.good, 0
             self.actions.health(self.good, stored=True)
@@ -517,7 +647,9 @@
 
     def say(self, speed: float) -> None:
         share = 0.0 if self.leaving else speed * (1.0 - self.shut)
-        value = {Signal.LEVEL: 1.0 - share, Signal.WEIGHT: share}.get(self.signal, self.credit * share)
+        value = {Signal.LEVEL: 1.0 - share, Signal.WEIGHT: share}.get(
+            self.signal, self.credit * share
+        )
         if self.signal is not Signal.NONE and value != self.said:
             self.said = value
             self.actions.say(value)
@@ -532,15 +664,44 @@
     BEHIND = 4.0  # times the span in the order, beyond the share: of little utility wherever one is given
     CROWDED = 0.1  # of the free value shut, by one task in twenty turned away: fewer are chance
 
-    def __init__(self, actions: Actions, now: float, *, seed: int, stages: list[Stage], tenants: list[Tenant],
-                 gauges: list[str], cores: int = 1, memory_kb: float = float("inf"), run_factor: float = 1.0,
-                 entry_kb: float = 0.0, cold: bool = False, cold_share: float = 1.0, warm_ms: float = 0.0,
-                 crowd_multiple: float = 1.0, drain_grace_ms: float = 0.0, servers: int = 1, callers: int = 1,
-                 stay_away_passed: bool = False, stay_away_most_ms: float = 0.0, halt: Halt = Halt.NONE,
-                 signal: Signal = Signal.NONE, below: Below = Below.NONE, call_share: float = 1.0,
-                 call_window_ms: float = 0.0, linger_ms: float = 0.0, idle_ms: float = 0.0,
-                 listed_by_health: bool = False, pools: Pools | None = None) -> None:
-        self.actions, self.stages, self.gauges, self.halts = actions, stages, gauges, halt is not Halt.NONE
+    def __init__(
+        self,
+        actions: Actions,
+        now: float,
+        *,
+        seed: int,
+        stages: list[Stage],
+        tenants: list[Tenant],
+        gauges: list[str],
+        cores: int = 1,
+        memory_kb: float = float("inf"),
+        run_factor: float = 1.0,
+        entry_kb: float = 0.0,
+        cold: bool = False,
+        cold_share: float = 1.0,
+        warm_ms: float = 0.0,
+        crowd_multiple: float = 1.0,
+        drain_grace_ms: float = 0.0,
+        servers: int = 1,
+        callers: int = 1,
+        stay_away_passed: bool = False,
+        stay_away_most_ms: float = 0.0,
+        halt: Halt = Halt.NONE,
+        signal: Signal = Signal.NONE,
+        below: Below = Below.NONE,
+        call_share: float = 1.0,
+        call_window_ms: float = 0.0,
+        linger_ms: float = 0.0,
+        idle_ms: float = 0.0,
+        listed_by_health: bool = False,
+        pools: Pools | None = None,
+    ) -> None:
+        self.actions, self.stages, self.gauges, self.halts = (
+            actions,
+            stages,
+            gauges,
+            halt is not Halt.NONE,
+        )
         self.stay_away_most_ms = stay_away_most_ms if stay_away_passed else 0.0
         self.agenda = Agenda()
         self.duty = Duty(self.agenda, drain_grace_ms, self.give_up)
@@ -555,7 +716,9 @@
         self.calls = Calls(self.agenda, actions, chance, most, call_window_ms, linger_ms)
         self.level = Level(chance.random, stages)
         self.signals = Signals(actions, signal, speed, cores, callers, idle_ms, listed_by_health)
-        self.run_ms: dict[int, tuple[float, float]] = {}  # stage -> recent mean of a run, and of its hints
+        self.run_ms: dict[
+            int, tuple[float, float]
+        ] = {}  # stage -> recent mean of a run, and of its hints
         self.calling: set[int] = set()  # stages whose tasks were seen at a call
         self.slot_ms = 0.0  # recent time in a place among those running
         self.ended_at = self.sampled_at = now
@@ -564,12 +727,18 @@
 
     def slot(self, now: float) -> float:
         """Time a task keeps its place. With none ending it grows by itself, whatever holds the cores up."""
-        seen = self.slot_ms or max(1.0, 0.125 * self.due_ms)  # until one has ended: eight in a row fit
+        seen = self.slot_ms or max(
+            1.0, 0.125 * self.due_ms
+        )  # until one has ended: eight in a row fit
         return max(seen, 0.25 * (now - self.ended_at) * self.limit.on_cores)
 
     def run_time(self, task: Task, now: float) -> float:
         """What a run takes: the stage's mean, leaning to the hint, after the calls that wait before it."""
-        turn = self.calls.turn_ms(now) if task.state is State.HELD and task.stage_no in self.calling else 0.0
+        turn = (
+            self.calls.turn_ms(now)
+            if task.state is State.HELD and task.stage_no in self.calling
+            else 0.0
+        )
         if task.stage_no not in self.run_ms:
             return turn + max(self.slot(now), task.work or 0.0)
         mean, work = self.run_ms[task.stage_no]
@@ -579,19 +748,36 @@
         ran, slot = now - task.began, now - task.began - task.off_ms
         self.slot_ms += 0.05 * (slot - self.slot_ms) if self.slot_ms else slot
         mean, work = self.run_ms.get(task.stage_no, (self.slot(now), task.work or 0.0))
-        self.run_ms[task.stage_no] = (mean + 0.05 * (ran - mean), work + 0.05 * ((task.work or 0.0) - work))
+        self.run_ms[task.stage_no] = (
+            mean + 0.05 * (ran - mean),
+            work + 0.05 * ((task.work or 0.0) - work),
+        )
         self.ended_at = now
         self.limit.responses += 1
         self.limit.late += now > task.due
         self.pools.ended(now, task.lane, slot)
         self.queues.times.setdefault(task.tenant, []).append(now - task.arrived)
 
-    def task(self, now: float, ident: int, stage_no: int, tenant: int, waited: float, limit: float | None,
-             work: float | None, kb: float, same: int | None, caller: int = 0, again: bool = False,
-             mark: int = 0) -> None:
+    def task(
+        self,
+        now: float,
+        ident: int,
+        stage_no: int,
+        tenant: int,
+        waited: float,
+        limit: float | None,
+        work: float | None,
+        kb: float,
+        same: int | None,
+        caller: int = 0,
+        again: bool = False,
+        mark: int = 0,
+    ) -> None:
         """A task was read. Its caller, whether that marks a further try, and its print are for the pools."""
         stage = self.stages[stage_no]
-        task = Task(ident, stage_no, stage, tenant if tenant < self.queues.caps.known else 0, now - waited)
+        task = Task(
+            ident, stage_no, stage, tenant if tenant < self.queues.caps.known else 0, now - waited
+        )
         task.kb, task.work = kb, work
         task.limit = max(now, limit if limit is not None else task.arrived + stage.limit_ms)
         task.due = min(task.limit, task.arrived + stage.due_ms + stage.due_stretch * (work or 0.0))
@@ -603,7 +789,9 @@
         if same and stage.effect is Effect.FINGERPRINTED:
             self.follow(task, same, now)
         else:
-            task.hope, task.repeat = self.pools.read(now, task.lane, task.tenant, caller, again, mark, waited)
+            task.hope, task.repeat = self.pools.read(
+                now, task.lane, task.tenant, caller, again, mark, waited
+            )
             self.admit(task, now)
         self.start(now)
 
@@ -644,8 +832,12 @@
         line, left, run = self.queues.lines[task.tenant], task.due - now, self.run_time(task, now)
         over_share, room = line.over_share(now, not task.repeat), self.limit.has_room(now)
         task.lane, places, slot, free = self.pools.place(
-            now, task.lane, task.repeat, over_share, self.queues.waiting, self.slot(now), room)
-        slots, queue = self.queues.part(task.tenant, task.lane, places), line.lanes.get(task.lane, ())
+            now, task.lane, task.repeat, over_share, self.queues.waiting, self.slot(now), room
+        )
+        slots, queue = (
+            self.queues.part(task.tenant, task.lane, places),
+            line.lanes.get(task.lane, ()),
+        )
         span = max(0.0, task.due - task.arrived - run) / task.stage.utility**0.5
         task.key = task.arrived + (self.BEHIND * span if over_share else span)
         wait = 0.0 if free else (1 + bisect_left(queue, task)) * slot / slots
@@ -666,7 +858,9 @@
     def start(self, now: float) -> None:
         """Starts what may start: any tenant's while the total has room, by the caps once it is full."""
         while self.queues.waiting and self.limit.has_room(now) and (task := self.queues.next(now)):
-            if now + 0.8 * self.run_time(task, now) > min(task.due, self.duty.stop):  # a rough estimate
+            if now + 0.8 * self.run_time(task, now) > min(
+                task.due, self.duty.stop
+            ):  # a rough estimate
                 self.reject(task, now)
             elif self.limit.takes(task, self.repeats.kb):
                 self.go(task, now)
@@ -699,7 +893,9 @@
             self.move(task, State.CALLING, now)
             task.calls = 0
             self.calls.wait(now, task)
-            if task.stage.skip_utility > 0.0:  # in time for the rest of the run, half of it on the mean
+            if (
+                task.stage.skip_utility > 0.0
+            ):  # in time for the rest of the run, half of it on the mean
                 self.agenda.at(task.due - 0.5 * self.run_time(task, now), self.go_without, task)
             self.work(now)
 
@@ -710,7 +906,9 @@
         if outcome is Outcome.OK:
             self.move(task, State.RUNNING, now)
         elif not task.answered:
-            spare = task.stage.skip_utility > 0.0 and outcome is not Outcome.RESET  # a broken link is no cut
+            spare = (
+                task.stage.skip_utility > 0.0 and outcome is not Outcome.RESET
+            )  # a broken link is no cut
             tries = Calls.TRIES if task.stage.effect is Effect.RESTARTABLE and not spare else 0
             again = outcome in NEVER_RAN or task.calls < tries
             if again and now + max(TICK_MS, 2.0 * self.calls.recent_ms) < task.due:
@@ -777,7 +975,9 @@
     def leave(self, now: float, stop: float) -> None:
         self.duty.leave(now, stop)
         self.signals.leave()
-        self.actions.log(f"leaving in {stop - now:.0f} ms with {len(self.duty.tasks)} tasks in hand")
+        self.actions.log(
+            f"leaving in {stop - now:.0f} ms with {len(self.duty.tasks)} tasks in hand"
+        )
 
     def tick(self, now: float, values: tuple[float, ...]) -> None:
         self.actions.wake(TICK_MS)
@@ -792,7 +992,9 @@
             total, slot = self.limit.total(now), self.slot(now)
             self.queues.sample(total, slot, self.due_ms)
             room = total + self.queues.length(total, slot, self.due_ms)
-            self.signals.sample(self.limit.speed(now), gauges.get("links", 0.0), room, self.level.unread)
+            self.signals.sample(
+                self.limit.speed(now), gauges.get("links", 0.0), room, self.level.unread
+            )
         self.work(now)
 
     def give_up(self, now: float, task: Task) -> None:
@@ -807,11 +1009,14 @@
             self.give_up(now, task)
 
     def stops(self, task: Task) -> bool:
-        return self.halts and task.state is State.RUNNING and task.stage.effect is Effect.RESTARTABLE
+        return (
+            self.halts and task.state is State.RUNNING and task.stage.effect is Effect.RESTARTABLE
+        )
 
     def reject(self, task: Task, now: float, stay_away: float = 0.0) -> None:
         """Final answer to a task that has not run. While many are turned away, it is the last: another server
-        is hardly better off. Not from a server that leaves or is cold, and not for a dear task."""
+        is hardly better off. Not from a server that leaves or is cold, and not for a dear task.
+        """
         leaving, utility = self.signals.leaving, task.stage.utility
         wait = self.stay_away_most_ms if leaving else min(stay_away, self.stay_away_most_ms)
         last = not leaving and utility < self.level.dear and self.signals.shut > self.CROWDED
--- a/pumicenotch/distribution/__init__.py
+++ b/pumicenotch/distribution/__init__.py
@@ -1,2 +1,3 @@
 """Versioned configuration as changes: tables, publications, subscriptions, relays and replicas. Reducers
-only: no I/O, no clock, the standard library alone."""
+only: no I/O, no clock, the standard library alone.
+"""
--- a/pumicenotch/distribution/acknowledging.py
+++ b/pumicenotch/distribution/acknowledging.py
@@ -1,5 +1,6 @@
 """When a replica tells its sources what it has in force: soon after a change, not too often, and at the
-latest after a while, which says that it is alive."""
+latest after a while, which says that it is alive.
+"""
 
 from collections.abc import Sequence
 
@@ -34,7 +35,8 @@
 
     def send(self, now_ms: float, links: Sequence[Upstream], version: int, report: Report) -> None:
         """To all sources that have accepted; the report goes to the primary one alone, so that each copy is
-        counted once."""
+        counted once.
+        """
         self._sent_at = now_ms
         self._due = now_ms + self._settings.acknowledge_ms
         for link in links:
@@ -46,7 +48,11 @@
     def tell_roster(self, now_ms: float, links: Sequence[Upstream], names: Sequence[str]) -> None:
         """Whom this one serves, where that has changed, and now and then."""
         told = tuple(sorted(names))
-        if not links or not links[0].accepted or (told == self._roster and now_ms < self._roster_at):
+        if (
+            not links
+            or not links[0].accepted
+            or (told == self._roster and now_ms < self._roster_at)
+        ):
             return
         if told or self._roster:
             self._out.send(links[0].address, Roster(self._name, told))
--- a/pumicenotch/distribution/admission.py
+++ b/pumicenotch/distribution/admission.py
@@ -1,5 +1,6 @@
 """How much a source sends to those who catch up: a storm of rejoining replicas is admitted at a rate that it
-bears."""
+bears.
+"""
 
 
 class TokenBucket:
