--- a/pumicenotch/distribution/audit.py
+++ b/pumicenotch/distribution/audit.py
@@ -1,5 +1,6 @@
 """Now and then the digest of one scope is made anew from its records, in slices: memory that has changed by
-itself is found before it is served for long."""
+itself is found before it is served for long.
+"""
 
 from collections.abc import Iterator
 
@@ -27,7 +28,9 @@
                 self.done = True
                 return
             name, value = found
-            self._digest = (self._digest + record_digest(table, f"{scope}/{name}", value)) % DIGEST_MODULUS
+            self._digest = (
+                self._digest + record_digest(table, f"{scope}/{name}", value)
+            ) % DIGEST_MODULUS
 
     @property
     def good(self) -> bool:
--- a/pumicenotch/distribution/changelog.py
+++ b/pumicenotch/distribution/changelog.py
@@ -117,10 +117,15 @@
         return None
 
     def page(
-        self, have: int, start: Cursor, subscription: Subscription, bytes_most: int = PAGE_BYTES_MOST
+        self,
+        have: int,
+        start: Cursor,
+        subscription: Subscription,
+        bytes_most: int = PAGE_BYTES_MOST,
     ) -> Page | None:
         """What comes after version `have`, as far as a page holds; None if the log does not lead on from
-        there."""
+        there.
+        """
         at = self.position(have)
         if at is None:
             return None
--- a/pumicenotch/distribution/copy.py
+++ b/pumicenotch/distribution/copy.py
@@ -1,5 +1,6 @@
 """What an instance has in force, and how the next version comes into force: staged in slices, verified, and
-switched to at one instant. Whatever fails, the last good view stays."""
+switched to at one instant. Whatever fails, the last good view stays.
+"""
 
 from collections import Counter
 from collections.abc import Callable, Iterable, Mapping
@@ -24,9 +25,13 @@
     """`on_switch` is called when another view is in force, with the entry that led to it if a delta did."""
 
     def __init__(
-        self, settings: Settings, tables: Mapping[str, Table], out: Outbox, counts: Counter[str],
+        self,
+        settings: Settings,
+        tables: Mapping[str, Table],
+        out: Outbox,
+        counts: Counter[str],
         on_switch: Callable[[LogEntry | None], None],
-    ) -> None:  # fmt: skip
+    ) -> None:
         self.view = View()
         self.coverage: Subscription = NOTHING  # what the view covers
         self.newest = 0  # version that any source has told of
@@ -65,7 +70,8 @@
 
     def work(self) -> None:
         """One slice of what is staged; the switch when all of it is there and verified. Raises what a record
-        may be wrong in."""
+        may be wrong in.
+        """
         staging = self.staging
         if staging is None:
             return
@@ -88,7 +94,9 @@
         if view.version > self.blocked:
             self.blocked = NONE_BLOCKED
         if self.error is not None:
-            self._out.log(f"configuration version {view.version} is in force: {self.error.place} is mended")
+            self._out.log(
+                f"configuration version {view.version} is in force: {self.error.place} is mended"
+            )
             self.error = None
         self._counts["switched"] += 1
         self._drop_pending(view.version)
@@ -141,4 +149,8 @@
         found = list(scopes)
         self.suspects.update(found)
         names = ", ".join(f"{table}:{scope}" for table, scope in found[:3])
-        self.fail(DigestMismatch(f"scopes {names}", "the records are not what the source has", DIGEST_REMEDY))
+        self.fail(
+            DigestMismatch(
+                f"scopes {names}", "the records are not what the source has", DIGEST_REMEDY
+            )
+        )
--- a/pumicenotch/distribution/dumping.py
+++ b/pumicenotch/distribution/dumping.py
@@ -1,5 +1,6 @@
 """The book as bytes, for the voters' snapshots: JSON, a line a scope, an entry or an upload, each line kept
-with what it tells until that changes."""
+with what it tells until that changes.
+"""
 
 import json
 from collections.abc import Iterable, Mapping, Sequence
@@ -32,7 +33,9 @@
     lines = [_line("head", FORM, *head)]
     lines += [_scope_line(scope_id, view) for scope_id in view.scope_ids()]
     lines += [_entry_line(entry) for entry in log.entries]
-    lines += [_line("upload", name, upload.parts, upload.changes()) for name, upload in uploads.items()]
+    lines += [
+        _line("upload", name, upload.parts, upload.changes()) for name, upload in uploads.items()
+    ]
     return b"\n".join(lines)
 
 
@@ -64,9 +67,10 @@
         raise
     except (ValueError, TypeError, KeyError, IndexError) as error:
         raise InvalidPublication(
-            "dump of the configuration", f"it is not readable: {error}"[:200],
+            "dump of the configuration",
+            f"it is not readable: {error}"[:200],
             "start this voter without its state: it takes that of the others",
-        ) from None  # fmt: skip
+        ) from None
 
 
 def _loaded(lines: list[Any]) -> Loaded:
@@ -76,7 +80,9 @@
     scopes = [line[1:] for line in rest if line[0] == "scope"]
     view = _view(version, scopes)
     entries = [_entry(*line[1:]) for line in rest if line[0] == "entry"]
-    uploads = {name: _upload(view, parts, rows) for _, name, parts, rows in _of_kind(rest, "upload")}
+    uploads = {
+        name: _upload(view, parts, rows) for _, name, parts, rows in _of_kind(rest, "upload")
+    }
     return Loaded(Head(version, base, requests, history), view, entries, uploads)
 
 
--- a/pumicenotch/distribution/effects.py
+++ b/pumicenotch/distribution/effects.py
@@ -18,7 +18,8 @@
 
 class WakeAt(NamedTuple):
     """Put `Ticked` at that time; a later one replaces it. A time that has passed means: as soon as other work
-    has had its turn."""
+    has had its turn.
+    """
 
     at_ms: float
 
--- a/pumicenotch/distribution/entries.py
+++ b/pumicenotch/distribution/entries.py
@@ -1,11 +1,18 @@
 """The fields of the entries by which the voters' log publishes: read before an entry is proposed, and again
-where it is applied. What is checked here is the same in every program of one level."""
+where it is applied. What is checked here is the same in every program of one level.
+"""
 
 from collections.abc import Callable, Mapping
 from typing import Any
 
 from pumicenotch.distribution.errors import InvalidPublication, InvalidRecord, OversizedPublication
-from pumicenotch.distribution.records import KEY_PART, KEY_PART_MOST, VALUE_BYTES_MOST, Change, split_key
+from pumicenotch.distribution.records import (
+    KEY_PART,
+    KEY_PART_MOST,
+    VALUE_BYTES_MOST,
+    Change,
+    split_key,
+)
 from pumicenotch.distribution.uploads import ADVICE, PART_BYTES_MOST, PART_CHANGES_MOST
 
 Reader = Callable[[Any], Any]
@@ -41,14 +48,18 @@
 
 def digest_text(told: Any) -> str:
     if not isinstance(told, str) or len(told) > KEY_PART_MOST:
-        raise InvalidPublication(PLACE, "its digest is no text", "use changes_digest of its changes")
+        raise InvalidPublication(
+            PLACE, "its digest is no text", "use changes_digest of its changes"
+        )
     return told
 
 
 def change_list(told: Any) -> tuple[Change, ...]:
     """The changes of one part."""
     if not isinstance(told, list | tuple) or len(told) > PART_CHANGES_MOST:
-        raise OversizedPublication(PLACE, f"a part is no list of up to {PART_CHANGES_MOST} changes", ADVICE)
+        raise OversizedPublication(
+            PLACE, f"a part is no list of up to {PART_CHANGES_MOST} changes", ADVICE
+        )
     changes = tuple(map(change_of, told))
     if sum(change.size for change in changes) > PART_BYTES_MOST + VALUE_BYTES_MOST:
         raise OversizedPublication(PLACE, f"a part has more than {PART_BYTES_MOST} bytes", ADVICE)
@@ -63,11 +74,14 @@
     split_key(f"record {table:.64}:{key:.140}", key)
     if not KEY_PART.match(table):
         raise InvalidRecord(PLACE, f"{table!r:.80} is no name of a table", "use A-Z a-z 0-9 . _ -")
-    if value is not None and (not _is_text(value) or not value.isascii() or len(value) > VALUE_BYTES_MOST):
+    if value is not None and (
+        not _is_text(value) or not value.isascii() or len(value) > VALUE_BYTES_MOST
+    ):
         raise InvalidRecord(
-            f"record {table}:{key}", f"its value is no ASCII text of up to {VALUE_BYTES_MOST} bytes",
+            f"record {table}:{key}",
+            f"its value is no ASCII text of up to {VALUE_BYTES_MOST} bytes",
             "publish canonical JSON, or divide it",
-        )  # fmt: skip
+        )
     return Change(table, key, value)
 
 
@@ -78,7 +92,14 @@
 VERBS: Mapping[str, tuple[Reader, ...]] = {
     "stage": (identifier, whole_number, whole_number, change_list),
     "publish": (
-        identifier, identifier_or_none, whole_number, digest_text, whole_number, reason, reason,
-        whole_number, change_list,
+        identifier,
+        identifier_or_none,
+        whole_number,
+        digest_text,
+        whole_number,
+        reason,
+        reason,
+        whole_number,
+        change_list,
     ),
-}  # fmt: skip
+}
--- a/pumicenotch/distribution/events.py
+++ b/pumicenotch/distribution/events.py
@@ -51,7 +51,8 @@
 
 class LeaderChanged(NamedTuple):
     """Who leads the voters, as this voter knows it. `in_touch` says whether it hears the leader, or, being
-    the leader itself, a majority."""
+    the leader itself, a majority.
+    """
 
     address: str
     is_leader: bool
--- a/pumicenotch/distribution/fetching.py
+++ b/pumicenotch/distribution/fetching.py
@@ -1,5 +1,6 @@
 """The replica's side of a transfer by scopes: digests are compared, the scopes that differ are fetched
-beside the view in force, verified, and switched to at once."""
+beside the view in force, verified, and switched to at once.
+"""
 
 from collections import deque
 from collections.abc import Iterable, Mapping
@@ -16,16 +17,23 @@
     """From one source, at the version that its first page tells."""
 
     def __init__(
-        self, number: int, address: str, subscription: Subscription, tables: Mapping[str, Table],
-        suspects: Iterable[ScopeId], kept: Mapping[ScopeId, Scope],
-    ) -> None:  # fmt: skip
+        self,
+        number: int,
+        address: str,
+        subscription: Subscription,
+        tables: Mapping[str, Table],
+        suspects: Iterable[ScopeId],
+        kept: Mapping[ScopeId, Scope],
+    ) -> None:
         self.number = number
         self.address = address
         self.subscription = subscription
         self.version = -1  # not known yet
         self.listed_to = FIRST_SCOPE  # digests up to there have come
         self.listed_all = False
-        self.complete: dict[ScopeId, Scope] = dict(kept)  # fetched and verified, also by a former transfer
+        self.complete: dict[ScopeId, Scope] = dict(
+            kept
+        )  # fetched and verified, also by a former transfer
         self._tables = tables
         self.suspects = frozenset(suspects)  # fetched whatever their digest is here
         self._listed: dict[ScopeId, int] = {}
@@ -85,7 +93,8 @@
 
     def work(self, budget: int) -> int:
         """Reads records up to so many, and returns how many more it might. Raises what a record may be wrong
-        in, and DigestMismatch."""
+        in, and DigestMismatch.
+        """
         while self._inbox and budget > 0:
             part, at = self._inbox.popleft()
             chunk = part.records[at : at + budget]
@@ -104,15 +113,18 @@
             key = f"{scope_id.scope}/{name}"
             read_value(table, key, value)
             partial.records[name] = value
-            partial.digest = (partial.digest + record_digest(table.name, key, value)) % DIGEST_MODULUS
+            partial.digest = (
+                partial.digest + record_digest(table.name, key, value)
+            ) % DIGEST_MODULUS
 
     def _finish_scope(self, scope_id: ScopeId) -> None:
         scope = self._partial.pop(scope_id)
         if scope.digest != self._listed[scope_id]:
             raise DigestMismatch(
-                f"scope {scope_id.table}:{scope_id.scope}", "what the source sent is not what it listed",
+                f"scope {scope_id.table}:{scope_id.scope}",
+                "what the source sent is not what it listed",
                 "it is fetched from another source; if this persists, restart the source",
-            )  # fmt: skip
+            )
         self.complete[scope_id] = scope
         self._missing.discard(scope_id)
 
--- a/pumicenotch/distribution/instance_settings.py
+++ b/pumicenotch/distribution/instance_settings.py
@@ -41,7 +41,10 @@
 
     def tables(self) -> Mapping[str, Table]:
         newest = dict(self.newest_forms)
-        return {name: table._replace(form=newest.get(name, table.form)) for name, table in TABLES.items()}
+        return {
+            name: table._replace(form=newest.get(name, table.form))
+            for name, table in TABLES.items()
+        }
 
 
 class BadInstanceSettings(ValueError):
@@ -58,7 +61,9 @@
     if told is None:
         return None
     try:
-        limits = {name: value for name, value in told["settings"].items() if name in Settings._fields}
+        limits = {
+            name: value for name, value in told["settings"].items() if name in Settings._fields
+        }
         if not all(isinstance(value, int | float) for value in limits.values()):
             raise TypeError("limits are numbers")
         return InstanceSettings(
--- a/pumicenotch/distribution/messages.py
+++ b/pumicenotch/distribution/messages.py
@@ -1,5 +1,6 @@
 """What sources, replicas and voters send each other. `codec` makes plain values of them, and reads those
-again within bounds."""
+again within bounds.
+"""
 
 from typing import Any, NamedTuple
 
@@ -96,7 +97,8 @@
 
 class Compare(NamedTuple):
     """The digests of the subscribed scopes that come after `after`. The first one of a transfer fixes its
-    version at the source."""
+    version at the source.
+    """
 
     request: int
     generation: int
@@ -153,7 +155,8 @@
 class Delta(NamedTuple):
     """The changes that lead from `previous` to `version`, filtered by the child's subscription: whole, or a
     page of them from `start` to `end`. `digests` are those of the scopes that this page changes, as of
-    `version`. Pushed with request 0."""
+    `version`. Pushed with request 0.
+    """
 
     request: int
     generation: int
@@ -202,16 +205,32 @@
 
 class Roster(NamedTuple):
     """Whom a relay or a voter serves as their primary source, by name: from a relay to its voter, and from
-    there to the leader, when it changes and now and then."""
+    there to the leader, when it changes and now and then.
+    """
 
     owner: str
     names: tuple[str, ...]
 
 
 Message = (
-    Subscribe | Unsubscribe | Acknowledge | Pull | Compare | Fetch | EndTransfer | Check
-    | Accepted | Refused | Announce | Delta | Scopes | Records | Mismatch | Progress | Roster
-)  # fmt: skip
+    Subscribe
+    | Unsubscribe
+    | Acknowledge
+    | Pull
+    | Compare
+    | Fetch
+    | EndTransfer
+    | Check
+    | Accepted
+    | Refused
+    | Announce
+    | Delta
+    | Scopes
+    | Records
+    | Mismatch
+    | Progress
+    | Roster
+)
 KINDS: dict[str, type[Any]] = {
     "subscribe": Subscribe,
     "unsubscribe": Unsubscribe,
--- a/pumicenotch/distribution/node.py
+++ b/pumicenotch/distribution/node.py
@@ -33,8 +33,15 @@
 from pumicenotch.distribution.view import View
 
 FROM_CHILDREN = (
-    m.Subscribe, m.Unsubscribe, m.Acknowledge, m.Pull, m.Compare, m.Fetch, m.EndTransfer, m.Check,
-)  # fmt: skip
+    m.Subscribe,
+    m.Unsubscribe,
+    m.Acknowledge,
+    m.Pull,
+    m.Compare,
+    m.Fetch,
+    m.EndTransfer,
+    m.Check,
+)
 
 
 class Node:
@@ -60,9 +67,16 @@
         numbers = itertools.count(1)
         self._upstreams = Upstreams(settings, chance, self._out, self.counts, numbers)
         self._replica = Replica(
-            subscription, chance, settings, tables, self._out, self.counts, self._upstreams, numbers,
+            subscription,
+            chance,
+            settings,
+            tables,
+            self._out,
+            self.counts,
+            self._upstreams,
+            numbers,
             self._switched,
-        )  # fmt: skip
+        )
         self._source = Source(settings, chance, self._out, self.counts, self._told_age_ms)
         self._placement = Placement(
             me, voters, settings, self._upstreams, self._source, self._out, relay_eligible
@@ -104,9 +118,10 @@
         if self._started_at + self._settings.source_silent_ms > self._now or self._has_source():
             return None
         return SourceRefused(
-            f"instance {self.me.name}", "no relay and no voter serves it at the moment",
+            f"instance {self.me.name}",
+            "no relay and no voter serves it at the moment",
             "see that it reaches voters and relays of its zone; it serves on with what it has",
-        )  # fmt: skip
+        )
 
     def age_ms(self, now_ms: float) -> float:
         """How long ago this copy was known to be current; infinite before it ever was."""
@@ -210,7 +225,9 @@
     def _after_child(self, now: float, message: m.Message) -> None:
         if isinstance(message, m.Acknowledge | m.Subscribe | m.Unsubscribe):
             self._acknowledger.changed(now, serves=True)
-        if isinstance(message, m.Subscribe) and not self._replica.subscription.covers(message.subscription):
+        if isinstance(message, m.Subscribe) and not self._replica.subscription.covers(
+            message.subscription
+        ):
             self._widen_at = min(self._widen_at, now + self._settings.widen_ms)
 
     def _from_source(self, now: float, address: str, message: m.Message) -> None:
--- a/pumicenotch/distribution/placement.py
+++ b/pumicenotch/distribution/placement.py
@@ -1,5 +1,6 @@
 """An instance's place among the others: whether it is a relay of its zone, and which sources it has. Relays
-have voters as sources and nobody else has children, so there are no loops."""
+have voters as sources and nobody else has children, so there are no loops.
+"""
 
 from collections.abc import Sequence
 
@@ -17,9 +18,15 @@
     """`due` says when `choose` is to be called."""
 
     def __init__(
-        self, me: Peer, voters: Sequence[str], settings: Settings, upstreams: Upstreams, source: Source,
-        out: Outbox, eligible: bool = True,
-    ) -> None:  # fmt: skip
+        self,
+        me: Peer,
+        voters: Sequence[str],
+        settings: Settings,
+        upstreams: Upstreams,
+        source: Source,
+        out: Outbox,
+        eligible: bool = True,
+    ) -> None:
         self.relay = False
         self.hints: tuple[str, ...] = ()  # relays that others have named
         self._me = me
@@ -59,7 +66,8 @@
 
     def choose(self, now_ms: float, readable: bool) -> None:
         """Takes the role and the sources that are due. Whoever can't read the newest version serves nobody:
-        its children may be newer programs."""
+        its children may be newer programs.
+        """
         self._choose_at = NEVER
         self._take_role(now_ms)
         self._source.accepting = self.relay and self._zone.makes_me_relay() and readable
--- a/pumicenotch/distribution/publications.py
+++ b/pumicenotch/distribution/publications.py
@@ -1,5 +1,6 @@
 """The voters' book of publications: what the entries of their log make of the configuration. The same entries
-give the same book at every voter."""
+give the same book at every voter.
+"""
 
 from collections.abc import Mapping, Sequence
 from typing import Any, ClassVar, NamedTuple
@@ -20,7 +21,8 @@
 
 class Outcome(NamedTuple):
     """What an entry came to, in the form of `fleet.entries.Said`. The value is a version, or an error's
-    code."""
+    code.
+    """
 
     good: bool
     text: str
@@ -39,13 +41,16 @@
 
 class Publications:
     """Entries: `stage` (upload, part, previous, changes) and `publish` (request, upload, parts, digest,
-    previous, by, why, at_ms, changes). A small publication carries its changes itself, with 0 parts."""
+    previous, by, why, at_ms, changes). A small publication carries its changes itself, with 0 parts.
+    """
 
     name: ClassVar[str] = "configuration"
     level: ClassVar[int] = LEVEL
     verbs: ClassVar[Mapping[str, tuple[Reader, ...]]] = VERBS
 
-    def __init__(self, *, tables: Mapping[str, Table] = TABLES, log: ChangeLog | None = None) -> None:
+    def __init__(
+        self, *, tables: Mapping[str, Table] = TABLES, log: ChangeLog | None = None
+    ) -> None:
         self.tables = tables
         self.view = View()
         self.log = log or ChangeLog()
@@ -59,7 +64,8 @@
 
     def admit(self, verb: str, args: tuple[Any, ...]) -> None:
         """Called before an entry is proposed: whether its records are of the tables' form. Not where it is
-        applied, so that voters with programs of different tables agree. Raises the error that fits."""
+        applied, so that voters with programs of different tables agree. Raises the error that fits.
+        """
         if verb == "publish" and args[0] in self.requests:
             return  # asked again, as its answer was lost: it hears the same
         for change in args[-1]:
@@ -76,9 +82,10 @@
     def _check_previous(self, previous: int) -> None:
         if previous != self.version:
             raise Conflict(
-                "publication", f"it was made against version {previous}, the current one is {self.version}",
+                "publication",
+                f"it was made against version {previous}, the current one is {self.version}",
                 "look at what has changed since, and publish again",
-            )  # fmt: skip
+            )
 
     def _stage(self, name: str, part: int, previous: int, changes: Sequence[Change]) -> Outcome:
         self._check_previous(previous)
@@ -89,7 +96,9 @@
             return Outcome(True, "staged already", part)
         if part > upload.parts:
             raise InvalidPublication(
-                f"upload {name}", f"part {upload.parts} is missing", "stage its parts in order, from 0"
+                f"upload {name}",
+                f"part {upload.parts} is missing",
+                "stage its parts in order, from 0",
             )
         try:
             upload.add(changes)
@@ -105,13 +114,23 @@
         return self.uploads[name]
 
     def _publish(
-        self, request: str, name: str, parts: int, digest: str, previous: int, by: str, why: str, at_ms: int,
+        self,
+        request: str,
+        name: str,
+        parts: int,
+        digest: str,
+        previous: int,
+        by: str,
+        why: str,
+        at_ms: int,
         changes: Sequence[Change],
-    ) -> Outcome:  # fmt: skip
+    ) -> Outcome:
         if request in self.requests:
             return self.requests[request]
         self._check_previous(previous)
-        upload = self._complete_upload(name, parts, digest) if parts else self._small(digest, changes)
+        upload = (
+            self._complete_upload(name, parts, digest) if parts else self._small(digest, changes)
+        )
         self.view, entry = upload.finish()
         self.log.append(entry)
         self.uploads.clear()  # they were made against the former version
@@ -125,7 +144,9 @@
         upload = self.uploads.get(name)
         if upload is None or upload.parts != parts or upload.digest != digest:
             raise InvalidPublication(
-                f"upload {name}", "its parts are not all here, or are others", "stage and publish it again"
+                f"upload {name}",
+                "its parts are not all here, or are others",
+                "stage and publish it again",
             )
         return upload
 
--- a/pumicenotch/distribution/records.py
+++ b/pumicenotch/distribution/records.py
@@ -43,9 +43,10 @@
     scope, slash, name = key.partition("/")
     if not slash or not KEY_PART.match(scope) or not KEY_PART.match(name):
         raise InvalidRecord(
-            place, f"key {key!r:.140} is not SCOPE/NAME",
+            place,
+            f"key {key!r:.140} is not SCOPE/NAME",
             f"use 1 to {KEY_PART_MOST} of the characters A-Z a-z 0-9 . _ - for each",
-        )  # fmt: skip
+        )
     return scope, name
 
 
@@ -56,7 +57,8 @@
 
 def record_digest(table: str, key: str, value: str) -> int:
     """One record's part of its scope's digest, which is the sum of these: it guards against faults, not
-    against forgery."""
+    against forgery.
+    """
     text = f"{table}\0{key}\0{value}".encode()
     return int.from_bytes(blake2b(text, digest_size=DIGEST_BYTES).digest(), "big")
 
--- a/pumicenotch/distribution/rendezvous.py
+++ b/pumicenotch/distribution/rendezvous.py
@@ -1,5 +1,6 @@
 """Rendezvous hashing: every instance makes the same choice among the same candidates, and a candidate that
-comes or goes moves only its own share."""
+comes or goes moves only its own share.
+"""
 
 from collections.abc import Callable, Iterable
 from functools import lru_cache
--- a/pumicenotch/distribution/replica.py
+++ b/pumicenotch/distribution/replica.py
@@ -1,5 +1,6 @@
 """How a copy is kept up to date: it takes deltas that are pushed, pulls what it has missed, and compares
-scopes where deltas are not enough."""
+scopes where deltas are not enough.
+"""
 
 import random
 from collections import Counter
@@ -38,10 +39,17 @@
     """Keeps `copy` at what its sources have, as far as `subscription` goes."""
 
     def __init__(
-        self, subscription: Subscription, chance: random.Random, settings: Settings,
-        tables: Mapping[str, Table], out: Outbox, counts: Counter[str], sources: Sources,
-        numbers: Iterator[int], on_switch: Callable[[LogEntry | None], None],
-    ) -> None:  # fmt: skip
+        self,
+        subscription: Subscription,
+        chance: random.Random,
+        settings: Settings,
+        tables: Mapping[str, Table],
+        out: Outbox,
+        counts: Counter[str],
+        sources: Sources,
+        numbers: Iterator[int],
+        on_switch: Callable[[LogEntry | None], None],
+    ) -> None:
         self.copy = Copy(settings, tables, out, counts, on_switch)
         self.subscription = subscription  # what the copy should cover
         self.generation = chance.getrandbits(30)
@@ -62,7 +70,9 @@
             return now_ms
         due = min(self._requests.due(), self._auditor.due)
         if self._is_idle() and self._lags():
-            due = min(due, self._begin_at if self._begin_at > now_ms else now_ms + self._settings.retry_ms)
+            due = min(
+                due, self._begin_at if self._begin_at > now_ms else now_ms + self._settings.retry_ms
+            )
         return due
 
     def tick(self, now_ms: float) -> None:
@@ -263,7 +273,12 @@
         self._counts["transfers"] += 1
         self._transfer_number += 1
         self._transfer = Transfer(
-            self._transfer_number, address, self.subscription, self._tables, copy.suspects, self._kept
+            self._transfer_number,
+            address,
+            self.subscription,
+            self._tables,
+            copy.suspects,
+            self._kept,
         )
         self._kept = {}
         self._ask_digests(now_ms, self._transfer)
@@ -286,7 +301,9 @@
 
     def _ask_records(self, now_ms: float, transfer: Transfer) -> None:
         number, wants = transfer.number, transfer.next_wants()
-        self._requests.send(now_ms, transfer.address, lambda request: m.Fetch(request, number, wants))
+        self._requests.send(
+            now_ms, transfer.address, lambda request: m.Fetch(request, number, wants)
+        )
 
     def _break_off(self) -> None:
         """Ends a transfer; what it has fetched and verified is of use to the next one."""
--- a/pumicenotch/distribution/requests.py
+++ b/pumicenotch/distribution/requests.py
@@ -1,5 +1,6 @@
 """Requests to sources: each is sent again until it is answered, with backoff and jitter, and given up after
-some tries."""
+some tries.
+"""
 
 import random
 from collections.abc import Callable, Iterator
--- a/pumicenotch/distribution/settings.py
+++ b/pumicenotch/distribution/settings.py
@@ -11,15 +11,23 @@
 class Settings(NamedTuple):
     # Relays and sources
     relays: int = 3  # of a zone
-    relay_linger_ms: float = 30_000.0  # a relay that falls out of the first ones goes on for so long
+    relay_linger_ms: float = (
+        30_000.0  # a relay that falls out of the first ones goes on for so long
+    )
     children_most: int = 256
     settle_ms: float = 1_000.0  # after the start, unless enough peers are known before
-    avoid_ms: float = 1_000.0  # a source that was silent or refused, and again by chance up to as much
+    avoid_ms: float = (
+        1_000.0  # a source that was silent or refused, and again by chance up to as much
+    )
     source_silent_ms: float = 5_000.0  # without a message: another source is sought
     source_behind_ms: float = 3_000.0  # a source that others are ahead of for so long is left
-    leave_least_ms: float = 5_000.0  # a source that others should serve now is left between these times
+    leave_least_ms: float = (
+        5_000.0  # a source that others should serve now is left between these times
+    )
     leave_most_ms: float = 20_000.0
-    widen_ms: float = 200.0  # a relay waits so long for further children before it asks for their scopes
+    widen_ms: float = (
+        200.0  # a relay waits so long for further children before it asks for their scopes
+    )
     narrow_ms: float = 60_000.0  # and for so long keeps scopes that no child needs any more
     child_silent_ms: float = 16_000.0  # without an acknowledgement: the child is forgotten
 
@@ -38,10 +46,14 @@
     page_bytes: int = PAGE_BYTES_MOST  # of records in the answer to one request
     page_scopes: int = PAGE_SCOPES_MOST  # digests in the answer to one comparison
     push_window: int = 64  # versions pushed to a child and not acknowledged
-    retry_ms: float = 400.0  # of a request without an answer, and again by chance up to half as much
+    retry_ms: float = (
+        400.0  # of a request without an answer, and again by chance up to half as much
+    )
     retry_most_ms: float = 1_000.0
     tries_most: int = 3  # of one request, then another source is sought
-    not_ready_ms: float = 300.0  # the time to come back that a relay tells whose scopes are on their way
+    not_ready_ms: float = (
+        300.0  # the time to come back that a relay tells whose scopes are on their way
+    )
     missed_ms: float = 250.0  # a version that was announced and not pushed is pulled after that
     fetches_most: int = 4  # requests in flight
     transfers_most: int = 32  # that a source keeps at once
--- a/pumicenotch/distribution/source.py
+++ b/pumicenotch/distribution/source.py
@@ -1,5 +1,6 @@
 """Whoever serves replicas: a voter, or an instance that is a relay. It pushes what is small, announces the
-rest, and answers those who ask."""
+rest, and answers those who ask.
+"""
 
 import random
 from collections import Counter
@@ -29,9 +30,13 @@
     """Its owner sets `view`, `log` and `held`, and tells it when these have moved on (`published`)."""
 
     def __init__(
-        self, settings: Settings, chance: random.Random, out: Outbox, counts: Counter[str],
+        self,
+        settings: Settings,
+        chance: random.Random,
+        out: Outbox,
+        counts: Counter[str],
         age_ms: Callable[[float], int],
-    ) -> None:  # fmt: skip
+    ) -> None:
         self.view = View()
         self.log = log_of(settings)
         self.held: Subscription = NOTHING  # scopes that the view covers
@@ -94,7 +99,9 @@
         child = self.children.get(sender.name)
         if child is None or child.life != sender.life:
             if not isinstance(message, m.Unsubscribe):
-                request = message.request if isinstance(message, m.Pull | m.Compare | m.Fetch) else 0
+                request = (
+                    message.request if isinstance(message, m.Pull | m.Compare | m.Fetch) else 0
+                )
                 self._refuse(sender.address, request, m.UNKNOWN_CHILD, 0)
             return
         child.heard_at = now_ms
@@ -120,7 +127,9 @@
             self._refuse(sender.address, message.request, m.NOT_A_RELAY, 0)
             return
         if former is None and len(self.children) >= self._settings.children_most:
-            self._refuse(sender.address, message.request, m.BUSY, self._jittered(self._settings.busy_ms))
+            self._refuse(
+                sender.address, message.request, m.BUSY, self._jittered(self._settings.busy_ms)
+            )
             return
         child = Child.of(now_ms, sender, message)
         if former is not None and former.life == child.life:
@@ -144,7 +153,9 @@
     def _pull(self, now_ms: float, child: Child, message: m.Pull) -> None:
         if not self._serves(now_ms, child, message.request, message.generation):
             return
-        page = self.log.page(message.have, message.start, child.subscription, self._settings.page_bytes)
+        page = self.log.page(
+            message.have, message.start, child.subscription, self._settings.page_bytes
+        )
         if message.have >= self.view.version:
             page = Page(message.have, message.have, m.START, m.START, True, (), ())  # nothing newer
         if page is None:
@@ -167,7 +178,9 @@
                 wait = self._jittered(self._settings.busy_ms)
                 self._refuse(child.address, message.request, m.BUSY, wait)
                 return
-            kept = KeptTransfer(message.transfer, child.generation, self.view, child.subscription, now_ms)
+            kept = KeptTransfer(
+                message.transfer, child.generation, self.view, child.subscription, now_ms
+            )
             self._transfers[child.name] = kept
             child.pushed = self.view.version
         kept.used_at = now_ms
@@ -230,7 +243,9 @@
     def _push(self, now_ms: float, child: Child) -> int:
         """The next changes, as far as they are small and the child acknowledges; and their size."""
         settings, pushed = self._settings, 0
-        while child.pushed < self.view.version and child.pushed - child.version < settings.push_window:
+        while (
+            child.pushed < self.view.version and child.pushed - child.version < settings.push_window
+        ):
             if not self.held.covers(child.subscription):
                 break
             page = self.log.whole_page(child.pushed, child.subscription, settings.push_bytes_most)
--- a/pumicenotch/distribution/staging.py
+++ b/pumicenotch/distribution/staging.py
@@ -1,5 +1,6 @@
 """A delta on its way into force: its pages are staged in slices beside the view in force, and verified before
-the switch."""
+the switch.
+"""
 
 from collections import deque
 from collections.abc import Mapping
@@ -15,7 +16,9 @@
 class Staging:
     """What leads from the view in force to another version. Changes outside of `coverage` are left out."""
 
-    def __init__(self, view: View, coverage: Subscription, tables: Mapping[str, Table], version: int) -> None:
+    def __init__(
+        self, view: View, coverage: Subscription, tables: Mapping[str, Table], version: int
+    ) -> None:
         self.previous = view.version
         self.version = version
         self.end: Cursor = START  # where the next page begins
@@ -53,7 +56,8 @@
 
     def work(self, budget: int) -> int:
         """Stages changes that cost so much, and returns what is left of it. Raises what a record may be
-        wrong in."""
+        wrong in.
+        """
         while self._waiting and budget > 0:
             change = self._waiting.popleft()
             scope_id = scope_of(change)
--- a/pumicenotch/distribution/subscription.py
+++ b/pumicenotch/distribution/subscription.py
@@ -78,7 +78,10 @@
         ]
 
     def plain(self) -> list[list[Any]]:
-        return [[table, None if scopes is None else sorted(scopes)] for table, scopes in self._tables.items()]
+        return [
+            [table, None if scopes is None else sorted(scopes)]
+            for table, scopes in self._tables.items()
+        ]
 
     def __eq__(self, other: object) -> bool:
         return isinstance(other, Subscription) and self._tables == other._tables
@@ -117,7 +120,9 @@
             else:
                 held.update(scopes)
     while sum(len(scopes) for scopes in merged.values() if scopes is not None) > SCOPES_MOST:
-        largest = max((len(scopes), table) for table, scopes in merged.items() if scopes is not None)[1]
+        largest = max(
+            (len(scopes), table) for table, scopes in merged.items() if scopes is not None
+        )[1]
         merged[largest] = ALL
     return Subscription(merged)
 
@@ -148,7 +153,9 @@
 def _check_scopes(table: str, scopes: Any) -> None:
     if not isinstance(scopes, list | tuple | set | frozenset) or not all(map(_is_key_part, scopes)):
         raise InvalidSubscription(
-            PLACE, f"the scopes of {table} are no list of names", "use the characters A-Z a-z 0-9 . _ -"
+            PLACE,
+            f"the scopes of {table} are no list of names",
+            "use the characters A-Z a-z 0-9 . _ -",
         )
 
 
--- a/pumicenotch/distribution/tables.py
+++ b/pumicenotch/distribution/tables.py
@@ -4,7 +4,12 @@
 from collections.abc import Mapping
 from typing import Any, NamedTuple
 
-from pumicenotch.distribution.errors import InvalidRecord, OversizedRecord, UnknownTable, UnreadableForm
+from pumicenotch.distribution.errors import (
+    InvalidRecord,
+    OversizedRecord,
+    UnknownTable,
+    UnreadableForm,
+)
 from pumicenotch.distribution.records import VALUE_BYTES_MOST, Change, split_key
 
 
@@ -39,7 +44,9 @@
 
 def canonical(value: Mapping[str, Any]) -> str:
     """The one text of a record's value: keys in order, no spaces, ASCII."""
-    return json.dumps(value, sort_keys=True, separators=(",", ":"), ensure_ascii=True, allow_nan=False)
+    return json.dumps(
+        value, sort_keys=True, separators=(",", ":"), ensure_ascii=True, allow_nan=False
+    )
 
 
 def table_of(tables: Mapping[str, Table], name: str) -> Table:
@@ -61,16 +68,21 @@
         return
     value = read_value(table, change.key, change.value)
     if change.value != _canonical_or_none(value):
-        raise InvalidRecord(place, "the value is not canonical JSON", "sort its keys and leave out spaces")
+        raise InvalidRecord(
+            place, "the value is not canonical JSON", "sort its keys and leave out spaces"
+        )
 
 
 def read_value(table: Table, key: str, text: str) -> Mapping[str, Any]:
     """The value of a record, of a form that this program reads. Raises InvalidRecord, OversizedRecord and
-    UnreadableForm."""
+    UnreadableForm.
+    """
     place = f"record {table.name}:{key}"
     if len(text) > VALUE_BYTES_MOST:
         raise OversizedRecord(
-            place, f"the value has {len(text)} bytes", f"keep it within {VALUE_BYTES_MOST}, or divide it"
+            place,
+            f"the value has {len(text)} bytes",
+            f"keep it within {VALUE_BYTES_MOST}, or divide it",
         )
     try:
         value = json.loads(text)
@@ -86,18 +98,23 @@
 
 def _check_form(table: Table, place: str, form: Any) -> None:
     if type(form) is not int or form < 1:
-        raise InvalidRecord(place, f"form {form!r:.40} is no whole number from 1", "leave it out, or use 1")
+        raise InvalidRecord(
+            place, f"form {form!r:.40} is no whole number from 1", "leave it out, or use 1"
+        )
     if form > table.form:
         raise UnreadableForm(
-            place, f"its form is {form}, this program reads forms up to {table.form}",
+            place,
+            f"its form is {form}, this program reads forms up to {table.form}",
             "upgrade this instance, or publish the record in an older form",
-        )  # fmt: skip
+        )
 
 
 def _check_field(place: str, field: Field, value: Mapping[str, Any]) -> None:
     if field.name not in value:
         if field.required:
-            raise InvalidRecord(place, f"the field {field.name} is missing", "publish it with the record")
+            raise InvalidRecord(
+                place, f"the field {field.name} is missing", "publish it with the record"
+            )
         return
     if type(value[field.name]) not in field.kinds:
         wanted = " or ".join(kind.__name__ for kind in field.kinds)
--- a/pumicenotch/distribution/transfers.py
+++ b/pumicenotch/distribution/transfers.py
@@ -1,6 +1,7 @@
 """The source's side of a transfer by scopes: a view is kept while a child compares digests with it and
 fetches the scopes that differ. Pages are made of a place alone, so that a repeated request has the same
-answer."""
+answer.
+"""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -27,7 +28,9 @@
     used_at: float
 
 
-def digest_page(kept: KeptTransfer, after: ScopeId, most: int) -> tuple[tuple[ScopeDigest, ...], bool]:
+def digest_page(
+    kept: KeptTransfer, after: ScopeId, most: int
+) -> tuple[tuple[ScopeDigest, ...], bool]:
     """The next subscribed scopes with their digests, and whether these are the last."""
     found: list[ScopeDigest] = []
     for scope_id in kept.view.subscribed_after(kept.subscription, after):
@@ -37,7 +40,9 @@
     return tuple(found), True
 
 
-def record_page(kept: KeptTransfer, wants: Sequence[Want], most: int) -> tuple[tuple[ScopePart, ...], int]:
+def record_page(
+    kept: KeptTransfer, wants: Sequence[Want], most: int
+) -> tuple[tuple[ScopePart, ...], int]:
     """Records of the wanted scopes as far as a page holds, and their size."""
     parts: list[ScopePart] = []
     size = count = 0
--- a/pumicenotch/distribution/uploads.py
+++ b/pumicenotch/distribution/uploads.py
@@ -44,11 +44,14 @@
 
     def add(self, changes: Sequence[Change]) -> None:
         """The next part. Raises OversizedPublication, OversizedScope and InvalidPublication; the upload is
-        of no use after that."""
+        of no use after that.
+        """
         for change in changes:
             if (change.table, change.key) in self._keys:
                 raise InvalidPublication(
-                    f"record {change.table}:{change.key}", "it is named twice", "name each record once"
+                    f"record {change.table}:{change.key}",
+                    "it is named twice",
+                    "name each record once",
                 )
             self._keys.add((change.table, change.key))
             self._builder.put(change)
@@ -74,7 +77,8 @@
     request: str, previous: int, by: str, why: str, at_ms: int, changes: Sequence[Change]
 ) -> list[tuple[Any, ...]]:
     """The entries by which a publisher has a list of changes published: one, or parts and one. `request` is
-    an id of its own for each publication."""
+    an id of its own for each publication.
+    """
     parts = _divided(changes)
     told = [[list(change) for change in part] for part in parts]
     digest = changes_digest(changes)
--- a/pumicenotch/distribution/upstreams.py
+++ b/pumicenotch/distribution/upstreams.py
@@ -1,5 +1,6 @@
 """The sources of one replica: at most two, kept while they serve, left at once when they fail, and later by
-chance when others should serve instead."""
+chance when others should serve instead.
+"""
 
 import random
 from collections import Counter
@@ -35,9 +36,13 @@
     """The first of `links` is the primary source."""
 
     def __init__(
-        self, settings: Settings, chance: random.Random, out: Outbox, counts: Counter[str],
+        self,
+        settings: Settings,
+        chance: random.Random,
+        out: Outbox,
+        counts: Counter[str],
         numbers: Iterator[int],
-    ) -> None:  # fmt: skip
+    ) -> None:
         self.links: list[Upstream] = []
         self.lost: list[str] = []  # addresses left since the owner last looked
         self.promoted = False  # whether the primary source has changed since then
@@ -52,10 +57,16 @@
     # Choice
 
     def choose(
-        self, now_ms: float, preferred: Sequence[str], fallback: Sequence[str], alive: Container[str]
+        self,
+        now_ms: float,
+        preferred: Sequence[str],
+        fallback: Sequence[str],
+        alive: Container[str],
     ) -> None:
         """Keeps to the first two of the preferred ones that can be had, or to one of the others."""
-        self._avoided = {address: until for address, until in self._avoided.items() if until > now_ms}
+        self._avoided = {
+            address: until for address, until in self._avoided.items() if until > now_ms
+        }
         usable = [address for address in preferred if address not in self._avoided]
         if not usable:
             usable = [address for address in fallback if address not in self._avoided][:1]
@@ -82,7 +93,9 @@
 
     def _swap(self, now_ms: float, wanted: Sequence[str]) -> None:
         """The better one of two becomes the primary again, by and by."""
-        right = [link.address for link in self.links] != list(wanted[::-1]) or len(self.links) < SOURCES
+        right = [link.address for link in self.links] != list(wanted[::-1]) or len(
+            self.links
+        ) < SOURCES
         if right:
             self._swap_at = NEVER
         elif self._swap_at == NEVER:
@@ -189,11 +202,18 @@
         return now_ms - link.behind_since >= self._settings.source_behind_ms
 
     def _subscribe(
-        self, now_ms: float, link: Upstream, generation: int, version: int, subscription: Subscription
+        self,
+        now_ms: float,
+        link: Upstream,
+        generation: int,
+        version: int,
+        subscription: Subscription,
     ) -> None:
         link.tries += 1
         link.request = next(self._numbers)
-        wait = min(self._settings.retry_most_ms, self._settings.retry_ms * float(1 << link.tries - 1))
+        wait = min(
+            self._settings.retry_most_ms, self._settings.retry_ms * float(1 << link.tries - 1)
+        )
         link.subscribe_at = now_ms + wait * (1.0 + 0.5 * self._chance.random())
         primary = link is self.links[0]
         message = m.Subscribe(link.request, generation, version, primary, subscription)
@@ -204,7 +224,9 @@
         due = min(self._avoided.values(), default=NEVER) if len(self.links) < SOURCES else NEVER
         for link in self.links:
             silent_at = link.heard_at + self._settings.source_silent_ms
-            due = min(due, silent_at, link.leave_at, link.behind_since + self._settings.source_behind_ms)
+            due = min(
+                due, silent_at, link.leave_at, link.behind_since + self._settings.source_behind_ms
+            )
             if not link.accepted:
                 due = min(due, link.subscribe_at)
         return min(due, self._swap_at)
--- a/pumicenotch/distribution/view.py
+++ b/pumicenotch/distribution/view.py
@@ -1,5 +1,6 @@
 """What is in force, as immutable views that share what did not change, and the builder that makes the next
-view in bounded slices, for a switch at one instant."""
+view in bounded slices, for a switch at one instant.
+"""
 
 from bisect import bisect_right
 from collections.abc import Iterator, Mapping
@@ -40,7 +41,10 @@
         """The digest made anew of the records."""
         table, scope = scope_id
         return (
-            sum(record_digest(table, f"{scope}/{name}", value) for name, value in self.records.items())
+            sum(
+                record_digest(table, f"{scope}/{name}", value)
+                for name, value in self.records.items()
+            )
             % DIGEST_MODULUS
         )
 
@@ -107,13 +111,19 @@
                 continue
             first = after.scope if table == after.table else ""
             held = self._tables.get(table, NO_TABLE)
-            names = held.names_after(first) if wanted is None else subscription.named_after(table, first)
+            names = (
+                held.names_after(first)
+                if wanted is None
+                else subscription.named_after(table, first)
+            )
             for scope in names:
                 if scope in held.scopes:
                     yield ScopeId(table, scope)
 
     def record_count(self) -> int:
-        return sum(len(scope.records) for table in self._tables.values() for scope in table.scopes.values())
+        return sum(
+            len(scope.records) for table in self._tables.values() for scope in table.scopes.values()
+        )
 
 
 class Builder:
@@ -122,7 +132,9 @@
     def __init__(self, view: View) -> None:
         self.base = view
         self._drafts: dict[ScopeId, Scope] = {}
-        self._shared: set[ScopeId] = set()  # drafts that are somebody's whole scope: copied before a change
+        self._shared: set[ScopeId] = (
+            set()
+        )  # drafts that are somebody's whole scope: copied before a change
         self._new_scopes: dict[str, int] = {}
 
     def put(self, change: Change) -> int:
@@ -191,9 +203,10 @@
         count = self._new_scopes.get(table, 0) + 1
         if count + len(self.base.tables.get(table, NO_TABLE).scopes) > TABLE_SCOPES_MOST:
             raise OversizedScope(
-                f"table {table}", f"it would have more than {TABLE_SCOPES_MOST} scopes",
+                f"table {table}",
+                f"it would have more than {TABLE_SCOPES_MOST} scopes",
                 "delete scopes in a publication before, or use fewer and larger ones",
-            )  # fmt: skip
+            )
         self._new_scopes[table] = count
 
     @staticmethod
@@ -203,4 +216,4 @@
                 f"scope {scope_id.table}:{scope_id.scope}",
                 f"it would hold more than {SCOPE_RECORDS_MOST} records",
                 "delete records first, or divide it into scopes",
-            )  # fmt: skip
+            )
--- a/pumicenotch/distribution/voter_source.py
+++ b/pumicenotch/distribution/voter_source.py
@@ -35,7 +35,12 @@
     """`step` is the one way in. It reads `publications` and never changes them."""
 
     def __init__(
-        self, me: Peer, publications: Publications, chance: random.Random, *, settings: Settings = DEFAULTS
+        self,
+        me: Peer,
+        publications: Publications,
+        chance: random.Random,
+        *,
+        settings: Settings = DEFAULTS,
     ) -> None:
         self.me = me
         self.publications = publications
--- a/pumicenotch/distribution/zone.py
+++ b/pumicenotch/distribution/zone.py
@@ -1,5 +1,6 @@
 """The instances of one zone, and which of them are its relays. Each instance decides it for itself, by what
-its membership thinks; those who agree on who is alive agree on the relays."""
+its membership thinks; those who agree on who is alive agree on the relays.
+"""
 
 from pumicenotch.distribution.events import Peer
 from pumicenotch.distribution.rendezvous import ranked
@@ -10,7 +11,8 @@
 
     def __init__(self, me: Peer, relay_count: int, eligible: bool = True) -> None:
         """`eligible` says whether this instance may be a relay. Others that try it nonetheless are refused,
-        and go to the next."""
+        and go to the next.
+        """
         self.me = me
         self._eligible = eligible
         self._relay_count = relay_count
--- a/pumicenotch/fleet/agent.py
+++ b/pumicenotch/fleet/agent.py
@@ -2,7 +2,8 @@
 versions that was not agreed an instant ago. Cut off from the fleet it keeps its server running as it is.
 
 A permission is good for as long as a request waits for its answer (`REQUEST_TIMEOUT_MS`), by this
-process's own clock: one that comes later, or that its process slept through, is none."""
+process's own clock: one that comes later, or that its process slept through, is none.
+"""
 
 from collections.abc import Iterable
 from typing import Any, ClassVar, NamedTuple
@@ -54,10 +55,13 @@
 
 class Agent(VoterClient):
     """Its inputs: `start`, `time`, `answered` (number, error, result), `ended` (status; None: unknown),
-    `held` (version, why not), `swapped` (slot, why not)."""
+    `held` (version, why not), `swapped` (slot, why not).
+    """
 
     REPORT_MS = 500.0  # between its words
-    PATIENCE_MS = 5000.0  # for its server to use its permit by itself: some of its own words to the leader
+    PATIENCE_MS = (
+        5000.0  # for its server to use its permit by itself: some of its own words to the leader
+    )
     # Without an answer after its server's end, until what is there is started: an election's time; and when
     # this process has just started: where voters are there, they answer at once.
     ALONE_MS, FIRST_MS = 4000.0, 1000.0
@@ -70,12 +74,24 @@
     INPUTS: ClassVar = frozenset(("start", "time", "answered", "ended", "held", "swapped"))
 
     def __init__(
-        self, *, fleet: str, node: str, life: str, voters: Iterable[str], runs: dict[str, str],
-        holds: Iterable[str], child: bool, start_ms: float, drain_ms: float, now: float, seed: int,
+        self,
+        *,
+        fleet: str,
+        node: str,
+        life: str,
+        voters: Iterable[str],
+        runs: dict[str, str],
+        holds: Iterable[str],
+        child: bool,
+        start_ms: float,
+        drain_ms: float,
+        now: float,
+        seed: int,
         trouble: str = "",
-    ) -> None:  # fmt: skip
+    ) -> None:
         """`runs` is what stands in each slot; `child`: its server is there already, of an agent before this
-        one."""
+        one.
+        """
         super().__init__(voters, now, seed)
         self.fleet, self.node, self.life = fleet, node, life
         self.runs, self.holds = dict(runs), list(holds)
@@ -91,7 +107,9 @@
         self.start_at = now  # not before
         self.ending: float = float("inf")  # asked to end: force from then on
         self.report_at = now
-        self.holding: dict[str, float] = {}  # version: not again before; infinite while it is on its way
+        self.holding: dict[
+            str, float
+        ] = {}  # version: not again before; infinite while it is on its way
         self.swapping = False
         # What the fleet said last.
         self.known_life = self.life_before = ""
@@ -155,7 +173,9 @@
                 self.fail(f"start refused: it ended with status {status} before it served")
             elif len(self.ends) >= self.LOOP:
                 lasted = self.now - self.ends[0]
-                self.fail(f"{LOOP}: {len(self.ends)} ends in {lasted / 1000.0:.0f} s, status {status}")
+                self.fail(
+                    f"{LOOP}: {len(self.ends)} ends in {lasted / 1000.0:.0f} s, status {status}"
+                )
         self.served = False
         self.log(f"its server has ended: status {status}")
         self.report_soon()
@@ -211,7 +231,12 @@
 
     def next_request(self) -> None:
         self.look()
-        if self.request is not None or self.now < self.request_at or not self.voters or self.swapping:
+        if (
+            self.request is not None
+            or self.now < self.request_at
+            or not self.voters
+            or self.swapping
+        ):
             return
         slot, version = self.move
         if self.now >= self.report_at:
@@ -228,7 +253,8 @@
 
     def have_it_end(self) -> None:
         """By its permit the server drains by itself. One that does not is ended, its permit begun first; one
-        in trouble is out, by this agent's own word, and needs none."""
+        in trouble is out, by this agent's own word, and needs none.
+        """
         if self.trouble and not self.trouble.startswith(STUCK):
             self.end(self.KILL_MS)
         elif self.begun:
--- a/pumicenotch/fleet/book.py
+++ b/pumicenotch/fleet/book.py
@@ -1,7 +1,8 @@
 """The seam between the fleet's agreed state and a subject that another package adds to it.
 
 A voter's log carries the entries of every subject. The state hands a book the entries whose verbs are its
-own, and keeps the book's bytes in its snapshots. Without books nothing here is used."""
+own, and keeps the book's bytes in its snapshots. Without books nothing here is used.
+"""
 
 from collections.abc import Mapping
 from typing import Any, Protocol
--- a/pumicenotch/fleet/budgets.py
+++ b/pumicenotch/fleet/budgets.py
@@ -1,5 +1,6 @@
 """How much of the fleet may be out at once. A budget speaks of groups (each zone, one cell, all that serve a
-service), and of each group says how many may be out, how many must serve, or how much capacity."""
+service), and of each group says how many may be out, how many must serve, or how much capacity.
+"""
 
 from collections.abc import Iterable, Iterator
 from typing import Any, NamedTuple
@@ -41,7 +42,12 @@
 
 def check(budget: Budget) -> Budget:
     """Raises BadBudget."""
-    limits = (budget.most_out >= 0, budget.least_serving >= 0, budget.least_capacity >= 0.0, budget.apart)
+    limits = (
+        budget.most_out >= 0,
+        budget.least_serving >= 0,
+        budget.least_capacity >= 0.0,
+        budget.apart,
+    )
     if budget.each not in EACH:
         raise BadBudget(f"budget {budget.name}: each: {budget.each!r}; allowed: {', '.join(EACH)}")
     if sum(limits) != 1:
@@ -51,7 +57,9 @@
     if budget.apart and budget.each != "service":
         raise BadBudget(f"budget {budget.name}: apart: for each = service only")
     if budget.least_capacity > 1.0:
-        raise BadBudget(f"budget {budget.name}: least_capacity: {budget.least_capacity:g} of 1 never holds")
+        raise BadBudget(
+            f"budget {budget.name}: least_capacity: {budget.least_capacity:g} of 1 never holds"
+        )
     return budget
 
 
@@ -62,8 +70,13 @@
         texts = (made.name, made.each, made.only)
         if not all(isinstance(text, str) for text in texts) or type(made.apart) is not bool:
             raise TypeError("a text is wanted")
-        return check(made._replace(most_out=int(made.most_out), least_serving=int(made.least_serving),
-                                   least_capacity=float(made.least_capacity)))  # fmt: skip
+        return check(
+            made._replace(
+                most_out=int(made.most_out),
+                least_serving=int(made.least_serving),
+                least_capacity=float(made.least_capacity),
+            )
+        )
     except (TypeError, ValueError) as error:
         if isinstance(error, BadBudget):
             raise
@@ -142,8 +155,12 @@
         budget = self.budget
         if 0 <= budget.most_out < self.out:
             return f"{self.place()}: {self.out} out of at most {budget.most_out}"
-        if budget.least_serving >= 0 and self.many - self.out < min(budget.least_serving, self.many):
-            return f"{self.place()}: {self.many - self.out} serve of at least {budget.least_serving}"
+        if budget.least_serving >= 0 and self.many - self.out < min(
+            budget.least_serving, self.many
+        ):
+            return (
+                f"{self.place()}: {self.many - self.out} serve of at least {budget.least_serving}"
+            )
         if (
             budget.least_capacity >= 0.0
             and self.whole - self.gone < budget.least_capacity * self.whole - 1e-9
--- a/pumicenotch/fleet/drain_times.py
+++ b/pumicenotch/fleet/drain_times.py
@@ -14,7 +14,11 @@
         self.durations: list[float] = []
 
     def observe(
-        self, now: float, before: Collection[str], permits: Mapping[str, object], waits: Collection[str]
+        self,
+        now: float,
+        before: Collection[str],
+        permits: Mapping[str, object],
+        waits: Collection[str],
     ) -> None:
         """After an entry: who held a permit before it, who does now, and who waits."""
         for name in before:
--- a/pumicenotch/fleet/drains.py
+++ b/pumicenotch/fleet/drains.py
@@ -2,7 +2,8 @@
 
 A member is out if it holds a permit, drains, has left, or is out against its will. A permit ends only when
 its member is back in service as a new process, when its holder gives it back, or by an operator's word with
-a reason."""
+a reason.
+"""
 
 from collections.abc import Iterable
 
@@ -17,7 +18,7 @@
     FleetHalt,
     Permit,
     Request,
-)  # fmt: skip
+)
 from pumicenotch.fleet.release import REQUESTED_BY
 from pumicenotch.fleet.releases import Releases
 
@@ -58,14 +59,20 @@
 
     def halted(self) -> str:
         return (
-            "halted: " + "; ".join(f"by {by}: {why}" for by, why in self.halts.values()) if self.halts else ""
+            "halted: " + "; ".join(f"by {by}: {why}" for by, why in self.halts.values())
+            if self.halts
+            else ""
         )
 
     # Who is out
 
     def is_out(self, member: Member) -> bool:
-        return (member.standing != SERVING or bool(member.against) or member.name in self.permits
-                or self.releases.down(member.name))  # fmt: skip
+        return (
+            member.standing != SERVING
+            or bool(member.against)
+            or member.name in self.permits
+            or self.releases.down(member.name)
+        )
 
     def voters_out(self) -> int:
         return sum(member.voter and self.is_out(member) for member in self.members.values())
@@ -81,7 +88,8 @@
 
     def over_with(self, held: Member, permit: Permit) -> str:
         """What its groups would be over by if it went now: beside whoever is out, with those whose permits
-        are not begun either and came before. All would wait for each other for ever if all counted."""
+        are not begun either and came before. All would wait for each other for ever if all counted.
+        """
         tallies = self.counted.tallies if self.counted is not None else self.tallies()
         if not any(tally.over() for tally in tallies.of(held)):
             return ""
@@ -108,7 +116,8 @@
 
     def settle(self) -> None:
         """Gives every permit that fits, in the order of asking. One that does not fit bars those behind it
-        in its groups, but nobody else: so neither a service's drain nor its callers' waits for ever."""
+        in its groups, but nobody else: so neither a service's drain nor its callers' waits for ever.
+        """
         self.waits.clear()
         if not self.queue:
             return
@@ -128,7 +137,11 @@
                 for tally in mine:
                     barred.setdefault(id(tally), request.name)
                 continue
-            self.give(member, RELEASE_PERMIT if request.by == REQUESTED_BY else DRAIN_PERMIT, request.reason)
+            self.give(
+                member,
+                RELEASE_PERMIT if request.by == REQUESTED_BY else DRAIN_PERMIT,
+                request.reason,
+            )
             if not out:
                 voters_out += member.voter
                 for tally in mine:
@@ -136,10 +149,16 @@
         self.queue, self.counted = waiting, Counted(tallies, voters_out)
 
     def blocked(
-        self, member: Member, mine: Iterable[Tally], out: bool, barred: dict[int, str], voters_out: int
+        self,
+        member: Member,
+        mine: Iterable[Tally],
+        out: bool,
+        barred: dict[int, str],
+        voters_out: int,
     ) -> str:
         """One that is thought to be out already is counted; but a thought may be wrong, and it serves still:
-        so it may go only where its groups are within their budgets with it."""
+        so it may go only where its groups are within their budgets with it.
+        """
         if member.voter and voters_out - out >= self.spare_voters():
             return f"{voters_out} of {len(self.voters)} voters are out: a majority must stay"
         for tally in mine:
--- a/pumicenotch/fleet/effects.py
+++ b/pumicenotch/fleet/effects.py
@@ -1,5 +1,6 @@
 """What the processes of a fleet ask of their carrier. An address is HOST:PORT of a listener among
-instances."""
+instances.
+"""
 
 from typing import Any, NamedTuple
 
@@ -97,6 +98,19 @@
 
 
 Effect = (
-    Hold | Swap | Start | End | Reread | Anew | Proven
-    | Post | Ask | Reply | Leave | MemberChanged | Log | Wake | Exit
-)  # fmt: skip
+    Hold
+    | Swap
+    | Start
+    | End
+    | Reread
+    | Anew
+    | Proven
+    | Post
+    | Ask
+    | Reply
+    | Leave
+    | MemberChanged
+    | Log
+    | Wake
+    | Exit
+)
--- a/pumicenotch/fleet/entries.py
+++ b/pumicenotch/fleet/entries.py
@@ -20,7 +20,8 @@
 
 class BadEntry(ValueError):
     """It is no entry of this fleet's form: refused before it is proposed, skipped where it is agreed all the
-    same."""
+    same.
+    """
 
 
 def text(told: Any) -> str:
@@ -70,11 +71,20 @@
     try:
         one, life, zone, region, cell, serves, uses, capacity, voter = told
         made = Member(
-            name(one), text(life), text(zone), text(region), text(cell), tuple(map(name, serves)),
-            tuple(map(name, uses)), float(capacity), bool(voter),
-        )  # fmt: skip
+            name(one),
+            text(life),
+            text(zone),
+            text(region),
+            text(cell),
+            tuple(map(name, serves)),
+            tuple(map(name, uses)),
+            float(capacity),
+            bool(voter),
+        )
     except (TypeError, ValueError) as error:
         raise BadEntry(f"no member: {error}") from None
     if not 0.0 < made.capacity < 1e9 or len(made.serves) + len(made.uses) > 64:
-        raise BadEntry(f"member {made.name}: capacity {made.capacity:g}, {len(made.serves)} services")
+        raise BadEntry(
+            f"member {made.name}: capacity {made.capacity:g}, {len(made.serves)} services"
+        )
     return made
--- a/pumicenotch/fleet/failure_detector.py
+++ b/pumicenotch/fleet/failure_detector.py
@@ -1,6 +1,7 @@
 """What the leader takes for granted of members: who is out against its will, and whose name is taken.
 
-Voters tell the leader whom they think dead; members send heartbeats to the leader itself."""
+Voters tell the leader whom they think dead; members send heartbeats to the leader itself.
+"""
 
 from collections.abc import Collection, Iterator, Mapping
 from typing import NamedTuple
@@ -13,7 +14,9 @@
 OVERLOADED = "overloaded"
 NEVER = float("-inf")
 OPINION_LASTS_MS = 5000.0  # of a voter's opinion: some lost ones change nothing
-NO_NEWS_MS = 15_000.0  # for news of a member to reach a voter: many times what it takes among a thousand
+NO_NEWS_MS = (
+    15_000.0  # for news of a member to reach a voter: many times what it takes among a thousand
+)
 NAME_HELD_MS = 3000.0  # a name's process that was heard from so lately keeps it
 
 
@@ -52,12 +55,15 @@
     def __init__(self) -> None:
         self.no_news_since: dict[str, float] = {}  # of counted members that no news has come of
 
-    def dead(self, now: float, me: str, counted: Mapping[str, Member], members: Members) -> list[str]:
+    def dead(
+        self, now: float, me: str, counted: Mapping[str, Member], members: Members
+    ) -> list[str]:
         """Of those that the fleet counts, without this voter and members by hand."""
         return sorted(
-            name for name, held in counted.items()
+            name
+            for name, held in counted.items()
             if held.life and name != me and self.is_dead(now, name, members)
-        )  # fmt: skip
+        )
 
     def is_dead(self, now: float, name: str, members: Members) -> bool:
         if name in members.news:
@@ -93,7 +99,8 @@
     ) -> Iterator[Verdict]:
         """Out against its will is who a majority of the voters thinks dead, or who says so itself. It takes
         as much to be well again, and its own heartbeat: a new leader that has heard of nobody yet knows of
-        no change."""
+        no change.
+        """
         since = now - OPINION_LASTS_MS
         fresh = [each.dead for each in self.observations.values() if each.at >= since]
         if 2 * len(fresh) <= voters:
--- a/pumicenotch/fleet/hints.py
+++ b/pumicenotch/fleet/hints.py
@@ -1,5 +1,6 @@
 """What the leader tells members and agents of themselves, with each heartbeat. A hint: the leader may have
-stopped leading, and each step that rests on it is an entry of its own."""
+stopped leading, and each step that rests on it is an entry of its own.
+"""
 
 from typing import Any
 
--- a/pumicenotch/fleet/judge.py
+++ b/pumicenotch/fleet/judge.py
@@ -7,7 +7,8 @@
 log-rank test's increments). The sum of the differences is a martingale where the version is harmless, hence
 Robbins' mixture bounds it at all times at once (Robbins 1970; Howard et al. 2021): it may be looked at after
 every window, and the chance of a false halt stays under `ALPHA` for a whole release. Without that, looking
-often finds harm in any version (peeking)."""
+often finds harm in any version (peeking).
+"""
 
 import math
 from collections import defaultdict
@@ -16,7 +17,8 @@
 
 class Told(NamedTuple):
     """What one member counted in one window, of one class: of its tasks those that went badly (failed, late,
-    rejected though others of its zone were not)."""
+    rejected though others of its zone were not).
+    """
 
     stratum: str  # zone, cell and class: only like is held against like
     released: bool
@@ -49,7 +51,9 @@
 
     def tell(self, told: Told) -> None:
         side = self.window[told.stratum][told.released]
-        self.window[told.stratum][told.released] = Side(side.tasks + told.tasks, side.bad + told.bad)
+        self.window[told.stratum][told.released] = Side(
+            side.tasks + told.tasks, side.bad + told.bad
+        )
 
     def close(self) -> Verdict:
         """The window is over: what was told of it counts from now on."""
@@ -60,7 +64,9 @@
             self.tasks += released.tasks
             self.bad += released.bad
             expected = released.tasks * bad / many
-            spread = released.tasks * others.tasks * bad * (many - bad) / (many * many * (many - 1.0))
+            spread = (
+                released.tasks * others.tasks * bad * (many - bad) / (many * many * (many - 1.0))
+            )
             off = released.bad - expected
             self.sum += off
             # Where tasks go badly together, as on one slow core, what was seen spreads more than the table
@@ -80,21 +86,23 @@
         bound = self.bound()
         if self.sum >= bound and self.spread > 0.0:
             where = max(sorted(self.worst), key=lambda stratum: self.worst[stratum])
-            text = (
-                f"{excess:.1%} more of the released ones' tasks go badly than of the others', most in {where}"
-            )
+            text = f"{excess:.1%} more of the released ones' tasks go badly than of the others', most in {where}"
             return Verdict(True, True, excess, text)
         known = self.NOTICED * self.tasks >= bound
         if not known:
             return Verdict(
-                False, False, excess, f"not known yet: {self.tasks} tasks of released ones were seen"
+                False,
+                False,
+                excess,
+                f"not known yet: {self.tasks} tasks of released ones were seen",
             )
         return Verdict(False, True, excess, f"no harm of {self.NOTICED:.0%} in {self.tasks} tasks")
 
 
 class Threshold:
     """The baseline that it is measured against: a fixed part more of bad tasks than the others have, looked
-    at after every window once there are some tasks."""
+    at after every window once there are some tasks.
+    """
 
     MORE, LEAST = 0.02, 50
 
--- a/pumicenotch/fleet/member_node.py
+++ b/pumicenotch/fleet/member_node.py
@@ -1,6 +1,7 @@
 """One process in a fleet: what it thinks of the others, and its own drains by permit.
 
-Whatever it hears or does not hear, its work goes on: only steps that nobody forces wait for agreement."""
+Whatever it hears or does not hear, its work goes on: only steps that nobody forces wait for agreement.
+"""
 
 from collections import Counter
 from collections.abc import Iterable
@@ -32,18 +33,37 @@
     """Its inputs: `start`, `time`, `told` (sender (name, life, address), method, params), `asked` (conn,
     message, verb, args), `closed` (conn), `answered` (number, error, result), `serve` (whether it does,
     whether it is overloaded past use), `leave` (why), `left`, `counted` (rows as `fleet/watch` reads them,
-    MB)."""
+    MB).
+    """
 
     HEARTBEAT_MS = 500.0  # between heartbeats to the leader, unless it names a longer time
 
     INPUTS: ClassVar = frozenset(
-        ("start", "time", "told", "asked", "closed", "answered", "serve", "leave", "left", "counted")
+        (
+            "start",
+            "time",
+            "told",
+            "asked",
+            "closed",
+            "answered",
+            "serve",
+            "leave",
+            "left",
+            "counted",
+        )
     )
 
     def __init__(
-        self, *, fleet: str, me: Who, member: Member, voters: Iterable[str], seeds: Iterable[str], now: float,
+        self,
+        *,
+        fleet: str,
+        me: Who,
+        member: Member,
+        voters: Iterable[str],
+        seeds: Iterable[str],
+        now: float,
         seed: int,
-    ) -> None:  # fmt: skip
+    ) -> None:
         """`voters` are the addresses of all voters; `member` is what the fleet counts of this process."""
         super().__init__(voters, now, seed)
         self.fleet, self.me, self.member = fleet, me, member
@@ -88,7 +108,9 @@
                     self.changed(news)
                 case Refused(other):
                     self.counts["names_taken"] += 1
-                    self.log(f"another process goes by the name {other.name}: {other.address} ({other.life})")
+                    self.log(
+                        f"another process goes by the name {other.name}: {other.address} ({other.life})"
+                    )
 
     def changed(self, news: messages.News) -> None:
         self.effects.append(MemberChanged(news))
@@ -147,10 +169,14 @@
                     self.mark(key, by, why)
                     self.log(f"HALT by {by}: {why}")
                 self.reply(
-                    conn, message, {"text": "halted here, and handed on to the others", "agreed": False}
+                    conn,
+                    message,
+                    {"text": "halted here, and handed on to the others", "agreed": False},
                 )
             case _:
-                self.refuse(conn, message, UNKNOWN, f"{verb}: ask a voter: {', '.join(self.voters)}")
+                self.refuse(
+                    conn, message, UNKNOWN, f"{verb}: ask a voter: {', '.join(self.voters)}"
+                )
 
     def closed(self, conn: int) -> None:
         """Nobody waits on that connection any more."""
@@ -203,7 +229,12 @@
             self.ask("join", member_fields(self.member._replace(life=life)))
         elif self.leaving and not self.leaving_sent:
             self.ask("leaving", name, life, self.why)
-        elif self.permit and not self.leaving and not self.began and (self.begun or not self.halted()):
+        elif (
+            self.permit
+            and not self.leaving
+            and not self.began
+            and (self.begun or not self.halted())
+        ):
             self.ask("began", name, life, self.permit)
         elif self.serves and not self.leaving and not self.agreed_serving:
             self.ask("serving", name, life)
@@ -278,7 +309,8 @@
 
     def counted(self, rows: Any, memory_mb: float) -> None:
         """How its tasks have gone, since its start: for whoever leads, while a release is on. Lost ones do
-        no harm: the next says it all again."""
+        no harm: the next says it all again.
+        """
         if self.counting and self.joined and not self.leaving and self.now >= self.counts_at:
             self.counts_at = self.now + max(self.HEARTBEAT_MS, self.heartbeat_wait) - 1.0
             self.post(self.voters[self.voter_index], "counts", rows, memory_mb)
--- a/pumicenotch/fleet/records.py
+++ b/pumicenotch/fleet/records.py
@@ -1,5 +1,6 @@
 """The records that the agreed state is made of, beside members and budgets. A snapshot writes them as
-lists."""
+lists.
+"""
 
 from typing import Any, NamedTuple
 
--- a/pumicenotch/fleet/release.py
+++ b/pumicenotch/fleet/release.py
@@ -110,7 +110,9 @@
     agent: str  # the agent's life
     runs: tuple[tuple[str, str], ...] = ()  # slot, version
     holds: tuple[str, ...] = ()
-    down: str = ""  # GONE: its server has; STARTING: it is not in service yet, as far as the agent knows
+    down: str = (
+        ""  # GONE: its server has; STARTING: it is not in service yet, as far as the agent knows
+    )
     trouble: str = ""
     move: Move = NO_MOVE
     falls: int = 0  # ends of its server that nobody asked for, since it moved or a release began
--- a/pumicenotch/fleet/release_entries.py
+++ b/pumicenotch/fleet/release_entries.py
@@ -2,7 +2,16 @@
 
 from typing import Any
 
-from pumicenotch.fleet.entries import BadEntry, Reader, budgets_of, name, names, number, reason, text
+from pumicenotch.fleet.entries import (
+    BadEntry,
+    Reader,
+    budgets_of,
+    name,
+    names,
+    number,
+    reason,
+    text,
+)
 from pumicenotch.fleet.release import BUDGETS, GONE, SLOTS, STARTING, VERSION, WAVES_MOST, Release
 
 PLAN_FIELDS = 13  # of Release, the first of them: what a plan says
@@ -60,12 +69,36 @@
 def release_of(told: Any) -> Release:
     """Of what a plan says: the first fields of Release, to `budgets`."""
     try:
-        one, slot, version, replaces, level, waves, soak, wait, back, gate, urgent, mixed, budgets = told
+        (
+            one,
+            slot,
+            version,
+            replaces,
+            level,
+            waves,
+            soak,
+            wait,
+            back,
+            gate,
+            urgent,
+            mixed,
+            budgets,
+        ) = told
         made = Release(
-            name(one), slot, version_of(version), replaces and version_of(replaces),
-            number(level), tuple(map(maybe_names, waves)), number(soak), number(wait), truth(back),
-            number(gate), truth(urgent), truth(mixed), budgets_of(budgets),
-        )  # fmt: skip
+            name(one),
+            slot,
+            version_of(version),
+            replaces and version_of(replaces),
+            number(level),
+            tuple(map(maybe_names, waves)),
+            number(soak),
+            number(wait),
+            truth(back),
+            number(gate),
+            truth(urgent),
+            truth(mixed),
+            budgets_of(budgets),
+        )
     except (TypeError, ValueError) as error:
         raise BadEntry(f"no plan of a release: {error}") from None
     if slot not in SLOTS:
--- a/pumicenotch/fleet/release_progress.py
+++ b/pumicenotch/fleet/release_progress.py
@@ -2,7 +2,8 @@
 
 One question decides it all: which version is a node's own just now (`target`). A node that runs another one
 is due: its drain waits in the fleet's one queue under the fleet's budgets like anybody's, and once its server
-has ended its agent may ask for the `move`. Forwards, backwards and catching up are the same two steps."""
+has ended its agent may ask for the `move`. Forwards, backwards and catching up are the same two steps.
+"""
 
 from typing import Any
 
@@ -20,7 +21,7 @@
     NodeVersions,
     Release,
     Step,
-)  # fmt: skip
+)
 
 
 class ReleaseProgress:
@@ -69,8 +70,11 @@
 
     def holding_back(self, node: NodeVersions) -> str:
         """Why it has no version to move to, if a release says so."""
-        return "; ".join(f"release {each.name} is {each.stands}" for each in self.releases.values()
-                         if node.name in each.nodes and each.active)  # fmt: skip
+        return "; ".join(
+            f"release {each.name} is {each.stands}"
+            for each in self.releases.values()
+            if node.name in each.nodes and each.active
+        )
 
     def there(self, one: str, slot: str, version: str) -> bool:
         member, node = self.fleet.members.get(one), self.nodes.get(one)
@@ -83,16 +87,23 @@
     def skipped(self, one: str, release: Release) -> bool:
         """It was out against its will before the wave came to it: it catches up when it is back."""
         member, node = self.fleet.members.get(one), self.nodes.get(one)
-        return (member is not None and node is not None and bool(member.against)
-                and not node.may_run(release.slot, release.version))  # fmt: skip
+        return (
+            member is not None
+            and node is not None
+            and bool(member.against)
+            and not node.may_run(release.slot, release.version)
+        )
 
     def missing(self, release: Release) -> list[str]:
         """Who is not yet where the release wants it."""
         slot = release.slot
         if release.state == BACK:
             return [one for one in release.nodes if not self.there(one, slot, release.replaces)]
-        return [one for one in release.waves[release.wave]
-                if not self.there(one, slot, release.version) and not self.skipped(one, release)]  # fmt: skip
+        return [
+            one
+            for one in release.waves[release.wave]
+            if not self.there(one, slot, release.version) and not self.skipped(one, release)
+        ]
 
     def in_order(self) -> list[str]:
         """Whoever goes back first stands first: by harm, then those that got it last. Forwards as planned."""
@@ -106,7 +117,8 @@
 
     def down(self, one: str) -> bool:
         """Its agent says that it is out; that it is in service again its server says first, by its own
-        word."""
+        word.
+        """
         node, member = self.nodes.get(one), self.fleet.members.get(one)
         if node is None or not node.down:
             return False
@@ -120,8 +132,12 @@
     # Whole
 
     def dump(self) -> dict[str, Any]:
-        return {"level": self.level, "stands": list(self.stands.items()),
-                "nodes": list(self.nodes.values()), "releases": list(self.releases.values())}  # fmt: skip
+        return {
+            "level": self.level,
+            "stands": list(self.stands.items()),
+            "nodes": list(self.nodes.values()),
+            "releases": list(self.releases.values()),
+        }
 
     def load(self, told: dict[str, Any]) -> None:
         self.level = told["level"]
--- a/pumicenotch/fleet/releases.py
+++ b/pumicenotch/fleet/releases.py
@@ -1,5 +1,6 @@
 """Releases that the fleet has agreed: a version goes out in waves, is halted, comes back. Every step is an
-entry of the log; what follows from the entries, as whose server is to be drained next, needs none."""
+entry of the log; what follows from the entries, as whose server is to be drained next, needs none.
+"""
 
 from typing import Any
 
@@ -26,7 +27,7 @@
     Move,
     NodeVersions,
     Release,
-)  # fmt: skip
+)
 from pumicenotch.fleet.release_progress import ReleaseProgress
 
 RELEASES_MOST = 50  # kept after their end, for `status` and so that no name comes twice
@@ -70,13 +71,18 @@
             return Said(False, f"no agent has spoken for {', '.join(unknown[:5])}")
         replaces = made.replaces or self.stands.get(made.slot, "") or self.common(made)
         if not replaces and made.slot != BUDGETS:
-            return Said(False, "the nodes run several versions and none is agreed: say which it replaces")
+            return Said(
+                False, "the nodes run several versions and none is agreed: say which it replaces"
+            )
         made = made._replace(replaces=replaces)
         if why := self.obstacle(made) or self.crossing(made):
             return Said(False, why)
         self.forget_oldest()
-        return self.put(made, f"planned by {by}: {made.slot} {made.version} for"
-                              f" {made.replaces or 'what is'} in {len(made.waves)} waves")  # fmt: skip
+        return self.put(
+            made,
+            f"planned by {by}: {made.slot} {made.version} for"
+            f" {made.replaces or 'what is'} in {len(made.waves)} waves",
+        )
 
     def common(self, made: Release) -> str:
         found = {self.nodes[one].version(made.slot) for one in made.nodes}
@@ -90,8 +96,10 @@
         if stands != made.replaces:
             return f"it replaces {made.replaces}, but the fleet is on {stands}: plan it anew"
         if made.slot in RESTARTS and made.level < self.level:
-            return (f"version {made.version} is of level {made.level}, and entries of level {self.level} are"
-                    " agreed, which it cannot read: there is no way back over a level")  # fmt: skip
+            return (
+                f"version {made.version} is of level {made.level}, and entries of level {self.level} are"
+                " agreed, which it cannot read: there is no way back over a level"
+            )
         return ""
 
     def crossing(self, made: Release) -> str:
@@ -104,7 +112,9 @@
             for kind in ("zone", "cell"):
                 found = sorted({getattr(each, kind) for each in some})
                 if len(found) > 1:
-                    return f"wave {at}: {kind}s {', '.join(found[:5])} together: allow it with mixed"
+                    return (
+                        f"wave {at}: {kind}s {', '.join(found[:5])} together: allow it with mixed"
+                    )
         return ""
 
     def forget_oldest(self) -> None:
@@ -112,11 +122,15 @@
         for one in ended[: max(0, len(ended) - RELEASES_MOST)]:
             del self.releases[one]
 
-    def release(self, request: str, one: str, what: str, seen: tuple[str, ...], why: str, by: str) -> Said:
+    def release(
+        self, request: str, one: str, what: str, seen: tuple[str, ...], why: str, by: str
+    ) -> Said:
         """An operator's word, or any process's: `what` is one of WORDS, `seen` the halts that it has seen."""
         return self.fleet.answered(request, self.command(request, one, what, seen, why, by))
 
-    def command(self, request: str, one: str, what: str, seen: tuple[str, ...], why: str, by: str) -> Said:
+    def command(
+        self, request: str, one: str, what: str, seen: tuple[str, ...], why: str, by: str
+    ) -> Said:
         held = self.releases.get(one)
         if held is None:
             return Said(False, f"no release {one}")
@@ -147,13 +161,18 @@
             if not self.overlaps(held, other):
                 continue
             if not held.urgent or other.state != HALTED:
-                return Said(False, f"release {other.name} is {other.stands}, and has nodes in common: only an"
-                                   " urgent one may take over, and only one that is halted")  # fmt: skip
+                return Said(
+                    False,
+                    f"release {other.name} is {other.stands}, and has nodes in common: only an"
+                    " urgent one may take over, and only one that is halted",
+                )
             self.put(other._replace(state=ABANDONED, halts=()), f"taken over by {held.name}")
         if held.slot == BUDGETS:
             held = held._replace(former=self.fleet.budgets)
             self.fleet.budgets = held.budgets
-            return self.put(held._replace(state=SOAKING), f"started by {by}: its budgets are in force")
+            return self.put(
+                held._replace(state=SOAKING), f"started by {by}: its budgets are in force"
+            )
         self.stands.setdefault(held.slot, held.replaces)
         for one in held.nodes:
             self.nodes[one] = self.nodes[one]._replace(falls=0)
@@ -171,7 +190,9 @@
     def halt(self, held: Release, key: str, by: str, why: str) -> Said:
         was = held.was if held.state == HALTED else held.state
         halts = (*held.halts, Halt(key, by, why))[-HALTS_MOST:]
-        return self.put(held._replace(state=HALTED, was=was, halts=halts, why=why), f"HALT by {by}: {why}")
+        return self.put(
+            held._replace(state=HALTED, was=was, halts=halts, why=why), f"HALT by {by}: {why}"
+        )
 
     def resume(self, held: Release, seen: tuple[str, ...], why: str, by: str) -> Said:
         """Ends those halts that its operator has seen, and no later one."""
@@ -179,8 +200,12 @@
         if held.state != HALTED:
             return Said(False, f"release {held.name} is not halted: {held.stands}")
         if left:
-            return self.put(held._replace(halts=left), f"resumed by {by}, but halted by {left[0].by} still")
-        return self.put(held._replace(state=held.was, halts=(), was="", why=why), f"RESUMED by {by}: {why}")
+            return self.put(
+                held._replace(halts=left), f"resumed by {by}, but halted by {left[0].by} still"
+            )
+        return self.put(
+            held._replace(state=held.was, halts=(), was="", why=why), f"RESUMED by {by}: {why}"
+        )
 
     def go_back(self, held: Release, seen: tuple[str, ...], why: str, by: str) -> Said:
         """A halt that its operator has not seen stays, and holds the way back too."""
@@ -191,7 +216,9 @@
         elif held.slot == BUDGETS:
             self.fleet.budgets = held.former
             back = back._replace(state=ABANDONED)
-        return self.put(back, f"goes BACK by {by}: {why}" + (f"; halted by {left[0].by}" if left else ""))
+        return self.put(
+            back, f"goes BACK by {by}: {why}" + (f"; halted by {left[0].by}" if left else "")
+        )
 
     def approve(self, held: Release, why: str, by: str) -> Said:
         if not held.asks:
@@ -262,7 +289,8 @@
 
     def move(self, one: str, agent: str, slot: str, version: str) -> Said:
         """May the node's agent put that version in place now? Its server has ended, by its own word, or goes
-        on where nothing ends for it."""
+        on where nothing ends for it.
+        """
         node = self.nodes.get(one)
         if node is None or node.agent != agent:
             return Said(False, f"{one}: another agent has this node")
@@ -270,7 +298,8 @@
             return Said(False, self.fleet.halted())
         if self.due(node) != (slot, version):
             return Said(
-                False, f"{one} is not to run {version}: {self.holding_back(node) or 'nothing is due'}"
+                False,
+                f"{one} is not to run {version}: {self.holding_back(node) or 'nothing is due'}",
             )
         if slot in RESTARTS and not self.down(one):
             return Said(False, f"{one}: its server is in service")
@@ -295,7 +324,9 @@
 
         def on(one: str) -> bool:
             held, node = self.fleet.members.get(one), self.nodes.get(one)
-            return held is not None and held.voter and node is not None and node.may_run(slot, version)
+            return (
+                held is not None and held.voter and node is not None and node.may_run(slot, version)
+            )
 
         proven = sum(on(each) for wave in release.waves[: release.wave] for each in wave)
         many = sum(on(each) for each in release.nodes if each != one)
@@ -307,7 +338,8 @@
 
     def settle(self, one: str = "") -> None:
         """After an entry that speaks of one node alone, or of all: how far each release is, and who is to be
-        drained for it."""
+        drained for it.
+        """
         for release in self.active():
             self.advance(release)
         changed, self.changed = self.changed, False
@@ -339,8 +371,13 @@
         fleet, one = self.fleet, node.name
         slot, version = self.due(node)
         member = fleet.members.get(one)
-        drains = (slot in RESTARTS and version in node.holds and not self.down(one) and member is not None
-                  and member.standing == SERVING)  # fmt: skip
+        drains = (
+            slot in RESTARTS
+            and version in node.holds
+            and not self.down(one)
+            and member is not None
+            and member.standing == SERVING
+        )
         asked = next((each for each in fleet.queue if each.name == one), None)
         permit = fleet.permits.get(one)
         if drains and asked is None and permit is None:
--- a/pumicenotch/fleet/replica_node.py
+++ b/pumicenotch/fleet/replica_node.py
@@ -1,5 +1,6 @@
 """A member that has a replica of the agreed log: how its replica gets a vote, and how what is agreed comes to
-the state."""
+the state.
+"""
 
 from abc import abstractmethod
 from collections.abc import Callable, Sequence
@@ -7,7 +8,17 @@
 
 from pumicenotch.agree import messages as agree
 from pumicenotch.agree.found import Founding, Say
-from pumicenotch.agree.messages import Commit, Led, Readable, Restore, Seats, Send, Store, Unreadable, name_of
+from pumicenotch.agree.messages import (
+    Commit,
+    Led,
+    Readable,
+    Restore,
+    Seats,
+    Send,
+    Store,
+    Unreadable,
+    name_of,
+)
 from pumicenotch.agree.voter import LEADER, Voter
 from pumicenotch.fleet import release, snapshot
 from pumicenotch.fleet.book import Book
@@ -33,9 +44,12 @@
 
     COMPACT_AT = 1024  # entries after which they make way for a snapshot: some hundred KB
 
-    def __init__(self, *, names: dict[str, str], books: Callable[[], Sequence[Book]], **rest: Any) -> None:
+    def __init__(
+        self, *, names: dict[str, str], books: Callable[[], Sequence[Book]], **rest: Any
+    ) -> None:
         """`names` are all voters' addresses by name, this one's too. `books` makes the further subjects of
-        the log, once for each state."""
+        the log, once for each state.
+        """
         super().__init__(voters=names.values(), **rest)
         self.names = names
         self.replica = f"{self.me.name}/{self.me.life}"
@@ -65,7 +79,9 @@
     def leadership(self) -> Leadership:
         """For a carrier that hands it on to another reducer."""
         address = self.leader_address()
-        in_touch = self.voter.in_touch() if self.leads else bool(address) and self.voter.hears_leader()
+        in_touch = (
+            self.voter.in_touch() if self.leads else bool(address) and self.voter.hears_leader()
+        )
         return Leadership(address, self.leads, in_touch)
 
     # Getting a vote
--- a/pumicenotch/fleet/reports.py
+++ b/pumicenotch/fleet/reports.py
@@ -1,5 +1,6 @@
 """What operators read of the fleet: plain tables made from the agreed state and from what the leader has
-seen."""
+seen.
+"""
 
 from typing import Any, NamedTuple
 
@@ -33,8 +34,16 @@
 class Reports:
     """Answers to one moment's questions."""
 
-    def __init__(self, now: float, state: State, leading: Leading, watch: Watch, times: DrainTimes) -> None:
-        self.now, self.state, self.leading, self.watch, self.times = now, state, leading, watch, times
+    def __init__(
+        self, now: float, state: State, leading: Leading, watch: Watch, times: DrainTimes
+    ) -> None:
+        self.now, self.state, self.leading, self.watch, self.times = (
+            now,
+            state,
+            leading,
+            watch,
+            times,
+        )
 
     def answer(self, verb: str, args: tuple[Any, ...]) -> Table:
         """To one of READ_VERBS. Raises BadRead."""
@@ -56,7 +65,9 @@
         raise BadRead(f"{verb}: other values are wanted")
 
     def log(self, many: int) -> Table:
-        rows = [{"index": each.at, "what": each.text} for each in self.state.history[-max(1, many) :]]
+        rows = [
+            {"index": each.at, "what": each.text} for each in self.state.history[-max(1, many) :]
+        ]
         return {"log": rows[-ROWS_MOST:]}
 
     # Releases
@@ -72,7 +83,9 @@
             raise BadRead(f"no release {name}")
         return {**self.release_row(release), "rows": self.release_nodes(release)}
 
-    def waves(self, shares: tuple[float, ...], mixed: bool, order: str) -> tuple[tuple[str, ...], ...]:
+    def waves(
+        self, shares: tuple[float, ...], mixed: bool, order: str
+    ) -> tuple[tuple[str, ...], ...]:
         """Of all nodes that an agent has spoken for."""
         nodes = self.state.releases.nodes
         members = [each for each in self.state.members.values() if each.name in nodes]
@@ -80,7 +93,11 @@
 
     def release_row(self, release: Release) -> Table:
         trial = self.watch.trials.get(release.name)
-        missing = self.state.releases.missing(release) if release.active and release.slot != BUDGETS else []
+        missing = (
+            self.state.releases.missing(release)
+            if release.active and release.slot != BUDGETS
+            else []
+        )
         return {
             "name": release.name,
             "slot": release.slot,
@@ -141,10 +158,14 @@
             "out": len(out),
             "rows": [self.member_row(each) for each in out[:ROWS_MOST]],
             "waiting": [self.waiting_row(each) for each in state.queue[:ROWS_MOST]],
-            "budgets": [budget_row(each) for each in list(state.tallies().found.values())[:ROWS_MOST]],
+            "budgets": [
+                budget_row(each) for each in list(state.tallies().found.values())[:ROWS_MOST]
+            ],
             "over": state.over()[:ROWS_MOST],
             "level": state.releases.level,
-            "releases": [{"name": each.name, "stands": each.stands} for each in state.releases.open()],
+            "releases": [
+                {"name": each.name, "stands": each.stands} for each in state.releases.open()
+            ],
         }
 
     def member_row(self, member: Member) -> Table:
@@ -186,10 +207,14 @@
         rows = []
         for tally in tallies.of(member):
             names = [each.name for each in out if any(other is tally for other in tallies.of(each))]
-            rows.append({
-                "budget": tally.place(), "members": tally.many, "out": names[:ROWS_MOST],
-                "over": tally.over(),
-            })  # fmt: skip
+            rows.append(
+                {
+                    "budget": tally.place(),
+                    "members": tally.many,
+                    "out": names[:ROWS_MOST],
+                    "over": tally.over(),
+                }
+            )
         return rows
 
     def queued_before(self, name: str) -> int:
--- a/pumicenotch/fleet/settings.py
+++ b/pumicenotch/fleet/settings.py
@@ -1,5 +1,6 @@
 """What a file of ours says of one process in a fleet. Checked by whoever reads the file; plain values
-here."""
+here.
+"""
 
 from typing import Any, NamedTuple
 
@@ -56,7 +57,9 @@
             key: tuple(value) if isinstance(value, list) else value for key, value in told.items()
         }
         made = FleetSettings(**values)
-        if not all(isinstance(each, str) for each in (made.fleet, made.name, made.listen, *made.voters)):
+        if not all(
+            isinstance(each, str) for each in (made.fleet, made.name, made.listen, *made.voters)
+        ):
             raise TypeError("texts are wanted")
         return made
     except (TypeError, AttributeError) as error:
--- a/pumicenotch/fleet/snapshot.py
+++ b/pumicenotch/fleet/snapshot.py
@@ -1,6 +1,7 @@
 """Snapshots of the agreed state, for voters that lack the entries.
 
-A line of JSON, and after it the bytes of the books as they are: megabytes are not escaped."""
+A line of JSON, and after it the bytes of the books as they are: megabytes are not escaped.
+"""
 
 import json
 from collections.abc import Iterable, Sequence
@@ -33,11 +34,17 @@
 def dump_fields(state: State) -> dict[str, Any]:
     told: dict[str, Any] = {
         "form": RELEASES_FORM if state.releases.level > 1 else FIRST_FORM,
-        "index": state.index, "fleet": state.fleet, "voters": state.voters,
-        "members": list(state.members.values()), "budgets": state.budgets, "queue": state.queue,
-        "permits": list(state.permits.values()), "halts": list(state.halts.items()),
-        "ids": list(state.ids.items()), "history": state.history,
-    }  # fmt: skip
+        "index": state.index,
+        "fleet": state.fleet,
+        "voters": state.voters,
+        "members": list(state.members.values()),
+        "budgets": state.budgets,
+        "queue": state.queue,
+        "permits": list(state.permits.values()),
+        "halts": list(state.halts.items()),
+        "ids": list(state.ids.items()),
+        "history": state.history,
+    }
     if state.releases.level > 1:
         told["releases"] = state.releases.dump()
     return told
@@ -53,7 +60,9 @@
     try:
         told = json.loads(header)
         if told["form"] not in FORMS:
-            raise BadEntry(f"a state of form {told['form']!r}: {FORMS} are known: a newer program is wanted")
+            raise BadEntry(
+                f"a state of form {told['form']!r}: {FORMS} are known: a newer program is wanted"
+            )
         made = State(books)
         made.index, made.fleet = told["index"], told["fleet"]
         made.voters = tuple(told["voters"])
--- a/pumicenotch/fleet/state.py
+++ b/pumicenotch/fleet/state.py
@@ -1,6 +1,7 @@
 """What the fleet has agreed, as the log's entries make it: one state, one way for an entry to change it. The
 same entries give the same state at every voter, so a permit needs no entry of its own: it follows from the
-others."""
+others.
+"""
 
 from collections.abc import Iterable, Sequence
 from typing import Any
@@ -10,7 +11,13 @@
 from pumicenotch.fleet.budgets import DRAINING, OUT, SERVING, Budget, Member
 from pumicenotch.fleet.drains import Drains
 from pumicenotch.fleet.entries import Said
-from pumicenotch.fleet.records import OVERRIDE_PERMIT, TERM_PERMIT, WITHIN_BUDGETS, FleetHalt, Permit
+from pumicenotch.fleet.records import (
+    OVERRIDE_PERMIT,
+    TERM_PERMIT,
+    WITHIN_BUDGETS,
+    FleetHalt,
+    Permit,
+)
 from pumicenotch.fleet.verbs import (
     COUNTS_STAY,
     OF_ONE,
@@ -79,7 +86,9 @@
     def apply_to_book(self, book: Book, verb: str, args: tuple[Any, ...]) -> Said:
         """Nothing of the members changes by it, so nothing is to be settled."""
         if self.releases.level < book.level:  # voters that cannot read it skip it too
-            return Said(False, f"{verb} is of level {book.level}: the fleet is at {self.releases.level}")
+            return Said(
+                False, f"{verb} is of level {book.level}: the fleet is at {self.releases.level}"
+            )
         outcome = book.apply(self.index, verb, args)
         return Said(outcome.good, outcome.text, outcome.value)
 
@@ -91,7 +100,8 @@
         manual_members: Iterable[Member],
     ) -> Said:
         """The first entry. Members by hand are replicas of services below, drained and returned by an
-        operator."""
+        operator.
+        """
         if self.fleet:
             return Said(True, "begun already")
         self.fleet, self.voters, self.budgets = fleet, voters, budgets
@@ -102,12 +112,15 @@
 
     def join(self, member: Member) -> Said:
         """A process says what it is. A new life takes the name's place; whether the former one is gone is
-        for the leader to judge before it proposes this."""
+        for the leader to judge before it proposes this.
+        """
         held = self.members.get(member.name)
         if held is not None and not held.life:
             return Said(False, f"{member.name} is a member by hand: no process may take its name")
         if held is not None and member.life in held.formers:
-            return Said(False, f"{member.name}: another process has taken this name since: end this one")
+            return Said(
+                False, f"{member.name}: another process has taken this name since: end this one"
+            )
         if held is not None and held.life == member.life:
             self.members[member.name] = member._replace(
                 standing=held.standing, against=held.against, formers=held.formers
@@ -121,7 +134,8 @@
 
     def serving(self, one: str, life: str) -> Said:
         """It is in service: the permit of a former life ends here. The word of the life that the permit was
-        given to frees nothing, however late it comes."""
+        given to frees nothing, however late it comes.
+        """
         held, wrong = self.current(one, life)
         if held is None:
             return wrong
@@ -152,7 +166,8 @@
 
     def began(self, one: str, life: str, epoch: int) -> Said:
         """The holder is about to drain. Only once this is agreed may it: a permit that was taken back is not
-        used, however late its holder hears of it."""
+        used, however late its holder hears of it.
+        """
         held, wrong = self.current(one, life)
         if held is None:
             return wrong
@@ -162,7 +177,11 @@
         if not permit.begun and self.halts:
             return Said(False, self.halted())
         # Others may have gone out against their will since it was given, and a budget been lowered.
-        if not permit.begun and permit.kind in WITHIN_BUDGETS and (over := self.over_with(held, permit)):
+        if (
+            not permit.begun
+            and permit.kind in WITHIN_BUDGETS
+            and (over := self.over_with(held, permit))
+        ):
             return Said(False, f"not now: {over}")
         if not permit.begun:
             self.permits[one] = permit._replace(begun=True)
@@ -210,8 +229,11 @@
         voters = [each for each in wanted if self.members[each].voter]
         if len(voters) > self.spare_voters():
             most = self.spare_voters()
-            return Said(False, f"{len(voters)} of {len(self.voters)} voters: at most {most} may go at once,"
-                               " a majority must stay: ask for them in turn")  # fmt: skip
+            return Said(
+                False,
+                f"{len(voters)} of {len(self.voters)} voters: at most {most} may go at once,"
+                " a majority must stay: ask for them in turn",
+            )
         asked = {each.name for each in self.queue}
         new = [each for each in wanted if each not in asked and each not in self.permits]
         for each in new:
@@ -223,12 +245,14 @@
             return Said(True, f"permits for {listed(given)}")
         waiting = [each for each in wanted if each not in self.permits]
         return Said(
-            True, f"waiting: {listed(waiting)}; {waiting[0]}: {self.waits.get(waiting[0], 'its turn')}"
+            True,
+            f"waiting: {listed(waiting)}; {waiting[0]}: {self.waits.get(waiting[0], 'its turn')}",
         )
 
     def undrain(self, request: str, wanted: tuple[str, ...], why: str, by: str) -> Said:
         """Whoever waits waits no more; a permit not begun is taken back; a member by hand is back in
-        service."""
+        service.
+        """
         late = []
         for one in wanted:
             held = self.members.get(one)
@@ -260,7 +284,8 @@
 
     def override(self, request: str, one: str, why: str, by: str) -> Said:
         """A permit without regard to budgets, on the record. Never while halted, never a majority of the
-        voters."""
+        voters.
+        """
         held = self.members.get(one)
         if held is None:
             return self.answered(request, Said(False, f"no member {one}"))
@@ -278,7 +303,8 @@
 
     def freed(self, request: str, one: str, why: str, by: str) -> Said:
         """By an operator's word the permit of one that will not come back is free again. The member stays
-        out, and counted, until it serves or is forgotten."""
+        out, and counted, until it serves or is forgotten.
+        """
         if one not in self.permits:
             return self.answered(request, Said(False, f"{one} holds no permit"))
         held = self.members[one]
@@ -286,7 +312,9 @@
             self.members[one] = held._replace(standing=OUT)
         self.free(one, f"FREED by {by}: {why}")
         counts = self.members[one].standing
-        return self.answered(request, Said(True, f"the permit of {one} is free; it counts as {counts}"))
+        return self.answered(
+            request, Said(True, f"the permit of {one} is free; it counts as {counts}")
+        )
 
     def forget(self, request: str, one: str, why: str, by: str) -> Said:
         """A member that is gone for good is counted no more, neither out nor in its groups."""
@@ -308,7 +336,8 @@
         self.note(f"{by} sets budgets: {', '.join(each.name for each in made) or 'none'}")
         over = self.over()
         return self.answered(
-            request, Said(True, f"{len(made)} budgets" + (f"; over now: {'; '.join(over)}" if over else ""))
+            request,
+            Said(True, f"{len(made)} budgets" + (f"; over now: {'; '.join(over)}" if over else "")),
         )
 
     # Halt and resume
--- a/pumicenotch/fleet/verbs.py
+++ b/pumicenotch/fleet/verbs.py
@@ -15,13 +15,22 @@
     number,
     reason,
     text,
-)  # fmt: skip
+)
 
 # Entries after which as many are out as before, or that say themselves when it is otherwise.
 COUNTS_STAY = ("drain", "began", "halt", "resume", "word", "move", "plan", "soaked")
 # What operators ask for, each with an id first.
-REQUESTS = ("drain", "undrain", "override", "free", "forget", "budget", "halt", "resume",
-            *release_entries.REQUESTS)  # fmt: skip
+REQUESTS = (
+    "drain",
+    "undrain",
+    "override",
+    "free",
+    "forget",
+    "budget",
+    "halt",
+    "resume",
+    *release_entries.REQUESTS,
+)
 OF_ONE = release_entries.OF_ONE
 RELEASE_VERBS = frozenset(release_entries.ENTRIES)
 
--- a/pumicenotch/fleet/voter_client.py
+++ b/pumicenotch/fleet/voter_client.py
@@ -50,7 +50,9 @@
         self.effects.append(Log(text))
 
     def request_due(self) -> float:
-        return self.request.until if self.request is not None else max(self.request_at, self.now + 1.0)
+        return (
+            self.request.until if self.request is not None else max(self.request_at, self.now + 1.0)
+        )
 
     def check_timeout(self) -> None:
         if self.request is not None and self.now >= self.request.until:
@@ -83,7 +85,9 @@
             self.request, self.failures, self.request_at = None, 0, self.now
             self.agreed(verb, result if isinstance(result, dict) else {})
             return
-        code, text, more = (*error, None, None, None)[:3] if isinstance(error, list | tuple) else ("", "", "")
+        code, text, more = (
+            (*error, None, None, None)[:3] if isinstance(error, list | tuple) else ("", "", "")
+        )
         if code == REFUSED:
             self.refused(verb, str(text))
             self.retry(self.voters[self.voter_index])
--- a/pumicenotch/fleet/voter_node.py
+++ b/pumicenotch/fleet/voter_node.py
@@ -1,5 +1,6 @@
 """A voter's process. Whoever leads proposes what is asked for, judges by all voters' observations who is out
-against its will, and tells holders of their permits."""
+against its will, and tells holders of their permits.
+"""
 
 from collections.abc import Callable, Iterable, Sequence
 from typing import Any, NamedTuple
@@ -44,14 +45,21 @@
 
 class VoterNode(ReplicaNode):
     """Beside a member's inputs it takes requests of operators, members and agents, and answers them while it
-    leads."""
+    leads.
+    """
 
-    LEADER_CHECK_MS = 250.0  # between looks at what a leader has to propose: a part of what a person notices
+    LEADER_CHECK_MS = (
+        250.0  # between looks at what a leader has to propose: a part of what a person notices
+    )
     OPINION_MS = 1000.0  # between a voter's messages to the leader on whom it thinks dead
     # for a proposal, before its asker hears that nobody agreed: a change of leaders fits in
     PROPOSAL_TIMEOUT_MS = 3000.0
-    HAND_OVER_MS = 1500.0  # for the handing over and the message of its leaving, before the process ends
-    HEARTBEAT_A_MEMBER_MS = 5.0  # so that all members' heartbeats cost a leader a bounded part of a core
+    HAND_OVER_MS = (
+        1500.0  # for the handing over and the message of its leaving, before the process ends
+    )
+    HEARTBEAT_A_MEMBER_MS = (
+        5.0  # so that all members' heartbeats cost a leader a bounded part of a core
+    )
 
     def __init__(
         self,
@@ -100,7 +108,9 @@
             case "sees" if name not in self.names:
                 raise agree.BadMessage(f"{name} is no voter of this fleet")
             case "sees":
-                self.detector.observe(self.now, name, [each for each in params if isinstance(each, str)])
+                self.detector.observe(
+                    self.now, name, [each for each in params if isinstance(each, str)]
+                )
                 level = max([VoterLevels.FIRST, *(each for each in params if type(each) is int)])
                 self.voter_levels.observe(self.now, name, level)
             case "counts":
@@ -181,7 +191,9 @@
         for index, pending in list(self.pending.items()):
             if pending.conn == conn:
                 self.pending[index] = pending._replace(conn=NOBODY)
-        self.pending_reads = {key: read for key, read in self.pending_reads.items() if read.conn != conn}
+        self.pending_reads = {
+            key: read for key, read in self.pending_reads.items() if read.conn != conn
+        }
 
     def not_leader(self, conn: int, message: int) -> None:
         address = self.leader_address()
@@ -227,7 +239,9 @@
                 hint = member_hint(self.reports(), name, life, self.heartbeat_interval_ms())
                 self.reply(conn, message, hint)
             case _:
-                self.refuse(conn, message, REFUSED, "mine: a name, a life and whether overloaded are wanted")
+                self.refuse(
+                    conn, message, REFUSED, "mine: a name, a life and whether overloaded are wanted"
+                )
 
     def asked_agent(self, conn: int, message: int, args: tuple[Any, ...]) -> None:
         """What an agent says of its node is agreed where it is new."""
@@ -246,7 +260,8 @@
 
     def propose(self, conn: int, message: int, entry: tuple[Any, ...]) -> None:
         """What cannot be read is refused before it is agreed, and what is not safe by what only the leader
-        knows."""
+        knows.
+        """
         try:
             self.state.read(entry)
             if why := self.unsafe(entry):
@@ -258,7 +273,9 @@
         if entry[0] == "halt":  # by this process at once, whenever it is agreed
             self.mark(*entry[1:])
         index = self.voter.log.last + 1
-        self.pending[index] = Pending(self.voter.term, conn, message, self.now + self.PROPOSAL_TIMEOUT_MS)
+        self.pending[index] = Pending(
+            self.voter.term, conn, message, self.now + self.PROPOSAL_TIMEOUT_MS
+        )
         self.step_voter("propose", entry)
         if self.voter.log.last < index and index in self.pending:  # it hands over just now
             del self.pending[index]
@@ -343,7 +360,8 @@
 
     def agree_on_halts(self) -> None:
         """A halt that was said to any process is agreed once the leader hears of it; one that is over is
-        taken out of what is handed on."""
+        taken out of what is handed on.
+        """
         halt = self.marker()
         if not halt.key:
             return
@@ -359,7 +377,8 @@
 
     def raise_level(self) -> None:
         """Entries that the oldest voter cannot read are not proposed before all voters can; nor while a
-        release may still have to go back."""
+        release may still have to go back.
+        """
         common = self.voter_levels.common(self.now, len(self.names))
         if common > self.state.releases.level and not self.state.releases.active():
             self.propose_own("level", common)
@@ -368,10 +387,14 @@
         seats = seated(self.voter, self.joining_replicas, self.replica_heard)
         if seats is None:
             return
-        self.log(f"seats: {', '.join(seats.voters)}; learning: {', '.join(seats.learners) or 'none'}")
+        self.log(
+            f"seats: {', '.join(seats.voters)}; learning: {', '.join(seats.learners) or 'none'}"
+        )
         self.step_voter("change", seats)
         self.joining_replicas = {
-            name: replica for name, replica in self.joining_replicas.items() if replica not in seats.voters
+            name: replica
+            for name, replica in self.joining_replicas.items()
+            if replica not in seats.voters
         }
 
     def replica_heard(self, replica: str) -> bool:
--- a/pumicenotch/fleet/watch.py
+++ b/pumicenotch/fleet/watch.py
@@ -5,7 +5,8 @@
 Three questions, each asked of like against like in the same second, or not at all: - do the released members'
 tasks, or their calls below, go badly more often than the others' (`Judge`); - do they call the services below
 more often for a task, and by much (`Pressure`): harm that all suffer has its cause there; - do calls below go
-badly, or last, for all since the first got the version, though no more tasks come (`Both`)."""
+badly, or last, for all since the first got the version, though no more tasks come (`Both`).
+"""
 
 import math
 from collections import defaultdict
@@ -62,7 +63,8 @@
 
 class Pressure:
     """Calls below a task: the released members' share of all calls against their share of all tasks, stratum
-    by stratum, under the bound that Judge has."""
+    by stratum, under the bound that Judge has.
+    """
 
     MUCH = 1.5  # times as many calls: less is a version's own business
 
@@ -86,14 +88,13 @@
         if self.judge.sum < self.judge.bound() or self.calls < self.MUCH * self.expected:
             return ""
         times = self.calls / max(1.0, self.expected)
-        return (
-            f"the released ones call the services below {times:.1f} times as often for a task as the others"
-        )
+        return f"the released ones call the services below {times:.1f} times as often for a task as the others"
 
 
 class Both:
     """Whether all are worse off below than before the first of the wave got the version, though no more tasks
-    come."""
+    come.
+    """
 
     LEAST = 5  # windows, before and since
     MORE_BAD = 0.1  # of the calls, beyond what was usual
@@ -123,13 +124,16 @@
         )
 
 
-FALLS_BY_CHANCE = 0.01  # of releases that harm nobody: so often such falls would be the released ones' alone
+FALLS_BY_CHANCE = (
+    0.01  # of releases that harm nobody: so often such falls would be the released ones' alone
+)
 
 
 def falls(release: Release, state: State) -> str:
     """Whether released nodes' servers end unasked more often than chance has it: each fall would be one of
     theirs as often as they are many, at the most, since they have had the version for a part of the time only
-    (a binomial tail)."""
+    (a binomial tail).
+    """
     nodes = [state.releases.nodes[name] for name in release.nodes if name in state.releases.nodes]
     ours = [node.falls for node in nodes if state.releases.has(release, node.name)]
     mine, many, whole = sum(ours), len(ours), sum(node.falls for node in nodes)
@@ -137,7 +141,8 @@
         return ""
     part = many / len(nodes)
     chance = sum(
-        math.comb(whole, at) * part**at * (1.0 - part) ** (whole - at) for at in range(mine, whole + 1)
+        math.comb(whole, at) * part**at * (1.0 - part) ** (whole - at)
+        for at in range(mine, whole + 1)
     )
     if chance > FALLS_BY_CHANCE:
         return ""
@@ -158,12 +163,14 @@
     def tell(self, zones: Iterable[tuple[list[float], list[float]]]) -> None:
         """Of each zone what the others hold, and what the released ones do."""
         found = [(median(ours), max(others)) for others, ours in zones if others and ours]
-        over = [pair for pair in found if pair[0] > self.MUCH * pair[1] and pair[0] > pair[1] + self.LEAST_MB]
+        over = [
+            pair
+            for pair in found
+            if pair[0] > self.MUCH * pair[1] and pair[0] > pair[1] + self.LEAST_MB
+        ]
         self.row = self.row + 1 if over else 0
         if over:
-            self.text = (
-                f"a released process holds {over[0][0]:.0f} MB, the others of its zone {over[0][1]:.0f}"
-            )
+            self.text = f"a released process holds {over[0][0]:.0f} MB, the others of its zone {over[0][1]:.0f}"
 
     def harm(self) -> str:
         return self.text if self.row >= self.WINDOWS else ""
@@ -217,7 +224,9 @@
     def warm(self, since: float) -> bool:
         return self.window_at - since > self.WARM_MS + self.WINDOW_MS
 
-    def told(self, now: float, name: str, life: str, rows: dict[str, Row], memory_mb: float = 0.0) -> None:
+    def told(
+        self, now: float, name: str, life: str, rows: dict[str, Row], memory_mb: float = 0.0
+    ) -> None:
         self.memory[name] = memory_mb
         held = self.last.get(name)
         if held is None or held.life != life:
@@ -234,7 +243,9 @@
     def look(self, now: float, state: State) -> list[tuple[Any, ...]]:
         """The entries that this leader is to propose."""
         # Of a release of budgets there is nothing to compare.
-        self.trials = {each.name: self.trials.get(each.name, Trial()) for each in state.releases.open()}
+        self.trials = {
+            each.name: self.trials.get(each.name, Trial()) for each in state.releases.open()
+        }
         if now >= self.window_at:
             self.window_at = now + self.WINDOW_MS
             whole = sum_of(row for kinds in self.fresh.values() for row in kinds.values())
@@ -290,7 +301,9 @@
     def moved(release: Release, state: State) -> bool:
         """Whether any of the wave may have the version by now."""
         nodes = (state.releases.nodes.get(name) for name in release.waves[release.wave])
-        return any(node is not None and node.may_run(release.slot, release.version) for node in nodes)
+        return any(
+            node is not None and node.may_run(release.slot, release.version) for node in nodes
+        )
 
     def what_is_usual(self, release: Release, state: State) -> tuple[Any, ...]:
         """Said while none of the wave has moved, by a leader that has looked on for long enough."""
@@ -298,7 +311,11 @@
         whole = sum_of(self.usual)
         if known or len(self.usual) < Both.LEAST or not whole.calls or self.moved(release, state):
             return ()
-        figures = (whole.firsts / len(self.usual), whole.bad_calls / whole.calls, whole.call_ms / whole.calls)
+        figures = (
+            whole.firsts / len(self.usual),
+            whole.bad_calls / whole.calls,
+            whole.call_ms / whole.calls,
+        )
         return ("usual", release.name, release.wave, figures)
 
     def harm(self, now: float, release: Release, state: State, trial: Trial) -> tuple[Any, ...]:
@@ -316,7 +333,8 @@
 
     def silence(self, now: float, name: str, release: Release, state: State, trial: Trial) -> str:
         """A sign by itself only where its neighbours are heard: else the zone is cut off, and nobody
-        knows."""
+        knows.
+        """
         member = state.members.get(name)
         if member is None or not member.against:
             trial.silent.pop(name, None)
@@ -324,7 +342,9 @@
         if now - trial.silent.setdefault(name, now) < self.SILENT_MS:
             return ""
         neighbours = [
-            each for each in state.members.values() if each.zone == member.zone and each.name != name
+            each
+            for each in state.members.values()
+            if each.zone == member.zone and each.name != name
         ]
         if not neighbours or any(each.against == SILENT for each in neighbours):
             return ""
@@ -342,7 +362,9 @@
         took = now - trial.soak.since
         if took < release.soak_ms:
             return ()
-        wave = [state.members[name] for name in release.waves[release.wave] if name in state.members]
+        wave = [
+            state.members[name] for name in release.waves[release.wave] if name in state.members
+        ]
         if release.slot == BUDGETS or (wave and all(each.voter for each in wave)):
             return (
                 "soaked",
--- a/pumicenotch/fleet/waves.py
+++ b/pumicenotch/fleet/waves.py
@@ -8,21 +8,30 @@
 
 
 def waves_of(
-    members: list[Member], *, shares: tuple[float, ...] = (0.34, 1.0), mixed: bool = False, order: str = "",
-) -> tuple[tuple[str, ...], ...]:  # fmt: skip
+    members: list[Member],
+    *,
+    shares: tuple[float, ...] = (0.34, 1.0),
+    mixed: bool = False,
+    order: str = "",
+) -> tuple[tuple[str, ...], ...]:
     """One node, then one of each zone, then rising shares of each zone and cell; voters last, one a wave.
-    `order` is "below-first" or "callers-first", as the compatibility of services with their callers asks."""
+    `order` is "below-first" or "callers-first", as the compatibility of services with their callers asks.
+    """
     found: list[tuple[str, ...]] = []
     below = [each for each in members if each.serves and not each.voter]
     others = [each for each in members if not each.serves and not each.voter]
-    parts = {"below-first": [below, others], "callers-first": [others, below]}.get(order, [below + others])
+    parts = {"below-first": [below, others], "callers-first": [others, below]}.get(
+        order, [below + others]
+    )
     for part in parts:
         found += list(part_waves(sorted(part), shares, mixed))
     found += [(each.name,) for each in sorted(members) if each.voter]
     return tuple(found)
 
 
-def part_waves(part: list[Member], shares: tuple[float, ...], mixed: bool) -> Iterator[tuple[str, ...]]:
+def part_waves(
+    part: list[Member], shares: tuple[float, ...], mixed: bool
+) -> Iterator[tuple[str, ...]]:
     left: dict[tuple[str, str], list[str]] = {}
     for each in part:
         left.setdefault((each.zone, each.cell), []).append(each.name)
@@ -38,7 +47,9 @@
             some, left[place] = left[place][:many], left[place][many:]
             if some:
                 taken.append(tuple(some))
-        if mixed and taken:  # zones in turn: one that waits for its own bars whoever stands behind it
+        if (
+            mixed and taken
+        ):  # zones in turn: one that waits for its own bars whoever stands behind it
             yield tuple(one for some in zip_longest(*taken) for one in some if one is not None)
         elif not mixed:
             yield from taken
@@ -47,4 +58,6 @@
     seen = {place[0] for place in left if len(left[place]) < whole[place]}
     yield from wave({zones[zone]: 1 for zone in sorted(zones) if zone not in seen})
     for share in shares:
-        yield from wave({at: max(0, ceil(share * whole[at]) - (whole[at] - len(left[at]))) for at in left})
+        yield from wave(
+            {at: max(0, ceil(share * whole[at]) - (whole[at] - len(left[at]))) for at in left}
+        )
--- a/pumicenotch/interface.py
+++ b/pumicenotch/interface.py
@@ -108,10 +108,18 @@
     def lane(self, stage: int) -> int: ...
 
     def read(
-        self, now: float, lane: int, tenant: int, caller: int, again: bool, mark: int, waited_ms: float
+        self,
+        now: float,
+        lane: int,
+        tenant: int,
+        caller: int,
+        again: bool,
+        mark: int,
+        waited_ms: float,
     ) -> tuple[float, bool]:
         """A first try of a task was read: the part of the usual wait that it may hope for, and whether it is
-        taken for a repeated attempt."""
+        taken for a repeated attempt.
+        """
 
     def place(
         self,
@@ -125,7 +133,8 @@
     ) -> tuple[int, float, float, bool]:
         """A first try asks for a place, maybe beyond its tenant's share, while tasks wait in those lanes: its
         lane, the places that lane comes to, the time that each is held, and whether one is free where the
-        total has room."""
+        total has room.
+        """
 
     def spent(self, tenant: int, caller: int) -> None:
         """A repeat was let in though no place was free."""
--- a/pumicenotch/lab/agreeing.py
+++ b/pumicenotch/lab/agreeing.py
@@ -2,7 +2,8 @@
 that are late, lost or come twice, stops and restarts. Everything that is decided is decided by `agree/`.
 
 Time is left out on purpose: any voter may run out of patience at any moment, and forget that it heard a
-leader. What holds here holds whatever clocks do."""
+leader. What holds here holds whatever clocks do.
+"""
 
 import argparse
 from collections.abc import Iterator
@@ -20,7 +21,7 @@
     Send,
     Store,
     Vote,
-)  # fmt: skip
+)
 from pumicenotch.agree.voter import LEADER, Voter
 from pumicenotch.lab.explore import Explorer
 
@@ -41,7 +42,9 @@
     wire: frozenset[Letter]
     agreed: tuple[Entry, ...]  # by anyone, ever
     led: frozenset[tuple[int, str]]
-    asked: tuple[tuple[str, int], ...]  # open reads: at whom, and how much was agreed when it was asked
+    asked: tuple[
+        tuple[str, int], ...
+    ]  # open reads: at whom, and how much was agreed when it was asked
     left: tuple[int, ...]  # of each bound, as `Bounds` names them
     bad: str = ""
 
@@ -65,21 +68,35 @@
         *(getattr(voter, name) for name in KEPT + PLAIN),
         *(tuple(sorted(getattr(voter, name).items())) for name in TABLES),
         (log.seats_at_base, log.base, log.base_term, log.state, tuple(log.entries)),
-        frozenset(voter.votes), tuple(voter.reads), voter.heard_at == 0.0,
-    )  # fmt: skip
+        frozenset(voter.votes),
+        tuple(voter.reads),
+        voter.heard_at == 0.0,
+    )
 
 
 class Agreement:
     """`voter` is the class that decides; `cut` are pairs between which nothing comes through."""
 
     def __init__(
-        self, names: list[str], seats: Seats, bounds: Bounds, *, voter: type[Voter] = Voter,
-        cut: frozenset[tuple[str, str]] = frozenset(), changes: tuple[Seats, ...] = (),
-        patient: frozenset[str] = frozenset(), narrow: bool = False,
-    ) -> None:  # fmt: skip
+        self,
+        names: list[str],
+        seats: Seats,
+        bounds: Bounds,
+        *,
+        voter: type[Voter] = Voter,
+        cut: frozenset[tuple[str, str]] = frozenset(),
+        changes: tuple[Seats, ...] = (),
+        patient: frozenset[str] = frozenset(),
+        narrow: bool = False,
+    ) -> None:
         self.names, self.seats, self.bounds, self.voter, self.cut = names, seats, bounds, voter, cut
-        self.changes, self.patient = changes, patient  # the patient never run for an election by themselves
-        self.narrow = narrow  # of one kind only the latest is on its way between two: the older is lost
+        self.changes, self.patient = (
+            changes,
+            patient,
+        )  # the patient never run for an election by themselves
+        self.narrow = (
+            narrow  # of one kind only the latest is on its way between two: the older is lost
+        )
 
     def new(self, name: str) -> Voter:
         return self.voter(name, 0.0, self.seats, lambda low, high: low)
@@ -133,11 +150,16 @@
             if forgets:
                 yield (
                     f"{what}, long after it heard a leader",
-                    self.stepped(gone, at, "message", letter.sender, letter.message, heard_at=NEVER),
+                    self.stepped(
+                        gone, at, "message", letter.sender, letter.message, heard_at=NEVER
+                    ),
                 )
             if left.copies:
                 kept = self.spent(state, left, "copies")
-                yield f"{what}, and a copy", self.stepped(kept, at, "message", letter.sender, letter.message)
+                yield (
+                    f"{what}, and a copy",
+                    self.stepped(kept, at, "message", letter.sender, letter.message),
+                )
         for at, name in enumerate(self.names):
             yield from self.moves(state, left, at, name)
 
@@ -158,14 +180,20 @@
         if left.reads:
             spent = self.spent(state, left, "reads")
             asked = spent._replace(asked=(*state.asked, (name, len(state.agreed))))
-            yield f"{name} is asked for a read", self.stepped(asked, at, "read", len(asked.asked) - 1)
+            yield (
+                f"{name} is asked for a read",
+                self.stepped(asked, at, "read", len(asked.asked) - 1),
+            )
         if left.hand_overs:
             spent = self.spent(state, left, "hand_overs")
             yield f"{name} hands over", self.stepped(spent, at, "hand_over", "")
         if left.changes:
             spent = self.spent(state, left, "changes")
             for seats in self.changes:
-                yield f"{name} wants the seats {seats.voters}", self.stepped(spent, at, "change", seats)
+                yield (
+                    f"{name} wants the seats {seats.voters}",
+                    self.stepped(spent, at, "change", seats),
+                )
         if left.snapshots:
             voter = self.thawed(state, at)
             if voter.log.base < voter.commit:
@@ -185,7 +213,12 @@
     def restarted(self, state: State, at: int) -> State:
         """What was stored is there again, and nothing else."""
         old, voter = self.thawed(state, at), self.new(self.names[at])
-        voter.term, voter.voted, voter.log, voter.commit = old.term, old.voted, old.log, old.log.base
+        voter.term, voter.voted, voter.log, voter.commit = (
+            old.term,
+            old.voted,
+            old.log,
+            old.log.base,
+        )
         reads = tuple(read for read in state.asked if read[0] != voter.me)
         return self.put(state, at, voter)._replace(asked=reads if not state.asked else state.asked)
 
@@ -195,7 +228,12 @@
         voter = self.thawed(state, at)
         if heard_at is not None:
             voter.heard_at = heard_at
-        todo, wire, agreed, bad = voter.step(0.0, name, *details), set(state.wire), list(state.agreed), ""
+        todo, wire, agreed, bad = (
+            voter.step(0.0, name, *details),
+            set(state.wire),
+            list(state.agreed),
+            "",
+        )
         while todo:
             effect = todo.pop(0)
             match effect:
@@ -203,8 +241,12 @@
                     todo += voter.step(0.0, "stored", serial)
                 case Send(to, message) if to in self.names and (voter.me, to) not in self.cut:
                     if self.narrow:
-                        wire = {each for each in wire if (each.sender, each.to, type(each.message)) != (
-                            voter.me, to, type(message))}  # fmt: skip
+                        wire = {
+                            each
+                            for each in wire
+                            if (each.sender, each.to, type(each.message))
+                            != (voter.me, to, type(message))
+                        }
                     wire.add(Letter(voter.me, to, message))
                 case Commit(index, entry):
                     if index <= len(agreed) and agreed[index - 1] != entry:
@@ -214,12 +256,14 @@
                     elif index > len(agreed):
                         bad = f"{voter.me} skips to {index}"
                 case Readable(key, index) if index < state.asked[key][1]:
-                    bad = (
-                        f"stale read: {voter.me} reads as of {index}, {state.asked[key][1]} was agreed before"
-                    )
-        new = self.put(state, at, voter)._replace(wire=frozenset(wire), agreed=tuple(agreed), bad=bad)
+                    bad = f"stale read: {voter.me} reads as of {index}, {state.asked[key][1]} was agreed before"
+        new = self.put(state, at, voter)._replace(
+            wire=frozenset(wire), agreed=tuple(agreed), bad=bad
+        )
         if voter.role == LEADER and (voter.term, voter.me) not in state.led:
-            new = new._replace(led=new.led | {(voter.term, voter.me)}, bad=bad or self.unfit(state, voter))
+            new = new._replace(
+                led=new.led | {(voter.term, voter.me)}, bad=bad or self.unfit(state, voter)
+            )
         return new
 
     @staticmethod
@@ -261,12 +305,13 @@
     ("reads", Bounds(timeouts=3, proposals=1, reads=2)),
     ("changes of seats", Bounds(timeouts=3, proposals=1, changes=2)),
     ("snapshots and hand-over", Bounds(timeouts=3, proposals=1, snapshots=1, hand_overs=1)),
-)  # fmt: skip
+)
 
 
 def three(bounds: Bounds, narrow: bool = False) -> Agreement:
     """Three voters, or a fourth for changes; `a/1` leads in term 1 to begin with. Narrow goes deeper: one of
-    them never runs for an election by itself, and of one kind only the latest letter is on its way."""
+    them never runs for an election by itself, and of one kind only the latest letter is on its way.
+    """
     names = list(SEATS.voters) + (["d/1"] if bounds.changes else [])
     changes = (Seats((*SEATS.voters, "d/1")), Seats(("b/1", "c/1")))
     patient = frozenset(SEATS.voters[-1:] if narrow else ())
@@ -280,8 +325,10 @@
 
 def led(model: Agreement) -> State:
     """Its first voter leads in term 1, and the others have its first entry, agreed."""
-    followers = {name: {"term": 1, "voted": model.names[0], "entries": (ROOT,), "commit": 1}
-                 for name in model.seats.voters}  # fmt: skip
+    followers = {
+        name: {"term": 1, "voted": model.names[0], "entries": (ROOT,), "commit": 1}
+        for name in model.seats.voters
+    }
     numbers = dict.fromkeys(model.seats.voters, 1)
     leads = {"role": LEADER, "next": dict.fromkeys(model.seats.voters, 2), "match": numbers}
     followers[model.names[0]] |= leads
@@ -291,7 +338,9 @@
 def main() -> None:
     parser = argparse.ArgumentParser(description="The long form of the checks on agreement.")
     parser.add_argument("--most", type=int, default=1_000_000, help="states for each of the models")
-    parser.add_argument("--narrow", action="store_true", help="deeper, with fewer orders of the letters")
+    parser.add_argument(
+        "--narrow", action="store_true", help="deeper, with fewer orders of the letters"
+    )
     parser.add_argument("--walks", type=int, default=0, help="walks by chance for each, instead")
     told = parser.parse_args()
     for name, bounds in LONG:
--- a/pumicenotch/lab/attempt.py
+++ b/pumicenotch/lab/attempt.py
@@ -10,7 +10,9 @@
 
     __slots__ = ("again", "number", "rid", "sent", "server", "settled", "task", "wire")
 
-    def __init__(self, rid: str, task: Arrival, server: int, number: int, again: bool, sent: float) -> None:
+    def __init__(
+        self, rid: str, task: Arrival, server: int, number: int, again: bool, sent: float
+    ) -> None:
         self.rid, self.task, self.server, self.number = rid, task, server, number
         self.again, self.sent, self.settled = again, sent, False
         self.wire: Any = None  # where the carrier has it
--- a/pumicenotch/lab/clients.py
+++ b/pumicenotch/lab/clients.py
@@ -54,7 +54,9 @@
         chance = random.Random(seed ^ 0x5EED)
         self.spread = chance.uniform
         self.servers = world.routers or world.servers  # what the gateways see of the world
-        self.gateways = [Gateway(chance.random() < each.heeds, self.servers) for each in self.habits]
+        self.gateways = [
+            Gateway(chance.random() < each.heeds, self.servers) for each in self.habits
+        ]
         self.rids = chance.getrandbits
         self.open = 0
 
@@ -66,7 +68,9 @@
 
     def attempt(self, now: float, task: Arrival, number: int, before: int | None) -> None:
         gateway = self.gateways[task.gateway]
-        server = before if before is not None and self.habits[task.gateway].server == "same" else None
+        server = (
+            before if before is not None and self.habits[task.gateway].server == "same" else None
+        )
         if server is None:
             server = self.choose(now, gateway, before)
         marked = number > 1 and self.habits[task.gateway].marks
@@ -91,27 +95,42 @@
             self.wire.cancel(now, sent)
             self.over(now, sent, "late")
 
-    def answered(self, now: float, sent: Attempt, kind: str, body: bytes = b"", stay_away_ms: float = 0.0,
-                 last: bool = False) -> None:  # fmt: skip
+    def answered(
+        self,
+        now: float,
+        sent: Attempt,
+        kind: str,
+        body: bytes = b"",
+        stay_away_ms: float = 0.0,
+        last: bool = False,
+    ) -> None:
         """The wire brought an answer: `served`, `rejected`, `failed`; or `lost` with the connection, or
-        `refused` before one was made."""
+        `refused` before one was made.
+        """
         self.ledger.answered(now, sent, kind, body)
         if sent.settled:
             return
         sent.settled = True
         stage, habit = self.world.stage[sent.task.stage], self.habits[sent.task.gateway]
         gateway = self.gateways[sent.task.gateway]
-        pause = habit.pause_ms * 2.0 ** min(sent.number - 1, self.MOST_DOUBLINGS) * self.spread(0.5, 1.0)
+        pause = (
+            habit.pause_ms
+            * 2.0 ** min(sent.number - 1, self.MOST_DOUBLINGS)
+            * self.spread(0.5, 1.0)
+        )
         if gateway.heeds:
             gateway.away[sent.server] = max(gateway.away[sent.server], now + stay_away_ms)
             if last and self.servers > 1 and habit.server == "next":
                 pause = float("inf")
             elif habit.server == "same" or self.servers == 1:
                 pause = max(pause, stay_away_ms)
-        again = kind in ("rejected", "refused") or (kind == "lost" and stage.effect != "side-effecting")
+        again = kind in ("rejected", "refused") or (
+            kind == "lost" and stage.effect != "side-effecting"
+        )
         if again and sent.number < habit.tries and now + pause < sent.task.at + stage.limit_ms:
             self.wire.at(
-                now + pause, lambda then: self.attempt(then, sent.task, sent.number + 1, sent.server)
+                now + pause,
+                lambda then: self.attempt(then, sent.task, sent.number + 1, sent.server),
             )
         else:
             self.over(now, sent, kind)
--- a/pumicenotch/lab/configuration_judge.py
+++ b/pumicenotch/lab/configuration_judge.py
@@ -8,9 +8,7 @@
 
 from pumicenotch.lab.publisher import Published
 
-SETTLED_S = (
-    10.0  # a publication that is asked for so soon after an instance's start or a heal is its return's
-)
+SETTLED_S = 10.0  # a publication that is asked for so soon after an instance's start or a heal is its return's
 WINDOW_S = 10.0  # an instance cut off or stopped so soon after a publication need not have it
 
 Life = tuple[int, int]  # number and generation
@@ -32,7 +30,9 @@
 class ConfigurationJudge:
     def __init__(self) -> None:
         self.courses: dict[Life, Course] = {}
-        self.cuts: list[tuple[float, float, frozenset[int]]] = []  # from, to, numbers of those cut off
+        self.cuts: list[
+            tuple[float, float, frozenset[int]]
+        ] = []  # from, to, numbers of those cut off
         self.mixed: list[list[Any]] = []
         self.backward: list[list[Any]] = []
         self.checked = 0
@@ -58,10 +58,15 @@
 
     def serving(self, version: int) -> int:
         """How many that are up serve that version or a later one."""
-        return sum(bool(course.served) and course.served[-1][1] >= version
-                   for course in self.courses.values() if course.ended == float("inf"))  # fmt: skip
+        return sum(
+            bool(course.served) and course.served[-1][1] >= version
+            for course in self.courses.values()
+            if course.ended == float("inf")
+        )
 
-    def slow_returns(self, published: list[Published], more_than_s: float) -> list[tuple[int, int, float]]:
+    def slow_returns(
+        self, published: list[Published], more_than_s: float
+    ) -> list[tuple[int, int, float]]:
         """Number, generation and seconds of cold instances that took longer."""
         found = []
         for (number, generation), course in self.courses.items():
@@ -75,7 +80,8 @@
 
     def reachable(self, life: Life, course: Course, asked_at: float) -> bool:
         """Up and in touch from well before a publication until well after it. First lives are current before
-        the run begins."""
+        the run begins.
+        """
         number, generation = life
         settled = course.began + SETTLED_S if generation else course.began
         if settled > asked_at or course.ended < asked_at + WINDOW_S:
@@ -112,18 +118,22 @@
         return {
             "publications": float(len(published)),
             "in_force_pairs": float(len(delays)),
-            "in_force_p50_s": part_of(delays, 50), "in_force_p99_s": part_of(delays, 99),
+            "in_force_p50_s": part_of(delays, 50),
+            "in_force_p99_s": part_of(delays, 99),
             "in_force_longest_s": part_of(delays, 100),
             "never_in_force": float(sum(delay == float("inf") for delay in delays)),
             "publish_p50_ms": 1000.0 * part_of(agreed, 50),
             "publish_longest_ms": 1000.0 * part_of(agreed, 100),
-            "rejoin_cold": float(len(cold)), "rejoin_cold_longest_s": part_of(cold, 100),
-            "rejoin_healed": float(len(healed)), "rejoin_healed_longest_s": part_of(healed, 100),
-            "mixed": float(len(self.mixed)), "backward": float(len(self.backward)),
+            "rejoin_cold": float(len(cold)),
+            "rejoin_cold_longest_s": part_of(cold, 100),
+            "rejoin_healed": float(len(healed)),
+            "rejoin_healed_longest_s": part_of(healed, 100),
+            "mixed": float(len(self.mixed)),
+            "backward": float(len(self.backward)),
             "scopes_checked": float(self.checked),
             "lost": float(sum(not good for good in self.verified.values())),
             "verified": float(len(self.verified)),
-        }  # fmt: skip
+        }
 
 
 def newest(published: list[Published], at: float) -> int:
--- a/pumicenotch/lab/configuration_observer.py
+++ b/pumicenotch/lab/configuration_observer.py
@@ -1,5 +1,6 @@
 """Looks, in a process of hollow instances, at what each serves of the configuration, and holds it against the
-record of what was published: never at what an instance says of itself."""
+record of what was published: never at what an instance says of itself.
+"""
 
 import time
 from collections.abc import Mapping
@@ -32,7 +33,9 @@
 class Observer:
     def __init__(self, journal: Path) -> None:
         self.record = Reader(journal)
-        self.unread: list[tuple[Watched, int, Served]] = []  # served before the record of it was read
+        self.unread: list[
+            tuple[Watched, int, Served]
+        ] = []  # served before the record of it was read
         self.cpu_s = 0.0  # spent on looking, which no server would
         self.begin()
 
@@ -51,7 +54,9 @@
             self.backward.append([watched.number, before, view.version])
         watched.view = view
         if view.version:
-            self.switches.append([watched.number, watched.generation, view.version, time.monotonic()])
+            self.switches.append(
+                [watched.number, watched.generation, view.version, time.monotonic()]
+            )
             self.unread.append((watched, before, view))
 
     def check(self) -> None:
@@ -75,7 +80,9 @@
     def check_scopes(self, watched: Watched, view: Served, scopes: set[ScopeName]) -> None:
         for table, scope in scopes:
             self.checked += 1
-            if digest_of(view.scope(table, scope)) != self.record.digest((table, scope), view.version):
+            if digest_of(view.scope(table, scope)) != self.record.digest(
+                (table, scope), view.version
+            ):
                 self.mixed.append([watched.number, view.version, table, scope])
 
     def verify(self, watched: Watched) -> bool:
--- a/pumicenotch/lab/configuration_run.py
+++ b/pumicenotch/lab/configuration_run.py
@@ -24,7 +24,13 @@
 
 class ConfigurationRun:
     def __init__(
-        self, configuration: Configuration, zones: int, seed: int, folder: Path, crew: Crew, note: Note
+        self,
+        configuration: Configuration,
+        zones: int,
+        seed: int,
+        folder: Path,
+        crew: Crew,
+        note: Note,
     ) -> None:
         self.configuration, self.folder = configuration, folder
         self.journal = folder / "published.jsonl"
@@ -88,10 +94,13 @@
         self.publisher.writer.close()
         for number, generation, took in self.judge.slow_returns(self.publisher.published, SLOW_S):
             self.note(
-                time.monotonic(), "slow_return", {"number": number, "generation": generation, "took": took}
+                time.monotonic(),
+                "slow_return",
+                {"number": number, "generation": generation, "took": took},
             )
         return {
             "records": float(self.configuration.tenants + self.configuration.routes),
-            "initial_load_s": round(self.load_s, 2), "initial_current_s": round(self.current_s, 2),
+            "initial_load_s": round(self.load_s, 2),
+            "initial_current_s": round(self.current_s, 2),
             **self.judge.figures(self.publisher.published),
-        }  # fmt: skip
+        }
--- a/pumicenotch/lab/control_plane.py
+++ b/pumicenotch/lab/control_plane.py
@@ -1,5 +1,6 @@
 """The control plane of a run on loopback: it makes cell maps, writes them to nodes and routers, and reads in
-their logs that they are in force."""
+their logs that they are in force.
+"""
 
 import asyncio
 import signal
@@ -47,7 +48,9 @@
         """Nodes listen where the system let them: known once they have started."""
         at = {f"n{node.number}": "{}:{}".format(*node.address) for node in self.nodes}
         cells = {
-            name: cell._replace(nodes=tuple(node._replace(address=at[node.name]) for node in cell.nodes))
+            name: cell._replace(
+                nodes=tuple(node._replace(address=at[node.name]) for node in cell.nodes)
+            )
             for name, cell in self.map.cells.items()
         }
         self.map = self.map._replace(cells=cells)
--- a/pumicenotch/lab/cores.py
+++ b/pumicenotch/lab/cores.py
@@ -1,5 +1,6 @@
 """A worker pool's cores, without I/O or clock: runs share them evenly, and lose speed to each other in a
-crowd."""
+crowd.
+"""
 
 from hashlib import blake2b
 from math import exp
@@ -56,14 +57,18 @@
         while self.at < now:
             on = self.on(self.at)
             rate = self.rate(len(on))
-            until = min([now, *(run.disk_until for run in self.runs.values() if self.at < run.disk_until)])
+            until = min(
+                [now, *(run.disk_until for run in self.runs.values() if self.at < run.disk_until)]
+            )
             if rate > 0.0:
                 until = min(until, self.at + min(run.left for run in on) / rate)
             until = max(until, self.at + 1e-3)
             for run in on:
                 run.left -= rate * (until - self.at)
             self.busy_ms += min(len(on), self.cores) * (until - self.at)
-            self.crowd += (1.0 - exp((self.at - until) / self.FALL_MS)) * (self.wanting() - self.crowd)
+            self.crowd += (1.0 - exp((self.at - until) / self.FALL_MS)) * (
+                self.wanting() - self.crowd
+            )
             self.fallen = self.fallen or self.crowd > self.FALL_MULTIPLE * self.cores
             self.at = until
             if any(run.left <= 1e-9 for run in on):
@@ -131,5 +136,7 @@
                     del self.cores.runs[run.name]
                     made = result(run.stage.name, run.task.body)
                     took = self.cores.at - run.began
-                    notices.append(self.note("finished", run.name, how="fine", duration=took, body=made))
+                    notices.append(
+                        self.note("finished", run.name, how="fine", duration=took, body=made)
+                    )
         return notices
--- a/pumicenotch/lab/crew.py
+++ b/pumicenotch/lab/crew.py
@@ -1,5 +1,6 @@
 """The processes of a fleet on loopback: voters and what makes a server a member, with a relay between them
-all."""
+all.
+"""
 
 import asyncio
 import contextlib
@@ -40,23 +41,33 @@
 
 class Crew:
     """`budgets` is HCL text of blocks; members by hand may stand there too. Where they are `direct`, no relay
-    is between the processes: it would carry more than one process can."""
+    is between the processes: it would carry more than one process can.
+    """
 
     def __init__(
-        self, folder: Path, seed: int, voters: int, zones: int, budgets: str, regions: int = 1,
+        self,
+        folder: Path,
+        seed: int,
+        voters: int,
+        zones: int,
+        budgets: str,
+        regions: int = 1,
         direct: bool = False,
-    ) -> None:  # fmt: skip
+    ) -> None:
         self.regions, self.direct = regions, direct
         self.folder, self.seed, self.zones, self.budgets = folder, seed, zones, budgets
         self.relay = Relay(seed)
-        self.ip = f"127.{64 + os.getpid() // 250 % 128}.{os.getpid() % 250 + 1}.{next(NUMBERS) % 250 + 1}"
+        self.ip = (
+            f"127.{64 + os.getpid() // 250 % 128}.{os.getpid() % 250 + 1}.{next(NUMBERS) % 250 + 1}"
+        )
         self.ports: dict[str, int] = {}
         self.turn = 0  # whom to ask first
         self.zone: dict[str, str] = {}
         self.voters = {
             name: Voter(name, f"z{at % zones}", folder / f"{name}.hcl")
-            for at in range(voters) if (name := f"v{at + 1}")
-        }  # fmt: skip
+            for at in range(voters)
+            if (name := f"v{at + 1}")
+        }
 
     # Addresses
 
@@ -86,7 +97,9 @@
     async def start(self) -> None:
         for voter in self.voters.values():
             await self.add(voter.name, voter.zone)
-        listed = "".join(f'voter "{name}" {{ address = "{self.shown(name)}" }}\n' for name in self.voters)
+        listed = "".join(
+            f'voter "{name}" {{ address = "{self.shown(name)}" }}\n' for name in self.voters
+        )
         for voter in self.voters.values():
             voter.path.write_text(
                 f'fleet = "{FLEET}"\nmember = "{voter.name}"\nlisten = "{self.real(voter.name)}"\n'
@@ -138,7 +151,9 @@
         host, _, port = self.real(name).rpartition(":")
         reader, writer = await asyncio.open_connection(host, int(port))
         try:
-            writer.write(msgpack.packb([2, "hello", [FLEET, "", "", ""]]) + msgpack.packb([0, 1, verb, args]))
+            writer.write(
+                msgpack.packb([2, "hello", [FLEET, "", "", ""]]) + msgpack.packb([0, 1, verb, args])
+            )
             unpacker = msgpack.Unpacker(max_buffer_size=8 * 1024 * 1024, strict_map_key=False)
             async with asyncio.timeout(ANSWER_S):
                 while data := await reader.read(65536):
--- a/pumicenotch/lab/draining.py
+++ b/pumicenotch/lab/draining.py
@@ -1,7 +1,8 @@
 """A model of drains for the checker: processes that ask, hear late or twice, crash, come back under their
 name as another life, and operators who halt, lower budgets and free permits. What is agreed is
 `fleet/state`; between the log and the processes everything may be late or come twice. Agreement itself is
-checked by `lab/agreeing`."""
+checked by `lab/agreeing`.
+"""
 
 import argparse
 from collections.abc import Iterator
@@ -69,7 +70,9 @@
 
     def first(self) -> State:
         made = self.type()
-        made.apply(1, ("begin", "f", ("v",), (Budget("zones", "zone", most_out=self.most_out),), ()))
+        made.apply(
+            1, ("begin", "f", ("v",), (Budget("zones", "zone", most_out=self.most_out),), ())
+        )
         for name in self.NAMES:
             made.apply(made.index + 1, ("join", member_fields(Member(name, "0", zone=name[0]))))
             made.apply(made.index + 1, ("serving", name, "0"))
@@ -78,8 +81,14 @@
 
     @staticmethod
     def frozen(made: Agreed) -> tuple[Any, ...]:
-        return (made.index, tuple(made.members.values()), made.budgets, tuple(made.queue),
-                tuple(made.permits.values()), tuple(made.halts.items()))  # fmt: skip
+        return (
+            made.index,
+            tuple(made.members.values()),
+            made.budgets,
+            tuple(made.queue),
+            tuple(made.permits.values()),
+            tuple(made.halts.items()),
+        )
 
     def thawed(self, state: State) -> Agreed:
         made = self.type()
@@ -113,12 +122,16 @@
             yield (
                 "resumed",
                 self.applied(
-                    state._replace(halted=False, after_halt=False), ("resume", "r", ("h",), "x", "op")
+                    state._replace(halted=False, after_halt=False),
+                    ("resume", "r", ("h",), "x", "op"),
                 ),
             )
         if left.lowers:
             lower = ("budget", "b", (Budget("zones", "zone", most_out=0),), "op")
-            yield "the budget is lowered to none", self.applied(self.spent(state, left, "lowers"), lower)
+            yield (
+                "the budget is lowered to none",
+                self.applied(self.spent(state, left, "lowers"), lower),
+            )
 
     def moves(
         self, state: State, left: Bounds, agreed: Agreed, at: int, name: str
@@ -127,7 +140,10 @@
         permit = agreed.permits.get(name)
         if left.asks and permit is None and all(each.name != name for each in agreed.queue):
             asks = ("drain", f"d{left.asks}", (name,), "x", "op")
-            yield f"a drain of {name} is asked for", self.applied(self.spent(state, left, "asks"), asks)
+            yield (
+                f"a drain of {name} is asked for",
+                self.applied(self.spent(state, left, "asks"), asks),
+            )
         if process.is_ == UP and permit is not None and permit.life == life and not process.away:
             began = Letter(("began", name, life, permit.epoch))
             if began not in state.letters:
@@ -139,10 +155,15 @@
                 self.applied(self.spent(state, left, "undrains"), undone),
             )
         if process.is_ == UP and left.pleas:
-            spent = self.posted(self.spent(state, left, "pleas"), Letter(("leaving", name, life, "term")))
+            spent = self.posted(
+                self.spent(state, left, "pleas"), Letter(("leaving", name, life, "term"))
+            )
             yield f"{name} is made to leave at once", self.process(spent, at, is_=GOES)
         if process.is_ == GOES:
-            yield f"{name} ends", self.posted(self.process(state, at, is_=GONE), Letter(("gone", name, life)))
+            yield (
+                f"{name} ends",
+                self.posted(self.process(state, at, is_=GONE), Letter(("gone", name, life))),
+            )
         if process.is_ != GONE and left.crashes:
             yield f"{name} crashes", self.process(self.spent(state, left, "crashes"), at, is_=GONE)
         if process.is_ == GONE and left.returns:
@@ -150,11 +171,17 @@
             spent = self.spent(state, left, "returns")
             up = self.process(spent, at, is_=UP, life=process.life + 1, away=False)
             joined = self.applied(up, ("join", member_fields(Member(name, new, zone=name[0]))))
-            yield f"{name} is back as another life", self.posted(joined, Letter(("serving", name, new)))
+            yield (
+                f"{name} is back as another life",
+                self.posted(joined, Letter(("serving", name, new))),
+            )
         if left.silences:  # an opinion: it may be wrong
             held = agreed.members[name]
             silent = ("against", name, held.life, "silent")
-            yield f"{name} is found silent", self.applied(self.spent(state, left, "silences"), silent)
+            yield (
+                f"{name} is found silent",
+                self.applied(self.spent(state, left, "silences"), silent),
+            )
 
     def arrives(self, state: State, letter: Letter) -> State:
         name = letter.entry[1]
@@ -196,14 +223,16 @@
 
     def wrong(self, state: State) -> str:
         """By what the processes do, not by what is agreed: never more of a zone away by permit than its
-        budget."""
+        budget.
+        """
         for zone in "ab":
-            away = [name for name, process in zip(self.NAMES, state.processes, strict=True)
-                    if process.away and name[0] == zone]  # fmt: skip
+            away = [
+                name
+                for name, process in zip(self.NAMES, state.processes, strict=True)
+                if process.away and name[0] == zone
+            ]
             if len(away) > self.most_out:
-                return (
-                    f"{' and '.join(away)} are away by permit: at most {self.most_out} of zone {zone} may be"
-                )
+                return f"{' and '.join(away)} are away by permit: at most {self.most_out} of zone {zone} may be"
         if state.after_halt:
             return "a drain began after the halt was agreed"
         return ""
--- a/pumicenotch/lab/emulated_pool.py
+++ b/pumicenotch/lab/emulated_pool.py
@@ -1,5 +1,6 @@
 """The worker pools of a run on loopback: they answer their servers' commands and run tasks on emulated
-cores."""
+cores.
+"""
 
 from typing import Any
 
--- a/pumicenotch/lab/experiment.py
+++ b/pumicenotch/lab/experiment.py
@@ -28,7 +28,12 @@
     """What one run of one arm gave."""
 
     def __init__(
-        self, arm: str, seed: int, found: dict[str, float], ledger: Ledger, rows: list[dict[str, Any]]
+        self,
+        arm: str,
+        seed: int,
+        found: dict[str, float],
+        ledger: Ledger,
+        rows: list[dict[str, Any]],
     ):
         self.arm, self.seed, self.figures, self.rows = arm, seed, found, rows
         self.rules = ledger.rules()
@@ -52,12 +57,16 @@
         from pumicenotch.lab.server_process import Launch
 
         config = str(path.parent / arm.pools) if arm.pools else ""
-        launch = Launch("pumicenotch.lab.plain" if arm.decides == "plain" else "pumicenotch", config)
+        launch = Launch(
+            "pumicenotch.lab.plain" if arm.decides == "plain" else "pumicenotch", config
+        )
         kept = Path(folder) / f"{name}-{seed}" if folder else None
         if told.agents:
             from pumicenotch.lab.releaserun import ReleaseRun
 
-            on_sockets = run(told, seed, launch, kept, carrier=partial(ReleaseRun, releases=arm.releases))
+            on_sockets = run(
+                told, seed, launch, kept, carrier=partial(ReleaseRun, releases=arm.releases)
+            )
         elif told.voters:
             from pumicenotch.lab.fleetrun import FleetRun
 
@@ -113,7 +122,8 @@
 def end_workers(pool: ProcessPoolExecutor) -> None:
     """By a signal of their own, upon which each stops what it has started: one sent to this process alone, or
     another run's failure, would leave them at work to their end. Again and again: one that comes between two
-    runs of a worker may be lost, and within a run only the first counts."""
+    runs of a worker may be lost, and within a run only the first counts.
+    """
     processes = list((pool._processes or {}).values())
     until = time.monotonic() + ENDED_S
     while alive := [process for process in processes if process.is_alive()]:
--- a/pumicenotch/lab/experiment_file.py
+++ b/pumicenotch/lab/experiment_file.py
@@ -20,10 +20,14 @@
     name: str
     decides: Literal["today", "plain"] = "today"
     pools: str = ""  # a file of ours, beside the experiment's
-    drains: Literal["none", "alone", "agreed"] = "agreed"  # of a fleet: what becomes of its `drain_all`
+    drains: Literal["none", "alone", "agreed"] = (
+        "agreed"  # of a fleet: what becomes of its `drain_all`
+    )
     releases: Literal["none", "good", "bad-class", "crash-loop", "kills-below"] = "none"
     hollow: bool = True  # whether the world's hollow instances are there
-    configuration: Literal["none", "changes", "whole"] = "none"  # how they get what the world publishes
+    configuration: Literal["none", "changes", "whole"] = (
+        "none"  # how they get what the world publishes
+    )
     records: Annotated[float, Field(gt=0.0, le=1.0)] = 1.0  # part of the world's tenants and routes
     length_s: Annotated[float, Field(gt=1.0)] | None = None  # where it ends sooner than the others
 
@@ -53,8 +57,12 @@
     arm: tuple[Arm, ...]
     bound: tuple[Bound, ...] = ()
     seed: Annotated[int, Field(ge=0)] = 1
-    seeds: Annotated[int, Field(ge=1, le=1000)] = 1  # runs of each arm, by seeds that follow each other
-    seconds: Annotated[float, Field(gt=1.0, le=86400.0)] | None = None  # another length, its faults in scale
+    seeds: Annotated[int, Field(ge=1, le=1000)] = (
+        1  # runs of each arm, by seeds that follow each other
+    )
+    seconds: Annotated[float, Field(gt=1.0, le=86400.0)] | None = (
+        None  # another length, its faults in scale
+    )
 
     @model_validator(mode="before")
     @classmethod
@@ -63,20 +71,30 @@
         if not isinstance(told, dict):
             return told
         seconds, length = told.get("seconds"), told.get("length_s", 60.0)
-        if not isinstance(seconds, int | float) or not isinstance(length, int | float) or length <= 0:
+        if (
+            not isinstance(seconds, int | float)
+            or not isinstance(length, int | float)
+            or length <= 0
+        ):
             return told
         factor = seconds / length
 
         def scaled(block: Any, *names: str) -> Any:
-            times = {name: round(block[name] * factor, 3) for name in names
-                     if isinstance(block.get(name), int | float)}  # fmt: skip
+            times = {
+                name: round(block[name] * factor, 3)
+                for name in names
+                if isinstance(block.get(name), int | float)
+            }
             return {**block, **times}
 
         return {
-            **scaled(told, "warm_s"), "length_s": seconds,
-            "fault": [scaled({"for_s": 1.0, **fault}, "at_s", "for_s") for fault in told.get("fault", ())],
+            **scaled(told, "warm_s"),
+            "length_s": seconds,
+            "fault": [
+                scaled({"for_s": 1.0, **fault}, "at_s", "for_s") for fault in told.get("fault", ())
+            ],
             "arm": [scaled(arm, "length_s") for arm in told.get("arm", ())],
-        }  # fmt: skip
+        }
 
     @model_validator(mode="after")
     def fits(self) -> "Experiment":
@@ -84,7 +102,9 @@
         for bound in self.bound:
             for name in (bound.arm, bound.than):
                 if name is not None and name not in arms:
-                    raise ValueError(f"bound on {bound.figure}: no arm {name!r}; arms: {', '.join(arms)}")
+                    raise ValueError(
+                        f"bound on {bound.figure}: no arm {name!r}; arms: {', '.join(arms)}"
+                    )
         stages = [stage.name for stage in self.stage]
         for phase in self.phase:
             for name in phase.shares:
@@ -99,7 +119,9 @@
         if self.routers and self.voters:
             raise ValueError("voters: of a fleet without routers only")
         if self.cells > self.servers:
-            raise ValueError(f"cells: {self.cells} of {self.servers} servers: one server each at the least")
+            raise ValueError(
+                f"cells: {self.cells} of {self.servers} servers: one server each at the least"
+            )
         for fault in self.fault:
             if fault.server >= (self.routers if fault.kind == "kill_router" else self.servers):
                 raise ValueError(
@@ -111,17 +133,24 @@
                 raise ValueError(f"fault {fault.kind}: needs voters")
             if fault.kind == "move" and not self.routers:
                 raise ValueError("fault move: needs routers")
-            if fault.kind in ("lose", "cut_region", "replace", "kill_relays") and self.hollow is None:
+            if (
+                fault.kind in ("lose", "cut_region", "replace", "kill_relays")
+                and self.hollow is None
+            ):
                 raise ValueError(f"fault {fault.kind}: needs a block hollow")
             if fault.kind == "link" and self.hollow is not None:
-                raise ValueError(f"fault {fault.kind}: no relay carries a fleet with hollow instances")
+                raise ValueError(
+                    f"fault {fault.kind}: no relay carries a fleet with hollow instances"
+                )
         if self.hollow is not None and (not self.voters or self.agents):
             raise ValueError("hollow: needs voters, and servers without agents")
         if self.hollow is not None:
             self.check_places()
         for arm in self.arm:
             if arm.configuration != "none" and (self.configuration is None or self.hollow is None):
-                raise ValueError(f"arm {arm.name}: configuration: needs blocks configuration and hollow")
+                raise ValueError(
+                    f"arm {arm.name}: configuration: needs blocks configuration and hollow"
+                )
         return self
 
     def check_places(self) -> None:
@@ -137,15 +166,20 @@
                 raise ValueError(f"{place}: no zone {fault.zone!r}; zones: z0 to z{self.zones - 1}")
             if fault.kind == "cut_zone" and fault.zone not in free_zones:
                 allowed = ", ".join(sorted(free_zones, key=lambda zone: int(zone[1:]))) or "none"
-                raise ValueError(f"{place}: zone {fault.zone!r}: zones without real members: {allowed}")
+                raise ValueError(
+                    f"{place}: zone {fault.zone!r}: zones without real members: {allowed}"
+                )
             if fault.kind == "cut_region" and fault.region not in free_regions:
                 allowed = ", ".join(free_regions) or "none"
-                raise ValueError(f"{place}: region {fault.region!r}: regions without real members: {allowed}")
+                raise ValueError(
+                    f"{place}: region {fault.region!r}: regions without real members: {allowed}"
+                )
 
 
 def assign(whole: Block, name: str, sets: Iterable[str]) -> None:
     """Puts `K=V` in the place of what the file says: `load=1.2`, `gateways.tries=10` (every such block),
-    `stage.bake.work_ms=900` (the block of that name)."""
+    `stage.bake.work_ms=900` (the block of that name).
+    """
     for text in sets:
         path, equals, told = text.partition("=")
         if not equals or not path:
@@ -159,7 +193,9 @@
         if blocks:
             kind, *label = blocks
             found = [
-                each for each in whole.blocks if each.kind == kind and (not label or each.labels == label)
+                each
+                for each in whole.blocks
+                if each.kind == kind and (not label or each.labels == label)
             ]
             if not found and not label:
                 whole.blocks.append(Block(kind, [], 1))
@@ -204,7 +240,8 @@
 def blocks(path: Path, depth: int = 0) -> Block:
     """A file's blocks. One that is `like` another takes from it what it does not say itself: each attribute,
     and each kind of block as a whole (those of `keep` beside its own); `set` changes single values, as
-    `--set` does."""
+    `--set` does.
+    """
     try:
         whole = parse(path.read_text(encoding="utf-8"), str(path))
     except (OSError, UnicodeDecodeError) as error:
@@ -214,7 +251,9 @@
     other, line = whole.attributes.pop("like")
     base = path.parent / str(other)
     if depth >= 4 or not base.is_file():
-        raise BadFile(f"{path}:{line}: like: {other!r} is no file beside it, or they go in a circle")
+        raise BadFile(
+            f"{path}:{line}: like: {other!r} is no file beside it, or they go in a circle"
+        )
     under = blocks(base, depth + 1)
     kept, line = whole.attributes.pop("keep", ([], 1))
     if not isinstance(kept, list):
--- a/pumicenotch/lab/experiment_results.py
+++ b/pumicenotch/lab/experiment_results.py
@@ -20,7 +20,15 @@
 def commit() -> str:
     """The commit that is measured, marked where files differ from it."""
     try:
-        command = ["git", "-C", str(Path(__file__).parent), "describe", "--always", "--dirty", "--abbrev=12"]
+        command = [
+            "git",
+            "-C",
+            str(Path(__file__).parent),
+            "describe",
+            "--always",
+            "--dirty",
+            "--abbrev=12",
+        ]
         return subprocess.run(command, capture_output=True, text=True, check=True).stdout.strip()
     except (OSError, subprocess.CalledProcessError):
         return "unknown"
@@ -34,8 +42,13 @@
     for arm in told.arm:
         mine = [run.figures for run in found if run.arm == arm.name]
         if mine:
-            arms[arm.name] = {figure: round(mean(each[figure] for each in mine), 4) for figure in mine[0]}
-    rules = {rule: sum(run.rules[rule] for run in found) for rule in ("lost", "doubled", "drain", "fallen")}
+            arms[arm.name] = {
+                figure: round(mean(each[figure] for each in mine), 4) for figure in mine[0]
+            }
+    rules = {
+        rule: sum(run.rules[rule] for run in found)
+        for rule in ("lost", "doubled", "drain", "fallen")
+    }
     return {
         "form": FORM,
         "experiment": name,
@@ -51,7 +64,9 @@
         "rules": rules,
         "broken": [text for run in found for text in run.broken][:40],
         "verdict": verdict(told, found, rules),
-        "runs": [{"arm": run.arm, "seed": run.seed, "rules": run.rules, **run.figures} for run in found],
+        "runs": [
+            {"arm": run.arm, "seed": run.seed, "rules": run.rules, **run.figures} for run in found
+        ],
     }
 
 
@@ -63,13 +78,16 @@
     ]
     for bound in told.bound:
         seeds = [
-            seed for arm, seed in by if arm == bound.arm and (bound.than is None or (bound.than, seed) in by)
+            seed
+            for arm, seed in by
+            if arm == bound.arm and (bound.than is None or (bound.than, seed) in by)
         ]
         if not seeds or bound.figure not in by[bound.arm, seeds[0]]:
             kept.append({"bound": f"{bound.arm} {bound.figure}", "figure": None, "kept": False})
             continue
         values = [
-            compared(bound, by[bound.arm, seed], by.get((bound.than or "", seed), {})) for seed in seeds
+            compared(bound, by[bound.arm, seed], by.get((bound.than or "", seed), {}))
+            for seed in seeds
         ]
         figure = round(mean(values), 4)
         good = figure >= bound.least if bound.least is not None else figure <= (bound.most or 0.0)
@@ -100,7 +118,9 @@
     folder.mkdir(parents=True, exist_ok=True)
     put(folder / "summary.json", json.dumps(told, indent=1) + "\n")
     table = io.StringIO(newline="")
-    rows = csv.DictWriter(table, ["arm", "seed", "second", "class", "asked", "served", "rejected", "late"])
+    rows = csv.DictWriter(
+        table, ["arm", "seed", "second", "class", "asked", "served", "rejected", "late"]
+    )
     rows.writeheader()
     for run in found:
         rows.writerows({"arm": run.arm, "seed": run.seed, **row} for row in run.rows)
@@ -118,5 +138,7 @@
         raise BadFile(f"{path}:1: no JSON: was the run cut off while it was kept?") from None
     if not isinstance(told, dict) or told.get("form") != FORM:
         form = told.get("form") if isinstance(told, dict) else None
-        raise BadFile(f"{path}:1: form: {form!r} is unknown, {FORM} is allowed: run the experiment again")
+        raise BadFile(
+            f"{path}:1: form: {form!r} is unknown, {FORM} is allowed: run the experiment again"
+        )
     return told
--- a/pumicenotch/lab/explore.py
+++ b/pumicenotch/lab/explore.py
@@ -1,6 +1,7 @@
 """A model checker: all states that a model can reach within its bounds, breadth first, so that the first
 violation found is one of the shortest. A model is plain values and functions of them; what it decides by is
-the real code."""
+the real code.
+"""
 
 import random
 import time
@@ -34,12 +35,15 @@
 
 class Explorer(Generic[State]):
     """`after` gives the steps from a state, each with its line for the trace; `wrong` what a state
-    violates."""
+    violates.
+    """
 
     def __init__(
-        self, after: Callable[[State], Iterable[tuple[str, State]]], wrong: Callable[[State], str],
+        self,
+        after: Callable[[State], Iterable[tuple[str, State]]],
+        wrong: Callable[[State], str],
         most: int = 2_000_000,
-    ) -> None:  # fmt: skip
+    ) -> None:
         self.after, self.wrong, self.most = after, wrong, most
 
     def run(self, first: State) -> Found:
@@ -57,7 +61,13 @@
                 if problem := self.wrong(new):
                     trace = self.trace(came, new)
                     return Found(
-                        len(came), steps, depth + 1, time.perf_counter() - began, False, problem, trace
+                        len(came),
+                        steps,
+                        depth + 1,
+                        time.perf_counter() - began,
+                        False,
+                        problem,
+                        trace,
                     )
                 waiting.append(new)
             if len(came) >= self.most:
@@ -66,7 +76,8 @@
 
     def wander(self, first: State, seed: int, walks: int, most_deep: int) -> Found:
         """Walks by chance to where nothing more can happen, or so deep: far beyond what breadth first
-        reaches. The trace of a violation is its walk, not the shortest."""
+        reaches. The trace of a violation is its walk, not the shortest.
+        """
         began, chance = time.perf_counter(), random.Random(seed)
         steps = depth = 0
         seen: set[State] = {first}
@@ -79,7 +90,9 @@
                 seen.add(state)
                 if problem := self.wrong(state):
                     seconds = time.perf_counter() - began
-                    return Found(len(seen), steps, len(lines), seconds, False, problem, tuple(lines))
+                    return Found(
+                        len(seen), steps, len(lines), seconds, False, problem, tuple(lines)
+                    )
         return Found(len(seen), steps, depth, time.perf_counter() - began, False, "", ())
 
     @staticmethod
--- a/pumicenotch/lab/fleetrun.py
+++ b/pumicenotch/lab/fleetrun.py
@@ -1,6 +1,7 @@
 """A world whose servers are a fleet: voters beside them, a relay between all, a platform that starts again
 what has ended. Who is out is judged from outside: by the word that a server gives its gateways, by its
-process's end, and by its being bound and listening again."""
+process's end, and by its being bound and listening again.
+"""
 
 import asyncio
 import contextlib
@@ -38,12 +39,20 @@
 
 class FleetRun(Loopback):
     def __init__(
-        self, world: world_.World, seed: int, launch: Launch, folder: Path, drains: str = "agreed",
-        hollow: bool = True, until_s: float | None = None, limit_s: float = SEED_S,
+        self,
+        world: world_.World,
+        seed: int,
+        launch: Launch,
+        folder: Path,
+        drains: str = "agreed",
+        hollow: bool = True,
+        until_s: float | None = None,
+        limit_s: float = SEED_S,
         configuration: str = "none",
-    ) -> None:  # fmt: skip
+    ) -> None:
         """`hollow` says whether the world's hollow instances are there, `limit_s` how long the run may last
-        with them. A run that ends sooner, at `until_s`, has the same arrivals up to then."""
+        with them. A run that ends sooner, at `until_s`, has the same arrivals up to then.
+        """
         super().__init__(world, seed, launch, folder)
         if until_s is not None and until_s < world.length_s:
             faults = tuple(fault for fault in world.fault if fault.at_s < until_s)
@@ -61,7 +70,9 @@
         self.callers = HollowCallers(callers, lambda: [node.address for node in self.nodes])
         if direct and hollow:
             watch = Watch(Machine.here(), limit_s)
-            self.hollow = HollowRun(world, seed, folder, self.crew, watch, self.spawn_task, configuration)
+            self.hollow = HollowRun(
+                world, seed, folder, self.crew, watch, self.spawn_task, configuration
+            )
             self.hollow.others_pids = self.pids
             self.hollow.fail = self.fail
         self.zone = {node.number: f"z{node.number % world.zones}" for node in self.nodes}
@@ -87,7 +98,9 @@
             many, within_s = many + len(self.hollow.fleet.places), HOLLOW_FORMED_S
             await self.hollow.start(self.real_places(), HOLLOW_FORMED_S)
         await super().start()
-        await self.crew.agreed(lambda status: status["members"] == many and not status["out"], within_s)
+        await self.crew.agreed(
+            lambda status: status["members"] == many and not status["out"], within_s
+        )
         for node in self.nodes:
             await self.watch(node)
         self.watching.append(asyncio.create_task(self.look_on()))
@@ -101,8 +114,10 @@
             await self.hollow.finish()
 
     def real_places(self) -> list[Place]:
-        return [Place(name, self.crew.shown(name), zone, self.crew.region(zone))
-                for name, zone in self.crew.zone.items()]  # fmt: skip
+        return [
+            Place(name, self.crew.shown(name), zone, self.crew.region(zone))
+            for name, zone in self.crew.zone.items()
+        ]
 
     def pids(self) -> list[int]:
         """Of voters and servers that were started here."""
@@ -135,7 +150,9 @@
         told = any(conn.draining for conns in node.conns.values() for conn in conns)
         drains = told or (watched is not None and watched.draining)
         if not drains and not ended and watched is not None and watched.transport is None:
-            self.watched.pop(node.number)  # an idle connection that the server has closed: another looks on
+            self.watched.pop(
+                node.number
+            )  # an idle connection that the server has closed: another looks on
             self.spawn_task(self.watch(node))
             return
         if (drains or ended) and node.number not in self.out and node.number not in self.against:
@@ -156,14 +173,19 @@
 
     def count(self) -> None:
         """Over a budget are those of one group that are out beyond what it allows."""
-        out = [number for number in self.out
-               if number not in self.returning or not self.nodes[number].ready.is_set()]  # fmt: skip
+        out = [
+            number
+            for number in self.out
+            if number not in self.returning or not self.nodes[number].ready.is_set()
+        ]
         self.most_out = max(self.most_out, len(out))
         for budget in self.world.budget:
             if budget.most_out is None or budget.each not in ("zone", "fleet"):
                 continue
             groups = Counter(self.zone[number] if budget.each == "zone" else "" for number in out)
-            self.most_over = max(self.most_over, *(many - budget.most_out for many in groups.values()), 0)
+            self.most_over = max(
+                self.most_over, *(many - budget.most_out for many in groups.values()), 0
+            )
 
     async def again(self, node: Node) -> None:
         """The platform starts a server anew that has ended."""
@@ -197,7 +219,9 @@
     # Faults
 
     def fault(self, fault: world_.Fault, now: float) -> None:
-        if fault.kind in HOLLOW_FAULTS or (fault.kind == "cut_zone" and self.world.hollow is not None):
+        if fault.kind in HOLLOW_FAULTS or (
+            fault.kind == "cut_zone" and self.world.hollow is not None
+        ):
             if self.hollow is not None:
                 self.hollow.fault(fault)
             return
@@ -246,9 +270,11 @@
     def more(self) -> dict[str, float]:
         took = (self.done_at - self.asked_at) / 1000.0 if self.done_at else -1.0
         found = {
-            "most_out": float(self.most_out), "most_over_budget": float(self.most_over),
-            "drained": float(len(self.drained)), "drain_all_s": round(took, 2),
-        }  # fmt: skip
+            "most_out": float(self.most_out),
+            "most_over_budget": float(self.most_over),
+            "drained": float(len(self.drained)),
+            "drain_all_s": round(took, 2),
+        }
         if self.world.hollow is not None:
             first_s = min((fault.at_s for fault in self.world.fault), default=self.world.length_s)
             found |= added(self.world, self.ledger, first_s) | self.callers.figures()
--- a/pumicenotch/lab/fleets.py
+++ b/pumicenotch/lab/fleets.py
@@ -1,6 +1,7 @@
 """A whole fleet in simulated time: the very code of members, agreement and drains, with a network that
 delays, loses, doubles and cuts, processes that stop, die and come back. One seed replays a day to the
-byte."""
+byte.
+"""
 
 import random
 from collections.abc import Callable, Iterable, Sequence
@@ -18,7 +19,10 @@
 from pumicenotch.members.messages import Who
 from pumicenotch.sender import Sender
 
-DRAIN_MS, RESTART_MS = 2000.0, 1000.0  # from the begin of a drain to its end, and to the next life's service
+DRAIN_MS, RESTART_MS = (
+    2000.0,
+    1000.0,
+)  # from the begin of a drain to its end, and to the next life's service
 
 
 class Spec(NamedTuple):
@@ -50,7 +54,9 @@
 class Day(SimulatedTime):
     """Addresses are names; `now` is the time that all processes' clocks show."""
 
-    def __init__(self, seed: int, *, delay_ms: float = 1.0, loss: float = 0.0, measure: bool = False) -> None:
+    def __init__(
+        self, seed: int, *, delay_ms: float = 1.0, loss: float = 0.0, measure: bool = False
+    ) -> None:
         super().__init__()
         self.chance = random.Random(seed)
         self.processes: dict[str, Process] = {}
@@ -87,9 +93,13 @@
         life = f"{process.life:04d}"
         member = Member(name, life, spec.zone, voter=spec.voter, **spec.more)
         told: dict[str, Any] = {
-            "fleet": "day", "me": Who(name, name, life, int(self.now) + 1, spec.zone, ""), "member": member,
-            "seeds": list(self.voters), "now": self.now, "seed": self.chance.getrandbits(32),
-        }  # fmt: skip
+            "fleet": "day",
+            "me": Who(name, name, life, int(self.now) + 1, spec.zone, ""),
+            "member": member,
+            "seeds": list(self.voters),
+            "now": self.now,
+            "seed": self.chance.getrandbits(32),
+        }
         if spec.voter:
             process.core = VoterNode(
                 names=self.voters,
@@ -107,7 +117,9 @@
 
     # Running
 
-    def until(self, met: Callable[[], bool], within_ms: float = 60_000.0, step_ms: float = 50.0) -> float:
+    def until(
+        self, met: Callable[[], bool], within_ms: float = 60_000.0, step_ms: float = 50.0
+    ) -> float:
         """How long it took."""
         began = self.now
         while not met():
@@ -167,7 +179,11 @@
         return msgpack.unpackb(packed, use_list=False)
 
     def send(self, process: Process, to: str, what: str, *details: Any) -> None:
-        if to not in self.processes or (process.address, to) in self.cut or self.chance.random() < self.loss:
+        if (
+            to not in self.processes
+            or (process.address, to) in self.cut
+            or self.chance.random() < self.loss
+        ):
             return
         life = self.processes[to].life
         late = self.delay_ms * self.chance.uniform(0.5, 1.5)
@@ -195,7 +211,8 @@
 
     def leave(self, process: Process) -> None:
         """By permit: the drain takes its time, then the process ends, and comes back if it is one that
-        does."""
+        does.
+        """
         name, life = process.spec.name, process.life
         self.away[name] = self.now
         self.on_leave(name)
@@ -211,7 +228,9 @@
                 process.core = None
                 self.gone_by_permit(name)
                 if process.returns:
-                    self.at(self.now + RESTART_MS, lambda: self.boot(name) if not process.up else None)
+                    self.at(
+                        self.now + RESTART_MS, lambda: self.boot(name) if not process.up else None
+                    )
 
         self.at(self.now + DRAIN_MS, done)
 
@@ -259,9 +278,15 @@
 
     def leader(self) -> str:
         """The one of the latest term that a majority follows; "" while there is none."""
-        found = [(process.core.voter.term, name) for name, process in self.processes.items()
-                 if isinstance(process.core, VoterNode) and process.core.leads and not process.stopped
-                 and process.core.voter.in_touch() and process.core.state.fleet]  # fmt: skip
+        found = [
+            (process.core.voter.term, name)
+            for name, process in self.processes.items()
+            if isinstance(process.core, VoterNode)
+            and process.core.leads
+            and not process.stopped
+            and process.core.voter.in_touch()
+            and process.core.state.fleet
+        ]
         return max(found)[1] if found else ""
 
     def agreed(self, verb: str, *args: Any, within_ms: float = 30_000.0) -> Any:
@@ -300,9 +325,13 @@
     **more: Any,
 ) -> Day:
     """Nodes n0 ... and voters v1 ..., spread over the zones z0 ...; all are there and agreed when it
-    returns."""
+    returns.
+    """
     day = Day(seed, **more)
-    day.budgets = tuple(budgets) or (Budget("zones", "zone", most_out=1), Budget("all", "fleet", most_out=2))
+    day.budgets = tuple(budgets) or (
+        Budget("zones", "zone", most_out=1),
+        Budget("all", "fleet", most_out=2),
+    )
     for at in range(voters):
         day.add(f"v{at + 1}", f"z{at % zones}", voter=True)
     for at in range(nodes):
--- a/pumicenotch/lab/gateway_connections.py
+++ b/pumicenotch/lab/gateway_connections.py
@@ -19,14 +19,20 @@
 
 class GatewayConnections:
     """The clients' wire; set `clients` before the first attempt. `lost` is called with each connection that
-    has ended, and is to call `settle_lost`. `dials` holds the tasks that are dialling."""
+    has ended, and is to call `settle_lost`. `dials` holds the tasks that are dialling.
+    """
 
     clients: Clients
 
     def __init__(
-        self, world: World, ledger: Ledger, clock: RunClock, fronts: list[Node],
-        dials: set[asyncio.Task[None]], lost: Callable[[Node, GatewayPeer], None],
-    ) -> None:  # fmt: skip
+        self,
+        world: World,
+        ledger: Ledger,
+        clock: RunClock,
+        fronts: list[Node],
+        dials: set[asyncio.Task[None]],
+        lost: Callable[[Node, GatewayPeer], None],
+    ) -> None:
         self.world, self.ledger, self.clock, self.fronts = world, ledger, clock, fronts
         self.dials, self.lost = dials, lost
 
@@ -81,7 +87,9 @@
             next(each for each in node.conns.values() if conn in each).remove(conn)
         for attempt in conn.open.values():
             if node.killed:
-                self.ledger.open.pop(attempt.rid, None)  # what a killed server held is no longer its duty
+                self.ledger.open.pop(
+                    attempt.rid, None
+                )  # what a killed server held is no longer its duty
             self.clients.answered(self.clock.now(), attempt, "lost")
         conn.open.clear()
 
--- a/pumicenotch/lab/guard.py
+++ b/pumicenotch/lab/guard.py
@@ -1,5 +1,6 @@
 """Keeps a run with many processes within its machine: what it needs is said before anything starts, what it
-uses is watched while it runs."""
+uses is watched while it runs.
+"""
 
 import os
 import resource
@@ -69,8 +70,10 @@
 def check(instances: int, machine: Machine) -> None:
     """Raises MachineTooSmall, naming what the machine lacks, before anything is started."""
     needs = needed_mb(instances)
-    for has, what in ((machine.allowed_mb, "half of this machine's memory is"),
-                      (machine.available_mb, "free on this machine are")):  # fmt: skip
+    for has, what in (
+        (machine.allowed_mb, "half of this machine's memory is"),
+        (machine.available_mb, "free on this machine are"),
+    ):
         if needs > has:
             raise MachineTooSmall(
                 f"memory: {instances} hollow instances need about {needs:.0f} MB, and {what} {has:.0f} MB:"
--- a/pumicenotch/lab/hollow.py
+++ b/pumicenotch/lab/hollow.py
@@ -1,7 +1,8 @@
 """A process that holds many hollow instances of a fleet (`python -m pumicenotch.lab.hollow SPEC.json`).
 
 Commands come by standard input, reports go to standard output; at the end of its input it ends, so that none
-outlives its runner."""
+outlives its runner.
+"""
 
 import asyncio
 import gc
@@ -86,7 +87,9 @@
         await anyio.sleep(after_s)
         generation = self.generation[number]
         self.generation[number] += 1
-        instance = Instance(self.spec, self.directory[number], number, generation, self.meter, self.partition)
+        instance = Instance(
+            self.spec, self.directory[number], number, generation, self.meter, self.partition
+        )
         self.instances[number] = instance
         self.lives.append([number, generation, True, time.monotonic()])
         try:
@@ -151,7 +154,11 @@
         if self.observer is None:
             return
         observer = self.observer
-        report.switches, report.mixed, report.backward = observer.switches, observer.mixed, observer.backward
+        report.switches, report.mixed, report.backward = (
+            observer.switches,
+            observer.mixed,
+            observer.backward,
+        )
         report.checked, report.observer_cpu_s = observer.checked, observer.cpu_s
         report.relays = [number for number, instance in self.instances.items() if instance.is_relay]
         observer.begin()
@@ -168,8 +175,12 @@
 
 def main() -> None:
     logger.remove()
-    logger.add(sys.stderr, level="WARNING", format="{time:HH:mm:ss.SSS} {level} {message}", diagnose=False)
-    signal.signal(signal.SIGINT, signal.SIG_IGN)  # a terminal's goes to all: the runner ends this process
+    logger.add(
+        sys.stderr, level="WARNING", format="{time:HH:mm:ss.SSS} {level} {message}", diagnose=False
+    )
+    signal.signal(
+        signal.SIGINT, signal.SIG_IGN
+    )  # a terminal's goes to all: the runner ends this process
     gc.set_threshold(*GARBAGE_THRESHOLDS)
     spec = Spec.load(Path(sys.argv[1]).read_text())
     anyio.run(serve, spec, backend_options={"use_uvloop": True})
--- a/pumicenotch/lab/hollow_callers.py
+++ b/pumicenotch/lab/hollow_callers.py
@@ -1,5 +1,6 @@
 """Hollow callers: connections to the real servers that send no requests, and ask now and then whether the
-server is alive, as those of callers do that have nothing to send."""
+server is alive, as those of callers do that have nothing to send.
+"""
 
 import asyncio
 from collections.abc import Callable
@@ -67,7 +68,9 @@
             addresses = self.addresses()
             host, port = addresses[number % len(addresses)]
             try:
-                _, caller = await asyncio.get_running_loop().create_connection(HollowCaller, host, port)
+                _, caller = await asyncio.get_running_loop().create_connection(
+                    HollowCaller, host, port
+                )
             except OSError:
                 self.refused += 1
                 await asyncio.sleep(REDIAL_S)
@@ -85,7 +88,9 @@
     async def count(self) -> None:
         await asyncio.sleep(self.many * DIAL_S + REDIAL_S)
         while True:
-            self.least_open = min(self.open(), self.least_open if self.least_open is not None else self.many)
+            self.least_open = min(
+                self.open(), self.least_open if self.least_open is not None else self.many
+            )
             await asyncio.sleep(0.5)
 
     def open(self) -> int:
@@ -102,8 +107,10 @@
     def figures(self) -> dict[str, float]:
         answered = self.answered + sum(caller.answered for caller in self.callers)
         return {
-            "hollow_callers": float(self.many), "hollow_callers_least_open": float(self.least_open or 0),
-            "hollow_callers_answered": float(answered), "hollow_callers_ended": float(self.ended),
+            "hollow_callers": float(self.many),
+            "hollow_callers_least_open": float(self.least_open or 0),
+            "hollow_callers_answered": float(answered),
+            "hollow_callers_ended": float(self.ended),
             "hollow_callers_told_to_go": float(self.told_to_go),
             "hollow_callers_refused": float(self.refused),
-        }  # fmt: skip
+        }
--- a/pumicenotch/lab/hollow_configuration.py
+++ b/pumicenotch/lab/hollow_configuration.py
@@ -41,7 +41,8 @@
 
 class WholeConfiguration(HollowConfiguration):
     """As with files: each publication is fetched whole, from the voters, by the same frames. It serves the
-    last whole one until the next is there."""
+    last whole one until the next is there.
+    """
 
     def __init__(
         self,
@@ -73,9 +74,14 @@
         """All anew, by a reducer that holds nothing yet."""
         self.fetching = True
         self.node = Node(
-            self_of(self.hub.node.me), self.addresses, self.settings.subscribed(), self.chance,
-            settings=self.settings.settings, tables=self.settings.tables(), relay_eligible=False,
-        )  # fmt: skip
+            self_of(self.hub.node.me),
+            self.addresses,
+            self.settings.subscribed(),
+            self.chance,
+            settings=self.settings.settings,
+            tables=self.settings.tables(),
+            relay_eligible=False,
+        )
         super().put(Started())
 
     @property
@@ -95,4 +101,6 @@
     )
     watched = Watched(number, generation, wanted)
     made = WholeConfiguration if spec.whole else HollowConfiguration
-    return made(watched, hub, InstanceSettings(scopes, relay=not spec.whole), tuple(spec.voters), seed)
+    return made(
+        watched, hub, InstanceSettings(scopes, relay=not spec.whole), tuple(spec.voters), seed
+    )
