--- a/pumicenotch/lab/hollow_fleet.py
+++ b/pumicenotch/lab/hollow_fleet.py
@@ -37,7 +37,11 @@
         return self.process.pid if self.process is not None else 0
 
     def tell(self, command: Command) -> None:
-        if self.process is not None and self.process.stdin is not None and self.process.returncode is None:
+        if (
+            self.process is not None
+            and self.process.stdin is not None
+            and self.process.returncode is None
+        ):
             self.process.stdin.write(command.dump())
 
 
@@ -48,16 +52,19 @@
         Place(
             f"h{number:05d}",
             f"127.{net}.{number // A_NETWORK}.{number % A_NETWORK + 1}:{port}",
-            zone_of(number, zones), region_of(number, zones, regions),
+            zone_of(number, zones),
+            region_of(number, zones, regions),
         )
         for number in range(hollow.instances)
-    ]  # fmt: skip
+    ]
 
 
 class HollowFleet:
     """All hollow instances of one run. `on_report` gets each report with the number of its process."""
 
-    def __init__(self, hollow: Hollow, zones: int, regions: int, seed: int, folder: Path, crew: Crew) -> None:
+    def __init__(
+        self, hollow: Hollow, zones: int, regions: int, seed: int, folder: Path, crew: Crew
+    ) -> None:
         self.zones = zones
         self.configuration: dict[str, Any] | None = None
         self.whole, self.journal = False, ""
@@ -82,9 +89,20 @@
         directory.write_text(json.dumps([*self.places, *others]))
         voters = [self.crew.shown(name) for name in self.crew.voters]
         for each in self.processes:
-            spec = Spec(FLEET, self.seed, voters, each.first, each.last, str(directory),
-                        self.hollow.instances, self.hollow.knows, self.zones, self.configuration,
-                        self.whole, self.journal)  # fmt: skip
+            spec = Spec(
+                FLEET,
+                self.seed,
+                voters,
+                each.first,
+                each.last,
+                str(directory),
+                self.hollow.instances,
+                self.hollow.knows,
+                self.zones,
+                self.configuration,
+                self.whole,
+                self.journal,
+            )
             each.spec.write_text(spec.dump())
             await self.spawn(each)
         takes_s = self.hollow.instances / START_A_S
@@ -95,9 +113,15 @@
     async def spawn(self, each: HollowProcess) -> None:
         with each.log.open("ab") as log:
             each.process = await asyncio.create_subprocess_exec(
-                sys.executable, "-m", "pumicenotch.lab.hollow", str(each.spec),
-                stdin=asyncio.subprocess.PIPE, stdout=asyncio.subprocess.PIPE, stderr=log, limit=LINE_MOST,
-            )  # fmt: skip
+                sys.executable,
+                "-m",
+                "pumicenotch.lab.hollow",
+                str(each.spec),
+                stdin=asyncio.subprocess.PIPE,
+                stdout=asyncio.subprocess.PIPE,
+                stderr=log,
+                limit=LINE_MOST,
+            )
         each.reader = asyncio.create_task(self.read(each))
 
     async def read(self, each: HollowProcess) -> None:
@@ -107,11 +131,15 @@
             self.on_report(each.number, each.latest)
         if not self.stopped:
             status = await each.process.wait()
-            self.ended_by_themselves.append(f"hollow process {each.number} ended with status {status}")
+            self.ended_by_themselves.append(
+                f"hollow process {each.number} ended with status {status}"
+            )
 
     async def serving(self, within_s: float) -> None:
         until = time.monotonic() + within_s
-        while (serving := sum(each.latest.serving for each in self.processes)) < self.hollow.instances:
+        while (
+            serving := sum(each.latest.serving for each in self.processes)
+        ) < self.hollow.instances:
             if self.ended_by_themselves:
                 raise RunFailed(f"{self.ended_by_themselves[0]}: see {self.folder}")
             if time.monotonic() > until:
--- a/pumicenotch/lab/hollow_instance.py
+++ b/pumicenotch/lab/hollow_instance.py
@@ -64,7 +64,8 @@
     def know(self, packed: bytes, after_ms: float, chance: random.Random) -> None:
         """Takes all in as known for long: each instance unpacks them, so that it holds texts of its own as a
         process would. The exchanges of whole pages go on in turn, not with the seeds first. Nobody is probed
-        before all are there."""
+        before all are there.
+        """
         members = self.members
         for each in msgpack.unpackb(packed, use_list=False):
             who = Who(*each)
@@ -120,7 +121,13 @@
     """From its start to its end; started again it is another life."""
 
     def __init__(
-        self, spec: Spec, place: Place, number: int, generation: int, meter: Meter, partition: Partition
+        self,
+        spec: Spec,
+        place: Place,
+        number: int,
+        generation: int,
+        meter: Meter,
+        partition: Partition,
     ) -> None:
         self.spec, self.place, self.number, self.generation = spec, place, number, generation
         self.meter, self.partition = meter, partition
@@ -135,14 +142,17 @@
 
     async def run(self, known: bytes, after_s: float) -> None:
         """Until it is stopped: abruptly, as a process that is killed. `known` are those that it knows at its
-        start, packed, none for a cold one, and `after_s` is until all of them are there."""
+        start, packed, none for a cold one, and `after_s` is until all of them are there.
+        """
         listener = await open_listener(start.address(self.place.address))
         try:
             async with anyio.create_task_group() as group:
                 self.member, self.hub = self.made(group, known, after_s)
                 run_hub(self.hub, listener)
                 if self.spec.configuration is not None:
-                    self.configuration = configured(self.spec, self.number, self.generation, self.hub)
+                    self.configuration = configured(
+                        self.spec, self.number, self.generation, self.hub
+                    )
                     self.configuration.run()
                 group.start_soon(self.serve, self.hub)
                 await self.stopped.wait()
@@ -156,14 +166,25 @@
         place, timer = self.place, ResettableTimer()
         life = life_of(self.number, self.generation)
         began = int(time.time() * 1000) if self.generation else FIRST_BEGAN_MS
-        settings = FleetSettings(self.spec.fleet, place.name, place.address, tuple(self.spec.voters),
-                    zone=place.zone, region=place.region)  # fmt: skip
+        settings = FleetSettings(
+            self.spec.fleet,
+            place.name,
+            place.address,
+            tuple(self.spec.voters),
+            zone=place.zone,
+            region=place.region,
+        )
         chance = random.Random(self.spec.seed * 1_000_003 + self.number * 101 + self.generation)
         member = HollowMember(
-            self.meter, fleet=self.spec.fleet, member=settings.member(life), voters=settings.voters,
+            self.meter,
+            fleet=self.spec.fleet,
+            member=settings.member(life),
+            voters=settings.voters,
             me=Who(place.name, place.address, life, began, place.zone, place.region),
-            seeds=settings.voters, now=timer.now(), seed=chance.getrandbits(32),
-        )  # fmt: skip
+            seeds=settings.voters,
+            now=timer.now(),
+            seed=chance.getrandbits(32),
+        )
         if known:
             member.know(known, after_s * 1000.0, chance)
         hub = HollowHub(
@@ -200,10 +221,21 @@
     """All hollow members as they are known after a day in service."""
     if not spec.knows:
         return b""
-    return bytes(msgpack.packb([
-        (place.name, place.address, life_of(number, 0), FIRST_BEGAN_MS, place.zone, place.region)
-        for number, place in enumerate(directory[: spec.hollow])
-    ]))  # fmt: skip
+    return bytes(
+        msgpack.packb(
+            [
+                (
+                    place.name,
+                    place.address,
+                    life_of(number, 0),
+                    FIRST_BEGAN_MS,
+                    place.zone,
+                    place.region,
+                )
+                for number, place in enumerate(directory[: spec.hollow])
+            ]
+        )
+    )
 
 
 def usage(report: Report) -> None:
--- a/pumicenotch/lab/hollow_judge.py
+++ b/pumicenotch/lab/hollow_judge.py
@@ -1,5 +1,6 @@
 """What a run's hollow instances have shown, judged by what the runner itself has done to them: whom it has
-killed, cut off and started again, and when."""
+killed, cut off and started again, and when.
+"""
 
 from collections import Counter
 from collections.abc import Callable
@@ -17,7 +18,8 @@
 @dataclass
 class Loss:
     """Members that were killed or cut off at one time, and when that was noticed. Times are monotonic, 0: not
-    yet."""
+    yet.
+    """
 
     name: str
     victims: dict[str, str]  # name -> life
@@ -74,7 +76,9 @@
         self.longest_cpu_ms = self.longest_wall_ms = 0.0
         self.longest_input = ""
         self.most_descriptors = 0
-        self.memory_mb: dict[int, float] = {}  # by process, for each instance, when last all were up
+        self.memory_mb: dict[
+            int, float
+        ] = {}  # by process, for each instance, when last all were up
         self.most_up: dict[int, int] = {}
         self.note: Callable[[float, str, dict[str, Any]], None] = lambda at, what, more: None
 
@@ -114,7 +118,9 @@
         if before is not None:
             self.use(before, report)
         self.most_descriptors = max(self.most_descriptors, report.descriptors)
-        if report.up >= self.most_up.get(process, 1):  # with some of them down the others hold no more
+        if report.up >= self.most_up.get(
+            process, 1
+        ):  # with some of them down the others hold no more
             self.most_up[process] = report.up
             self.memory_mb[process] = report.memory_mb / report.up
 
@@ -143,34 +149,53 @@
         for loss in self.losses:
             if loss.spread_at or loss.back_at:
                 continue
-            still_up = sum(self.number[name] in self.generation and self.number[name] not in
-                           self.meant_to_end for name in loss.victims)  # fmt: skip
+            still_up = sum(
+                self.number[name] in self.generation and self.number[name] not in self.meant_to_end
+                for name in loss.victims
+            )
             observers = up - still_up
             if loss.dead >= SPREAD_PART * observers * len(loss.victims):
                 loss.spread_at = at
 
     def use(self, before: Report, report: Report) -> None:
         lasted = report.at - before.at
-        self.usage.append(Usage(
-            report.at, lasted * report.up,
-            report.cpu_s - before.cpu_s - (report.observer_cpu_s - before.observer_cpu_s),
-            report.read_bytes - before.read_bytes, report.written_bytes - before.written_bytes,
-            Counter(report.sent), Counter(report.received), Counter(report.steps),
-        ))  # fmt: skip
+        self.usage.append(
+            Usage(
+                report.at,
+                lasted * report.up,
+                report.cpu_s - before.cpu_s - (report.observer_cpu_s - before.observer_cpu_s),
+                report.read_bytes - before.read_bytes,
+                report.written_bytes - before.written_bytes,
+                Counter(report.sent),
+                Counter(report.received),
+                Counter(report.steps),
+            )
+        )
         if report.longest_cpu_ms > self.longest_cpu_ms:
             self.longest_cpu_ms, self.longest_input = report.longest_cpu_ms, report.longest_input
-            self.note(report.at, "longest_step", {"input": self.longest_input, "ms": self.longest_cpu_ms})
+            self.note(
+                report.at, "longest_step", {"input": self.longest_input, "ms": self.longest_cpu_ms}
+            )
         self.longest_wall_ms = max(self.longest_wall_ms, report.longest_wall_ms)
 
     def out(self, at: float, many: int, names: set[str]) -> None:
         """How many members the leader says are out, counted by a majority, and the names it lists: all of
-        them, unless they are too many for an answer."""
+        them, unless they are too many for an answer.
+        """
         for loss in self.losses:
             listed = len(names & loss.victims.keys())
-            all_out = listed == len(loss.victims) or (many > len(names) and many >= len(loss.victims))
+            all_out = listed == len(loss.victims) or (
+                many > len(names) and many >= len(loss.victims)
+            )
             if not loss.agreed_at and not loss.back_at and all_out:
                 loss.agreed_at = at
-            if loss.back_at and at > loss.back_at and not loss.well_at and not listed and many == len(names):
+            if (
+                loss.back_at
+                and at > loss.back_at
+                and not loss.well_at
+                and not listed
+                and many == len(names)
+            ):
                 loss.well_at = at
 
     # Figures
@@ -201,12 +226,13 @@
 
     def figures(self) -> dict[str, float]:
         found = {
-            "false_deaths": float(len(self.false_deaths)), "thought_dead": float(self.deaths),
+            "false_deaths": float(len(self.false_deaths)),
+            "thought_dead": float(self.deaths),
             "step_longest_cpu_ms": round(self.longest_cpu_ms, 2),
             "step_longest_wall_ms": round(self.longest_wall_ms, 2),
             "instance_memory_mb": round(max(self.memory_mb.values(), default=0.0), 2),
             "hollow_process_descriptors": float(self.most_descriptors),
-        }  # fmt: skip
+        }
         for loss in self.losses:
             found |= loss.figures()
         return found
--- a/pumicenotch/lab/hollow_messages.py
+++ b/pumicenotch/lab/hollow_messages.py
@@ -1,11 +1,14 @@
 """What the runner and a process of hollow instances say to each other: one JSON object a line, commands to
-the process's standard input, reports from its standard output."""
+the process's standard input, reports from its standard output.
+"""
 
 import json
 from dataclasses import asdict, dataclass, field
 from typing import Any, NamedTuple
 
-FIRST_BEGAN_MS = 1_700_000_000_000  # Unix ms of the first life of each instance: before any real start
+FIRST_BEGAN_MS = (
+    1_700_000_000_000  # Unix ms of the first life of each instance: before any real start
+)
 STEP_BUCKET_MS = 0.05  # resolution of the histogram of steps
 
 
@@ -52,7 +55,8 @@
 class Command:
     """`start` and `kill` and `replace` take numbers of instances; `cut` a set of members by their names,
     that hears and reaches nobody else; `heal` ends all cuts; `verify` has all that is served looked at once
-    more; `end` ends the process."""
+    more; `end` ends the process.
+    """
 
     do: str
     numbers: list[int] = field(default_factory=list)
@@ -96,7 +100,9 @@
     checked: int = 0  # scopes, against the record
     observer_cpu_s: float = 0.0  # of the process's, since its start
     relays: list[int] = field(default_factory=list)  # numbers of those that serve others now
-    verified: list[list[Any]] = field(default_factory=list)  # number, whether all it serves is the newest
+    verified: list[list[Any]] = field(
+        default_factory=list
+    )  # number, whether all it serves is the newest
 
     def dump(self) -> str:
         return json.dumps(asdict(self))
--- a/pumicenotch/lab/hollow_run.py
+++ b/pumicenotch/lab/hollow_run.py
@@ -30,9 +30,15 @@
 
 class HollowRun:
     def __init__(
-        self, world: World, seed: int, folder: Path, crew: Crew, watch: Watch, spawn: Spawn,
+        self,
+        world: World,
+        seed: int,
+        folder: Path,
+        crew: Crew,
+        watch: Watch,
+        spawn: Spawn,
         configuration: str = "none",
-    ) -> None:  # fmt: skip
+    ) -> None:
         """`configuration` says how instances get what is published, if anything is."""
         assert world.hollow is not None
         self.world, self.crew, self.guard, self.spawn = world, crew, watch, spawn
@@ -128,7 +134,9 @@
         while True:
             began = time.monotonic()
             with contextlib.suppress(TimeoutError, Refused):
-                await self.crew.ask("undrain", secrets.token_hex(8), [name], "timed", "lab", within_s=10.0)
+                await self.crew.ask(
+                    "undrain", secrets.token_hex(8), [name], "timed", "lab", within_s=10.0
+                )
                 self.agreed_ms.append((time.monotonic() - began) * 1000.0)
             await asyncio.sleep(AGREE_S)
 
@@ -140,7 +148,9 @@
         match fault.kind:
             case "lose":
                 numbers = self.fleet.in_zone(fault.zone, fault.many)
-                loss = self.judge.lose(fault.label or f"zone_{fault.zone}", numbers, time.monotonic())
+                loss = self.judge.lose(
+                    fault.label or f"zone_{fault.zone}", numbers, time.monotonic()
+                )
                 self.fleet.tell("kill", numbers)
                 if fault.for_s:
                     self.spawn(self.back(loss, numbers, fault.for_s))
@@ -172,10 +182,13 @@
     async def cut(self, fault: Fault) -> None:
         places = self.fleet.places
         numbers = [
-            number for number, place in enumerate(places)
+            number
+            for number, place in enumerate(places)
             if (place.region == fault.region if fault.region else place.zone == fault.zone)
-        ]  # fmt: skip
-        loss = self.judge.cut(fault.label or fault.kind.removeprefix("cut_"), numbers, time.monotonic())
+        ]
+        loss = self.judge.cut(
+            fault.label or fault.kind.removeprefix("cut_"), numbers, time.monotonic()
+        )
         if self.configuration is not None:
             self.configuration.judge.cut(numbers, loss.at)
         self.fleet.cut([places[number].name for number in numbers])
@@ -227,7 +240,9 @@
         others = [use for name, use in uses.items() if name != leader]
         for role, some in (("leader", [uses[leader]] if leader else []), ("follower", others)):
             for at, figure in enumerate(("cpu", "received_bytes_per_s", "sent_bytes_per_s")):
-                found[f"{role}_{figure}"] = round(float(np.mean([use[at] for use in some] or [0.0])), 4)
+                found[f"{role}_{figure}"] = round(
+                    float(np.mean([use[at] for use in some] or [0.0])), 4
+                )
         return found
 
     def more(self) -> dict[str, float]:
@@ -235,7 +250,8 @@
         times = self.agreed_ms or [-1.0]
         found = {
             "hollow_instances": float(len(self.fleet.places)),
-            "hollow_processes": float(len(self.fleet.processes)), "start_s": round(self.start_s, 2),
+            "hollow_processes": float(len(self.fleet.processes)),
+            "start_s": round(self.start_s, 2),
             "machine_busy_quiet": round(self.machine.busy(self.quiet_from, self.quiet_until), 3),
             "machine_busy": round(self.machine.busy(self.began, self.ended or time.monotonic()), 3),
             "run_memory_mb": round(self.guard.most_mb, 0),
@@ -244,14 +260,17 @@
             "agree_p50_ms": round(float(np.percentile(times, 50)), 1),
             "agree_p99_ms": round(float(np.percentile(times, 99)), 1),
             "agree_longest_ms": round(max(times), 1),
-            "leader_peak_cpu": round(cpu, 3), "leader_peak_sent_bytes_per_s": round(sent, 0),
+            "leader_peak_cpu": round(cpu, 3),
+            "leader_peak_sent_bytes_per_s": round(sent, 0),
             "hollow_processes_fallen": float(len(self.fleet.ended_by_themselves)),
-        }  # fmt: skip
+        }
         ended = self.ended or time.monotonic()
         found |= self.judge.each("quiet", self.quiet_from, self.quiet_until)
         found |= self.judge.each("control", self.began, ended)
-        found |= {f"quiet_{name}": value for name, value in
-                  self.mean_use(self.quiet_from, self.quiet_until).items()}  # fmt: skip
+        found |= {
+            f"quiet_{name}": value
+            for name, value in self.mean_use(self.quiet_from, self.quiet_until).items()
+        }
         if self.configuration is not None:
             found |= self.configuration.figures()
         self.events.close()
--- a/pumicenotch/lab/ledger.py
+++ b/pumicenotch/lab/ledger.py
@@ -20,7 +20,9 @@
 
 class Ledger:
     def __init__(self, world: World, grace_ms: float = 2000.0) -> None:
-        self.fleet = world.routers > 0  # one run of a fingerprint in the whole fleet, not one on each server
+        self.fleet = (
+            world.routers > 0
+        )  # one run of a fingerprint in the whole fleet, not one on each server
         self.world, self.grace_ms = world, grace_ms
         self.asked: list[Arrival] = []
         self.ends: list[End] = []
@@ -54,7 +56,9 @@
         limit = sent.sent + self.world.stage[sent.task.stage].limit_ms + SLACK_MS
         if now > limit:
             self.breaks(
-                "lost", now, f"{sent.rid} was answered {now - limit:.0f} ms past its limit, or not at all"
+                "lost",
+                now,
+                f"{sent.rid} was answered {now - limit:.0f} ms past its limit, or not at all",
             )
 
     def answered(self, now: float, sent: Attempt, kind: str, body: bytes) -> None:
@@ -80,7 +84,9 @@
             if sent.rid in self.spawned:
                 self.breaks("doubled", now, f"{sent.rid} has run and was rejected")
             elif began is not None and began < sent.sent and now < began + stage.window_ms:
-                self.breaks("doubled", now, f"{sent.rid}: its task has run there and it was rejected")
+                self.breaks(
+                    "doubled", now, f"{sent.rid}: its task has run there and it was rejected"
+                )
 
     def spawn(self, now: float, server: int, rid: str) -> Arrival | None:
         """A server has its pool run a try: the task, if there is one of that name."""
@@ -95,11 +101,17 @@
         if sent.task.token:
             key = (-1 if self.fleet else server, sent.task.token)
             if key in self.ran and sent.sent < self.ran[key] + stage.window_ms:
-                self.breaks("doubled", now, f"{rid}: a second run of one fingerprint within its window")
+                self.breaks(
+                    "doubled", now, f"{rid}: a second run of one fingerprint within its window"
+                )
             self.ran[key] = sent.sent
         told = self.leaving.get(server)
         if told is not None and sent.sent > told + self.grace_ms:
-            self.breaks("drain", now, f"{rid} arrived {sent.sent - told:.0f} ms after the notice and was run")
+            self.breaks(
+                "drain",
+                now,
+                f"{rid} arrived {sent.sent - told:.0f} ms after the notice and was run",
+            )
         return sent.task
 
     def leave(self, now: float, server: int) -> None:
--- a/pumicenotch/lab/loopback.py
+++ b/pumicenotch/lab/loopback.py
@@ -1,5 +1,6 @@
 """Carries a world on loopback in real time: real servers in processes of their own, every other party
-here."""
+here.
+"""
 
 import asyncio
 import contextlib
@@ -41,11 +42,17 @@
         self.world, self.seed, self.launch, self.folder = world, seed, launch, folder
         self.ledger = Ledger(world)
         self.tasks = arrivals(world, seed)
-        self.nodes = [Node(at, Work(Cores(world.cores, world.speed, world.thrash, world.thrash_at)))
-                      for at in range(world.servers)]  # fmt: skip
+        self.nodes = [
+            Node(at, Work(Cores(world.cores, world.speed, world.thrash, world.thrash_at)))
+            for at in range(world.servers)
+        ]
         self.late: list[float] = []  # of sends behind their intended time, ms
-        self.routers: list[Node] = [Node(at, Work(Cores(1, 1.0, 0.0, 1.0))) for at in range(world.routers)]
-        self.plane = ControlPlane(world, self.nodes, self.routers, folder) if world.routers else None
+        self.routers: list[Node] = [
+            Node(at, Work(Cores(1, 1.0, 0.0, 1.0))) for at in range(world.routers)
+        ]
+        self.plane = (
+            ControlPlane(world, self.nodes, self.routers, folder) if world.routers else None
+        )
         self.clock = RunClock()
         self.dials: set[asyncio.Task[None]] = set()
         self.pools = EmulatedPools(world, self.ledger, self.clock)
@@ -126,7 +133,9 @@
 
     async def start_server(self, node: Node) -> None:
         """With a pool, a database and a registry of its own."""
-        pool = partial(PoolPeer, partial(self.pools.linked, node), partial(self.pools.command, node))
+        pool = partial(
+            PoolPeer, partial(self.pools.linked, node), partial(self.pools.command, node)
+        )
         settings = {
             "name": f"n{node.number}",
             "listen": f"{HERE}:0",
@@ -155,7 +164,8 @@
 
     def launch_of(self, node: Node) -> Launch:
         """What this server is started with: a file of its own where the arm names one, or the world has
-        cells."""
+        cells.
+        """
         launch = self.launch
         if self.plane is not None:
             return Launch(launch.module, str(self.plane.node_file(node, launch.config)))
@@ -202,7 +212,8 @@
 
     async def stop(self) -> None:
         """Ends the servers that were started here, by their ids; whatever is left a second after its notice
-        is killed."""
+        is killed.
+        """
         processes = [*self.routers, *self.nodes]  # routers first: they answer what nodes still run
         for node in processes:
             if not node.running:
@@ -218,7 +229,9 @@
         for node in processes:
             await self.all_ended([node], end_by)
             if node.process is not None and node.running:
-                self.ledger.breaks("drain", self.now(), f"server {node.number} had not ended in its notice")
+                self.ledger.breaks(
+                    "drain", self.now(), f"server {node.number} had not ended in its notice"
+                )
                 node.process.kill()
                 node.process.wait()
 
@@ -278,9 +291,14 @@
         self.pools.schedule(node)
 
 
-def run(world: World, seed: int, launch: Launch, folder: Path | None = None,
-        progress: Callable[[Loopback], None] | None = None,
-        carrier: Callable[[World, int, Launch, Path], Loopback] = Loopback) -> Loopback:  # fmt: skip
+def run(
+    world: World,
+    seed: int,
+    launch: Launch,
+    folder: Path | None = None,
+    progress: Callable[[Loopback], None] | None = None,
+    carrier: Callable[[World, int, Launch, Path], Loopback] = Loopback,
+) -> Loopback:
     """One run from its start to its end; servers' logs stay in the folder, if one is named."""
     import uvloop
 
@@ -298,5 +316,8 @@
             raise made.failure from None
         finally:
             if threading.current_thread() is threading.main_thread():
-                for number, handler in before.items():  # the closed loop leaves handlers that do nothing
+                for (
+                    number,
+                    handler,
+                ) in before.items():  # the closed loop leaves handlers that do nothing
                     signal.signal(number, handler)
--- a/pumicenotch/lab/measure.py
+++ b/pumicenotch/lab/measure.py
@@ -17,7 +17,8 @@
 
 def figures(world: World, ledger: Ledger, cpu_ms: float, read: int) -> dict[str, float]:
     """By name; service and utility are parts of what was asked for after the warm-up, first tries only.
-    Tasks still open at the end count as not served."""
+    Tasks still open at the end count as not served.
+    """
     asked = [task for task in ledger.asked if task.at >= world.warm_s * 1000.0]
     ends = [end for end in ledger.ends if end.task.at >= world.warm_s * 1000.0]
     found: dict[str, float] = {}
@@ -25,7 +26,9 @@
     good = [end for end in ends if in_time(world, end)]
     for at, name in enumerate(names_of(world.stage)):
         wanted = sum(task.stage == at for task in asked)
-        found[f"service_{name}"] = sum(end.task.stage == at for end in good) / wanted if wanted else 1.0
+        found[f"service_{name}"] = (
+            sum(end.task.stage == at for end in good) / wanted if wanted else 1.0
+        )
     by_tenant = []
     for at, _ in enumerate(world.tenant):
         wanted = sum(task.tenant == at for task in asked)
@@ -34,7 +37,9 @@
             if len(world.tenant) <= MOST_TENANTS:
                 found[f"service_of_{world.tenant[at].name.replace('-', '_')}"] = by_tenant[-1]
     found["service_worst_tenant"] = min(by_tenant, default=1.0)
-    found["utility"] = sum(world.stage[end.task.stage].utility for end in good) / worth if worth else 1.0
+    found["utility"] = (
+        sum(world.stage[end.task.stage].utility for end in good) / worth if worth else 1.0
+    )
     histogram = HdrHistogram(1, MOST_MS * 10, DIGITS)
     for end in ends:
         if end.kind == "served":
@@ -46,15 +51,20 @@
     found["cpu_us_per_task"] = cpu_ms * 1000.0 / max(1, read)
     if world.phase:
         found["shift_s"] = shift(world, ledger)
-    lasting = [fault for fault in world.fault if fault.kind not in ("drain", "kill", "reload", "cut_pool")]
+    lasting = [
+        fault for fault in world.fault if fault.kind not in ("drain", "kill", "reload", "cut_pool")
+    ]
     if lasting:
-        found["recover_s"] = max(recovery(world, ledger, fault.at_s + fault.for_s) for fault in lasting)
+        found["recover_s"] = max(
+            recovery(world, ledger, fault.at_s + fault.for_s) for fault in lasting
+        )
     return {name: round(value, 4) for name, value in found.items()}
 
 
 def added(world: World, ledger: Ledger, until_s: float) -> dict[str, float]:
     """What a served task took beyond its own work, at the median and for 99 in 100: `quiet` of those meant to
-    begin after the warm-up and up to then, `later` of all that came after."""
+    begin after the warm-up and up to then, `later` of all that came after.
+    """
     quiet, later = HdrHistogram(1, MOST_MS * 1000, DIGITS), HdrHistogram(1, MOST_MS * 1000, DIGITS)
     for end in ledger.ends:
         if end.kind == "served" and end.task.at >= world.warm_s * 1000.0:
@@ -63,8 +73,9 @@
             some.record_value(max(1, min(MOST_MS * 1000, int(took * 1000.0))))
     return {
         f"{name}_added_p{part}_ms": round(some.get_value_at_percentile(part) / 1000.0, 3)
-        for name, some in (("quiet", quiet), ("later", later)) for part in (50, 99)
-    }  # fmt: skip
+        for name, some in (("quiet", quiet), ("later", later))
+        for part in (50, 99)
+    }
 
 
 def windows(world: World, ledger: Ledger) -> list[dict[str, Any]]:
@@ -84,7 +95,9 @@
         rows.setdefault(key, blank)["asked"] += 1
     for end in ledger.ends:
         row = rows[int(end.task.at // 1000.0), end.task.stage]
-        row["served" if in_time(world, end) else "rejected" if end.kind == "rejected" else "late"] += 1
+        row[
+            "served" if in_time(world, end) else "rejected" if end.kind == "rejected" else "late"
+        ] += 1
     return [rows[key] for key in sorted(rows)]
 
 
@@ -102,7 +115,8 @@
 
 def settled(asked: list[float], good: list[float], begins: int, ends: int, steady: float) -> float:
     """Seconds from `begins` until the next three seconds together serve 90% of the steady part: three, or
-    chance alone would hide what is looked for."""
+    chance alone would hide what is looked for.
+    """
     for at in range(begins, ends - 2):
         if sum(good[at : at + 3]) >= 0.9 * steady * sum(asked[at : at + 3]):
             return float(at - begins)
@@ -111,7 +125,8 @@
 
 def shift(world: World, ledger: Ledger) -> float:
     """The longest that service took, after a change of phase, to be at 90% of what it was in that phase's
-    second half, s."""
+    second half, s.
+    """
     asked, good = by_second(world, ledger)
     longest = 0.0
     for begins, ends, _, _ in world.loads()[1:]:
@@ -124,7 +139,8 @@
 
 def recovery(world: World, ledger: Ledger, mended_s: float) -> float:
     """From the end of a fault until service is at 90% of what it was over the run's last quarter, s. The
-    fault is to end well before that."""
+    fault is to end well before that.
+    """
     asked, good = by_second(world, ledger)
     last = int(world.length_s)
     quarter = slice(last - last // 4, last)
--- a/pumicenotch/lab/moving.py
+++ b/pumicenotch/lab/moving.py
@@ -1,6 +1,7 @@
 """A model of moves for the checker: routers, nodes, one fingerprint and its tries, with messages that are
 late or lost, nodes and routers that crash, maps that come when they come. Everything that is decided is
-decided by `cells/`."""
+decided by `cells/`.
+"""
 
 from collections.abc import Iterator
 from typing import Any, NamedTuple
@@ -81,18 +82,31 @@
     Bounds: tries, crashes of nodes, lost connections, restarts of routers, steps of time.
 
     `forced` are nodes that never get another map, and count as told; `cut` are pairs of a router and a node
-    that do not reach each other; `unheard` are routers that the control plane reaches no more."""
+    that do not reach each other; `unheard` are routers that the control plane reaches no more.
+    """
 
     fence: type[Fence] = Fence
     walks: Any = staticmethod(walk)
     walk_type: type[Walk] = Walk
 
     def __init__(
-        self, maps: list[CellMap], times: list[float], *, routers: int = 2, tries: int = 2, crashes: int = 1,
-        losses: int = 1, restarts: int = 0, until: float = 0.0, step: float = 0.0, careful: bool = True,
-        settles: frozenset[int] = frozenset(), forced: tuple[str, ...] = (),
-        cut: frozenset[tuple[int, str]] = frozenset(), unheard: frozenset[int] = frozenset(),
-    ) -> None:  # fmt: skip
+        self,
+        maps: list[CellMap],
+        times: list[float],
+        *,
+        routers: int = 2,
+        tries: int = 2,
+        crashes: int = 1,
+        losses: int = 1,
+        restarts: int = 0,
+        until: float = 0.0,
+        step: float = 0.0,
+        careful: bool = True,
+        settles: frozenset[int] = frozenset(),
+        forced: tuple[str, ...] = (),
+        cut: frozenset[tuple[int, str]] = frozenset(),
+        unheard: frozenset[int] = frozenset(),
+    ) -> None:
         self.maps, self.times, self.count = {each.epoch: each for each in maps}, times, routers
         self.bounds = (tries, crashes, losses, restarts)
         self.window, self.until, self.step = maps[0].window_ms, until, step
@@ -127,7 +141,8 @@
 
     def maps_spread(self, state: State) -> Iterator[tuple[str, State]]:
         """Files of nodes first, those of routers as `may_tell_routers` says; a router reads its file when it
-        does, and is confirmed with the newest map only."""
+        does, and is confirmed with the newest map only.
+        """
         newest = 1
         for epoch in range(2, len(self.maps) + 1):
             if state.now < self.times[epoch - 1]:
@@ -143,7 +158,10 @@
             newest = epoch
             for at, router in enumerate(state.routers):
                 if router.told == epoch - 1 and at not in self.unheard:
-                    yield f"router {at}'s file holds epoch {epoch}", self.router(state, at, told=epoch)
+                    yield (
+                        f"router {at}'s file holds epoch {epoch}",
+                        self.router(state, at, told=epoch),
+                    )
         for at, router in enumerate(state.routers):
             # Without a lease nobody looks at when a map was confirmed.
             fresh = self.leased and router.told >= newest and at not in self.unheard
@@ -164,11 +182,15 @@
 
     def tries_begin(self, state: State) -> Iterator[tuple[str, State]]:
         number = len(state.tries) + 1
-        if number > self.bounds[0] or (state.tries and state.now >= state.tries[0].at + self.window):
+        if number > self.bounds[0] or (
+            state.tries and state.now >= state.tries[0].at + self.window
+        ):
             return  # tries of a task come within a window of the first
         for at, router in enumerate(state.routers):
             held = self.maps[router.held]
-            begun = self.walks(held, router.confirmed, state.now, TENANT, Effect.FINGERPRINTED, TOKEN, [])
+            begun = self.walks(
+                held, router.confirmed, state.now, TENANT, Effect.FINGERPRINTED, TOKEN, []
+            )
             if isinstance(begun, End):
                 made = Try(number, state.now, at, router.held, (), "", "", begun.kind)
                 yield (
@@ -177,7 +199,16 @@
                 )
             else:
                 step = begun.start()
-                made = Try(number, state.now, at, begun.epoch, tuple(begun.asks), begun.home, begun.asked, "")
+                made = Try(
+                    number,
+                    state.now,
+                    at,
+                    begun.epoch,
+                    tuple(begun.asks),
+                    begun.home,
+                    begun.asked,
+                    "",
+                )
                 new = state._replace(tries=(*state.tries, made))
                 yield (
                     f"try {number} at router {at}, by epoch {router.held}: {self.told(step)}",
@@ -206,15 +237,21 @@
         if not peer.up or peer.life != letter.life:
             if not letter.late:
                 said = Said.REFUSED if not peer.up and letter.life == peer.life else Said.BROKEN
-                yield from self.answered(gone, letter, said, f"{letter.node} is not there any more: ")
+                yield from self.answered(
+                    gone, letter, said, f"{letter.node} is not there any more: "
+                )
             else:
                 yield f"{letter.node} is gone: a late try {letter.number} is lost", gone
             return
         yield self.judged(gone, letter, at)
         if state.losses and not letter.late:
             # The router sees its connection break; what it wrote may still arrive.
-            late = gone._replace(losses=state.losses - 1, letters=gone.letters | {letter._replace(late=True)})
-            yield from self.answered(late, letter, Said.BROKEN, "its connection breaks on the way there: ")
+            late = gone._replace(
+                losses=state.losses - 1, letters=gone.letters | {letter._replace(late=True)}
+            )
+            yield from self.answered(
+                late, letter, Said.BROKEN, "its connection breaks on the way there: "
+            )
 
     def judged(self, state: State, letter: Letter, at: int) -> tuple[str, State]:
         peer = state.peers[at]
@@ -232,7 +269,9 @@
         line = f"{letter.node} gets {what}: {verdict.name}"
         return line, new._replace(letters=new.letters | {back})
 
-    def answered(self, state: State, letter: Letter, said: Said, why: str) -> Iterator[tuple[str, State]]:
+    def answered(
+        self, state: State, letter: Letter, said: Said, why: str
+    ) -> Iterator[tuple[str, State]]:
         held = state.tries[letter.number - 1]
         if held.end:
             yield f"{why}try {letter.number} has ended already", state
@@ -243,7 +282,9 @@
         end = step.kind if isinstance(step, End) else ""
         made = held._replace(asks=tuple(path.asks), asked=path.asked, end=end)
         tries = (*state.tries[: letter.number - 1], made, *state.tries[letter.number :])
-        line = f"{why}router {held.router} hears {said.name} of try {letter.number}: {self.told(step)}"
+        line = (
+            f"{why}router {held.router} hears {said.name} of try {letter.number}: {self.told(step)}"
+        )
         yield line, self.sent(state._replace(tries=tries), letter.number, step)
 
     def sent(self, state: State, number: int, step: Step) -> State:
@@ -298,7 +339,8 @@
 
     def wrong(self, state: State) -> str:
         """Two runs of one fingerprint, but where a home crashed after the first and nothing moved: what it
-        ran went with its memory, as on a single server without a store. And no try that ran is rejected."""
+        ran went with its memory, as on a single server without a store. And no try that ran is rejected.
+        """
         places = {run.node for run in state.runs}
         if len(places) > 1:
             return f"ran twice, on {' and '.join(sorted(places))}"
--- a/pumicenotch/lab/peers.py
+++ b/pumicenotch/lab/peers.py
@@ -1,7 +1,8 @@
 """The other parties' sides of the protocols, on asyncio's own protocols: worker pool, database, registry,
 gateway.
 
-Each hands decoded messages to what it was made with, and keeps nothing that a rule is judged by."""
+Each hands decoded messages to what it was made with, and keeps nothing that a rule is judged by.
+"""
 
 import asyncio
 import json
@@ -100,7 +101,9 @@
             elif isinstance(event, h11.EndOfMessage):
                 self.said(self.target.rpartition("/")[2], json.loads(self.body)["state"])
                 answer = h11.Response(status_code=204, headers=[])
-                self.write((self.http.send(answer) or b"") + (self.http.send(h11.EndOfMessage()) or b""))
+                self.write(
+                    (self.http.send(answer) or b"") + (self.http.send(h11.EndOfMessage()) or b"")
+                )
                 if self.http.our_state is h11.DONE:
                     self.http.start_next_cycle()
             else:
@@ -109,7 +112,8 @@
 
 class GatewayPeer(Peer):
     """One connection of a gateway: MessagePack-RPC. `said` gets message number, kind, and an answer's
-    parts."""
+    parts.
+    """
 
     def __init__(self, said: Callable[..., None], lost: Callable[["GatewayPeer"], None]) -> None:
         self.said, self.gone = said, lost
@@ -126,7 +130,9 @@
                 case [1, message, None, [body, dict(fields)]]:
                     self.said(self, message, "served", body, fields)
                 case [1, message, [str(error), dict(fields)], None]:
-                    self.said(self, message, "rejected" if error == "TryLater" else "failed", b"", fields)
+                    self.said(
+                        self, message, "rejected" if error == "TryLater" else "failed", b"", fields
+                    )
                 case [2, "draining", _]:
                     self.draining = True
                     self.close_if_over()
--- a/pumicenotch/lab/plain.py
+++ b/pumicenotch/lab/plain.py
@@ -1,5 +1,6 @@
 """The baseline that servers without a mechanism have: first come first served by as many places as cores, a
-short bounded queue, no classes, no estimates. It keeps the four rules, which the chain around it keeps."""
+short bounded queue, no classes, no estimates. It keeps the four rules, which the chain around it keeps.
+"""
 
 from pumicenotch.control import Control, Task
 
--- a/pumicenotch/lab/published.py
+++ b/pumicenotch/lab/published.py
@@ -1,5 +1,6 @@
 """The configuration that an experiment publishes, and an independent record of it: what each scope holds at
-each version, by digests that the product does not know."""
+each version, by digests that the product does not know.
+"""
 
 import json
 import random
@@ -60,11 +61,15 @@
             if number >= whole:
                 continue
             table, key = (
-                ("tenants", self.tenant_key(number)) if tenants else ("routes", self.route_key(number))
+                ("tenants", self.tenant_key(number))
+                if tenants
+                else ("routes", self.route_key(number))
             )
             value = tenant_value(number, serial) if tenants else route_value(number, serial)
             found[key] = Change(table, key, None if chance.random() < DELETED_PART else value)
-        return list(found.values()) or [Change("tenants", self.tenant_key(0), tenant_value(0, serial))]
+        return list(found.values()) or [
+            Change("tenants", self.tenant_key(0), tenant_value(0, serial))
+        ]
 
     def everything(self) -> dict[str, list[str]]:
         """All scopes that records are published in."""
@@ -80,8 +85,10 @@
             zone * self.cells_a_zone + number // self.zones % self.cells_a_zone
         ) % self.configuration.cells
         services = self.configuration.services
-        named = {(number * STRIDE + at * SERVICE_STRIDE) % services
-                 for at in range(self.configuration.services_each)}  # fmt: skip
+        named = {
+            (number * STRIDE + at * SERVICE_STRIDE) % services
+            for at in range(self.configuration.services_each)
+        }
         return {"tenants": [f"c{cell:03d}"], "routes": [f"s{at:04d}" for at in sorted(named)]}
 
 
@@ -125,7 +132,9 @@
                 self.held[change.table, scope].pop(name, None)
             else:
                 self.held[change.table, scope][name] = change.value
-        self.file.write(Version(version, {each: digest_of(self.held[each]) for each in touched}).dump())
+        self.file.write(
+            Version(version, {each: digest_of(self.held[each]) for each in touched}).dump()
+        )
         self.file.flush()
 
     def close(self) -> None:
--- a/pumicenotch/lab/publisher.py
+++ b/pumicenotch/lab/publisher.py
@@ -1,5 +1,6 @@
 """Publishes an experiment's configuration to the voters: the whole at first, then changes at a day's rate,
-with bursts between them."""
+with bursts between them.
+"""
 
 import asyncio
 import random
--- a/pumicenotch/lab/relay.py
+++ b/pumicenotch/lab/relay.py
@@ -1,7 +1,8 @@
 """A relay through which every directed pair of processes talks: cut one way or both, late, lossy by
 connection, requests that come twice, half-open, slow. Each process is known to the others by an address of
 the relay's; who dials is known by its hello. Faults are frames that do not come, never code in the
-product."""
+product.
+"""
 
 import asyncio
 import random
@@ -39,7 +40,9 @@
 
     async def open(self, name: str, listen: str, ip: str, port: int) -> None:
         """Whoever dials IP:PORT talks to that process at the address where it really listens."""
-        self.servers.append(await asyncio.start_server(partial(self.dialled, name, listen), ip, port))
+        self.servers.append(
+            await asyncio.start_server(partial(self.dialled, name, listen), ip, port)
+        )
 
     async def close(self) -> None:
         for server in self.servers:
@@ -135,7 +138,10 @@
                     self.broken += 1
                     return
                 told = packer.pack(way.alter(frame) if way.alter else frame)
-                wait = way.delay_ms / 1000.0 * self.chance.uniform(0.5, 1.5) + len(told) / way.bytes_per_s
+                wait = (
+                    way.delay_ms / 1000.0 * self.chance.uniform(0.5, 1.5)
+                    + len(told) / way.bytes_per_s
+                )
                 due = max(due, now() + wait)  # in order, as on one connection
                 twice = frame[0] == 0 and way.copies and self.chance.random() < way.copies
                 self.copied += bool(twice)
--- a/pumicenotch/lab/releaserun.py
+++ b/pumicenotch/lab/releaserun.py
@@ -1,6 +1,7 @@
 """A fleet whose servers are started by agents, from versions on a disk: the program itself, some with a fault
 seeded in their folder by a hook that Python runs at its start. Who has had which version is seen from
-outside, in what processes run."""
+outside, in what processes run.
+"""
 
 import asyncio
 import contextlib
@@ -224,8 +225,11 @@
 
     def lost(self, node: Node, conn: GatewayPeer) -> None:
         """What a process held that has crashed for its version's sake is nobody's duty, as with one
-        killed."""
-        node.killed |= self.disk(node)["runs"].get("program") == self.versions.get("crash-loop", "none")
+        killed.
+        """
+        node.killed |= self.disk(node)["runs"].get("program") == self.versions.get(
+            "crash-loop", "none"
+        )
         super().lost(node, conn)
 
     # What all share
@@ -292,7 +296,9 @@
         await self.spoken()
         mixed = self.world.mixed
         shares = [1.0] if mixed else [0.34, 1.0]
-        waves = more.pop("waves", None) or (await self.crew.ask("waves", shares, mixed, ""))["waves"]
+        waves = (
+            more.pop("waves", None) or (await self.crew.ask("waves", shares, mixed, ""))["waves"]
+        )
         usual: dict[str, Any] = {
             "slot": "program",
             "replaces": "",
@@ -300,12 +306,27 @@
             "back": True,
         }
         usual |= {"wait": 20 * int(self.world.soak_ms), "urgent": False, "level": LEVEL, **more}
-        entry = [name, usual["slot"], self.versions[kind], usual["replaces"], usual["level"], waves,
-                 usual["soak"], usual["wait"], usual["back"], 0, usual["urgent"], mixed, []]  # fmt: skip
+        entry = [
+            name,
+            usual["slot"],
+            self.versions[kind],
+            usual["replaces"],
+            usual["level"],
+            waves,
+            usual["soak"],
+            usual["wait"],
+            usual["back"],
+            0,
+            usual["urgent"],
+            mixed,
+            [],
+        ]
         return await self.crew.ask("plan", secrets.token_hex(8), entry, "operator")
 
     async def word(self, name: str, what: str, seen: tuple[str, ...] = ()) -> Any:
-        return await self.crew.ask("release", secrets.token_hex(8), name, what, seen, "a reason", "operator")
+        return await self.crew.ask(
+            "release", secrets.token_hex(8), name, what, seen, "a reason", "operator"
+        )
 
     async def over(self, name: str, *states: str, within_s: float = 240.0) -> dict[str, Any]:
         """The release, once it is in one of those states."""
@@ -327,10 +348,13 @@
         new = self.versions.get(self.releases, "")
         took = (self.over_at - self.released_at) / 1000.0 if self.over_at else -1.0
         return {
-            "most_out": float(self.most_out), "most_over_budget": float(self.most_over),
-            "ever_released": float(len(self.had.get(new, ()))), "versions": float(len(self.runs())),
-            "released": float(self.last.get("state") == "done"), "release_s": round(took, 2),
-        }  # fmt: skip
+            "most_out": float(self.most_out),
+            "most_over_budget": float(self.most_over),
+            "ever_released": float(len(self.had.get(new, ()))),
+            "versions": float(len(self.runs())),
+            "released": float(self.last.get("state") == "done"),
+            "release_s": round(took, 2),
+        }
 
     async def stop(self) -> None:
         self.stopped = True
--- a/pumicenotch/lab/releasing.py
+++ b/pumicenotch/lab/releasing.py
@@ -1,5 +1,6 @@
 """Releases in simulated time: a `Day` whose servers have agents beside them, versions that behave badly in a
-way of their own, and a load whose counts the servers tell."""
+way of their own, and a load whose counts the servers tell.
+"""
 
 from collections import Counter, defaultdict
 from collections.abc import Iterable
@@ -41,7 +42,9 @@
     def __init__(self, seed: int, **more: Any) -> None:
         super().__init__(seed, **more)
         self.versions: dict[str, Version] = {}
-        self.runs: dict[str, dict[str, str]] = defaultdict(lambda: {"program": OLD})  # on the nodes' disks
+        self.runs: dict[str, dict[str, str]] = defaultdict(
+            lambda: {"program": OLD}
+        )  # on the nodes' disks
         self.holds: dict[str, list[str]] = defaultdict(lambda: [OLD])
         self.full: set[str] = set()  # disks
         self.agents: dict[str, str] = {}  # agent -> node
@@ -67,10 +70,18 @@
         process.life += 1
         process.stopped, process.late, process.wake_at = False, [], float("inf")
         process.core = Agent(  # type: ignore[assignment]
-            fleet="day", node=node, life=f"{process.life:04d}", voters=self.voters.values(),
-            runs=self.runs[node], holds=self.holds[node], child=self.processes[node].up,
-            start_ms=10_000.0, drain_ms=6000.0, now=self.now, seed=self.chance.getrandbits(32),
-        )  # fmt: skip
+            fleet="day",
+            node=node,
+            life=f"{process.life:04d}",
+            voters=self.voters.values(),
+            runs=self.runs[node],
+            holds=self.holds[node],
+            child=self.processes[node].up,
+            start_ms=10_000.0,
+            drain_ms=6000.0,
+            now=self.now,
+            seed=self.chance.getrandbits(32),
+        )
         self.put(name, "start")
 
     def version(self, node: str) -> Version:
@@ -88,7 +99,8 @@
 
         def later(after_ms: float, what: str, *details: Any) -> None:
             self.at(
-                self.now + after_ms, lambda: self.put(name, what, *details) if process.life == life else None
+                self.now + after_ms,
+                lambda: self.put(name, what, *details) if process.life == life else None,
             )
 
         match effect:
@@ -122,7 +134,10 @@
         if version.mute:
             self.mute(node)
         if version.crashes_ms >= 0.0:
-            self.at(self.now + version.crashes_ms, lambda: self.crash(node) if process.life == life else None)
+            self.at(
+                self.now + version.crashes_ms,
+                lambda: self.crash(node) if process.life == life else None,
+            )
 
     def mute(self, node: str) -> None:
         process = self.processes[node]
@@ -159,7 +174,10 @@
             version = self.version(node)
             rows = self.counted[node]
             for kind, row in rows.items():
-                many = sum(self.chance.random() < 0.5 for _ in range(int(2 * self.load * COUNT_MS / 1000.0)))
+                many = sum(
+                    self.chance.random() < 0.5
+                    for _ in range(int(2 * self.load * COUNT_MS / 1000.0))
+                )
                 bad = 0.01 + self.below / 2.0 + (version.bad if version.kind in ("", kind) else 0.0)
                 calls = int(many * version.calls)
                 more = (
@@ -171,7 +189,9 @@
                     calls * CALL_MS,
                 )
                 rows[kind] = [held + each for held, each in zip(row, more, strict=True)]
-            self.put(node, "counted", [(kind, *row) for kind, row in rows.items()], version.memory_mb)
+            self.put(
+                node, "counted", [(kind, *row) for kind, row in rows.items()], version.memory_mb
+            )
 
     # Releases
 
@@ -183,7 +203,11 @@
 
     def release(self, name: str, version: str, **more: Any) -> Release:
         waves = more.pop("waves", None) or waves_of(
-            [each for each in self.state().members.values() if each.name in self.state().releases.nodes]
+            [
+                each
+                for each in self.state().members.values()
+                if each.name in self.state().releases.nodes
+            ]
         )
         usual: dict[str, Any] = {
             "slot": "program",
@@ -211,13 +235,23 @@
 
 
 def usual(
-    seed: int, *, nodes: int = 12, zones: int = 3, voters: int = 5, with_voters: bool = False,
-    budgets: Iterable[Budget] = (), versions: dict[str, Version] | None = None, **more: Any,
-) -> Agents:  # fmt: skip
+    seed: int,
+    *,
+    nodes: int = 12,
+    zones: int = 3,
+    voters: int = 5,
+    with_voters: bool = False,
+    budgets: Iterable[Budget] = (),
+    versions: dict[str, Version] | None = None,
+    **more: Any,
+) -> Agents:
     """As `fleets.usual`, with an agent beside each node; every agent has spoken when it returns."""
     day = Agents(seed, **more)
     day.versions = versions or {}
-    day.budgets = tuple(budgets) or (Budget("zones", "zone", most_out=1), Budget("all", "fleet", most_out=2))
+    day.budgets = tuple(budgets) or (
+        Budget("zones", "zone", most_out=1),
+        Budget("all", "fleet", most_out=2),
+    )
     for at in range(voters):
         day.add(f"v{at + 1}", f"z{at % zones}", voter=True)
     for at in range(nodes):
@@ -228,10 +262,13 @@
     day.until(lambda: bool(day.leader()))
     day.start(list(day.agents))
     day.until(
-        lambda: bool(day.leader()) and len(day.state().releases.nodes) == len(day.agents)
-        and len(day.state().members) == nodes + voters
-        and not any(day.state().is_out(each) for each in day.state().members.values()),
+        lambda: (
+            bool(day.leader())
+            and len(day.state().releases.nodes) == len(day.agents)
+            and len(day.state().members) == nodes + voters
+            and not any(day.state().is_out(each) for each in day.state().members.values())
+        ),
         120_000.0,
-    )  # fmt: skip
+    )
     day.tasks()
     return day
--- a/pumicenotch/lab/releasing_model.py
+++ b/pumicenotch/lab/releasing_model.py
@@ -5,7 +5,8 @@
 
 What must not be: more of a zone away than its budget; a move on a permission after a halt was agreed, by more
 than the one that was on its way; a fleet from which no way leads to one version once faults end
-(`settles`)."""
+(`settles`).
+"""
 
 import argparse
 from collections.abc import Iterator
@@ -61,7 +62,9 @@
 
     def first(self) -> State:
         made = self.type()
-        made.apply(1, ("begin", "f", ("v",), (Budget("zones", "zone", most_out=self.most_out),), ()))
+        made.apply(
+            1, ("begin", "f", ("v",), (Budget("zones", "zone", most_out=self.most_out),), ())
+        )
         made.apply(2, ("level", 2))
         for name in self.NAMES:
             made.apply(made.index + 1, ("join", member_fields(Member(name, "0", zone=name[0]))))
@@ -70,7 +73,9 @@
         plan = Release("r", SLOT, NEW, OLD, 2, self.WAVES, 1, 1, True, 0, False, False)
         made.apply(made.index + 1, ("plan", "p", plan_fields(plan), "op"))
         made.apply(made.index + 1, ("release", "s", "r", "start", (), "x", "op"))
-        return State(self.frozen(made), tuple(Box() for _ in self.NAMES), False, "", tuple(self.bounds))
+        return State(
+            self.frozen(made), tuple(Box() for _ in self.NAMES), False, "", tuple(self.bounds)
+        )
 
     @staticmethod
     def frozen(made: Agreed) -> tuple[Any, ...]:
@@ -131,7 +136,13 @@
         """What servers and agents do by themselves."""
         box, agreed = state.boxes[at], self.thawed(state)
         life, permit, node = str(box.life), agreed.permits.get(name), agreed.releases.nodes[name]
-        if box.is_ == UP and permit is not None and permit.life == life and not permit.begun and not box.away:
+        if (
+            box.is_ == UP
+            and permit is not None
+            and permit.life == life
+            and not permit.begun
+            and not box.away
+        ):
             if agreed.apply(101, ("began", name, life, permit.epoch)).good:
                 new = state._replace(agreed=self.frozen(agreed))
                 yield f"{name} begins to drain", self.box(new, at, is_=GOES, away=True)
@@ -139,8 +150,19 @@
         if box.is_ == GOES:
             yield f"{name} has drained and ends", self.box(state, at, is_=DOWN, heard=False)
         if not box.heard:
-            word = ("word", name, "g", ((SLOT, box.runs),), (OLD, NEW), GONE if box.is_ == DOWN else "", "")
-            yield f"the word of {name}'s agent is agreed", self.box(self.apply(state, word), at, heard=True)
+            word = (
+                "word",
+                name,
+                "g",
+                ((SLOT, box.runs),),
+                (OLD, NEW),
+                GONE if box.is_ == DOWN else "",
+                "",
+            )
+            yield (
+                f"the word of {name}'s agent is agreed",
+                self.box(self.apply(state, word), at, heard=True),
+            )
         due = agreed.releases.due(node)
         if box.is_ == DOWN and box.heard and due[0] and not box.may:
             made = self.thawed(state)
@@ -157,7 +179,9 @@
         life = state.boxes[at].life + 1
         up = self.box(state, at, is_=UP, life=life, away=False, heard=False)
         return self.apply(
-            up, ("join", member_fields(Member(name, str(life), zone=name[0]))), ("serving", name, str(life))
+            up,
+            ("join", member_fields(Member(name, str(life), zone=name[0]))),
+            ("serving", name, str(life)),
         )
 
     def faults(self, state: State) -> Iterator[tuple[str, State]]:
@@ -171,8 +195,19 @@
             yield "HALT", self.apply(self.spent(state, "halts"), halt)._replace(halted=True)
         keys = tuple(halt[0] for halt in release.halts)
         if left.resumes and release.state == "halted":
-            entries: tuple[Any, ...] = ("release", f"u{left.resumes}", "r", "resume", keys, "x", "op")
-            yield "resumed", self.apply(self.spent(state, "resumes"), entries)._replace(halted=False)
+            entries: tuple[Any, ...] = (
+                "release",
+                f"u{left.resumes}",
+                "r",
+                "resume",
+                keys,
+                "x",
+                "op",
+            )
+            yield (
+                "resumed",
+                self.apply(self.spent(state, "resumes"), entries)._replace(halted=False),
+            )
         if left.backs and release.active:
             entries = ("release", f"b{left.backs}", "r", "back", keys, "x", "op")
             yield "BACK", self.apply(self.spent(state, "backs"), entries)._replace(halted=False)
@@ -182,9 +217,15 @@
         for at, name in enumerate(self.NAMES):
             box = state.boxes[at]
             if left.crashes and box.is_ == UP:
-                yield f"{name} crashes", self.box(self.spent(state, "crashes"), at, is_=DOWN, heard=False)
+                yield (
+                    f"{name} crashes",
+                    self.box(self.spent(state, "crashes"), at, is_=DOWN, heard=False),
+                )
             if left.naps and box.may:
-                yield f"{name}'s agent sleeps too long", self.box(self.spent(state, "naps"), at, may="")
+                yield (
+                    f"{name}'s agent sleeps too long",
+                    self.box(self.spent(state, "naps"), at, may=""),
+                )
             if left.bad and box.runs == NEW and release.state in ("draining", "moving", "soaking"):
                 harm = ("harm", "r", "judgement", (name,), "x")
                 yield f"harm is seen at {name}", self.apply(self.spent(state, "bad"), harm)
@@ -199,16 +240,15 @@
                 if box.away and name[0] == zone
             ]
             if len(away) > self.most_out:
-                return (
-                    f"{' and '.join(away)} are away by permit: at most {self.most_out} of zone {zone} may be"
-                )
+                return f"{' and '.join(away)} are away by permit: at most {self.most_out} of zone {zone} may be"
         if state.late:
             return f"{state.late} though it is halted"
         return self.settles(state)
 
     def settles(self, state: State) -> str:
         """Once faults end and an operator has it go on, all come to one version; else where it stands
-        still."""
+        still.
+        """
         release = self.release(state)
         if release.state == "halted":
             keys = tuple(halt[0] for halt in release.halts)
@@ -220,7 +260,12 @@
                 state = self.apply(state, ("soaked", "r", self.release(state).wave, True, "x"))
                 continue
             found = next(
-                (new for at, name in enumerate(self.NAMES) for _, new in self.goes_on(state, at, name)), None
+                (
+                    new
+                    for at, name in enumerate(self.NAMES)
+                    for _, new in self.goes_on(state, at, name)
+                ),
+                None,
             )
             if found is None:
                 break
@@ -231,8 +276,10 @@
             or any(box.is_ != UP for box in state.boxes)
             or self.release(state).state not in ENDED
         ):
-            stands = ", ".join(f"{name} {box.runs} {box.is_}"
-                               for name, box in zip(self.NAMES, state.boxes, strict=True))  # fmt: skip
+            stands = ", ".join(
+                f"{name} {box.runs} {box.is_}"
+                for name, box in zip(self.NAMES, state.boxes, strict=True)
+            )
             return f"no way leads on: release {self.release(state).stands}; {stands}"
         return ""
 
@@ -244,9 +291,15 @@
 
 
 LONG = (
-    ("halts, resumes and ways back", Bounds(halts=2, resumes=2, backs=1, crashes=0, bad=0, drains=0, naps=0)),
+    (
+        "halts, resumes and ways back",
+        Bounds(halts=2, resumes=2, backs=1, crashes=0, bad=0, drains=0, naps=0),
+    ),
     ("harm and crashes", Bounds(halts=0, resumes=1, backs=0, crashes=2, bad=1, drains=0, naps=1)),
-    ("a drain beside them", Bounds(halts=1, resumes=1, backs=1, crashes=0, bad=0, drains=1, naps=0)),
+    (
+        "a drain beside them",
+        Bounds(halts=1, resumes=1, backs=1, crashes=0, bad=0, drains=1, naps=0),
+    ),
 )
 
 
--- a/pumicenotch/lab/server_process.py
+++ b/pumicenotch/lab/server_process.py
@@ -52,7 +52,9 @@
 
     def spawn(self, module: list[str], environment: dict[str, str]) -> None:
         with self.log.open("ab") as log:
-            self.process = subprocess.Popen([sys.executable, "-m", *module], stderr=log, env=environment)
+            self.process = subprocess.Popen(
+                [sys.executable, "-m", *module], stderr=log, env=environment
+            )
 
     def kill(self) -> None:
         """Of the experiment's own accord."""
--- a/pumicenotch/lab/simulate.py
+++ b/pumicenotch/lab/simulate.py
@@ -1,5 +1,6 @@
 """Carries a world in simulated time: the real core and decisions, one heap of events, no sockets. Seeded and
-repeatable; the wire costs a fixed time, and the server's own CPU time nothing."""
+repeatable; the wire costs a fixed time, and the server's own CPU time nothing.
+"""
 
 import heapq
 import time
@@ -38,7 +39,9 @@
 
     def __init__(self, core: Server, work: Work) -> None:
         self.core, self.work = core, work
-        self.woken = self.working = 0  # numbers of the latest wake-up, and of the pool's latest look
+        self.woken = self.working = (
+            0  # numbers of the latest wake-up, and of the pool's latest look
+        )
         # gateway -> its connections, what is open
         self.conns: dict[int, list[tuple[int, dict[int, Attempt]]]] = {}
         self.by_conn: dict[int, dict[int, Attempt]] = {}
@@ -52,8 +55,13 @@
 class Simulation:
     """`pools` makes the pools of a server from its stages and their numbers; none leaves classes as one."""
 
-    def __init__(self, world: World, seed: int, pools: MakePools | None = None,
-                 decides: type[Control] = Control) -> None:  # fmt: skip
+    def __init__(
+        self,
+        world: World,
+        seed: int,
+        pools: MakePools | None = None,
+        decides: type[Control] = Control,
+    ) -> None:
         self.world, self.now, self.order = world, 0.0, count()
         self.events: list[tuple[float, int, Callable[..., object], tuple[Any, ...]]] = []
         self.ledger = Ledger(world)
@@ -69,10 +77,17 @@
             keywords = start.keywords(pairs)
             made = pools(keywords["stages"], self.stages) if pools is not None else None
             core = Server(
-                keywords=keywords, stages=self.stages, tenants=start.names(pairs, "tenants"), seed=seed + at,
-                stop_ms=world.stop_ms, below=True, memory_mb=world.memory_mb, sockets=1024, pools=made,
+                keywords=keywords,
+                stages=self.stages,
+                tenants=start.names(pairs, "tenants"),
+                seed=seed + at,
+                stop_ms=world.stop_ms,
+                below=True,
+                memory_mb=world.memory_mb,
+                sockets=1024,
+                pools=made,
                 decides=decides,
-            )  # fmt: skip
+            )
             node = Node(core, Work(Cores(world.cores, world.speed, world.thrash, world.thrash_at)))
             self.nodes.append(node)
             self.put(node, "start")
@@ -156,7 +171,9 @@
             case Write("registry", _):
                 self.later(WIRE_MS, node, "reported", None)
             case Write(str(link), ("call", name, _, _)):
-                self.later(self.database_ms + 2.0 * WIRE_MS, node, "replied", link, name, "ROWS", b"rows")
+                self.later(
+                    self.database_ms + 2.0 * WIRE_MS, node, "replied", link, name, "ROWS", b"rows"
+                )
             case Dial(link, after_ms):
                 self.later(after_ms + WIRE_MS, node, "linked", link)
             case Wake(after_ms):
@@ -201,7 +218,12 @@
                 for notice in [each for each in node.work.notices if each[0] > serial]:
                     self.notice(node, notice)
             case ("poll", cookie):
-                self.tell(node, "polled", cookie, node.work.cores.gauges(sum(map(len, node.conns.values()))))
+                self.tell(
+                    node,
+                    "polled",
+                    cookie,
+                    node.work.cores.gauges(sum(map(len, node.conns.values()))),
+                )
             case ("spawn", name, _, _):
                 task = self.ledger.spawn(now, self.nodes.index(node), name)
                 if task is not None:
@@ -260,7 +282,12 @@
             case "reload":
                 made = pools_of(plan_of(fault.pools) if fault.pools else None)
                 stages = node.core.keywords["stages"]
-                self.put(node, "repool", made(stages, self.stages) if made else None, f"pools {fault.pools}")
+                self.put(
+                    node,
+                    "repool",
+                    made(stages, self.stages) if made else None,
+                    f"pools {fault.pools}",
+                )
         self.look(node)
 
     def hasten(self, now: float) -> None:
--- a/pumicenotch/lab/spreading.py
+++ b/pumicenotch/lab/spreading.py
@@ -2,7 +2,8 @@
 anew, with messages that are late, lost, doubled or spoilt.
 
 A state is the pickled world. Time goes on only by steps of its own, so any message may be late by any
-timer."""
+timer.
+"""
 
 import argparse
 import pickle
@@ -23,12 +24,19 @@
 class Spreading:
     """The model: `script` is published in order, within the bounds. It begins with `begun` publications in
     force, or with a replica that has nothing yet; voters remember `log_most` publications; the replica's
-    sources are voters or, `relayed`, relays."""
+    sources are voters or, `relayed`, relays.
+    """
 
     def __init__(
-        self, bounds: Bounds, script: tuple[tuple[Change, ...], ...] = SCRIPT, *, log_most: int = 10,
-        begun: int = 1, fresh: bool = False, relayed: bool = False,
-    ) -> None:  # fmt: skip
+        self,
+        bounds: Bounds,
+        script: tuple[tuple[Change, ...], ...] = SCRIPT,
+        *,
+        log_most: int = 10,
+        begun: int = 1,
+        fresh: bool = False,
+        relayed: bool = False,
+    ) -> None:
         self.bounds, self.script, self.log_most, self.relayed = bounds, script, log_most, relayed
         self.begun, self.fresh = begun, fresh
 
@@ -70,7 +78,9 @@
 
         def copied(**spent: int) -> World:
             other: World = pickle.loads(state.world)
-            other.left = Bounds(*(have - spent.get(name, 0) for name, have in world.left._asdict().items()))
+            other.left = Bounds(
+                *(have - spent.get(name, 0) for name, have in world.left._asdict().items())
+            )
             return other
 
         left, seen = world.left, set()
@@ -87,7 +97,11 @@
                 yield f"{what}, and a copy", copied(copies=1), lambda w, at=at: self.doubled(w, at)
             if left.spoilt and (other := spoilt(letter.message)) is not None:
                 bad = letter._replace(message=other)
-                yield f"spoilt: {what}", copied(spoilt=1), lambda w, at=at, bad=bad: self.replaced(w, at, bad)
+                yield (
+                    f"spoilt: {what}",
+                    copied(spoilt=1),
+                    lambda w, at=at, bad=bad: self.replaced(w, at, bad),
+                )
         for at, letter in enumerate(world.late):
             what = f"{letter.to} gets a late {type(letter.message).__name__}"
             yield what, copied(), lambda w, at=at: w.deliver(w.late.pop(at))
@@ -102,13 +116,21 @@
         for name, voter in world.voters.items():
             version = voter.publications.version
             if version < world.newest:
-                yield f"{name} learns version {version + 1}", copied(), lambda w, name=name: w.learn(name)
+                yield (
+                    f"{name} learns version {version + 1}",
+                    copied(),
+                    lambda w, name=name: w.learn(name),
+                )
             elif left.publications and version < len(world.script):
                 what = f"{name} learns the new version {version + 1}"
                 yield what, copied(publications=1), lambda w, name=name: w.learn(name)
         if left.cuts and not world.cut:
             for name in world.sources:
-                yield f"{name} is cut off", copied(cuts=1), lambda w, name=name: setattr(w, "cut", name)
+                yield (
+                    f"{name} is cut off",
+                    copied(cuts=1),
+                    lambda w, name=name: setattr(w, "cut", name),
+                )
         if left.restarts:
             for name in world.nodes:
                 yield f"{name} restarts", copied(restarts=1), lambda w, name=name: w.start(name)
@@ -148,12 +170,16 @@
     parser = argparse.ArgumentParser(description="The long form of the checks on the distribution.")
     parser.add_argument("--most", type=int, default=100_000, help="states for each of the models")
     parser.add_argument("--walks", type=int, default=0, help="walks by chance for each, instead")
-    parser.add_argument("--relayed", action="store_true", help="with relays between voter and replica")
+    parser.add_argument(
+        "--relayed", action="store_true", help="with relays between voter and replica"
+    )
     told = parser.parse_args()
     for name, bounds in LONG:
         for log_most in (1, 10):
             model = Spreading(bounds, log_most=log_most, relayed=told.relayed)
-            found = model.wander(1, told.walks, WALK_MOST) if told.walks else model.explore(told.most)
+            found = (
+                model.wander(1, told.walks, WALK_MOST) if told.walks else model.explore(told.most)
+            )
             print(f"{name}, a log of {log_most}, {bounds}: {found.text()}", flush=True)
 
 
--- a/pumicenotch/lab/spreading_model.py
+++ b/pumicenotch/lab/spreading_model.py
@@ -1,5 +1,6 @@
 """The world of the distribution's model: voters, relays and a replica, the messages between them, and what
-must hold of them. Everything that is decided is decided by `distribution/`."""
+must hold of them. Everything that is decided is decided by `distribution/`.
+"""
 
 import random
 from collections import Counter
@@ -28,11 +29,25 @@
 ZONE = "zone"
 SETTINGS = Settings(
     relays=len(RELAYS),
-    push_bytes_most=40, page_bytes=40, page_scopes=2, slice_changes=2, fetches_most=1, tries_most=1,
-    announce_least_ms=100.0, announce_ms=1e6, acknowledge_ms=1e6, acknowledge_least_ms=1e6, aggregate_ms=1e6,
-    audit_ms=1e9, narrow_ms=1e9, source_silent_ms=1e6, child_silent_ms=1e9, transfer_idle_ms=1e9,
-    leave_least_ms=1e8, leave_most_ms=1e8,
-)  # fmt: skip
+    push_bytes_most=40,
+    page_bytes=40,
+    page_scopes=2,
+    slice_changes=2,
+    fetches_most=1,
+    tries_most=1,
+    announce_least_ms=100.0,
+    announce_ms=1e6,
+    acknowledge_ms=1e6,
+    acknowledge_least_ms=1e6,
+    aggregate_ms=1e6,
+    audit_ms=1e9,
+    narrow_ms=1e9,
+    source_silent_ms=1e6,
+    child_silent_ms=1e9,
+    transfer_idle_ms=1e9,
+    leave_least_ms=1e8,
+    leave_most_ms=1e8,
+)
 SETTLE_STEPS = 400  # within which a world that nothing disturbs is to be current
 
 
@@ -69,7 +84,8 @@
 
 class World:
     """Voters and a replica that has them as its sources; or, `relayed`, one voter, two relays and a replica
-    that has the relays."""
+    that has the relays.
+    """
 
     def __init__(
         self, script: tuple[tuple[Change, ...], ...], bounds: Bounds, log_most: int, relayed: bool
@@ -94,7 +110,9 @@
 
     def start(self, name: str) -> None:
         """A node begins, with nothing."""
-        node = Node(peer(name), tuple(self.voters), SUBSCRIPTION, Steady(), settings=SETTINGS, tables=TABLES)
+        node = Node(
+            peer(name), tuple(self.voters), SUBSCRIPTION, Steady(), settings=SETTINGS, tables=TABLES
+        )
         self.nodes[name], self.last[name] = node, 0
         self.wire = [letter for letter in self.wire if name not in (letter.sender, letter.to)]
         self.step(name, events.Started())
@@ -181,7 +199,9 @@
                 self.timer()
             if bad := self.wrong():
                 return bad
-            if not self.wire and all(node.view.version == self.newest for node in self.nodes.values()):
+            if not self.wire and all(
+                node.view.version == self.newest for node in self.nodes.values()
+            ):
                 return ""
         versions = {name: node.view.version for name, node in self.nodes.items()}
         return f"lost: versions {versions} stay, {self.newest} was published"
--- a/pumicenotch/lab/up.py
+++ b/pumicenotch/lab/up.py
@@ -29,7 +29,9 @@
         for end in ends:
             whole[end.task.stage] += 1
             good[end.task.stage] += in_time(self.told, end)
-        parts = " ".join(f"{f'{good[at]} of {whole[at]}':>14}" for at in range(len(self.told.stage)))
+        parts = " ".join(
+            f"{f'{good[at]} of {whole[at]}':>14}" for at in range(len(self.told.stage))
+        )
         rejected = sum(end.kind == "rejected" for end in ends)
         times = sorted(end.at - end.task.at for end in ends if end.kind == "served")
         middle = f"{times[len(times) // 2]:.0f}" if times else "-"
--- a/pumicenotch/lab/world.py
+++ b/pumicenotch/lab/world.py
@@ -1,5 +1,6 @@
 """What an experiment's world consists of, as read from its file; what a server in it is told; its
-arrivals."""
+arrivals.
+"""
 
 from collections.abc import Sequence
 from typing import Annotated, Any, Literal
@@ -44,9 +45,13 @@
 
     count: Annotated[int, Field(ge=1, le=4000)] = 4
     tries: Annotated[int, Field(ge=1, le=1000)] = 2  # of one task in all
-    pause_ms: Annotated[float, Field(ge=0.0)] = 20.0  # before the next, doubled each time up to 16 times
+    pause_ms: Annotated[float, Field(ge=0.0)] = (
+        20.0  # before the next, doubled each time up to 16 times
+    )
     marks: bool = True
-    heeds: Part = 1.0  # part of the gateways that keep to advice: staying away, trying no other server
+    heeds: Part = (
+        1.0  # part of the gateways that keep to advice: staying away, trying no other server
+    )
     server: Literal["same", "next"] = "next"
     weight: Positive = 1.0  # of the traffic, for each
 
@@ -61,22 +66,46 @@
 
 class Fault(Schema):
     kind: Literal[
-        "slow_cores", "hang_pool", "cut_pool", "stall", "slow_database", "drain", "reload", "kill",
-        "move", "kill_router", "flood", "drain_all", "kill_leader", "cut_zone", "link",
-        "release", "kill_agent", "lose", "cut_region", "replace", "kill_relays",
-    ]  # fmt: skip
+        "slow_cores",
+        "hang_pool",
+        "cut_pool",
+        "stall",
+        "slow_database",
+        "drain",
+        "reload",
+        "kill",
+        "move",
+        "kill_router",
+        "flood",
+        "drain_all",
+        "kill_leader",
+        "cut_zone",
+        "link",
+        "release",
+        "kill_agent",
+        "lose",
+        "cut_region",
+        "replace",
+        "kill_relays",
+    ]
     at_s: Annotated[float, Field(ge=0.0)]
     for_s: Annotated[float, Field(ge=0.0)] = 1.0
-    factor: Positive = 0.25  # of the speed that slow cores have; times that a slow database takes longer
+    factor: Positive = (
+        0.25  # of the speed that slow cores have; times that a slow database takes longer
+    )
     server: Annotated[int, Field(ge=0)] = 0
     tenant: str = ""  # of a move or a flood
     cell: str = ""  # that it moves to
     pools: str | None = None  # of a reload: the file taken, "" for none
     zone: str = ""  # that is cut off from the others, or loses hollow instances
     region: str = ""  # that is cut off, as far as its instances are hollow
-    many: Annotated[int, Field(ge=0)] = 0  # hollow instances that are lost at once; 0: all of the zone
+    many: Annotated[int, Field(ge=0)] = (
+        0  # hollow instances that are lost at once; 0: all of the zone
+    )
     a_day: Positive = 2900.0  # replacements
-    label: Annotated[str, Field(pattern=r"^[a-z][a-z0-9_]{0,31}$")] | None = None  # begins its figures' names
+    label: Annotated[str, Field(pattern=r"^[a-z][a-z0-9_]{0,31}$")] | None = (
+        None  # begins its figures' names
+    )
     # of a link: names or zones; what each says to each of `others` meets the fault
     between: tuple[str, ...] = ()
     others: tuple[str, ...] = ()  # none: everybody else
@@ -93,8 +122,12 @@
 
     real: Annotated[int, Field(ge=1, le=100)] = 6  # of the servers; all others are hollow
     instances: Annotated[int, Field(ge=0, le=20_000)] = 0  # follows from the world's servers
-    callers: Annotated[int, Field(ge=0, le=20_000)] = 0  # idle connections to the real servers, over all
-    knows: bool = True  # each other at the start, as after a day in service; else they join as strangers
+    callers: Annotated[int, Field(ge=0, le=20_000)] = (
+        0  # idle connections to the real servers, over all
+    )
+    knows: bool = (
+        True  # each other at the start, as after a day in service; else they join as strangers
+    )
 
 
 class Configuration(Schema):
@@ -102,7 +135,9 @@
 
     tenants: Annotated[int, Field(ge=1, le=100_000)] = 54_000
     routes: Annotated[int, Field(ge=1, le=100_000)] = 40_000
-    cells: Annotated[int, Field(ge=1, le=999)] = 60  # scopes of tenants: an instance needs one of its zone
+    cells: Annotated[int, Field(ge=1, le=999)] = (
+        60  # scopes of tenants: an instance needs one of its zone
+    )
     services: Annotated[int, Field(ge=1, le=9999)] = 1200  # scopes of routes
     services_each: Annotated[int, Field(ge=1, le=100)] = 8  # that an instance needs
     a_day: Positive = 16_000.0  # publications
@@ -118,26 +153,38 @@
     phase: tuple[Phase, ...] = ()
     fault: tuple[Fault, ...] = ()
     servers: Annotated[int, Field(ge=1, le=1000)] = 1
-    routers: Annotated[int, Field(ge=0, le=16)] = 0  # in front; with none, gateways send to the servers
+    routers: Annotated[int, Field(ge=0, le=16)] = (
+        0  # in front; with none, gateways send to the servers
+    )
     cells: Annotated[int, Field(ge=1, le=100)] = 1  # that the servers make, behind routers
     voters: Literal[0, 1, 3, 5, 7] = 0  # of a fleet that the servers are in
-    configuration: Configuration | None = None  # that hollow instances take from the voters and each other
+    configuration: Configuration | None = (
+        None  # that hollow instances take from the voters and each other
+    )
     hollow: Hollow | None = None  # beside the real ones; `servers` then counts both
-    zones: Annotated[int, Field(ge=1, le=64)] = 1  # that servers and voters are spread over: z0, z1, ...
+    zones: Annotated[int, Field(ge=1, le=64)] = (
+        1  # that servers and voters are spread over: z0, z1, ...
+    )
     regions: Annotated[int, Field(ge=1, le=16)] = 1  # that the zones are spread over: g0, g1, ...
     budget: tuple[BudgetBlock, ...] = ()  # of the fleet
     agents: bool = False  # beside the servers, which then are started by them
     soak_ms: Positive = 2000.0  # of a release
     mixed: bool = False  # its waves have nodes of several zones
-    database_most: Annotated[int, Field(ge=0)] = 0  # queries a second that it answers as fast; 0: any number
+    database_most: Annotated[int, Field(ge=0)] = (
+        0  # queries a second that it answers as fast; 0: any number
+    )
     cores: Annotated[int, Field(ge=1, le=64)] = 6
     speed: Positive = 1.0
-    thrash: Annotated[float, Field(ge=0.0)] = 0.25  # of the speed lost for each run a core beyond thrash_at
+    thrash: Annotated[float, Field(ge=0.0)] = (
+        0.25  # of the speed lost for each run a core beyond thrash_at
+    )
     thrash_at: Positive = 2.5
     load: Positive = 1.0  # of what all cores can do
     length_s: Annotated[float, Field(gt=1.0, le=86400.0)] = 60.0
     warm_s: Annotated[float, Field(ge=0.0)] = 10.0  # not counted in the figures
-    hints: Literal["rough", "exact", "absent", "fifth"] = "rough"  # a fifth: a run takes five times its hint
+    hints: Literal["rough", "exact", "absent", "fifth"] = (
+        "rough"  # a fifth: a run takes five times its hint
+    )
     database_ms: Positive = 15.0
     memory_mb: Positive = 192.0
     stop_ms: Positive = 3000.0
@@ -166,16 +213,25 @@
             "classes": [
                 {
                     "name": stage.name,
-                    "target": round(stage.due_ms * 1000), "deadline": round(stage.limit_ms * 1000),
-                    "effect": EFFECTS[stage.effect], "memory-span": round(stage.window_ms * 1000),
+                    "target": round(stage.due_ms * 1000),
+                    "deadline": round(stage.limit_ms * 1000),
+                    "effect": EFFECTS[stage.effect],
+                    "memory-span": round(stage.window_ms * 1000),
                     "worth": stage.utility,
                 }
                 for stage in self.stage
             ],
             "family-info": {
-                "cores": self.cores, "memory-kb": 90000.0 * self.cores / 6, "run-factor": 8.0, "cold": False,
-                "meters": ["core_use", "on_cores", "heap_share", "links"], "signal": "bias", "halt": "off",
-                "below": "next_hop", "callers": sum(each.count for each in self.gateways), "idle": 30_000_000,
+                "cores": self.cores,
+                "memory-kb": 90000.0 * self.cores / 6,
+                "run-factor": 8.0,
+                "cold": False,
+                "meters": ["core_use", "on_cores", "heap_share", "links"],
+                "signal": "bias",
+                "halt": "off",
+                "below": "next_hop",
+                "callers": sum(each.count for each in self.gateways),
+                "idle": 30_000_000,
                 "class-skip-worth": [stage.skip_utility for stage in self.stage],
             },
             "rules": {"fall-multiple": 8.0, "stop-sending-within": 2_000_000},
@@ -185,7 +241,7 @@
                 {"name": each.name, "share": each.share, "allowance-per-s": each.allowance_per_s}
                 for each in self.tenant
             ],
-        }  # fmt: skip
+        }
 
     def loads(self) -> list[tuple[float, float, float, dict[str, float]]]:
         """Spans of even load: from, to (s), load, shares of the stages by name."""
@@ -215,10 +271,27 @@
 class Arrival:
     """One task as a client wants it: nothing that happens later changes it."""
 
-    __slots__ = ("at", "body", "disk", "gateway", "hint", "number", "stage", "tenant", "token", "work")
+    __slots__ = (
+        "at",
+        "body",
+        "disk",
+        "gateway",
+        "hint",
+        "number",
+        "stage",
+        "tenant",
+        "token",
+        "work",
+    )
 
     def __init__(self, number: int, at: float, stage: int, tenant: int, gateway: int) -> None:
-        self.number, self.at, self.stage, self.tenant, self.gateway = number, at, stage, tenant, gateway
+        self.number, self.at, self.stage, self.tenant, self.gateway = (
+            number,
+            at,
+            stage,
+            tenant,
+            gateway,
+        )
         self.work = self.disk = 0.0
         self.hint: float | None = None
         self.body, self.token = b"", ""
@@ -240,7 +313,8 @@
 def arrivals(world: World, seed: int) -> list[Arrival]:
     """All of a run's tasks, drawn ahead: the same for every arm that has the same seed and world. Times in ms
     from the run's begin. The load is that of the world's own class mix, so that a phase with other shares and
-    no load of its own asks for more or less."""
+    no load of its own asks for more or less.
+    """
     chance = np.random.default_rng(seed)
     found: list[Arrival] = []
     gateways = habits(world)
@@ -267,11 +341,15 @@
         disk = drawn(chance, stage.io_ms, 0.6, len(mine))
         for each, takes, off, waits in zip(mine, work, rough, disk, strict=True):
             each.work, each.disk = float(takes), float(waits)
-            told = {"rough": takes * off, "exact": takes, "fifth": takes / 5.0, "absent": None}[world.hints]
+            told = {"rough": takes * off, "exact": takes, "fifth": takes / 5.0, "absent": None}[
+                world.hints
+            ]
             each.hint = None if told is None else float(told)
     for each in found:
         each.body = chance.bytes(24)
-        each.token = chance.bytes(16).hex() if world.stage[each.stage].effect == "fingerprinted" else ""
+        each.token = (
+            chance.bytes(16).hex() if world.stage[each.stage].effect == "fingerprinted" else ""
+        )
     return found
 
 
--- a/pumicenotch/members/members.py
+++ b/pumicenotch/members/members.py
@@ -1,6 +1,7 @@
 """One member's knowledge of all: it probes one other a period, asks some to help where that is silent,
 suspects, and buries. News travels with the probes. A member that is slow itself judges others more slowly
-(Lifeguard)."""
+(Lifeguard).
+"""
 
 import math
 from collections.abc import Iterable, Mapping
@@ -23,7 +24,7 @@
     Wake,
     Who,
     Whole,
-)  # fmt: skip
+)
 
 
 class Suspicion:
@@ -44,14 +45,20 @@
 
 
 class Members:
-    PERIOD_MS = 1000.0  # between probes of this member; each of n is probed once a period on average
-    ANSWER_MS = 300.0  # for a direct answer, before others are asked to help: many times a round trip
+    PERIOD_MS = (
+        1000.0  # between probes of this member; each of n is probed once a period on average
+    )
+    ANSWER_MS = (
+        300.0  # for a direct answer, before others are asked to help: many times a round trip
+    )
     HELPERS = 3  # SWIM's k: a probe fails by chance only if all of their ways lose it too
     SLOW_MOST = 8  # Lifeguard's bound on how much slower a member in trouble judges
     SUSPECT_PERIODS = 4.0  # shortest time a suspicion lasts, times the logarithm of the members
     SUSPECT_SPREAD = 6.0  # its longest is so many times the shortest
     SPREAD = 3  # news is handed on so many times the logarithm: SWIM's lambda
-    PAGE_PERIODS = 15  # between exchanges of everything with one other: heals what gossip has missed
+    PAGE_PERIODS = (
+        15  # between exchanges of everything with one other: heals what gossip has missed
+    )
     SEEDED = 4  # exchanges that go to seeds after the first: processes started together meet there
     FORGET_MS = 86_400_000.0  # the dead stay known for a day: a fleet's page shows who is missing
 
@@ -65,14 +72,20 @@
         self.since: dict[str, float] = {}  # when what is thought of each last changed
         self.suspicions: dict[str, Suspicion] = {}
         self.spread: dict[str, int] = {}  # name -> how often its news was handed on
-        self.extras: dict[str, tuple[Any, ...]] = {}  # by their key: what other parts have handed on
+        self.extras: dict[
+            str, tuple[Any, ...]
+        ] = {}  # by their key: what other parts have handed on
         self.order: list[str] = []  # of those still to probe in this round
         self.slow = 0  # Lifeguard's local health: 0 is well
         self.number = 0
-        self.probe: tuple[int, str, float, bool] | None = None  # number, whom, until, whether helped
+        self.probe: tuple[int, str, float, bool] | None = (
+            None  # number, whom, until, whether helped
+        )
         # still expected from helpers of the probe, and whether any was asked
         self.nacks, self.helped = 0, False
-        self.helping: dict[int, tuple[str, int, float]] = {}  # my number -> for whom, its number, until
+        self.helping: dict[
+            int, tuple[str, int, float]
+        ] = {}  # my number -> for whom, its number, until
         self.next_at = now
         self.page_at, self.pages_told = now, 0
         self.refused = 0  # of messages that did not fit
@@ -103,8 +116,11 @@
 
     def alive(self) -> list[str]:
         """Whom nobody has buried, without this one."""
-        return [name for name, news in self.news.items()
-                if news.opinion is not Opinion.DEAD and news.standing is not Standing.OUT]  # fmt: skip
+        return [
+            name
+            for name, news in self.news.items()
+            if news.opinion is not Opinion.DEAD and news.standing is not Standing.OUT
+        ]
 
     def mine(self) -> News:
         return News(self.me, self.incarnation, self.standing, Opinion.ALIVE, self.me.name)
@@ -130,7 +146,10 @@
             if self.now >= self.page_at:
                 # Sooner at first: whoever has just come knows few, and few know it.
                 periods = min(self.PAGE_PERIODS, 2.0**self.pages_told)
-                self.page_at, self.pages_told = self.now + periods * self.PERIOD_MS, self.pages_told + 1
+                self.page_at, self.pages_told = (
+                    self.now + periods * self.PERIOD_MS,
+                    self.pages_told + 1,
+                )
                 self.exchange()
             self.forget()
 
@@ -143,11 +162,17 @@
     def exchange(self) -> None:
         """Pages with one other: with seeds at first, so that no two islands form; then in turn with somebody
         by chance, with one who is held dead, so that two parts that were cut from each other find together
-        again, and with a seed."""
+        again, and with a seed.
+        """
         alive = sorted(self.alive())
-        dead = sorted(name for name, news in self.news.items()
-                      if news.opinion is Opinion.DEAD and news.standing is not Standing.OUT)  # fmt: skip
-        kinds = [[self.news[name].who.address for name in some] for some in (alive, dead)] + [self.seeds]
+        dead = sorted(
+            name
+            for name, news in self.news.items()
+            if news.opinion is Opinion.DEAD and news.standing is not Standing.OUT
+        )
+        kinds = [[self.news[name].who.address for name in some] for some in (alive, dead)] + [
+            self.seeds
+        ]
         first = self.seeds if self.pages_told <= self.SEEDED else kinds[self.pages_told % 3]
         found = first or self.seeds or kinds[0]
         if not alive:
@@ -163,7 +188,8 @@
 
     def probe_next(self) -> None:
         """Each once in a round, the order drawn anew for each round: whoever dies is probed by somebody
-        within a bounded time (SWIM, 4.3)."""
+        within a bounded time (SWIM, 4.3).
+        """
         if self.probe is not None:
             return  # the last one is being helped still
         while self.order:
@@ -185,8 +211,11 @@
         number, name, _, helped = self.probe
         if not helped:
             # Not among the suspects: in a cut many fail at once, and helpers beyond it would say nothing.
-            helpers = [each for each in sorted(self.alive())
-                       if each != name and self.news[each].opinion is Opinion.ALIVE]  # fmt: skip
+            helpers = [
+                each
+                for each in sorted(self.alive())
+                if each != name and self.news[each].opinion is Opinion.ALIVE
+            ]
             helpers = self.chance.sample(helpers, min(self.HELPERS, len(helpers)))
             self.nacks, self.helped = len(helpers), bool(helpers)
             self.probe = (number, name, self.now + 2.0 * self.ANSWER_MS * (1 + self.slow), True)
@@ -223,7 +252,8 @@
                     self.number += 1
                     self.helping[self.number] = (address, number, self.now + self.ANSWER_MS)
                     self.send(
-                        self.news[target].who.address, Ping(self.number, self.gossip(target), self.handed())
+                        self.news[target].who.address,
+                        Ping(self.number, self.gossip(target), self.handed()),
                     )
             case Whole(news, reply):
                 self.all_heard(news, ())
@@ -285,8 +315,10 @@
                 return
         self.news[name], self.spread[name] = news, 0
         if held is None or (held.opinion, held.standing, held.who) != (
-            news.opinion, news.standing, news.who,
-        ):  # fmt: skip
+            news.opinion,
+            news.standing,
+            news.who,
+        ):
             self.since[name] = self.now
             self.effects.append(Changed(news))
         self.suspicions.pop(name, None)
@@ -310,11 +342,12 @@
 
     def gossip(self, to: str) -> tuple[News, ...]:
         """The news handed on least often first; whom it goes to hears what is thought of itself, so that it
-        can refute it at once (Lifeguard's buddy)."""
+        can refute it at once (Lifeguard's buddy).
+        """
         limit = self.SPREAD * math.ceil(math.log2(len(self.news) + 2))
         fresh = sorted(
             (times, name) for name, times in self.spread.items() if times < limit and name != to
-        )  # fmt: skip
+        )
         found = [self.mine()]
         if to in self.news and self.news[to].opinion is not Opinion.ALIVE:
             found.append(self.news[to])
@@ -326,7 +359,8 @@
 
     def hand(self, key: str, value: tuple[Any, ...]) -> None:
         """Handed from member to member beside the news, a rank and three texts: under one key the greatest
-        counts."""
+        counts.
+        """
         self.take((key, value))
 
     def take(self, part: Any) -> None:
--- a/pumicenotch/net/agent.py
+++ b/pumicenotch/net/agent.py
@@ -1,5 +1,6 @@
 """The agent beside a server, wired to its fleet, its disk and its server's process (`python -m
-pumicenotch.net.agent FILE`). It dials voters and listens nowhere."""
+pumicenotch.net.agent FILE`). It dials voters and listens nowhere.
+"""
 
 import contextlib
 import os
@@ -44,7 +45,12 @@
     """Carries an agent: what it asks goes to voters, what it does to the disk and the process."""
 
     def __init__(
-        self, told: config.AgentFile, core: Agent, disk: config.Disk, clock: ResettableTimer, group: TaskGroup
+        self,
+        told: config.AgentFile,
+        core: Agent,
+        disk: config.Disk,
+        clock: ResettableTimer,
+        group: TaskGroup,
     ) -> None:
         core.me = Who("", "", core.life, 0, "", "")  # type: ignore[attr-defined]
         super().__init__(cast(Any, core), clock, group, lambda why: None, FRAME_MOST, LINKS_MOST)
@@ -91,7 +97,9 @@
         """Beside the loop: to copy and to hash take a while."""
         why = ""
         try:
-            await to_thread.run_sync(versions.fetch, version, Path(self.told.source), self.home / "versions")
+            await to_thread.run_sync(
+                versions.fetch, version, Path(self.told.source), self.home / "versions"
+            )
         except versions.BadVersion as error:
             why = str(error)
         self.put("held", version, why)
@@ -111,7 +119,9 @@
         """Old versions that nothing names make room."""
         named = {*self.disk.runs.values(), *self.disk.good.values(), *self.agent.wanted}
         folder = self.home / "versions"
-        old = sorted((path.stat().st_mtime, path) for path in folder.iterdir() if path.name not in named)
+        old = sorted(
+            (path.stat().st_mtime, path) for path in folder.iterdir() if path.name not in named
+        )
         for _, path in old[: max(0, len(old) - KEPT)]:
             versions.remove(path)
             with contextlib.suppress(ValueError):
@@ -120,8 +130,10 @@
     # Its server
 
     def fill(self, text: str) -> str:
-        return text.format(home=self.home, **{slot: self.home / "versions" / version
-                                              for slot, version in self.disk.runs.items()})  # fmt: skip
+        return text.format(
+            home=self.home,
+            **{slot: self.home / "versions" / version for slot, version in self.disk.runs.items()},
+        )
 
     def start(self) -> None:
         command = [self.fill(part) for part in self.told.command]
@@ -165,17 +177,30 @@
         """The same process goes on as another version; its server stays its child."""
         logger.info("agent: goes on as version {}", self.disk.runs["agent"])
         environment = {**os.environ, "PYTHONPATH": self.fill("{agent}")}
-        os.execve(sys.executable, [sys.executable, "-m", "pumicenotch.net.agent", sys.argv[1]], environment)
+        os.execve(
+            sys.executable,
+            [sys.executable, "-m", "pumicenotch.net.agent", sys.argv[1]],
+            environment,
+        )
 
 
 async def run(told: config.AgentFile, disk: config.Disk) -> None:
     timer = ResettableTimer()
     there = bool(disk.pid) and ticks(disk.pid) == disk.began
     core = Agent(
-        fleet=told.fleet, node=told.member, life=secrets.token_hex(6), voters=told.voters, runs=disk.runs,
-        holds=versions.held(Path(told.home) / "versions"), child=there, start_ms=told.start_ms,
-        drain_ms=told.drain_ms, now=timer.now(), seed=told.seed, trouble=disk.trouble,
-    )  # fmt: skip
+        fleet=told.fleet,
+        node=told.member,
+        life=secrets.token_hex(6),
+        voters=told.voters,
+        runs=disk.runs,
+        holds=versions.held(Path(told.home) / "versions"),
+        child=there,
+        start_ms=told.start_ms,
+        drain_ms=told.drain_ms,
+        now=timer.now(),
+        seed=told.seed,
+        trouble=disk.trouble,
+    )
     async with anyio.create_task_group() as group:
         hub = AgentHub(told, core, disk, timer, group)
         group.start_soon(hub.look_on)
--- a/pumicenotch/net/configuration.py
+++ b/pumicenotch/net/configuration.py
@@ -2,7 +2,8 @@
 `Node` in a server; `net/voter_configuration` has what is a voter's alone.
 
 Messages travel as notices of one method on the hub's links. The reducer has a timer of its own, so that a
-large publication is applied in slices between everything else that the process does."""
+large publication is applied in slices between everything else that the process does.
+"""
 
 import gc
 import json
@@ -48,7 +49,8 @@
 
 class StepTimes:
     """Processor time of the steps by which the distribution holds the event loop: what else the machine does
-    meanwhile is not in it."""
+    meanwhile is not in it.
+    """
 
     BOUND_MS = 1.0
 
@@ -136,7 +138,9 @@
             self.hub.write(conn, ("error", message, (REFUSED, str(error), error.code)))
         except NotLeading as error:
             code, text = (
-                (NOT_LEADER, f"{error.leader} leads") if error.leader else (NO_MAJORITY, "nobody leads")
+                (NOT_LEADER, f"{error.leader} leads")
+                if error.leader
+                else (NO_MAJORITY, "nobody leads")
             )
             self.hub.write(conn, ("error", message, (code, text, error.leader)))
         else:
@@ -165,7 +169,9 @@
                 return self.looked_up(table, key)
             case ["configuration"]:
                 return {**self.status(), "steps": self.step_times.plain()}
-        raise BadRequest(verb, "other values are wanted", "lookup: a table and a key; configuration: nothing")
+        raise BadRequest(
+            verb, "other values are wanted", "lookup: a table and a key; configuration: nothing"
+        )
 
     def looked_up(self, table: str, key: str) -> dict[str, Any]:
         table_of(TABLES, table)
@@ -245,7 +251,9 @@
 class InstanceCarrier(Carrier):
     """Of a server."""
 
-    def __init__(self, hub: PeerHub, settings: InstanceSettings, voters: tuple[str, ...], seed: int) -> None:
+    def __init__(
+        self, hub: PeerHub, settings: InstanceSettings, voters: tuple[str, ...], seed: int
+    ) -> None:
         super().__init__(hub)
         self.voters = frozenset(voters)
         children = min(settings.settings.children_most, max(1, hub.links_most - MEMBERSHIP_LINKS))
--- a/pumicenotch/net/database.py
+++ b/pumicenotch/net/database.py
@@ -5,7 +5,9 @@
 from pumicenotch.net.dial import Put
 from pumicenotch.net.link import Frame
 
-HEAD = re.compile(rb"(?P<name>[0-9a-f]{16}) (ROWS (?P<length>[0-9]{1,9})|(?P<how>FULL|FAIL|TIMEOUT|NONE))")
+HEAD = re.compile(
+    rb"(?P<name>[0-9a-f]{16}) (ROWS (?P<length>[0-9]{1,9})|(?P<how>FULL|FAIL|TIMEOUT|NONE))"
+)
 HEAD_MOST = 64  # an id, a word and a length, and some more
 BODY_MOST = 64 * 1024  # far above any reply
 FRAMES: dict[str, Frame] = {  # a call is given up with its link, so there is no X
@@ -20,7 +22,8 @@
 
     def feed(self, data: bytes) -> None:
         """What cannot be read, has no end or does not fit its length is known as soon as may be: the call on
-        this link has nothing else to wait for."""
+        this link has nothing else to wait for.
+        """
         self.data += data
         at = 0
         while (end := self.data.find(b"\r\n", at)) >= 0:
--- a/pumicenotch/net/dial.py
+++ b/pumicenotch/net/dial.py
@@ -16,13 +16,25 @@
 
 class Links:
     """`reader` is made for each connection, from what takes its inputs and from the link's name. One that was
-    replaced delivers nothing more: what it still reads comes again on the next, or ended with the link."""
+    replaced delivers nothing more: what it still reads comes again on the next, or ended with the link.
+    """
 
     def __init__(
-        self, hub: Hub, group: TaskGroup, address: tuple[str, int], frames: dict[str, Frame],
-        reader: Callable[[Put, str], Reader], unread: int,
-    ) -> None:  # fmt: skip
-        self.hub, self.group, self.address, self.frames, self.reader = hub, group, address, frames, reader
+        self,
+        hub: Hub,
+        group: TaskGroup,
+        address: tuple[str, int],
+        frames: dict[str, Frame],
+        reader: Callable[[Put, str], Reader],
+        unread: int,
+    ) -> None:
+        self.hub, self.group, self.address, self.frames, self.reader = (
+            hub,
+            group,
+            address,
+            frames,
+            reader,
+        )
         self.unread = unread
 
     def move(self, address: tuple[str, int]) -> None:
@@ -67,4 +79,6 @@
         if ended is not None and not isinstance(ended, LOST):
             self.hub.put("met", "links_unreadable", f"{link}: {ended!r}")
         if self.hub.remove(link, outbox):
-            self.hub.put("unlinked", link, Fault(Reach.BROKEN, str(ended or "") or "closed by the peer"))
+            self.hub.put(
+                "unlinked", link, Fault(Reach.BROKEN, str(ended or "") or "closed by the peer")
+            )
--- a/pumicenotch/net/fleet.py
+++ b/pumicenotch/net/fleet.py
@@ -1,5 +1,6 @@
 """A process's place in its fleet, wired to sockets: a server's beside its work, or a voter's own process
-(`python -m pumicenotch.net.fleet FILE`, or `pumicenotch voter --config FILE`)."""
+(`python -m pumicenotch.net.fleet FILE`, or `pumicenotch voter --config FILE`).
+"""
 
 import resource
 import secrets
@@ -42,7 +43,14 @@
 def who(settings: FleetSettings) -> tuple[Who, dict[str, Any]]:
     """This process as others know it, with a life of its own, and what every node is made from."""
     life = secrets.token_hex(6)
-    me = Who(settings.name, settings.address, life, int(time.time() * 1000), settings.zone, settings.region)
+    me = Who(
+        settings.name,
+        settings.address,
+        life,
+        int(time.time() * 1000),
+        settings.zone,
+        settings.region,
+    )
     seeds = settings.seeds or settings.voters
     return me, {"fleet": settings.fleet, "me": me, "member": settings.member(life), "seeds": seeds}
 
@@ -73,7 +81,9 @@
         listener = await open_listener(start.address(settings.listen))
     except OSError as error:
         logger.error(
-            "fleet: cannot listen on {}: {}; this server serves without its fleet", settings.listen, error
+            "fleet: cannot listen on {}: {}; this server serves without its fleet",
+            settings.listen,
+            error,
         )
         return None
     hub.core.seen = Seen()
@@ -101,7 +111,9 @@
             peers.put("leave", "its platform asks" if not peers.node.began else "by permit")
         if core.seen is not None:
             peers.put("counted", core.seen.rows(), memory_mb())
-        peers.put("serve", core.control is not None, tasks >= TASKS_LEAST and turned > PAST_USE * tasks)
+        peers.put(
+            "serve", core.control is not None, tasks >= TASKS_LEAST and turned > PAST_USE * tasks
+        )
 
 
 def memory_mb() -> float:
@@ -113,7 +125,9 @@
         return 0.0
 
 
-async def voter(settings: FleetSettings, seed: int, distribution: "InstanceSettings | None") -> None:
+async def voter(
+    settings: FleetSettings, seed: int, distribution: "InstanceSettings | None"
+) -> None:
     """A voter's whole process, until it is asked to end or its drain is agreed."""
     timer = ResettableTimer()
     books: Callable[[], Sequence[Book]] = tuple
@@ -142,7 +156,9 @@
         group.start_soon(signals, peers)
         await peers.exit.wait()
         await peers.flush(FLUSH_S)
-        logger.info("counters: {}", " ".join(f"{name}={many}" for name, many in sorted(node.counts.items())))
+        logger.info(
+            "counters: {}", " ".join(f"{name}={many}" for name, many in sorted(node.counts.items()))
+        )
         group.cancel_scope.cancel()
 
 
@@ -164,7 +180,9 @@
         print(error, file=sys.stderr)
         sys.exit(2)
     try:
-        anyio.run(voter, told.fleet, told.seed, told.distribution, backend_options={"use_uvloop": True})
+        anyio.run(
+            voter, told.fleet, told.seed, told.distribution, backend_options={"use_uvloop": True}
+        )
     except (OSError, ValueError) as error:
         sys.exit(f"pumicenotch voter: {error}")
 
--- a/pumicenotch/net/gateways.py
+++ b/pumicenotch/net/gateways.py
@@ -14,14 +14,20 @@
 from pumicenotch.net.link import Reader as LinkReader
 
 FRAME_MOST = 8 * 1024  # far above any frame: a body has 2 KiB, the fields some hundred bytes
-READ_MOST = 8 * 1024  # bytes taken at once: some tasks, so that one at full speed keeps no other waiting long
+READ_MOST = (
+    8 * 1024
+)  # bytes taken at once: some tasks, so that one at full speed keeps no other waiting long
 BACKLOG = 1024  # every gateway may connect at once after a start
-LAST_S = 0.02  # without a new connection before the listener is closed: dials on one network take less
+LAST_S = (
+    0.02  # without a new connection before the listener is closed: dials on one network take less
+)
 # One gateway's is its part of as much, from eight full answers for one that stands still to the 32 that a
 # connection may have open. The kernel holds as much again before any of it counts.
 UNREAD_LEAST, UNREAD_MOST = 32 * 1024, 192 * 1024
 EMPTY_S = 0.05  # pause after a failed accept: out of descriptors, some come back soon
-ACCEPTS = 16  # connections taken before all else gets a turn: a full backlog keeps no task waiting long
+ACCEPTS = (
+    16  # connections taken before all else gets a turn: a full backlog keeps no task waiting long
+)
 # Shut down on our side while the peers do not end theirs: descriptors that the core counts no more. Beyond so
 # many, half of what it leaves free for such, the oldest is closed: all that it was owed is written.
 LINGERING = 16
@@ -45,11 +51,14 @@
 
 def decimal(hint: float) -> str:
     """Never written as nothing unless it is: of a credit that very many callers share, each has little, and
-    told 0 none of them would send."""
+    told 0 none of them would send.
+    """
     return f"{hint:.4f}" if hint == 0.0 or hint >= SMALL_HINT else f"{max(hint, LEAST_HINT):.9f}"
 
 
-def rejected(message: int, hint: float | None, stay_away_ms: float, last: bool, cell: str = "") -> bytes:
+def rejected(
+    message: int, hint: float | None, stay_away_ms: float, last: bool, cell: str = ""
+) -> bytes:
     more = {"backoff": str(round(stay_away_ms))} if stay_away_ms >= 0.5 else {}
     if last:
         more["final"] = "1"
@@ -73,15 +82,22 @@
 
     def __init__(self, hub: Hub, conn: int) -> None:
         self.put, self.ahead, self.conn = hub.put, hub.clock.ahead, conn
-        self.rest = b""  # of a frame that has not come whole: between reads a connection holds nothing else
+        self.rest = (
+            b""  # of a frame that has not come whole: between reads a connection holds nothing else
+        )
 
     def feed(self, data: bytes) -> None:
         data, at = self.rest + data, 0
         unpacker = msgpack.Unpacker(
-            read_size=READ_MOST + FRAME_MOST, max_buffer_size=READ_MOST + FRAME_MOST,
-            max_str_len=FRAME_MOST, max_bin_len=FRAME_MOST, max_array_len=64, max_map_len=64, max_ext_len=0,
+            read_size=READ_MOST + FRAME_MOST,
+            max_buffer_size=READ_MOST + FRAME_MOST,
+            max_str_len=FRAME_MOST,
+            max_bin_len=FRAME_MOST,
+            max_array_len=64,
+            max_map_len=64,
+            max_ext_len=0,
             unicode_errors="surrogateescape",
-        )  # fmt: skip
+        )
         try:
             unpacker.feed(data)
             for frame in unpacker:
@@ -115,9 +131,12 @@
     """Whoever dials this side: gateways, unless other frames and another reader are told."""
 
     def __init__(
-        self, hub: Hub, unread: int, frames: dict[str, Frame] = FRAMES,
+        self,
+        hub: Hub,
+        unread: int,
+        frames: dict[str, Frame] = FRAMES,
         reader: Callable[[Hub, int], LinkReader] = Reader,
-    ) -> None:  # fmt: skip
+    ) -> None:
         self.hub, self.unread, self.frames, self.reader = hub, unread, frames, reader
         self.numbers = count(1)
         self.closing = anyio.CancelScope()
@@ -189,7 +208,9 @@
 
     async def converse(self, sock: socket.socket, stream: SocketStream, group: TaskGroup) -> None:
         conn = next(self.numbers)
-        outbox = Outbox(self.frames, self.unread, sock, lambda: self.hub.put("read_out", conn), self.linger)
+        outbox = Outbox(
+            self.frames, self.unread, sock, lambda: self.hub.put("read_out", conn), self.linger
+        )
 
         async def talk() -> None:
             self.hub.add(conn, outbox)
@@ -232,7 +253,8 @@
 
     async def finish(self, most_s: float) -> None:
         """After the core's last word: until each connection has what it is owed and our end, then for the
-        peers' own ends, all within that time."""
+        peers' own ends, all within that time.
+        """
         with anyio.move_on_after(most_s):
             while self.accepting or len(self.outboxes) < self.carried or self.owing():
                 await anyio.sleep(FINISH_S)
--- a/pumicenotch/net/hub.py
+++ b/pumicenotch/net/hub.py
@@ -9,7 +9,18 @@
 from pumicenotch.net.clock import Clock
 from pumicenotch.net.link import Outbox
 from pumicenotch.server.core import Server
-from pumicenotch.server.effects import Close, Dial, Effect, Exit, Link, Log, Move, ReadOut, Wake, Write
+from pumicenotch.server.effects import (
+    Close,
+    Dial,
+    Effect,
+    Exit,
+    Link,
+    Log,
+    Move,
+    ReadOut,
+    Wake,
+    Write,
+)
 
 
 class Hub:
@@ -20,7 +31,9 @@
         self.diallers: dict[str, Callable[[str, float], None]] = {}  # by party
         self.movers: dict[str, Callable[[tuple[str, int]], None]] = {}
         self.closers: dict[Link, Callable[[], None]] = {}  # of what is no connection, or none yet
-        self.relief: list[Callable[[], None]] = []  # asked for descriptors that nothing needs any more
+        self.relief: list[
+            Callable[[], None]
+        ] = []  # asked for descriptors that nothing needs any more
         self.exit = anyio.Event()
         self.left_s = 0.0  # from then on, for the last to be written
 
--- a/pumicenotch/net/link.py
+++ b/pumicenotch/net/link.py
@@ -11,8 +11,17 @@
 from anyio.abc import ByteStream, TaskGroup
 from loguru import logger
 
-LOST = (OSError, anyio.BrokenResourceError, anyio.ClosedResourceError)  # a connection ended by the other side
-SCARCE = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)  # no descriptor, or no memory for one
+LOST = (
+    OSError,
+    anyio.BrokenResourceError,
+    anyio.ClosedResourceError,
+)  # a connection ended by the other side
+SCARCE = (
+    errno.EMFILE,
+    errno.ENFILE,
+    errno.ENOBUFS,
+    errno.ENOMEM,
+)  # no descriptor, or no memory for one
 READ_MOST = 64 * 1024  # bytes taken at once from a peer of our own
 # Bytes that one receive can bring, above uvloop's buffer of 256,000: nothing of what has come stays in
 # anyio's queue, where a close could not see it.
@@ -32,7 +41,9 @@
 
 def scarce(error: BaseException | None) -> bool:
     """Whether it failed for want of something on this side, as a dial tells by its cause."""
-    return error is not None and (getattr(error, "errno", None) in SCARCE or scarce(error.__cause__))
+    return error is not None and (
+        getattr(error, "errno", None) in SCARCE or scarce(error.__cause__)
+    )
 
 
 class Outbox:
@@ -40,12 +51,17 @@
 
     One that has its accepted socket ends by a lingering close: our writing is shut down first, and the stream
     is closed once the peer has ended its own. A close over bytes not read would reset the connection, and
-    answers that the peer has not taken yet would be gone with it."""
+    answers that the peer has not taken yet would be gone with it.
+    """
 
     def __init__(
-        self, frames: dict[str, Frame], most: int, accepted: socket.socket | None = None,
-        read_out: Callable[[], None] = lambda: None, shut: Callable[["Outbox"], None] = lambda _: None,
-    ) -> None:  # fmt: skip
+        self,
+        frames: dict[str, Frame],
+        most: int,
+        accepted: socket.socket | None = None,
+        read_out: Callable[[], None] = lambda: None,
+        shut: Callable[["Outbox"], None] = lambda _: None,
+    ) -> None:
         """`read_out` is called once after each `look`, `shut` once our writing is shut down."""
         self.frames, self.most, self.accepted = frames, most, accepted
         self.read_out, self.shut = read_out, shut
@@ -90,7 +106,8 @@
     async def write_to(self, stream: ByteStream) -> None:
         """Until it is closed and everything is written, or the connection is lost. Without a lingering close,
         closing the stream ends the reading: to cancel it would cost as much as all else that a short
-        connection needs."""
+        connection needs.
+        """
         try:
             while self.parts or not self.closing:
                 if self.looking and not self.parts:
@@ -149,7 +166,8 @@
 
 async def read(stream: ByteStream, reader: Reader, outbox: Outbox, most: int = READ_MOST) -> None:
     """Until the other side ends its writing. The reader gets up to `most` bytes at once, and all others a
-    turn after each."""
+    turn after each.
+    """
     with suppress(anyio.EndOfStream):
         while True:
             data = await stream.receive(RECEIVE_MOST)
--- a/pumicenotch/net/logs.py
+++ b/pumicenotch/net/logs.py
@@ -19,7 +19,11 @@
 
 def as_json(message: Any) -> None:
     record = message.record
-    told = {"time": record["time"].isoformat(), "level": record["level"].name, "message": record["message"]}
+    told = {
+        "time": record["time"].isoformat(),
+        "level": record["level"].name,
+        "message": record["message"],
+    }
     if record["exception"] is not None:
         told["exception"] = repr(record["exception"].value)
     sys.stderr.write(json.dumps(told) + "\n")
--- a/pumicenotch/net/peers.py
+++ b/pumicenotch/net/peers.py
@@ -3,7 +3,8 @@
 Whoever dials says `hello` first, with the fleet and its own name, life and address; one that does not fit is
 told why, counted and closed. Notices go one way, each on the link that its sender dials; requests are
 answered on the link that they came by. A link that has not answered `alive` is dialled anew: a half-open one
-would swallow all."""
+would swallow all.
+"""
 
 from collections.abc import Callable
 from functools import partial
@@ -26,16 +27,22 @@
 from pumicenotch.sender import Sender
 
 PARTY = "peer"
-FRAME_MOST = 2 * 1024 * 1024  # among voters: 16 entries of the log at their largest, and as much again
+FRAME_MOST = (
+    2 * 1024 * 1024
+)  # among voters: 16 entries of the log at their largest, and as much again
 REQUEST_MOST = 64 * 1024  # of a request: 1,024 names
 READ_MOST = 64 * 1024
 UNREAD_FRAMES = 2  # that a peer leaves unread: so many at their largest
 QUEUED_MOST = 256  # messages for a link that is being dialled
 REDIAL_MS = 200.0  # after a refused dial; what is sent meanwhile is lost, as on a cut link
-IDLE_MS = 5000.0  # a link without a word is closed: among 1,000 members each talks to some at a time
+IDLE_MS = (
+    5000.0  # a link without a word is closed: among 1,000 members each talks to some at a time
+)
 PROBE_INTERVAL_MS = 1000.0  # between questions on a link in use
 PROBE_TIMEOUT_MS = 2500.0  # for their answer
-LINKS_MOST = 4096  # of a voter, in and out: a leader hears of a thousand members, each on a link of its own
+LINKS_MOST = (
+    4096  # of a voter, in and out: a leader hears of a thousand members, each on a link of its own
+)
 
 pack: Callable[[Any], bytes] = msgpack.Packer(autoreset=True).pack
 FRAMES: dict[str, Frame] = {
@@ -99,7 +106,9 @@
 
     def frame(self, frame: Any, size: int) -> None:
         match frame:
-            case [2, "hello", [str(fleet), str(name), str(life), str(address)]] if self.sender is None:
+            case [2, "hello", [str(fleet), str(name), str(life), str(address)]] if (
+                self.sender is None
+            ):
                 self.sender = Sender(name, life, address)
                 self.hub.check_hello(self.conn, Hello(fleet, name, life, address))
             case _ if self.sender is None:
@@ -131,7 +140,9 @@
                 case [1, int(number), error, result]:
                     self.hub.put("answered", number, error, result)
                 case [2, "refused", [str(why)]]:
-                    self.hub.count_trouble("mates_refuse", f"{self.link} refuses this process: {why[:200]}")
+                    self.hub.count_trouble(
+                        "mates_refuse", f"{self.link} refuses this process: {why[:200]}"
+                    )
                 case _:
                     raise ValueError("no answer among instances")
 
@@ -192,9 +203,14 @@
     """Carries a node: inputs with the time go in, effects come out. `leave` is called when it is to drain."""
 
     def __init__(
-        self, core: MemberNode, clock: ResettableTimer, group: TaskGroup, leave: Callable[[str], None],
-        frame_most: int = FRAME_MOST, links_most: int = LINKS_MOST,
-    ) -> None:  # fmt: skip
+        self,
+        core: MemberNode,
+        clock: ResettableTimer,
+        group: TaskGroup,
+        leave: Callable[[str], None],
+        frame_most: int = FRAME_MOST,
+        links_most: int = LINKS_MOST,
+    ) -> None:
         """`links_most` counts both ways together; half of them are for those that others dial."""
         super().__init__(cast(Any, core), clock)
         self.frame_most, self.unread = frame_most, UNREAD_FRAMES * frame_most
@@ -211,7 +227,9 @@
             case "opened":
                 self.conns += 1
                 if self.conns > self.links_most:
-                    self.count_trouble("mates_crowded", f"over {self.links_most} connections among instances")
+                    self.count_trouble(
+                        "mates_crowded", f"over {self.links_most} connections among instances"
+                    )
                     self.close(details[0])
                 return
             case "condemn":
@@ -326,7 +344,12 @@
 
     def linked(self, link: str) -> None:
         peer = self.peer_links[link]
-        peer.up, peer.dialling, peer.probed_at, peer.last_probe_at = True, False, None, self.clock.now()
+        peer.up, peer.dialling, peer.probed_at, peer.last_probe_at = (
+            True,
+            False,
+            None,
+            self.clock.now(),
+        )
         queued, peer.queued = peer.queued, []
         self.write(link, ("hello", *self.hello))
         for message in queued:
@@ -406,4 +429,6 @@
     hub.put("start")
     hub.group.start_soon(hub.clock.run, lambda: hub.put("time"))
     bound = "{}:{}".format(*listener.extra(SocketAttribute.local_address)[:2])
-    logger.info("fleet: {} of {} is listening among instances on {}", hub.hello.name, hub.hello.fleet, bound)
+    logger.info(
+        "fleet: {} of {} is listening among instances on {}", hub.hello.name, hub.hello.fleet, bound
+    )
--- a/pumicenotch/net/pool.py
+++ b/pumicenotch/net/pool.py
@@ -50,7 +50,8 @@
 
     def notice(self, text: bytes) -> None:
         """Decoded fields go straight into the call. What is no notice is skipped; that its number is missing
-        shows by the next."""
+        shows by the next.
+        """
         try:
             notice = json.loads(text)
             match notice["msg"]:
--- a/pumicenotch/net/registry.py
+++ b/pumicenotch/net/registry.py
@@ -42,11 +42,17 @@
                     self.http = h11.Connection(h11.CLIENT)
                 reach = Reach.BROKEN
                 status = await self.exchange(self.stream, state)
-                if status == 204 and self.http.our_state is h11.DONE and self.http.their_state is h11.DONE:
+                if (
+                    status == 204
+                    and self.http.our_state is h11.DONE
+                    and self.http.their_state is h11.DONE
+                ):
                     self.http.start_next_cycle()
                     return None
                 text = "" if status == 204 else f"answered {status}"
-        except Exception as error:  # also an address that cannot be one: the next report is tried as well
+        except (
+            Exception
+        ) as error:  # also an address that cannot be one: the next report is tried as well
             text = str(error) or type(error).__name__
             if scarce(error):
                 self.hub.scarce()
@@ -55,7 +61,10 @@
 
     async def exchange(self, stream: ByteStream, state: bytes) -> int:
         body = b'{"state":"%b"}' % state
-        headers = [("Host", f"{self.address[0]}:{self.address[1]}"), ("Content-Length", str(len(body)))]
+        headers = [
+            ("Host", f"{self.address[0]}:{self.address[1]}"),
+            ("Content-Length", str(len(body))),
+        ]
         target = f"/v1/instances/{quote(self.name, safe='')}"
         request = h11.Request(method="PUT", target=target, headers=headers)
         parts = (request, h11.Data(data=body), h11.EndOfMessage())
@@ -70,7 +79,9 @@
             elif isinstance(event, h11.Response):
                 status = event.status_code
             elif not isinstance(event, h11.InformationalResponse | h11.Data):
-                raise h11.RemoteProtocolError("closed or turned to another protocol before an answer")
+                raise h11.RemoteProtocolError(
+                    "closed or turned to another protocol before an answer"
+                )
         return status
 
     def move(self, address: tuple[str, int]) -> None:
--- a/pumicenotch/net/signals.py
+++ b/pumicenotch/net/signals.py
@@ -10,7 +10,8 @@
 @contextmanager
 def received(numbers: tuple[signal.Signals, ...]) -> Iterator[AsyncIterator[signal.Signals]]:
     """Those that come, and that have come while they were blocked: whoever asks blocks them as it starts.
-    Afterwards they are blocked again: their own effect would end the process in the middle of its end."""
+    Afterwards they are blocked again: their own effect would end the process in the middle of its end.
+    """
     with anyio.open_signal_receiver(*numbers) as coming:
         signal.pthread_sigmask(signal.SIG_UNBLOCK, numbers)
         try:
--- a/pumicenotch/net/voter_configuration.py
+++ b/pumicenotch/net/voter_configuration.py
@@ -1,5 +1,6 @@
 """A voter's part in the distribution, between its hub and a `VoterSource`: it serves relays from the book of
-publications, and tells operators who is current."""
+publications, and tells operators who is current.
+"""
 
 import random
 from typing import Any, cast
@@ -25,7 +26,9 @@
 class VoterCarrier(Carrier):
     """Of a voter."""
 
-    def __init__(self, hub: PeerHub, node: VoterNode, settings: InstanceSettings, seed: int) -> None:
+    def __init__(
+        self, hub: PeerHub, node: VoterNode, settings: InstanceSettings, seed: int
+    ) -> None:
         """The book of publications is among the node's."""
         super().__init__(hub)
         self.node = node
--- a/pumicenotch/pools/budget.py
+++ b/pumicenotch/pools/budget.py
@@ -1,5 +1,6 @@
 """Budgets of repeated attempts: for each first try a caller may send so many repeats while places are
-short."""
+short.
+"""
 
 from collections.abc import Hashable
 
@@ -9,7 +10,8 @@
 
     Kept in two generations of a bounded size: a key that is seen goes to the young one, and when that is full
     the old one is forgotten. A key not seen for so long starts anew with one token: who makes up a new name
-    for every try gains one repeat a name, and the budget over all bounds even that."""
+    for every try gains one repeat a name, and the budget over all bounds even that.
+    """
 
     START = 1.0
 
@@ -43,7 +45,8 @@
 
 class Budgets:
     """By caller, by tenant, and over all: a repeat needs a token of each, and takes them only if all have
-    one."""
+    one.
+    """
 
     WHOLE = 4.0  # bursts that may be saved over all callers: some may burst at once, not all
 
@@ -69,7 +72,11 @@
 
     def holds(self, caller: int, tenant: int) -> bool:
         """Whether one more repeat is within them; it is spent only by `spend`, once it takes a place."""
-        return self.whole >= 1.0 and self.callers.get(caller) >= 1.0 and self.tenants.get(tenant) >= 1.0
+        return (
+            self.whole >= 1.0
+            and self.callers.get(caller) >= 1.0
+            and self.tenants.get(tenant) >= 1.0
+        )
 
     def spend(self, caller: int, tenant: int) -> None:
         self.callers.spend(caller)
--- a/pumicenotch/pools/divide.py
+++ b/pumicenotch/pools/divide.py
@@ -2,9 +2,7 @@
 
 from collections.abc import Sequence
 
-LEAST = (
-    0.05  # of a place: a pool that nobody sends to has a claim still, or its first task would wait for good
-)
+LEAST = 0.05  # of a place: a pool that nobody sends to has a claim still, or its first task would wait for good
 
 
 def divide(
@@ -20,13 +18,16 @@
     Weighted max-min with floors and ceilings: one level for all, at which a pool has its weight's part, but
     never less than its reserve as far as it needs it and never more than it needs. A pool that its reserve
     has raised above the level takes nothing else. What nobody needs then goes to all by weight, so that one
-    whose demand grows finds its limit ahead of it."""
+    whose demand grows finds its limit ahead of it.
+    """
     if most is not None:
         needs = [min(pair) for pair in zip(needs, most, strict=True)]
     left = total - sum(needs)
     if left >= 0.0:
         spare = left / sum(weights)
-        parts = [max(LEAST, need + spare * weight) for need, weight in zip(needs, weights, strict=True)]
+        parts = [
+            max(LEAST, need + spare * weight) for need, weight in zip(needs, weights, strict=True)
+        ]
         return parts if most is None else [min(pair) for pair in zip(parts, most, strict=True)]
     floors = [claim if claim < need else need for claim, need in zip(own, needs, strict=True)]
     reserved = sum(floors)
@@ -40,7 +41,8 @@
 ) -> list[float]:
     """Parts by weight between floors and ceilings that sum to the total, as far as the ceilings allow. Each
     round settles those on the side, below or above, that is out by more: what settles them stays true
-    after."""
+    after.
+    """
     given = list(ceilings)
     free = list(range(len(floors)))
     left = total
--- a/pumicenotch/pools/estimate.py
+++ b/pumicenotch/pools/estimate.py
@@ -5,7 +5,8 @@
 
 class Demand:
     """Arrivals a millisecond, as a mean over about `span_ms`. Counted as they come, folded in when read: an
-    arrival costs an addition."""
+    arrival costs an addition.
+    """
 
     def __init__(self, now: float, span_ms: float) -> None:
         self.span_ms, self.at, self.since = span_ms, now, now
@@ -14,10 +15,13 @@
 
     def fold(self, now: float) -> float:
         """The rate up to now. Young, it is the mean over what there was: a cold start would else see a tenth
-        of its load for a second."""
+        of its load for a second.
+        """
         past = now - self.at
         if past > 0.0:
-            half = exp(-0.5 * past / self.span_ms)  # what came since came half as long ago on the mean
+            half = exp(
+                -0.5 * past / self.span_ms
+            )  # what came since came half as long ago on the mean
             self.weight = (self.weight * half + self.arrived) * half
             self.at, self.arrived = now, 0
             if self.weight < 1e-9:
@@ -31,7 +35,8 @@
 class Typical:
     """A typical time that a few freaks don't move: each sample pulls by its part, but counts as four times
     the present value at the most and as a quarter at the least. After a change of ten times it is there
-    within some thirty samples, and after one hung run it is where it was."""
+    within some thirty samples, and after one hung run it is where it was.
+    """
 
     PULL, CLIP = 0.08, 4.0
 
--- a/pumicenotch/pools/likeness.py
+++ b/pumicenotch/pools/likeness.py
@@ -3,14 +3,16 @@
 
 Only what was turned away is remembered: who was served has no reason to ask again, and two tasks that hold
 the same and are both served are two tasks. How wrong this is stands, measured, in docs/pools.md. It decides
-on budgets alone, which act only while places are short."""
+on budgets alone, which act only while places are short.
+"""
 
 
 class Likeness:
     """Prints of what was turned away in the last one to two windows, in two generations of a bounded size.
 
     A full generation ends early, so that under a flood the memory of it gets shorter and not larger: repeats
-    are then missed, and no first try is taken for one on that account."""
+    are then missed, and no first try is taken for one on that account.
+    """
 
     MOST = 4096  # prints a generation: seconds of more than a server can turn away, some 300 KB at the most
 
--- a/pumicenotch/pools/plan.py
+++ b/pumicenotch/pools/plan.py
@@ -9,8 +9,12 @@
 
     name: str
     stages: tuple[str, ...]
-    reserve: float = 0.0  # part of the running places that is its own whenever it has work for them, 0 to 1
-    weight: float = 0.0  # of its claim on the rest; 0: by what its work earns for the time it holds a place
+    reserve: float = (
+        0.0  # part of the running places that is its own whenever it has work for them, 0 to 1
+    )
+    weight: float = (
+        0.0  # of its claim on the rest; 0: by what its work earns for the time it holds a place
+    )
     most: float = 1.0  # part of the running places that it may hold at the most, lent ones included
     lends: bool = True  # its idle places may be used by others
 
@@ -23,8 +27,12 @@
     retry_ratio: float = 0.1  # repeats let in for each first try while places are short
     retry_burst: float = 10.0  # repeats that a caller or tenant may have saved up
     callers_most: int = 1024  # callers, and tenants, of which a budget is kept
-    likeness_ms: float = 4000.0  # within which the same content again counts as a repeat; 0: only marked ones
-    reading: float = 0.5  # part of what is read that is kept for reserved pools while reading is behind
+    likeness_ms: float = (
+        4000.0  # within which the same content again counts as a repeat; 0: only marked ones
+    )
+    reading: float = (
+        0.5  # part of what is read that is kept for reserved pools while reading is behind
+    )
 
 
 class BadPlan(ValueError):
@@ -34,9 +42,12 @@
 def lanes(plan: Plan, stages: Mapping[str, int]) -> list[int]:
     """The pool of each stage, by the stage's number. Stages that no pool names go to the pool of `"*"`, and
     where there is none to the last pool. A name that is no stage of this server is no fault: one plan serves
-    deployments with different stages. Raises BadPlan."""
+    deployments with different stages. Raises BadPlan.
+    """
     check(plan)
-    spare = next((at for at, pool in enumerate(plan.pools) if "*" in pool.stages), len(plan.pools) - 1)
+    spare = next(
+        (at for at, pool in enumerate(plan.pools) if "*" in pool.stages), len(plan.pools) - 1
+    )
     found = [spare] * (max(stages.values(), default=-1) + 1)
     for at, pool in enumerate(plan.pools):
         for name in pool.stages:
@@ -55,13 +66,17 @@
             raise BadPlan(f'pool {pool.name!r}: no stages: name one at the least, or "*"')
         for name in pool.stages:
             if name in seen:
-                raise BadPlan(f"pool {pool.name!r}: stage {name!r} is also of {seen[name]!r}: name it once")
+                raise BadPlan(
+                    f"pool {pool.name!r}: stage {name!r} is also of {seen[name]!r}: name it once"
+                )
             seen[name] = pool.name
         if pool.reserve > pool.most:
             raise BadPlan(f"pool {pool.name!r}: reserve {pool.reserve} is over most {pool.most}")
     names = [pool.name for pool in plan.pools]
     if len(set(names)) < len(names):
-        raise BadPlan(f"pools named twice: {', '.join(sorted({n for n in names if names.count(n) > 1}))}")
+        raise BadPlan(
+            f"pools named twice: {', '.join(sorted({n for n in names if names.count(n) > 1}))}"
+        )
     reserved = sum(pool.reserve for pool in plan.pools)
     if reserved > 0.9 + 1e-9:
         raise BadPlan(f"reserves sum to {reserved:g}: 0.9 at the most, or the other pools starve")
@@ -69,4 +84,6 @@
 
 def unknown(plan: Plan, stages: Sequence[str]) -> list[str]:
     """Names in the plan that are no stage of this server, for a word in the log."""
-    return [name for pool in plan.pools for name in pool.stages if name != "*" and name not in stages]
+    return [
+        name for pool in plan.pools for name in pool.stages if name != "*" and name not in stages
+    ]
--- a/pumicenotch/pools/pools.py
+++ b/pumicenotch/pools/pools.py
@@ -3,7 +3,8 @@
 The decision module tells it what happens (read, on the cores, off them, ended, tick) with the time, and asks
 it three questions: what hope a task has (`read`), where and before how many places it would wait (`place`),
 and which pool's work starts next (`next`). Whose work it is, HWCS says. The total is the decision module's
-own; pools divide it."""
+own; pools divide it.
+"""
 
 from collections.abc import Collection, Sequence
 
@@ -45,7 +46,8 @@
 
     def settle(self, now: float) -> None:
         """Brings its credit up to now: places missed lately, or had too many (below 0). Whole tasks in few
-        places can't keep to a broken limit at any moment; over time they do by this."""
+        places can't keep to a broken limit at any moment; over time they do by this.
+        """
         held = self.held_ms + self.busy * (now - self.held_at)
         credit = self.credit + (self.aim * (now - self.settled_at) - held) / self.CREDIT_MS
         self.credit = max(-self.CREDIT, min(self.CREDIT, credit))
@@ -61,14 +63,18 @@
     BEYOND = 0.05  # of its weight for what is beyond a tenant's share: each server only guesses what that is
     EVERY_MS = 300.0  # between two divisions: less than half of the demand's span
 
-    def __init__(self, now: float, plan: Plan, stages: Sequence[Stage], numbers: dict[str, int]) -> None:
+    def __init__(
+        self, now: float, plan: Plan, stages: Sequence[Stage], numbers: dict[str, int]
+    ) -> None:
         self.plan, self.of = plan, lanes(plan, numbers)
         self.of += [len(plan.pools) - 1] * (len(stages) - len(self.of))
         self.beyond = len(plan.pools)  # the pool of what is beyond its tenant's share
         self.count = self.beyond + 1
         self.sides: list[Side] = []
         for at, pool in enumerate((*plan.pools, Pool("beyond", ()))):
-            inside = [stage.utility for stage, lane in zip(stages, self.of, strict=False) if lane == at]
+            inside = [
+                stage.utility for stage, lane in zip(stages, self.of, strict=False) if lane == at
+            ]
             self.sides.append(Side(now, pool, sum(inside) / len(inside) if inside else 1.0))
         self.budgets = Budgets(plan.retry_ratio, plan.retry_burst, plan.callers_most)
         self.likeness = Likeness(now, plan.likeness_ms)
@@ -89,10 +95,19 @@
 
     # What happens
 
-    def read(self, now: float, lane: int, tenant: int, caller: int, again: bool, mark: int,
-             waited_ms: float) -> tuple[float, bool]:  # fmt: skip
+    def read(
+        self,
+        now: float,
+        lane: int,
+        tenant: int,
+        caller: int,
+        again: bool,
+        mark: int,
+        waited_ms: float,
+    ) -> tuple[float, bool]:
         """A task was read: its hope, as a part of the time that one like it may usually wait (0: it is let in
-        only where a place is free), and whether it is a repeat, marked or by its content."""
+        only where a place is free), and whether it is a repeat, marked or by its content.
+        """
         side = self.sides[lane]
         side.read += 1
         side.asked_at = now
@@ -110,18 +125,27 @@
                 self.budgets.refused += 1
                 hope = 0.0
         reading = self.reading
-        if (waited_ms > reading.SOON_MS or reading.wait_ms > reading.SOON_MS) and not reading.passes(
-            now, waited_ms, side.reserved
-        ):
+        if (
+            waited_ms > reading.SOON_MS or reading.wait_ms > reading.SOON_MS
+        ) and not reading.passes(now, waited_ms, side.reserved):
             hope = 0.0
         return hope, repeat
 
-    def place(self, now: float, lane: int, repeat: bool, beyond: bool, waiting: Collection[int],
-              usual_ms: float, room: bool) -> tuple[int, float, float, bool]:  # fmt: skip
+    def place(
+        self,
+        now: float,
+        lane: int,
+        repeat: bool,
+        beyond: bool,
+        waiting: Collection[int],
+        usual_ms: float,
+        room: bool,
+    ) -> tuple[int, float, float, bool]:
         """Where a task would wait: its lane, the places that lane comes to, the time that each is held, and
         whether one is free now. Demand is what is asked for first: a caller that repeats makes no reserve
         larger. What is beyond its tenant's share waits apart, so that a tenant that floods makes neither a
-        reserve its own nor takes the places that a reserve has filled."""
+        reserve its own nor takes the places that a reserve has filled.
+        """
         if beyond and not self.plan.fixed:
             lane = self.beyond
             self.sides[lane].asked_at = now
@@ -175,7 +199,8 @@
 
     def part(self, lane: int, side: Side, waiting: Collection[int]) -> float:
         """Places that the pool comes to while those pools have tasks waiting: its own, and by its part of
-        what the pools without work leave idle."""
+        what the pools without work leave idle.
+        """
         if self.plan.fixed:
             return max(0.25, side.limit)
         own = taken = side.limit
@@ -213,7 +238,8 @@
     def held_back(self, now: float, lane: int, side: Side) -> bool:
         """Whether the last place stays empty for a reserve that may want it: what would run then ends too
         seldom for the place to come back in time. It costs that place while long runs hold all others, and
-        only while the reserve's classes are sent at all."""
+        only while the reserve's classes are sent at all.
+        """
         if not any(
             at != lane and other.reserved and other.busy + 1 <= other.first and other.fresh(now)
             for at, other in enumerate(self.sides)
@@ -227,7 +253,8 @@
 
     def next(self, now: float, waiting: Collection[int]) -> int | None:
         """The pool whose task starts next, of those that have one waiting: the one furthest below its
-        limit."""
+        limit.
+        """
         sides = self.sides
         if self.strict or (self.running + 1) * self.RETURN_MS < self.longest_ms:
             waiting = [lane for lane in waiting if self.takes(now, lane, sides[lane])]
@@ -255,7 +282,8 @@
 
         A pool's share is what it comes to on the mean; its limit, what it may hold before others that wait.
         They differ for a reserve: arrivals come in clumps, and the first after a pause must not wait until a
-        mean has told of it. Others work in what a reserve does not ask for."""
+        mean has told of it. Others work in what a reserve does not ask for.
+        """
         self.total = self.divided = total
         self.divide_at = now + self.EVERY_MS - 1.0
         if self.plan.fixed:
@@ -300,9 +328,13 @@
         found: dict[str, float] = {}
         for side in self.sides:
             for name, value in (
-                ("limit", round(side.limit, 2)), ("need", round(side.need, 2)), ("busy", side.busy),
-                ("read", side.read), ("turned_away", side.held_off), ("started", side.started),
-            ):  # fmt: skip
+                ("limit", round(side.limit, 2)),
+                ("need", round(side.need, 2)),
+                ("busy", side.busy),
+                ("read", side.read),
+                ("turned_away", side.held_off),
+                ("started", side.started),
+            ):
                 found[f"pool_{side.pool.name}_{name}"] = value
         found["repeats_marked"], found["repeats_alike"] = self.repeats_marked, self.repeats_seen
         found["repeats_over_budget"] = self.budgets.refused
--- a/pumicenotch/pools/reading.py
+++ b/pumicenotch/pools/reading.py
@@ -1,11 +1,13 @@
 """The reserve in reading: while tasks wait long to be read, part of what is read belongs to reserved
-pools."""
+pools.
+"""
 
 
 class Reading:
     """A task can't be known before it is read, so reading itself can't be reserved; what follows can. While
     reading is behind, a task of no reserved pool passes only as one of the part that is not kept; the others
-    are turned away before any more effort goes into them, which is what lets reading catch up."""
+    are turned away before any more effort goes into them, which is what lets reading catch up.
+    """
 
     BEHIND_MS = 40.0  # to be read: some ticks; on a process that keeps up it is a few milliseconds
     SOON_MS = 4.0  # a stamp's millisecond, and a read's share of others before it
@@ -19,7 +21,8 @@
 
     def passes(self, now: float, waited_ms: float, reserved: bool) -> bool:
         """Whether a task that waited so long to be read is looked at any further. Tasks read as soon as they
-        came need not be told while the mean wait is as short."""
+        came need not be told while the mean wait is as short.
+        """
         if now - self.at > self.IDLE_MS:
             self.wait_ms = 0.0
         self.at = now
--- a/pumicenotch/regions/judge.py
+++ b/pumicenotch/regions/judge.py
@@ -3,7 +3,8 @@
 
 A zone that others cannot reach may be serving its own gateways well, and an observer that reaches nobody may
 be the one cut off. So nobody judges his own zone; an observer that thinks most of all the others dead is left
-out; and with less than a majority of observers left, nothing is known and nothing changes."""
+out; and with less than a majority of observers left, nothing is known and nothing changes.
+"""
 
 from statistics import median
 from typing import NamedTuple
@@ -40,19 +41,17 @@
 
 class Judge:
     LASTS_MS = 3000.0  # of a word: observers and members speak twice a second or more
-    SPEAKS_MS = (
-        1500.0  # since its members' last word, to say that it speaks: under DOWN_MS, or a loss began as a cut
-    )
+    SPEAKS_MS = 1500.0  # since its members' last word, to say that it speaks: under DOWN_MS, or a loss began as a cut
     DEAD = 1.0 / 3.0  # of the members alive, at the most, where a zone counts as out
-    BLIND = (
-        0.5  # of all others thought dead: such an observer is the one that is cut off, or too busy to hear
-    )
+    BLIND = 0.5  # of all others thought dead: such an observer is the one that is cut off, or too busy to hear
     WEAK_PART = 0.6  # of what the other zones make of their tasks (median): far beyond what differs by chance
     TASKS_LEAST = 50.0  # to judge a zone's work at all
     FADE_MS = 2000.0  # in which what was counted counts half
     DOWN_MS = 2000.0  # that it must seem worse, before it is found so: a pause of a second is none
     UP_MS = 3000.0  # that it must seem better
-    UP_MOST_MS = 120_000.0  # doubled by each change of late, up to this: a zone that flaps stays out
+    UP_MOST_MS = (
+        120_000.0  # doubled by each change of late, up to this: a zone that flaps stays out
+    )
     CALM_MS = 600_000.0  # in which a change counts half
     STEP, STEP_MS = 0.34, 3000.0  # of its room, one that returns: back in three steps, nine seconds
 
@@ -103,30 +102,43 @@
         if held.emptied:
             return EMPTIED, held.emptied
         mine = [one for one, place in self.observers.items() if place != zone]
-        fresh = {one: views for one, (when, views) in self.views.items()
-                 if one in mine and self.now - when <= self.LASTS_MS and zone in views}  # fmt: skip
+        fresh = {
+            one: views
+            for one, (when, views) in self.views.items()
+            if one in mine and self.now - when <= self.LASTS_MS and zone in views
+        }
         others = {name for name in self.zones if name != zone}
-        usable = [views[zone] for one, views in fresh.items()
-                  if len(others) < 2 or not self.blind(one, views)]  # fmt: skip
+        usable = [
+            views[zone]
+            for one, views in fresh.items()
+            if len(others) < 2 or not self.blind(one, views)
+        ]
         if 2 * len(usable) <= len(mine):
             return "", ""
         alive = median(view.alive / view.many if view.many else 1.0 for view in usable)
         if alive <= self.DEAD:
             if self.now - held.spoke_at <= self.SPEAKS_MS:
                 return CUT, f"others reach {alive:.0%} of it, and it speaks"
-            return LOST, f"others reach {alive:.0%} of it, by {len(usable)} of {len(mine)} observers"
+            return (
+                LOST,
+                f"others reach {alive:.0%} of it, by {len(usable)} of {len(mine)} observers",
+            )
         if why := self.weak(zone):
             return WEAK, why
         return WELL, f"others reach {alive:.0%} of it"
 
     def weak(self, zone: str) -> str:
         """By what it makes of its tasks, against the other zones in the same seconds: where all do badly,
-        none is weak, and nothing that moves would help."""
+        none is weak, and nothing that moves would help.
+        """
         held = self.of(zone)
         if held.came < self.TASKS_LEAST:
             return ""
-        rest = [each.done / each.came for name, each in self.zones.items()
-                if name != zone and each.came >= self.TASKS_LEAST and each.state == WELL]  # fmt: skip
+        rest = [
+            each.done / each.came
+            for name, each in self.zones.items()
+            if name != zone and each.came >= self.TASKS_LEAST and each.state == WELL
+        ]
         if not rest:
             return ""
         mine, usual = held.done / held.came, median(rest)
--- a/pumicenotch/regions/plan.py
+++ b/pumicenotch/regions/plan.py
@@ -4,7 +4,8 @@
 
 The same zones and demand give the same plan, whoever works it out: order is by worth, distance and name
 alone, and nobody at the same distance is preferred. It is a greedy fill; `benchmarks/regions` holds it
-against the optimum of the linear program."""
+against the optimum of the linear program.
+"""
 
 from collections.abc import Iterable, Mapping
 from typing import NamedTuple
@@ -46,7 +47,9 @@
     ways: tuple[Way, ...] = ()
 
     def parts(self, origin: str, kind: str) -> dict[str, float]:
-        return {way.target: way.part for way in self.ways if (way.origin, way.kind) == (origin, kind)}
+        return {
+            way.target: way.part for way in self.ways if (way.origin, way.kind) == (origin, kind)
+        }
 
 
 Demand = Mapping[tuple[str, str], float]  # origin, kind -> work a second
@@ -70,7 +73,9 @@
             )
     for (origin, kind), work in demand.items():
         if kind not in known or work < 0.0:
-            raise BadPlan(f"demand of {origin}: {work:g} of {kind!r}; known: {', '.join(sorted(known))}")
+            raise BadPlan(
+                f"demand of {origin}: {work:g} of {kind!r}; known: {', '.join(sorted(known))}"
+            )
 
 
 def far(zones: Mapping[str, Zone], distance: Distance, origin: str, target: str) -> float:
@@ -87,7 +92,9 @@
 class Fill:
     """Rooms and demand as they are used up."""
 
-    def __init__(self, zones: list[Zone], kinds: list[Kind], demand: Demand, distance: Distance) -> None:
+    def __init__(
+        self, zones: list[Zone], kinds: list[Kind], demand: Demand, distance: Distance
+    ) -> None:
         check(zones, kinds, demand)
         self.zones = {zone.name: zone for zone in sorted(zones)}
         self.distance = distance
@@ -122,7 +129,9 @@
 
     def distances(self, kind: str) -> list[float]:
         """The tiers, nearest first, in which something of that kind may go over."""
-        origins = [origin for (origin, its), work in self.left.items() if its == kind and work > LEAST]
+        origins = [
+            origin for (origin, its), work in self.left.items() if its == kind and work > LEAST
+        ]
         targets = [target for target, room in self.room.items() if room > LEAST]
         return sorted(
             {
@@ -136,17 +145,20 @@
     def tier(self, kind: str, distance_ms: float) -> None:
         """All pairs at that distance at once: each origin asks its targets in proportion to their room, and a
         target that is asked for too much gives each the same part of it. What is refused asks again among the
-        others."""
+        others.
+        """
         for _ in range(len(self.zones) + 1):
             asked: dict[str, list[tuple[str, float]]] = {}
             for (origin, its), work in self.left.items():
                 if its != kind or work <= LEAST:
                     continue
                 near = {
-                    target: room for target, room in self.room.items()
-                    if room > LEAST and target != origin
+                    target: room
+                    for target, room in self.room.items()
+                    if room > LEAST
+                    and target != origin
                     and far(self.zones, self.distance, origin, target) == distance_ms
-                }  # fmt: skip
+                }
                 whole = sum(near.values())
                 for target, room in near.items():
                     asked.setdefault(target, []).append((origin, work * room / whole))
@@ -167,11 +179,18 @@
     ways = []
     for (origin, kind), work in sorted(demand.items()):
         if work <= LEAST:
-            ways.append(Way(origin, kind, origin, 1.0))  # nobody comes: whoever does is served where it is
+            ways.append(
+                Way(origin, kind, origin, 1.0)
+            )  # nobody comes: whoever does is served where it is
             continue
-        parts = {target: round(placed / work, PLACES) for (its, other, target), placed in made.placed.items()
-                 if (its, other) == (origin, kind)}  # fmt: skip
-        ways += [Way(origin, kind, target, part) for target, part in sorted(parts.items()) if part > 0.0]
+        parts = {
+            target: round(placed / work, PLACES)
+            for (its, other, target), placed in made.placed.items()
+            if (its, other) == (origin, kind)
+        }
+        ways += [
+            Way(origin, kind, target, part) for target, part in sorted(parts.items()) if part > 0.0
+        ]
         if (rest := round(1.0 - sum(parts.values()), PLACES)) > 0.0:
             ways.append(Way(origin, kind, REJECTED, rest))
     return Plan(epoch, tuple(ways))
@@ -181,7 +200,9 @@
     """Work a second that each target is to take."""
     found: dict[str, float] = {}
     for way in plan.ways:
-        found[way.target] = found.get(way.target, 0.0) + way.part * demand.get((way.origin, way.kind), 0.0)
+        found[way.target] = found.get(way.target, 0.0) + way.part * demand.get(
+            (way.origin, way.kind), 0.0
+        )
     return found
 
 
@@ -189,7 +210,8 @@
     """One step from the old plan to the new, under the new one's epoch: no zone takes on more than `most` of
     its room from others at once. Traffic leaves a zone that serves nobody at once all the same: what may not
     yet go where the plan will have it is rejected meanwhile. A zone's own traffic comes home by the same
-    step."""
+    step.
+    """
     held = {zone.name: zone for zone in zones}
     dead = {name for name, zone in held.items() if zone.state not in SERVES_OWN}
     keys = sorted({(way.origin, way.kind) for way in new.ways})
@@ -200,13 +222,17 @@
             if target != REJECTED and was:
                 gain = max(0.0, part - was.get(target, 0.0)) * demand.get(key, 0.0)
                 more[target] = more.get(target, 0.0) + gain
-    speeds = {target: min(1.0, most * held[target].room / work) if work > LEAST else 1.0
-              for target, work in more.items() if target in held}  # fmt: skip
+    speeds = {
+        target: min(1.0, most * held[target].room / work) if work > LEAST else 1.0
+        for target, work in more.items()
+        if target in held
+    }
     ways: list[Way] = []
     for origin, kind in keys:
         was, will = old.parts(origin, kind), new.parts(origin, kind)
         ways += [
-            Way(origin, kind, target, part) for target, part in sorted(step(was, will, speeds, dead).items())
+            Way(origin, kind, target, part)
+            for target, part in sorted(step(was, will, speeds, dead).items())
         ]
     return Plan(new.epoch, tuple(ways))
 
@@ -219,15 +245,20 @@
         return dict(will)
     gains = {
         target: (part - was.get(target, 0.0)) * speeds.get(target, 1.0)
-        for target, part in will.items() if target != REJECTED and part > was.get(target, 0.0)
-    }  # fmt: skip
-    found = {target: part for target, part in was.items() if target not in dead and target != REJECTED}
+        for target, part in will.items()
+        if target != REJECTED and part > was.get(target, 0.0)
+    }
+    found = {
+        target: part for target, part in was.items() if target not in dead and target != REJECTED
+    }
     free = 1.0 - sum(found.values())  # of the dead, and of what was rejected
     wanted = sum(gains.values())
     # What gains take beyond what is free comes from those that are to give, in proportion; what the plan
     # rejects is taken from them at once, since it relieves them.
     gives = {
-        target: part - will.get(target, 0.0) for target, part in found.items() if part > will.get(target, 0.0)
+        target: part - will.get(target, 0.0)
+        for target, part in found.items()
+        if part > will.get(target, 0.0)
     }
     whole, needed = sum(gives.values()), wanted + will.get(REJECTED, 0.0) - free
     taken = min(1.0, max(0.0, needed) / whole) if whole > LEAST else 0.0
@@ -236,7 +267,9 @@
     fits = min(1.0, (free + whole * taken) / wanted) if wanted > LEAST else 1.0
     for target, part in gains.items():
         found[target] = found.get(target, 0.0) + part * fits
-    made = {target: round(part, PLACES) for target, part in found.items() if round(part, PLACES) > 0.0}
+    made = {
+        target: round(part, PLACES) for target, part in found.items() if round(part, PLACES) > 0.0
+    }
     if (rest := round(1.0 - sum(made.values()), PLACES)) > 0.0:
         made[REJECTED] = rest
     return made
--- a/pumicenotch/route/__main__.py
+++ b/pumicenotch/route/__main__.py
@@ -1,5 +1,6 @@
 """Wires the router's reducer to its sockets: `python -m pumicenotch.route FILE`, or `pumicenotch route
---config FILE`."""
+--config FILE`.
+"""
 
 import json
 import os
@@ -39,9 +40,14 @@
     inside = start.settings(pairs)
     keywords = start.keywords(inside)
     return Router(
-        cells=cells, confirmed=confirmed, stages=keywords["stages"], numbers=start.names(inside, "classes"),
-        seed=told.seed, stop_ms=told.stop_ms, sockets=told.sockets,
-    )  # fmt: skip
+        cells=cells,
+        confirmed=confirmed,
+        stages=keywords["stages"],
+        numbers=start.names(inside, "classes"),
+        seed=told.seed,
+        stop_ms=told.stop_ms,
+        sockets=told.sockets,
+    )
 
 
 async def signals(hub: Hub) -> None:
@@ -52,7 +58,8 @@
 
 async def maps(hub: Hub, core: Router, path: str) -> None:
     """Takes newer maps, and notes when the one that is held is confirmed. One that cannot be taken changes
-    nothing."""
+    nothing.
+    """
     seen = 0.0
     while True:
         await anyio.sleep(LOOK_S)
@@ -63,11 +70,17 @@
             cells, confirmed = cell_map(path)
             seen = when
             if newer(core.cells, cells):
-                hub.put("remap", cells, confirmed, f"the cell map of epoch {cells.epoch} is in force")
+                hub.put(
+                    "remap", cells, confirmed, f"the cell map of epoch {cells.epoch} is in force"
+                )
             elif cells.epoch == core.cells.epoch:
                 hub.put("remap", core.cells, confirmed, "")
             else:
-                hub.put("met", "maps_old", f"{path}: epoch {cells.epoch} is older than {core.cells.epoch}")
+                hub.put(
+                    "met",
+                    "maps_old",
+                    f"{path}: epoch {cells.epoch} is older than {core.cells.epoch}",
+                )
         except (BadMap, OSError) as error:
             hub.put("met", "maps_unreadable", f"{error}; epoch {core.cells.epoch} stays in force")
 
@@ -75,7 +88,9 @@
 async def serve(told: RouterFile, core: Router, clock: Clock) -> None:
     hub = Hub(cast(Any, core), clock)
     host, port = start.address(told.listen)
-    listeners = await anyio.create_tcp_listener(local_host=host, local_port=port, backlog=gateways.BACKLOG)
+    listeners = await anyio.create_tcp_listener(
+        local_host=host, local_port=port, backlog=gateways.BACKLOG
+    )
     listener = cast(SocketListener, listeners.listeners[0])
 
     def address_of(node: str) -> tuple[str, int]:
--- a/pumicenotch/route/decide.py
+++ b/pumicenotch/route/decide.py
@@ -2,7 +2,8 @@
 carry it too.
 
 A task has one answer: from the walk through its tenant's nodes, or, at its time limit, failed. Nothing is
-held back and nothing is queued: what no node may take is rejected at once, with a time to come back."""
+held back and nothing is queued: what no node may take is rejected at once, with a time to come back.
+"""
 
 import random
 from collections.abc import Mapping
@@ -59,9 +60,16 @@
     SPARE = 64  # descriptors beside those of callers and nodes
 
     def __init__(
-        self, *, cells: CellMap, confirmed: float, stages: list[Any], numbers: dict[str, int], seed: int,
-        stop_ms: float, sockets: int,
-    ) -> None:  # fmt: skip
+        self,
+        *,
+        cells: CellMap,
+        confirmed: float,
+        stages: list[Any],
+        numbers: dict[str, int],
+        seed: int,
+        stop_ms: float,
+        sockets: int,
+    ) -> None:
         half = sockets // 2 - self.SPARE // 2  # for callers, and as many for nodes
         super().__init__(Tasks(stages, numbers, {}), sockets // 2, max(8, half))
         self.most_ways = max(4, half)
@@ -101,7 +109,9 @@
         self.agenda.at(max(self.now, stop - self.UNHEARD_MS), self.close_door, None)
         self.agenda.at(stop - self.MARGIN_MS, self.give_all_up, None)
         self.agenda.at(stop, self.exit, None)
-        self.effects.append(Log(f"leaving in {stop - self.now:.0f} ms with {len(self.trips)} tasks open"))
+        self.effects.append(
+            Log(f"leaving in {stop - self.now:.0f} ms with {len(self.trips)} tasks open")
+        )
 
     def close_door(self, now: float, _: None) -> None:
         self.quiet = True
@@ -150,7 +160,13 @@
             self.effects.append(Write(conn, ("alive", message, None, not self.leaving)))
 
     def task(
-        self, conn: int, message: int, ahead_ms: float, stage: str, fields: Mapping[str, str], body: Any
+        self,
+        conn: int,
+        message: int,
+        ahead_ms: float,
+        stage: str,
+        fields: Mapping[str, str],
+        body: Any,
     ) -> None:
         if not self.received(conn, message):
             return
@@ -188,7 +204,8 @@
 
     def choices(self, held: Held, tenant: str) -> list[str]:
         """The nodes of its tenant by preference; a task that must not run twice is no probe of a node that
-        may be dead."""
+        may be dead.
+        """
         if held.token:
             return []
         nodes = [(node.name, node.weight) for node in self.cells.nodes(tenant)]
@@ -248,10 +265,17 @@
         """A connection with room, else a new one, up to the most."""
         links = self.of_node.setdefault(node, [])
         ways = [self.ways[link] for link in links]
-        room = [way for way in ways if not way.draining and len(way.open) + len(way.waiting) < self.MOST_OPEN]
+        room = [
+            way
+            for way in ways
+            if not way.draining and len(way.open) + len(way.waiting) < self.MOST_OPEN
+        ]
         if room:
             return min(room, key=lambda way: (not way.up, len(way.open) + len(way.waiting)))
-        if len([way for way in ways if not way.draining]) >= self.WAYS or len(self.ways) >= self.most_ways:
+        if (
+            len([way for way in ways if not way.draining]) >= self.WAYS
+            or len(self.ways) >= self.most_ways
+        ):
             return None
         link = f"{PARTY}-{next(self.names)}-{node}"
         way = self.ways[link] = Way(link, node, self.now)
@@ -265,7 +289,9 @@
         trip.message, trip.written = way.message, True
         way.open[way.message] = trip
         held = trip.held
-        self.effects.append(Write(way.link, ("task", way.message, held.stage_name, trip.fields, held.body)))
+        self.effects.append(
+            Write(way.link, ("task", way.message, held.stage_name, trip.fields, held.body))
+        )
 
     def linked(self, link: str) -> None:
         way = self.ways.get(link)
@@ -312,7 +338,9 @@
             if not way.open:
                 self.close(link)
 
-    def returned(self, link: str, message: int, kind: str, body: bytes, fields: Mapping[str, str]) -> None:
+    def returned(
+        self, link: str, message: int, kind: str, body: bytes, fields: Mapping[str, str]
+    ) -> None:
         way = self.ways.get(link)
         trip = way.open.pop(message, None) if way is not None else None
         if way is None or trip is None:
@@ -320,10 +348,17 @@
             return
         way.used_at = self.now
         cell = fields.get("cell", "")
-        said = CELLS.get(cell) or {"served": Said.SERVED, "rejected": Said.REJECTED}.get(kind, Said.FAILED)
+        said = CELLS.get(cell) or {"served": Said.SERVED, "rejected": Said.REJECTED}.get(
+            kind, Said.FAILED
+        )
         load, away = number(fields.get("hint")), number(fields.get("backoff")) or 0.0
         self.views.answered(
-            self.now, way.node, self.now - trip.sent_at, load, 0.0 if cell else away, kind == "served"
+            self.now,
+            way.node,
+            self.now - trip.sent_at,
+            load,
+            0.0 if cell else away,
+            kind == "served",
         )
         trip.way = None
         if way.draining and not way.open:
@@ -356,7 +391,24 @@
 Router.inputs = {
     name: getattr(Router, name)
     for name in (
-        "start", "time", "leave", "show_counters", "remap", "met", "opened", "eof", "reset", "condemn",
-        "read_out", "scarce", "alive", "task", "cancel", "linked", "unlinked", "drains", "returned",
+        "start",
+        "time",
+        "leave",
+        "show_counters",
+        "remap",
+        "met",
+        "opened",
+        "eof",
+        "reset",
+        "condemn",
+        "read_out",
+        "scarce",
+        "alive",
+        "task",
+        "cancel",
+        "linked",
+        "unlinked",
+        "drains",
+        "returned",
     )
-}  # fmt: skip
+}
--- a/pumicenotch/route/nodes.py
+++ b/pumicenotch/route/nodes.py
@@ -1,5 +1,6 @@
 """The nodes' side of the router: MessagePack-RPC as a gateway speaks it, on connections that the router
-dials."""
+dials.
+"""
 
 from collections.abc import Callable
 from typing import Any
@@ -12,7 +13,9 @@
 from pumicenotch.net.link import Frame
 
 FRAME_MOST = 16 * 1024  # a result has 4 KiB at the most
-UNREAD = 256 * 1024  # that a node may leave unread of 32 tasks of 2 KiB and their fields, with some to spare
+UNREAD = (
+    256 * 1024
+)  # that a node may leave unread of 32 tasks of 2 KiB and their fields, with some to spare
 
 pack: Callable[[Any], bytes] = msgpack.Packer(autoreset=True).pack
 FRAMES: dict[str, Frame] = {
@@ -25,9 +28,14 @@
     def __init__(self, put: Put, link: str) -> None:
         self.put, self.link = put, link
         self.unpacker = msgpack.Unpacker(
-            max_buffer_size=8 * FRAME_MOST, max_str_len=FRAME_MOST, max_bin_len=FRAME_MOST, max_array_len=64,
-            max_map_len=64, max_ext_len=0, unicode_errors="surrogateescape",
-        )  # fmt: skip
+            max_buffer_size=8 * FRAME_MOST,
+            max_str_len=FRAME_MOST,
+            max_bin_len=FRAME_MOST,
+            max_array_len=64,
+            max_map_len=64,
+            max_ext_len=0,
+            unicode_errors="surrogateescape",
+        )
 
     def feed(self, data: bytes) -> None:
         try:
@@ -54,14 +62,21 @@
 
 
 def strings(fields: dict[Any, Any]) -> dict[str, str]:
-    return {name: text for name, text in fields.items() if isinstance(name, str) and isinstance(text, str)}
+    return {
+        name: text
+        for name, text in fields.items()
+        if isinstance(name, str) and isinstance(text, str)
+    }
 
 
 class NodeLinks:
     """Dials each node at the address that the map gives it; `address` raises LookupError for one it does not
-    have."""
+    have.
+    """
 
-    def __init__(self, hub: Hub, group: TaskGroup, address: Callable[[str], tuple[str, int]]) -> None:
+    def __init__(
+        self, hub: Hub, group: TaskGroup, address: Callable[[str], tuple[str, int]]
+    ) -> None:
         self.hub, self.group, self.address = hub, group, address
 
     def dial(self, link: str, after_ms: float) -> None:
--- a/pumicenotch/server/backoff.py
+++ b/pumicenotch/server/backoff.py
@@ -6,7 +6,10 @@
 class Backoff:
     """Time before the next dial: doubling from the first to the longest, half of it by chance."""
 
-    FIRST_MS, LONGEST_MS = 20.0, 1000.0  # a restart shows at once, and a link long gone costs a dial a second
+    FIRST_MS, LONGEST_MS = (
+        20.0,
+        1000.0,
+    )  # a restart shows at once, and a link long gone costs a dial a second
 
     def __init__(self, chance: Callable[[float, float], float]) -> None:
         self.chance, self.failures = chance, 0
--- a/pumicenotch/server/callers.py
+++ b/pumicenotch/server/callers.py
@@ -30,9 +30,13 @@
         self.effects, self.counters, self.many, self.most = effects, counters, many, most
         self.limit = most  # as it was given; `most` is less for a while after descriptors ran out
         self.connections: dict[int, Connection] = {}
-        self.silent: dict[int, float] = {}  # those that have sent no message yet, oldest first, since when
+        self.silent: dict[
+            int, float
+        ] = {}  # those that have sent no message yet, oldest first, since when
         self.closing = 0  # how many are
-        self.idle_ms = float("inf")  # until the control says otherwise, callers close idle ones themselves
+        self.idle_ms = float(
+            "inf"
+        )  # until the control says otherwise, callers close idle ones themselves
 
     def opened(self, now: float, conn: int, told: bool) -> None:
         self.connections[conn] = Connection(now)
@@ -44,7 +48,8 @@
 
     def scarce(self, now: float) -> None:
         """Descriptors have run out: the table is narrowed to what leaves a reserve, idle ones going first; it
-        grows back by one at each look."""
+        grows back by one at each look.
+        """
         self.most = min(self.most, max(self.LEAST, len(self.connections) - self.RESERVE))
         for _ in range(len(self.connections) - self.closing - self.most):
             self.crowded(now)
@@ -60,9 +65,10 @@
     def idle(self) -> list[tuple[float, int]]:
         """Connections that have nothing open any more, and since when."""
         return [
-            (connection.active_at, conn) for conn, connection in self.connections.items()
+            (connection.active_at, conn)
+            for conn, connection in self.connections.items()
             if conn not in self.silent and not connection.open and not connection.closing
-        ]  # fmt: skip
+        ]
 
     def heard(self, now: float, conn: int, message: int) -> bool:
         """Notes a message that wants an answer; whether its number is above all before it, as it must be."""
@@ -134,7 +140,8 @@
 
     def close_idle(self, now: float) -> None:
         """Idle ones are told first: cut at once, a task on its way would be lost. Beyond `many` connections
-        the longest idle are told: gateways need no more, so others hold them."""
+        the longest idle are told: gateways need no more, so others hold them.
+        """
         self.most = min(self.limit, self.most + 1)
         beyond = len(self.connections) - len(self.silent) - self.many
         for _, conn in sorted(self.idle())[:beyond] if beyond > 0 else ():
--- a/pumicenotch/server/calls.py
+++ b/pumicenotch/server/calls.py
@@ -11,9 +11,12 @@
 
 PARTY = "db"
 ENDS = {
-    "ROWS": Outcome.OK, "FULL": Outcome.FULL, "FAIL": Outcome.ERROR, "TIMEOUT": Outcome.TIMEOUT,
+    "ROWS": Outcome.OK,
+    "FULL": Outcome.FULL,
+    "FAIL": Outcome.ERROR,
+    "TIMEOUT": Outcome.TIMEOUT,
     "NONE": Outcome.MOOT,
-}  # fmt: skip
+}
 
 
 class Call:
@@ -28,13 +31,17 @@
 
     def __init__(self, call: Call) -> None:
         self.call: Call | None = call
-        self.served = ""  # whose call was the last: a late copy of its reply must not be taken for another
+        self.served = (
+            ""  # whose call was the last: a late copy of its reply must not be taken for another
+        )
         self.up = self.old = False
         self.used_at = 0.0
 
 
 class Calls:
-    IDLE_MS = 5000.0  # links are closed on us after 10 s: half, so that no call crosses such a close
+    IDLE_MS = (
+        5000.0  # links are closed on us after 10 s: half, so that no call crosses such a close
+    )
     # A link that idled longer may be dead without our knowing, and a call lost on it cannot be proven not to
     # have run. One that may not be made again goes by a link just used or a new one, which costs half a
     # millisecond; under load nearly all links were used within this.
@@ -141,7 +148,11 @@
         if call is not None:
             del self.calls[call.held.name]
         self.next(now)
-        return (call.held, Outcome.RESET if call.written else Outcome.UNREACHED) if call is not None else None
+        return (
+            (call.held, Outcome.RESET if call.written else Outcome.UNREACHED)
+            if call is not None
+            else None
+        )
 
     def close_idle(self, now: float) -> None:
         while self.free and now - self.ways[self.free[0]].used_at > self.IDLE_MS:
--- a/pumicenotch/server/core.py
+++ b/pumicenotch/server/core.py
@@ -1,5 +1,6 @@
 """The reducer: every input enters by `step`, which changes state and returns the effects asked for. It holds
-one control and decides nothing; what the control asks for comes back through the methods of its Actions."""
+one control and decides nothing; what the control asks for comes back through the methods of its Actions.
+"""
 
 import random
 from collections.abc import Callable, Mapping
@@ -23,14 +24,23 @@
 REGISTRY = "registry"
 LISTENER = "listener"
 RUN_ENDS = {
-    "fine": Outcome.OK, "fault": Outcome.ERROR, "broken_off": Outcome.CANCELLED, "late": Outcome.MOOT,
-}  # fmt: skip
+    "fine": Outcome.OK,
+    "fault": Outcome.ERROR,
+    "broken_off": Outcome.CANCELLED,
+    "late": Outcome.MOOT,
+}
 
 
 class Server(Front):
-    REPORT_MS = 1000.0  # a third of the time after which the registry takes a silent server off its list
-    HOUSE_MS = 250.0  # between looks for idle connections: a quarter of the shortest time they may idle
-    STOP_MARGIN_MS = 100.0  # left of the notice when the last answers go out: a crowded core is late
+    REPORT_MS = (
+        1000.0  # a third of the time after which the registry takes a silent server off its list
+    )
+    HOUSE_MS = (
+        250.0  # between looks for idle connections: a quarter of the shortest time they may idle
+    )
+    STOP_MARGIN_MS = (
+        100.0  # left of the notice when the last answers go out: a crowded core is late
+    )
     END_MS = 40.0  # of that margin, for the process to end once the last answers are written
     UNHEARD_MS = 300.0  # before the stop the door closes: enough for what crossed it to be answered
     KEPT_PART = 0.125  # of the memory, for results that are kept: they never bring the program down
@@ -39,11 +49,21 @@
     CALLS_PART = 0.25  # of the descriptors, for calls below: gateways open up to half
 
     def __init__(
-        self, *, keywords: dict[str, Any], stages: dict[str, int], tenants: dict[str, int], seed: int,
-        stop_ms: float, below: bool, memory_mb: float, sockets: int,
-        pools: Callable[[float], Pools] | None = None, decides: type[Control] = Control,
-        fence: "Fence | None" = None, node: str = "",
-    ) -> None:  # fmt: skip
+        self,
+        *,
+        keywords: dict[str, Any],
+        stages: dict[str, int],
+        tenants: dict[str, int],
+        seed: int,
+        stop_ms: float,
+        below: bool,
+        memory_mb: float,
+        sockets: int,
+        pools: Callable[[float], Pools] | None = None,
+        decides: type[Control] = Control,
+        fence: "Fence | None" = None,
+        node: str = "",
+    ) -> None:
         links = max(1, int(self.CALLS_PART * sockets))
         most = max(8, sockets - links - self.SPARE)
         super().__init__(Tasks(keywords["stages"], stages, tenants), sockets // 2, most)
@@ -51,7 +71,9 @@
         self.keywords, self.seed, self.stop_ms, self.below = keywords, seed, stop_ms, below
         self.fence, self.node = fence, node  # where this node knows its cells
         self.pools, self.decides = pools, decides  # pools are made anew from the time they start at
-        self.control: Control | None = None  # made when the pool is first bound: warmth counts from its start
+        self.control: Control | None = (
+            None  # made when the pool is first bound: warmth counts from its start
+        )
         chance = random.Random(seed).uniform
         self.kept = Kept(int(self.KEPT_PART * memory_mb * 1024 * 1024))
         self.runs = Runs(self.effects, Backoff(chance))
@@ -91,7 +113,9 @@
     def house(self, now: float, _: None) -> None:
         if now >= self.report_at:
             self.report()
-        if now <= self.house_at + self.HOUSE_MS:  # after a stall the news of the idle ones is still unread
+        if (
+            now <= self.house_at + self.HOUSE_MS
+        ):  # after a stall the news of the idle ones is still unread
             self.callers.close_idle(now)
         self.house_at = now + self.HOUSE_MS
         self.agenda.at(self.house_at, self.house, None)
@@ -124,7 +148,9 @@
             return
         self.over = True
         if self.control is not None:
-            self.control.tick(self.now, self.gauges)  # after a stall the last answers may still be owed
+            self.control.tick(
+                self.now, self.gauges
+            )  # after a stall the last answers may still be owed
         if self.quiet_from == float("inf"):
             self.effects.append(Close(LISTENER))
         for conn, connection in list(self.callers.connections.items()):
@@ -209,10 +235,17 @@
             self.callers.end(conn)
 
     def task(
-        self, conn: int, message: int, ahead_ms: float, stage: str, fields: Mapping[str, str], body: Any
+        self,
+        conn: int,
+        message: int,
+        ahead_ms: float,
+        stage: str,
+        fields: Mapping[str, str],
+        body: Any,
     ) -> None:
         """`ahead_ms`: what the Unix clock is ahead of `now`, read before it: a stall between the two readings
-        lets a task seem older than it is, never younger."""
+        lets a task seem older than it is, never younger.
+        """
         if not self.received(conn, message):
             return
         unix = self.now + ahead_ms
@@ -233,13 +266,25 @@
             self.tasks.remove(held)
         elif self.over:
             self.too_late(held, same)
-        elif self.control is None:  # none is to arrive before the pool is up, and nothing of it has run
+        elif (
+            self.control is None
+        ):  # none is to arrive before the pool is up, and nothing of it has run
             self.reject(held.id, False, 0.0)
         else:
             self.control.task(
-                self.now, held.id, held.stage_number, held.tenant, waited, None, held.work, held.kb, same,
-                held.peer, held.again, held.print() if self.pools is not None else 0,
-            )  # fmt: skip
+                self.now,
+                held.id,
+                held.stage_number,
+                held.tenant,
+                waited,
+                None,
+                held.work,
+                held.kb,
+                same,
+                held.peer,
+                held.again,
+                held.print() if self.pools is not None else 0,
+            )
 
     def too_late(self, held: Held, same: int | None) -> None:
         """Read after the last word: it cannot be run any more. What has run already is not rejected."""
@@ -255,7 +300,8 @@
     def barred(self, held: Held, unix: float, fields: Mapping[str, str], known: bool) -> str:
         """Why the task may not run on this node, by the cells that its tenant lives in; nothing if it may. A
         caller that is no router brings no stamp: it goes by this node's own map. Read at another time than
-        it arrived, a task is judged as of now: what was sworn off in between stays so."""
+        it arrived, a task is judged as of now: what was sworn off in between stays so.
+        """
         assert self.fence is not None
         tenant, epoch = fields.get("acct", ""), held.epoch
         if not held.token:
@@ -275,7 +321,8 @@
 
     def let_go(self, held: Held) -> None:
         """Nobody waits for it: what runs goes on to its end, the rest is over. The result of a fingerprinted
-        task is kept, and a further try is worth it only with its call."""
+        task is kept, and a further try is worth it only with its call.
+        """
         if held.started:
             if not held.token:
                 self.calls.give_up(held)
@@ -300,7 +347,9 @@
             # would turn tasks away that have room. Some hundred bytes each, and no more than ran in a window.
             keywords = self.keywords | {"cold": how == "starting", "entry_kb": 0.0}
             pools = self.pools(self.now) if self.pools is not None else None
-            self.control = self.decides(self, self.now - for_ms, seed=self.seed, pools=pools, **keywords)
+            self.control = self.decides(
+                self, self.now - for_ms, seed=self.seed, pools=pools, **keywords
+            )
             if self.leaving:
                 self.control.leave(self.now, self.stop)
         self.runs.bound(self.now)
@@ -333,7 +382,8 @@
 
     def unknown(self, command: str, name: str) -> None:
         """The pool did not carry a command out. A run that it never began is over: it would keep its place
-        for good, and its fingerprint from the tasks that it belongs to."""
+        for good, and its fingerprint from the tasks that it belongs to.
+        """
         self.met("unknown", f"pool does not know {command} of {name}")
         held = self.tasks.by_name.get(name)
         if held is not None and held.started and command == "spawn":
@@ -421,7 +471,9 @@
         self.counters.add("calls")
         if self.seen is not None:
             self.seen.called(self.now, held)
-        self.agenda.at(self.now + give_up_ms, self.call_due, self.calls.start(self.now, held, give_up_ms))
+        self.agenda.at(
+            self.now + give_up_ms, self.call_due, self.calls.start(self.now, held, give_up_ms)
+        )
 
     def skip_call(self, task: int) -> None:
         held = self.tasks.by_id[task]
@@ -473,9 +525,32 @@
 Server.inputs = {
     name: getattr(Server, name)
     for name in (
-        "start", "time", "leave", "show_counters", "reported", "linked", "unlinked", "opened", "eof", "reset",
-        "condemn", "read_out", "scarce", "reload", "repool", "remap",
-        "task", "cancel", "alive", "met", "bound", "polled", "blocked", "finished",
-        "chatter", "unknown", "replied",
+        "start",
+        "time",
+        "leave",
+        "show_counters",
+        "reported",
+        "linked",
+        "unlinked",
+        "opened",
+        "eof",
+        "reset",
+        "condemn",
+        "read_out",
+        "scarce",
+        "reload",
+        "repool",
+        "remap",
+        "task",
+        "cancel",
+        "alive",
+        "met",
+        "bound",
+        "polled",
+        "blocked",
+        "finished",
+        "chatter",
+        "unknown",
+        "replied",
     )
-}  # fmt: skip
+}
--- a/pumicenotch/server/counters.py
+++ b/pumicenotch/server/counters.py
@@ -11,4 +11,6 @@
         self.counts[name] += 1
 
     def text(self) -> str:
-        return " ".join(f"{name}={self.counts[name]}" for name in sorted(self.counts) if self.counts[name])
+        return " ".join(
+            f"{name}={self.counts[name]}" for name in sorted(self.counts) if self.counts[name]
+        )
--- a/pumicenotch/server/effects.py
+++ b/pumicenotch/server/effects.py
@@ -13,7 +13,8 @@
 
 class ReadOut(NamedTuple):
     """The input `read_out` is to follow as soon as all that has come on this connection is read: closed
-    before, it would cut a task that is there."""
+    before, it would cut a task that is there.
+    """
 
     link: int
 
--- a/pumicenotch/server/front.py
+++ b/pumicenotch/server/front.py
@@ -1,5 +1,6 @@
 """What every reducer has that gateways connect to: inputs in, effects out, connections, and one answer a
-task."""
+task.
+"""
 
 from abc import ABC, abstractmethod
 from collections import deque
@@ -20,7 +21,9 @@
 
     def __init__(self, tasks: Tasks, many: int, most: int) -> None:
         self.effects: list[Effect] = []
-        self.later: deque[Callable[[], None]] = deque()  # ends that come while another is on its way
+        self.later: deque[Callable[[], None]] = (
+            deque()
+        )  # ends that come while another is on its way
         self.counters, self.tasks = Counters(), tasks
         self.callers = Callers(self.effects, self.counters, many, most)
         self.now = 0.0
@@ -56,7 +59,8 @@
     def condemn(self, conn: int, trouble: str, text: str) -> None:
         """What it sends cannot be told apart any more, so nothing that it has open is answered as served: a
         gateway keeps to the protocol. All is answered failed at once, and the connection closed. Guards
-        against what is no gateway; harms the open tasks of one that errs once."""
+        against what is no gateway; harms the open tasks of one that errs once.
+        """
         connection = self.callers.connections.get(conn)
         if connection is None:
             return
@@ -95,13 +99,19 @@
         """Whether a task of that number may come on that connection, by what came before."""
         connection = self.callers.connections.get(conn)
         if connection is None:
-            self.counters.add("tasks_crossed")  # on its way while the connection was closed: sent again
+            self.counters.add(
+                "tasks_crossed"
+            )  # on its way while the connection was closed: sent again
             return False
         if not self.callers.heard(self.now, conn, message):
-            self.condemn(conn, "connections_misnumbered", f"message {message} after {connection.last}")
+            self.condemn(
+                conn, "connections_misnumbered", f"message {message} after {connection.last}"
+            )
             return False
         if len(connection.open) >= self.callers.MOST_OPEN:
-            self.condemn(conn, "connections_overfull", f"over {self.callers.MOST_OPEN} tasks are open")
+            self.condemn(
+                conn, "connections_overfull", f"over {self.callers.MOST_OPEN} tasks are open"
+            )
             return False
         self.counters.add("tasks")
         return True
--- a/pumicenotch/server/kept.py
+++ b/pumicenotch/server/kept.py
@@ -9,7 +9,9 @@
         self.token, self.mark, self.owner, self.until = held.token, held.mark, held.id, until
         self.ran = False
         self.result = b""
-        self.outcome: Outcome | None = None  # None while its run is not over; OK while its result is kept
+        self.outcome: Outcome | None = (
+            None  # None while its run is not over; OK while its result is kept
+        )
         self.waiting: list[Held] = []
 
     @property
@@ -29,7 +31,8 @@
     def same(self, held: Held, arrived: float) -> int | None:
         """The task that one arrived then repeats. Entries outlive their time by a time limit, since a repeat
         may be read long after it reached the machine, as after a freeze. All tries of a task carry the same
-        body: another under its token is no try of it, and its result is none of the sender's."""
+        body: another under its token is no try of it, and its result is none of the sender's.
+        """
         entry = self.entries.get(held.token)
         if entry is None or not (entry.runs or arrived <= entry.until):
             return None
@@ -48,7 +51,8 @@
 
     def forget(self, owner: int, proven: bool = False) -> list[Held]:
         """Lets an entry go whose task has not run (as is proven for one that was started), and returns the
-        repeats that waited for it."""
+        repeats that waited for it.
+        """
         entry = self.by_owner.get(owner)
         if entry is None or (entry.ran and not proven):
             return []
--- a/pumicenotch/server/runs.py
+++ b/pumicenotch/server/runs.py
@@ -13,7 +13,8 @@
 class Runs:
     """Commands go out in order, and an answered poll proves that all before it arrived. After a new link the
     notices missed come first, then a poll's answer, then the commands that are not proven and not overtaken
-    by a notice about their task go out again."""
+    by a notice about their task go out again.
+    """
 
     # An answer to `bind` or `poll` takes a millisecond: after a thousand times that the link is taken for
     # dead though it is up. Does little harm where all stand still together: the link is made once more.
@@ -64,7 +65,9 @@
                 self.unproven.popleft()
         else:
             self.up = True
-            again = [(held, message) for _, heard, held, message in self.unproven if heard == held.heard]
+            again = [
+                (held, message) for _, heard, held, message in self.unproven if heard == held.heard
+            ]
             self.unproven.clear()
             for held, message in again:
                 self.send(held, *message)
@@ -81,7 +84,8 @@
     def fresh(self, serial: int) -> bool:
         """Whether the notice is the next to be read; one read before is replayed and skipped. Where one is
         missing, as it came spoilt, a new link brings it again with all after it. It does so once for each:
-        what is spoilt for good must not hold up the others."""
+        what is spoilt for good must not hold up the others.
+        """
         if serial <= self.serial:
             return False
         if serial > self.serial + 1 and self.missing_after != self.serial:
--- a/pumicenotch/server/tasks.py
+++ b/pumicenotch/server/tasks.py
@@ -17,11 +17,17 @@
 FORMS = {
     name: re.compile(form, re.ASCII)
     for name, form in (
-        ("rid", "[0-9a-f]{16}"), ("t0", "[0-9]{1,15}"), ("peer", "[0-9]{1,15}"), ("again", "1"),
-        ("epoch", "[0-9]{1,15}"), ("ask", "1"),
-        ("token", "[0-9a-f]{32}"), ("obj", "[0-9a-f]{16}"), ("acct", ".{1,64}"),
+        ("rid", "[0-9a-f]{16}"),
+        ("t0", "[0-9]{1,15}"),
+        ("peer", "[0-9]{1,15}"),
+        ("again", "1"),
+        ("epoch", "[0-9]{1,15}"),
+        ("ask", "1"),
+        ("token", "[0-9a-f]{32}"),
+        ("obj", "[0-9a-f]{16}"),
+        ("acct", ".{1,64}"),
     )
-}  # fmt: skip
+}
 
 
 class Held:
@@ -43,7 +49,9 @@
     asked = b""  # the body of the call that its run waits for
     calls = 0
 
-    def __init__(self, ident: int, name: str, conn: int, message: int, stage_name: str, body: bytes) -> None:
+    def __init__(
+        self, ident: int, name: str, conn: int, message: int, stage_name: str, body: bytes
+    ) -> None:
         self.id, self.name, self.conn, self.message = ident, name, conn, message
         self.stage_name, self.body = stage_name, body
 
@@ -72,7 +80,9 @@
 
 
 class Tasks:
-    def __init__(self, stages: list[Stage], numbers: dict[str, int], tenants: dict[str, int]) -> None:
+    def __init__(
+        self, stages: list[Stage], numbers: dict[str, int], tenants: dict[str, int]
+    ) -> None:
         self.stages, self.numbers, self.tenants = stages, numbers, tenants
         self.stamped = False  # routers stamp tasks, and this node looks at it
         self.ids = count(1)
@@ -80,10 +90,17 @@
         self.by_name: dict[str, Held] = {}
 
     def read(
-        self, conn: int, message: int, unix: float, stage_name: str, fields: Mapping[str, str], body: Any
+        self,
+        conn: int,
+        message: int,
+        unix: float,
+        stage_name: str,
+        fields: Mapping[str, str],
+        body: Any,
     ) -> Held:
         """The task that such a message brings; a field that is wrong raises BadTask. Fields that no decision
-        reads are checked as well: who gets them wrong is no gateway, and its other fields mean nothing."""
+        reads are checked as well: who gets them wrong is no gateway, and its other fields mean nothing.
+        """
         if stage_name not in self.numbers:
             raise BadTask("stage")
         if not isinstance(body, bytes) or len(body) > MOST_BODY:
