--- a/pumicenotch/start.py
+++ b/pumicenotch/start.py
@@ -1,5 +1,6 @@
 """Turns the values that a server is started with, as lines or as nested JSON, into keyword arguments:
-times in ms, absent keys left out."""
+times in ms, absent keys left out.
+"""
 
 import re
 from collections.abc import Callable
@@ -7,14 +8,25 @@
 
 from pumicenotch.interface import Below, Effect, Halt, Signal, Stage, Tenant
 
-EFFECTS = {"repeatable": Effect.RESTARTABLE, "by_key": Effect.FINGERPRINTED, "once": Effect.SIDE_EFFECTING}
+EFFECTS = {
+    "repeatable": Effect.RESTARTABLE,
+    "by_key": Effect.FINGERPRINTED,
+    "once": Effect.SIDE_EFFECTING,
+}
 HALTS = {"off": Halt.NONE, "drop": Halt.DROP, "pause": Halt.PAUSE}
-SIGNALS = {"off": Signal.NONE, "min_rank": Signal.LEVEL, "tokens": Signal.CREDIT, "bias": Signal.WEIGHT}
+SIGNALS = {
+    "off": Signal.NONE,
+    "min_rank": Signal.LEVEL,
+    "tokens": Signal.CREDIT,
+    "bias": Signal.WEIGHT,
+}
 BELOWS = {"off": Below.NONE, "common": Below.SHARED, "next_hop": Below.TIER}
 TRUTHS = {"true": True, "false": False}
 
 
-HOST = re.compile(r"[0-9a-zA-Z_-]+(\.[0-9a-zA-Z_-]+)*|[0-9a-fA-F.]*:[0-9a-fA-F:.]*(%[0-9a-zA-Z]+)?", re.ASCII)
+HOST = re.compile(
+    r"[0-9a-zA-Z_-]+(\.[0-9a-zA-Z_-]+)*|[0-9a-fA-F.]*:[0-9a-fA-F:.]*(%[0-9a-zA-Z]+)?", re.ASCII
+)
 
 
 def ms(text: str) -> float:
@@ -102,7 +114,9 @@
 def settings(pairs: dict[str, str]) -> dict[str, str]:
     """Of all that a program is told, the settings, by their paths inside."""
     inside = "settings."
-    return {path.removeprefix(inside): text for path, text in pairs.items() if path.startswith(inside)}
+    return {
+        path.removeprefix(inside): text for path, text in pairs.items() if path.startswith(inside)
+    }
 
 
 def address(text: str) -> tuple[str, int]:
@@ -124,7 +138,10 @@
 
 def names(pairs: dict[str, str], what: str) -> dict[str, int]:
     """The places of stages or tenants by their names."""
-    return {pairs.get(f"{what}.{at}.name", str(at)): at for at in range(read(f"{what}.count", pairs, int, 0))}
+    return {
+        pairs.get(f"{what}.{at}.name", str(at)): at
+        for at in range(read(f"{what}.count", pairs, int, 0))
+    }
 
 
 # Path -> the least and the most that a value may be: beyond them no deployment makes sense, and the decisions
@@ -165,7 +182,9 @@
         path = prefix + name
         value = read(path, pairs, float, None)
         if value is not None and not least <= value <= most:
-            raise BadStart(f"{path}={pairs[path]}: out of range; give a value from {least:g} to {most:g}")
+            raise BadStart(
+                f"{path}={pairs[path]}: out of range; give a value from {least:g} to {most:g}"
+            )
 
 
 def named(pairs: dict[str, str], what: str) -> dict[str, int]:
@@ -179,7 +198,8 @@
 def shape(pairs: dict[str, str]) -> str:
     """Which shape of deployment the settings describe: 'credit' where callers are told how many tasks each
     may have out here (lagos-roster, delsol-avrakning), 'share' where they are told a share or a level, as
-    before the move. Settings that mix them (a credit without the number of callers) are refused by path."""
+    before the move. Settings that mix them (a credit without the number of callers) are refused by path.
+    """
     credit = pairs.get("family-info.signal") == "tokens"
     if credit and "family-info.callers" not in pairs:
         raise BadStart(
@@ -192,9 +212,15 @@
 def keywords(pairs: dict[str, str]) -> dict[str, Any]:
     shape(pairs)
     bounded(pairs)
-    found = {word: read(path, pairs, kind, None) for path, (word, kind) in KEYWORDS.items() if path in pairs}
+    found = {
+        word: read(path, pairs, kind, None)
+        for path, (word, kind) in KEYWORDS.items()
+        if path in pairs
+    }
     skips = read("family-info.class-skip-worth", pairs, floats, [])
-    found["stages"] = [stage(pairs, at, skips) for at in range(read("classes.count", pairs, int, 0))]
+    found["stages"] = [
+        stage(pairs, at, skips) for at in range(read("classes.count", pairs, int, 0))
+    ]
     found["tenants"] = [tenant(pairs, at) for at in range(read("tenants.count", pairs, int, 0))]
     meters = pairs.get("family-info.meters", "")
     found["gauges"] = meters.split(",") if meters else []
@@ -211,7 +237,9 @@
     window_ms = read(prefix + "memory-span", pairs, ms, 0.0)
     if effect is Effect.FINGERPRINTED and not window_ms:
         path = prefix + "memory-span"
-        raise BadStart(f"missing start value {path}: how long a task by_key may come again, above 0")
+        raise BadStart(
+            f"missing start value {path}: how long a task by_key may come again, above 0"
+        )
     return Stage(
         due_ms=read(prefix + "target", pairs, ms, limit_ms),
         due_stretch=read(prefix + "aim-stretch", pairs, float, 0.0),
--- a/tests/controls.py
+++ b/tests/controls.py
@@ -16,5 +16,13 @@
 def control(actions: IgnoredActions, stage: Stage, **more: Any) -> Control:
     """A server of two cores with that stage alone, begun at time 0."""
     return Control(
-        actions, 0.0, seed=1, stages=[stage], tenants=[], gauges=[], cores=2, crowd_multiple=5.0, **more
+        actions,
+        0.0,
+        seed=1,
+        stages=[stage],
+        tenants=[],
+        gauges=[],
+        cores=2,
+        crowd_multiple=5.0,
+        **more,
     )
--- a/tests/distribution/network.py
+++ b/tests/distribution/network.py
@@ -1,6 +1,7 @@
 """A network of voters, relays and leaves in simulated time: messages are late, lost, doubled and overtake
 each other, links are cut, processes end and begin anew. Whatever comes into force is compared with what was
-published."""
+published.
+"""
 
 import heapq
 import random
@@ -56,11 +57,18 @@
 
 class Network:
     def __init__(
-        self, seed: int, *, voters: int = 2, zones: int = 1, instances: int = 4,
+        self,
+        seed: int,
+        *,
+        voters: int = 2,
+        zones: int = 1,
+        instances: int = 4,
         subscription: Callable[[int], Subscription] = lambda at: Subscription({"tenants": None}),
-        settings: Settings = DEFAULTS, weather: Weather = FAIR, log: Callable[[], ChangeLog] = ChangeLog,
+        settings: Settings = DEFAULTS,
+        weather: Weather = FAIR,
+        log: Callable[[], ChangeLog] = ChangeLog,
         tables: Callable[[int], dict[str, Table]] = lambda at: dict(TABLES),
-    ) -> None:  # fmt: skip
+    ) -> None:
         self.chance = random.Random(seed)
         self.weather, self.settings, self.tables = weather, settings, tables
         self.now = 0.0
@@ -75,7 +83,8 @@
         self.books = {f"v{at}": Publications(log=log()) for at in range(voters)}
         self.subscriptions = {f"i{at}": subscription(at) for at in range(instances)}
         self.peers = {
-            f"i{at}": ev.Peer(f"i{at}", f"z{at % zones}", "r", f"i{at}", "") for at in range(instances)
+            f"i{at}": ev.Peer(f"i{at}", f"z{at % zones}", "r", f"i{at}", "")
+            for at in range(instances)
         }
         self.bytes = 0
         for name, book in self.books.items():
@@ -96,9 +105,13 @@
         me = self.peers[name]._replace(life=f"{self.lives.get(name, 0) + 1}")
         tables = self.tables(int(name[1:]))
         node = Node(
-            me, list(self.books), self.subscriptions[name], random.Random(self.chance.random()),
-            settings=self.settings, tables=tables,
-        )  # fmt: skip
+            me,
+            list(self.books),
+            self.subscriptions[name],
+            random.Random(self.chance.random()),
+            settings=self.settings,
+            tables=tables,
+        )
         self.in_force.setdefault(name, []).append((self.now, 0))  # a new life begins at 0
         self.start(name, node)
         for other in self.peers.values():
@@ -140,7 +153,9 @@
         self.published.append(contents)
         version = len(self.published) - 1
         for name in self.books:
-            self.push(self.now + self.chance.uniform(0.0, 20.0), "apply", (name, version, list(changes)))
+            self.push(
+                self.now + self.chance.uniform(0.0, 20.0), "apply", (name, version, list(changes))
+            )
         return version
 
     def apply(self, name: str, version: int, changes: list[Change]) -> None:
@@ -201,7 +216,9 @@
                 if address not in self.cut and address in self.reducers:
                     self.step(
                         address,
-                        ev.Received(ev.Sender(sender, life, sender), message_of(msgpack.unpackb(told))),
+                        ev.Received(
+                            ev.Sender(sender, life, sender), message_of(msgpack.unpackb(told))
+                        ),
                     )
         self.now = max(self.now, until_ms)
 
--- a/tests/distribution/test_explorer.py
+++ b/tests/distribution/test_explorer.py
@@ -1,5 +1,6 @@
 """The explorer over the real code: whole, it is never mixed, backward or lost; with any of these faults put
-in, it is, and the explorer says so."""
+in, it is, and the explorer says so.
+"""
 
 from typing import Any
 
@@ -70,7 +71,10 @@
     """What a broken-off transfer has of a scope counts as the whole scope."""
     transfer = self._transfer
     if transfer is not None:
-        parts = {key: Scope(part.records, transfer._listed[key]) for key, part in transfer._partial.items()}
+        parts = {
+            key: Scope(part.records, transfer._listed[key])
+            for key, part in transfer._partial.items()
+        }
         self._kept = {**transfer.complete, **parts}
         self._end_transfer(transfer)
 
@@ -106,28 +110,34 @@
 FRESH = Bounds(publications=0, timers=8, cuts=1)
 FAULTS: dict[str, tuple[Spreading, list[tuple[type, str, Any]]]] = {
     "switches before all pages are there": (
-        Spreading(CALM), [(Staging, "complete", property(complete_early))],
+        Spreading(CALM),
+        [(Staging, "complete", property(complete_early))],
     ),
     "applies an older delta after a newer": (
         Spreading(CALM._replace(copies=1), begun=2),
         [(Replica, "delta", any_delta), (Copy, "switch", any_switch)],
     ),
     "takes a part for the whole when the source changes": (
-        Spreading(FRESH, begun=2, fresh=True), [(Replica, "_break_off", break_off_with_parts)],
+        Spreading(FRESH, begun=2, fresh=True),
+        [(Replica, "_break_off", break_off_with_parts)],
     ),
     "forgets a deletion in a snapshot by digests": (
-        Spreading(CALM, log_most=1), [(Transfer, "build", build_without_deletions)],
+        Spreading(CALM, log_most=1),
+        [(Transfer, "build", build_without_deletions)],
     ),
     "serves a delta with a gap from a compacted log": (
-        Spreading(CALM, log_most=1), [(ChangeLog, "page", page_with_gap)],
+        Spreading(CALM, log_most=1),
+        [(ChangeLog, "page", page_with_gap)],
     ),
     "does not verify a delta": (
-        Spreading(CALM._replace(spoilt=1)), [(Staging, "mismatches", no_mismatches)],
+        Spreading(CALM._replace(spoilt=1)),
+        [(Staging, "mismatches", no_mismatches)],
     ),
     "does not verify a fetched scope": (
-        Spreading(CALM._replace(spoilt=1), fresh=True), [(Transfer, "_finish_scope", finish_unverified)],
+        Spreading(CALM._replace(spoilt=1), fresh=True),
+        [(Transfer, "_finish_scope", finish_unverified)],
     ),
-}  # fmt: skip
+}
 
 
 @pytest.mark.parametrize("fault", FAULTS)
--- a/tests/distribution/test_faults.py
+++ b/tests/distribution/test_faults.py
@@ -38,15 +38,21 @@
         book.tables = NEWER
     network.publish([tenant("c", "a", 1)])
     network.run(5_000)
-    network.publish([Change("tenants", "c/new", canonical({"form": 2, "weight": 1})), tenant("c", "a", 2)])
+    network.publish(
+        [Change("tenants", "c/new", canonical({"form": 2, "weight": 1})), tenant("c", "a", 2)]
+    )
     network.run(15_000)
     old = network.node("i1")
     assert old.view.version == 1 and old.view.lookup("tenants", "c/a") == '{"weight":1}'
-    assert isinstance(old.error, errors.UnreadableForm) and "upgrade this instance" in str(old.error)
+    assert isinstance(old.error, errors.UnreadableForm) and "upgrade this instance" in str(
+        old.error
+    )
     assert all(node.view.version == 2 for name, node in network.nodes().items() if name != "i1")
     status = leader(network).status(network.now, network.peers)
     assert (status["copies"], status["in_force"], status["missing"]) == (6, 5, [])
-    assert [(each["name"], each["code"]) for each in status["behind"]] == [("i1", "unreadable-form")]
+    assert [(each["name"], each["code"]) for each in status["behind"]] == [
+        ("i1", "unreadable-form")
+    ]
     network.publish([Change("tenants", "c/new", None)])  # the newest version can be read again
     network.run(25_000)
     network.assert_settled()
@@ -55,7 +61,9 @@
 
 def test_relays_that_cannot_read_a_record_hold_no_newer_program_back() -> None:
     relays = {name for name, node in started(Network(1, instances=8)).nodes().items() if node.relay}
-    network = Network(1, instances=8, tables=lambda at: dict(TABLES if f"i{at}" in relays else NEWER))
+    network = Network(
+        1, instances=8, tables=lambda at: dict(TABLES if f"i{at}" in relays else NEWER)
+    )
     for book in network.books.values():
         book.tables = NEWER
     started(network).publish([Change("tenants", "c/new", canonical({"form": 2, "weight": 1}))])
@@ -124,7 +132,9 @@
     network.run(65_000)
     assert node.view.lookup("tenants", "c/a") == '{"weight":1}'
     assert node.age_ms(network.now) > 55_000
-    assert isinstance(node.error, errors.SourceRefused) and node.status(network.now)["error"]["code"]
+    assert (
+        isinstance(node.error, errors.SourceRefused) and node.status(network.now)["error"]["code"]
+    )
     network.cut = set()
     network.run(70_000)
     network.assert_settled()
@@ -208,7 +218,9 @@
     return leader(network), events.Sender("x", "1", "x")
 
 
-def answers(source: VoterSource, sender: events.Sender, message: m.Message, now: float) -> list[m.Message]:
+def answers(
+    source: VoterSource, sender: events.Sender, message: m.Message, now: float
+) -> list[m.Message]:
     effects = source.step(now, events.Received(sender, message))
     return [effect.message for effect in effects if isinstance(effect, SendTo)]
 
@@ -242,10 +254,16 @@
     source, refused = leader(network), 0
     for at in range(4):
         sender = events.Sender(f"x{at}", "1", f"x{at}")
-        told = answers(source, sender, m.Subscribe(1, 1, 0, True, Subscription({"tenants": None})), 1.0)
+        told = answers(
+            source, sender, m.Subscribe(1, 1, 0, True, Subscription({"tenants": None})), 1.0
+        )
         told += answers(source, sender, m.Compare(2, 1, 1), 1.0)
         refused += sum(isinstance(each, m.Refused) and each.reason == m.BUSY for each in told)
-        busy = [each.retry_after_ms for each in told if isinstance(each, m.Refused) and each.reason == m.BUSY]
+        busy = [
+            each.retry_after_ms
+            for each in told
+            if isinstance(each, m.Refused) and each.reason == m.BUSY
+        ]
         assert all(500 <= wait <= 1_000 for wait in busy)
     assert refused == 2
 
@@ -325,7 +343,16 @@
     for version in range(2, 200):
         change = Change("tenants", f"c/t{version}", value)
         late = m.Delta(
-            0, node._replica.generation, version, version + 1, 0, m.START, m.START, True, (change,), ()
+            0,
+            node._replica.generation,
+            version,
+            version + 1,
+            0,
+            m.START,
+            m.START,
+            True,
+            (change,),
+            (),
         )
         network.step("i0", events.Received(events.Sender("v0", "1", "v0"), late))
     assert 0 < copy._pending_bytes <= DEFAULTS.queue_bytes_most
--- a/tests/distribution/test_messages.py
+++ b/tests/distribution/test_messages.py
@@ -15,7 +15,12 @@
 from pumicenotch.distribution.records import Change, ScopeId
 from pumicenotch.distribution.rendezvous import ranked
 from pumicenotch.distribution.reports import BEHIND, TROUBLES_MOST, Report, merged, own_report
-from pumicenotch.distribution.subscription import NOTHING, SCOPES_MOST, Subscription, subscription_of
+from pumicenotch.distribution.subscription import (
+    NOTHING,
+    SCOPES_MOST,
+    Subscription,
+    subscription_of,
+)
 
 REPORT = own_report("i1", 3, 4, "unreadable-form")
 DIGEST = m.ScopeDigest("tenants", "c", (1 << 128) - 1)
@@ -83,7 +88,11 @@
 def test_subscriptions() -> None:
     one = Subscription({"tenants": ["a", "b"], "routes": None})
     other = Subscription({"tenants": ["b", "c"]})
-    assert one.contains("routes", "any") and one.contains("tenants", "a") and not one.contains("tenants", "c")
+    assert (
+        one.contains("routes", "any")
+        and one.contains("tenants", "a")
+        and not one.contains("tenants", "c")
+    )
     assert one.union(other) == Subscription({"tenants": ["a", "b", "c"], "routes": None})
     assert one.intersection(other) == Subscription({"tenants": ["b"]})
     assert one.union(other).covers(one) and not one.covers(other) and one.covers(NOTHING)
@@ -94,9 +103,16 @@
 
 @pytest.mark.parametrize(
     "told",
-    [7, [["t"]], [["t", [1]]], [["t", ["a b"]]], [["t", "abc"]], [["t", [f"c{at}" for at in range(1025)]]],
-     [["t", None]] * 17],
-)  # fmt: skip
+    [
+        7,
+        [["t"]],
+        [["t", [1]]],
+        [["t", ["a b"]]],
+        [["t", "abc"]],
+        [["t", [f"c{at}" for at in range(1025)]]],
+        [["t", None]] * 17,
+    ],
+)
 def test_a_wrong_subscription_is_refused(told: Any) -> None:
     with pytest.raises(InvalidSubscription):
         subscription_of(told)
@@ -105,10 +121,17 @@
 def test_reports_add_up_and_name_a_bounded_number() -> None:
     late = [own_report(f"i{at}", 1, 2, "") for at in range(TROUBLES_MOST + 6)]
     report = merged([own_report("ok", 2, 2, ""), *late])
-    assert (report.copies, report.lowest, report.newest, report.current) == (TROUBLES_MOST + 7, 1, 2, 1)
+    assert (report.copies, report.lowest, report.newest, report.current) == (
+        TROUBLES_MOST + 7,
+        1,
+        2,
+        1,
+    )
     assert len(report.troubles) == TROUBLES_MOST and report.unnamed == 6
     assert report.troubles[0].code == BEHIND
-    assert merged([Report(2, 5, 5, 2), Report(3, 4, 4, 3)]).current == 2  # current is of the newest alone
+    assert (
+        merged([Report(2, 5, 5, 2), Report(3, 4, 4, 3)]).current == 2
+    )  # current is of the newest alone
 
 
 def test_a_candidate_that_goes_moves_only_its_own_share() -> None:
--- a/tests/distribution/test_network.py
+++ b/tests/distribution/test_network.py
@@ -1,5 +1,6 @@
 """Replicas over a network that does its worst: in the end all have what was published, and never anything
-else on the way."""
+else on the way.
+"""
 
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
@@ -60,9 +61,13 @@
 
 def run_script(seed: int, script: list[tuple[str, int]], weather: Weather) -> Network:
     network = Network(
-        seed, voters=2, instances=5, weather=weather, log=lambda: ChangeLog(entries_most=4),
+        seed,
+        voters=2,
+        instances=5,
+        weather=weather,
+        log=lambda: ChangeLog(entries_most=4),
         subscription=lambda at: SUBSCRIPTIONS[at % 3],
-    )  # fmt: skip
+    )
     network.run(1_500)
     for what, which in script:
         act(network, what, which)
--- a/tests/distribution/test_publications.py
+++ b/tests/distribution/test_publications.py
@@ -20,10 +20,14 @@
     return book.apply(1, verb, args)
 
 
-def small(book: Publications, changes: list[Change], *, request: str = "r", previous: int = -1) -> Outcome:
+def small(
+    book: Publications, changes: list[Change], *, request: str = "r", previous: int = -1
+) -> Outcome:
     previous = book.version if previous < 0 else previous
     told = [list(change) for change in changes]
-    return entry(book, "publish", request, "", 0, changes_digest(changes), previous, "me", "why", 1, told)
+    return entry(
+        book, "publish", request, "", 0, changes_digest(changes), previous, "me", "why", 1, told
+    )
 
 
 def test_a_publication_is_one_version() -> None:
@@ -40,7 +44,11 @@
     book = Publications()
     assert small(book, [tenant("c", "a", 1)], request="r1", previous=0).good
     outcome = small(book, [tenant("c", "b", 1)], request="r2", previous=0)
-    assert not outcome.good and outcome.value == errors.Conflict.code and "publish again" in outcome.text
+    assert (
+        not outcome.good
+        and outcome.value == errors.Conflict.code
+        and "publish again" in outcome.text
+    )
     assert book.version == 1 and book.view.lookup("tenants", "c/b") is None
 
 
@@ -118,13 +126,18 @@
 @pytest.mark.parametrize(
     "told",
     [
-        [["tenants", "no-scope", "{}"]], [["tenants", "c/a/b", "{}"]], [["tenants", "c/" + "x" * 65, "{}"]],
-        [["tenants", "c/a", "x" * 5000]], [["tenants", "c/a", "{\"n\":\"\u00e9\"}"]],
-        [["tenants", "c/a"]], [7], "changes",
+        [["tenants", "no-scope", "{}"]],
+        [["tenants", "c/a/b", "{}"]],
+        [["tenants", "c/" + "x" * 65, "{}"]],
+        [["tenants", "c/a", "x" * 5000]],
+        [["tenants", "c/a", '{"n":"\u00e9"}']],
+        [["tenants", "c/a"]],
+        [7],
+        "changes",
         [["tenants", f"c/{at}", None] for at in range(PART_CHANGES_MOST + 1)],
         [["tenants", f"c/{at}", "x" * 4000] for at in range(12)],
     ],
-)  # fmt: skip
+)
 def test_fields_of_a_wrong_form_are_refused_by_the_readers(told: Any) -> None:
     with pytest.raises(ValueError):
         Publications.verbs["publish"][-1](told)
@@ -151,7 +164,9 @@
     assert (other.version, other.log.base, other.log.version) == (6, 3, 6)
     assert other.view.digest("tenants", "c0") == book.view.digest("tenants", "c0") != 0
     assert entry(other, "stage", "open", 1, 6, [list(tenant("c", "more", 1))]).good
-    assert small(other, [tenant("c", "x", 1)], request="r1", previous=0).good  # a repeat of the first one
+    assert small(
+        other, [tenant("c", "x", 1)], request="r1", previous=0
+    ).good  # a repeat of the first one
 
 
 @pytest.mark.parametrize("told", [b"", b"[]", b'["head",99,0,0,{},[]]', b"\xff", b'["head",1,0,0]'])
--- a/tests/fleet/configured.py
+++ b/tests/fleet/configured.py
@@ -1,5 +1,6 @@
 """A fleet that distributes its configuration: real processes, a publisher, and a recorder that reads at each
-server what it serves."""
+server what it serves.
+"""
 
 import asyncio
 import json
@@ -21,14 +22,19 @@
 from tests.histories.configuration import Key, Published, Recorder, Value, faults
 
 TABLES = ("routes", "tenants", "homes", "policies")
-SUBSCRIBE_ALL = "".join(f'    subscribe "{table}" {{\n      all = true\n    }}\n' for table in TABLES)
+SUBSCRIBE_ALL = "".join(
+    f'    subscribe "{table}" {{\n      all = true\n    }}\n' for table in TABLES
+)
 Block = Callable[[str], str]  # what stands in the block `distribution` of a server of that name
 Script = Callable[["Configured"], Awaitable[None]]
 
 # In two tables and scopes, so that a mixed version shows.
 WATCHED: tuple[Key, ...] = (
-    ("routes", "s1/a"), ("policies", "s1/p"), ("homes", "c1/t1"), ("tenants", "c1/t1"),
-)  # fmt: skip
+    ("routes", "s1/a"),
+    ("policies", "s1/p"),
+    ("homes", "c1/t1"),
+    ("tenants", "c1/t1"),
+)
 
 
 def generation(number: int) -> dict[Key, Value]:
@@ -83,7 +89,8 @@
 
     async def pause(self, name: str) -> None:
         """Stops its process for longer than requests may take: gateways stay away first, as they would from
-        one that fails its health checks, and what it has is answered."""
+        one that fails its health checks, and what it has is answered.
+        """
         number = int(name[1:])
         self.keep_away(number, float("inf"))
         await self.until(lambda: all(sent.server != number for sent in self.ledger.open.values()))
@@ -113,7 +120,9 @@
             previous = await self.version()
         return await self.publish_entries(changes, entries(changes, previous))
 
-    async def publish_entries(self, changes: Mapping[Key, Value], told: Iterable[tuple[Any, ...]]) -> int:
+    async def publish_entries(
+        self, changes: Mapping[Key, Value], told: Iterable[tuple[Any, ...]]
+    ) -> int:
         version = await asyncio.to_thread(self.ask_all, list(told))
         self.published.add(version, changes)
         return version
@@ -159,7 +168,9 @@
 
     # What is served
 
-    async def served(self, version: int, names: Iterable[str] | None = None, within_s: float = 60.0) -> None:
+    async def served(
+        self, version: int, names: Iterable[str] | None = None, within_s: float = 60.0
+    ) -> None:
         """Until each of them has served that version."""
         wanted = list(self.servers if names is None else names)
         try:
@@ -171,7 +182,9 @@
                 f"{self.recorder.errors} {status}"
             ) from None
 
-    async def status_until(self, met: Callable[[dict[str, Any]], bool], within_s: float = 60.0) -> None:
+    async def status_until(
+        self, met: Callable[[dict[str, Any]], bool], within_s: float = 60.0
+    ) -> None:
         """Until what the voters know of all meets it."""
         async with asyncio.timeout(within_s):
             while not met(await self.crew.ask("configuration")):
@@ -186,7 +199,9 @@
     async def straggler(self, name: str, code: str) -> None:
         """Until the voters count that one as behind, with that error."""
         await self.status_until(
-            lambda status: any((each["name"], each["code"]) == (name, code) for each in status["behind"])
+            lambda status: any(
+                (each["name"], each["code"]) == (name, code) for each in status["behind"]
+            )
         )
 
     async def told(self, name: str) -> dict[str, Any]:
@@ -215,7 +230,9 @@
     return entries_of(secrets.token_hex(8), previous, "test", "a test", 0, told)
 
 
-def play(script: Script, folder: Path, told: World, kind: type[Configured] = Configured) -> Configured:
+def play(
+    script: Script, folder: Path, told: World, kind: type[Configured] = Configured
+) -> Configured:
     """The whole of it; what was served is part of the verdict."""
     made = played(kind, script, folder, told)
     found = faults(made.recorder.reads, made.published)
--- a/tests/fleet/harness.py
+++ b/tests/fleet/harness.py
@@ -1,5 +1,6 @@
 """Several real processes, the relay's faults between them, and a script that waits for events. The ledger
-judges by what gateways and pools saw; who is out is seen from outside."""
+judges by what gateways and pools saw; who is out is seen from outside.
+"""
 
 import asyncio
 import os
@@ -36,7 +37,9 @@
 ) -> World:
     return World(
         stage=(
-            Stage(name="read", share=0.6, work_ms=work_ms, calls=calls, due_ms=5000, limit_ms=10_000),
+            Stage(
+                name="read", share=0.6, work_ms=work_ms, calls=calls, due_ms=5000, limit_ms=10_000
+            ),
             Stage(
                 name="put",
                 share=0.4,
@@ -99,7 +102,8 @@
     async def permits(self, *names: str) -> dict[str, Any]:
         """Exactly those hold one."""
         status: dict[str, Any] = await self.crew.agreed(
-            lambda status: {row["name"] for row in status["rows"] if row["permit"]} == set(names), WAIT_S
+            lambda status: {row["name"] for row in status["rows"] if row["permit"]} == set(names),
+            WAIT_S,
         )
         return status
 
@@ -111,7 +115,11 @@
         await self.crew.agreed(
             lambda status: (
                 len(status["seats"]) == len(before)
-                and [seat for seat in status["seats"] if seat.startswith(f"{name}/") and seat not in before]
+                and [
+                    seat
+                    for seat in status["seats"]
+                    if seat.startswith(f"{name}/") and seat not in before
+                ]
             )
         )
 
@@ -153,7 +161,10 @@
         command = [sys.executable, "-m", "pumicenotch.cli", group, *words, "--fleet", "lab"]
         command += [part for place in places for part in ("--at", place)]
         process = await asyncio.create_subprocess_exec(
-            *command, stdout=asyncio.subprocess.PIPE, stderr=asyncio.subprocess.STDOUT, env=dict(os.environ)
+            *command,
+            stdout=asyncio.subprocess.PIPE,
+            stderr=asyncio.subprocess.STDOUT,
+            env=dict(os.environ),
         )
         out, _ = await process.communicate()
         return process.returncode or 0, out.decode()
--- a/tests/fleet/test_alone.py
+++ b/tests/fleet/test_alone.py
@@ -1,5 +1,6 @@
 """A server that belongs to a fleet, and hears of nobody: it serves by its own rules, and leaves when it is
-told."""
+told.
+"""
 
 import socket
 import subprocess
@@ -42,7 +43,9 @@
         "whole = tuple(f'pumicenotch.{room}' for room in rooms)\n"
         "print([name for name in sys.modules if name.startswith(whole)])"
     )
-    done = subprocess.run([sys.executable, "-c", script], capture_output=True, text=True, check=True)
+    done = subprocess.run(
+        [sys.executable, "-c", script], capture_output=True, text=True, check=True
+    )
     assert done.stdout.strip() == "[]"
 
 
@@ -55,5 +58,7 @@
         " 'pumicenotch.net.voter_configuration')\n"
         "print([name for name in sys.modules if name.startswith(whole)])"
     )
-    done = subprocess.run([sys.executable, "-c", script], capture_output=True, text=True, check=True)
+    done = subprocess.run(
+        [sys.executable, "-c", script], capture_output=True, text=True, check=True
+    )
     assert done.stdout.strip() == "[]"
--- a/tests/fleet/test_config_spread.py
+++ b/tests/fleet/test_config_spread.py
@@ -1,5 +1,6 @@
 """Configuration spread over a hollow fleet: a small run, the record of what was published, the observer and
-the judge, each held against faults seeded here."""
+the judge, each held against faults seeded here.
+"""
 
 import json
 import os
@@ -23,11 +24,20 @@
 
 SMALL = Configuration(tenants=60, routes=40, cells=4, services=5, services_each=2)
 SETS = [
-    "servers=17", "voters=3", "zones=4", "length_s=10", "warm_s=1", "stop_ms=800",
-    "configuration.tenants=400", "configuration.routes=300", "configuration.cells=8",
-    "configuration.services=30", "configuration.burst=10", "configuration.burst_every_s=2",
+    "servers=17",
+    "voters=3",
+    "zones=4",
+    "length_s=10",
+    "warm_s=1",
+    "stop_ms=800",
+    "configuration.tenants=400",
+    "configuration.routes=300",
+    "configuration.cells=8",
+    "configuration.services=30",
+    "configuration.burst=10",
+    "configuration.burst_every_s=2",
     "configuration.settle_s=4",
-]  # fmt: skip
+]
 
 
 def test_changes_spread_over_a_small_fleet(tmp_path: Path) -> None:
@@ -66,7 +76,9 @@
     everything = dataset.everything()
     assert set(wanted["tenants"]) <= set(everything["tenants"])
     assert set(wanted["routes"]) <= set(everything["routes"])
-    assert dataset.subscription(0)["tenants"] != dataset.subscription(1)["tenants"]  # of another zone
+    assert (
+        dataset.subscription(0)["tenants"] != dataset.subscription(1)["tenants"]
+    )  # of another zone
 
 
 def change(name: str, value: int | None, scope: str = "c1") -> Change:
@@ -103,7 +115,9 @@
     views.append(viewed(views[0], *SECOND))
     for view in views:
         for scope in ("c1", "c2"):
-            assert reader.digest(("tenants", scope), view.version) == digest_of(view.scope("tenants", scope))
+            assert reader.digest(("tenants", scope), view.version) == digest_of(
+                view.scope("tenants", scope)
+            )
     assert reader.digest(("tenants", "c1"), 3) == reader.digest(("tenants", "c1"), 2)
     assert reader.digest(("tenants", "c3"), 3) == digest_of({}) == ""
 
--- a/tests/fleet/test_distribution.py
+++ b/tests/fleet/test_distribution.py
@@ -9,7 +9,15 @@
 from pumicenotch.distribution.publications import LEVEL
 from pumicenotch.lab.relay import Way
 from pumicenotch.lab.world import World
-from tests.fleet.configured import SUBSCRIBE_ALL, WATCHED, Configured, Refused, entries, generation, play
+from tests.fleet.configured import (
+    SUBSCRIBE_ALL,
+    WATCHED,
+    Configured,
+    Refused,
+    entries,
+    generation,
+    play,
+)
 from tests.fleet.harness import world
 from tests.histories.configuration import Key, Value
 
@@ -17,7 +25,9 @@
 STALE_MS = 1500.0  # an age that no server has whose sources are in touch with the leader
 # Between two answers of a server while a large publication comes: far above any on a quiet machine.
 GAP_S = 1.0
-LONG_STEPS_PART = 0.03  # of the steps that may take over 1 ms of processor time, on a crowded machine
+LONG_STEPS_PART = (
+    0.03  # of the steps that may take over 1 ms of processor time, on a crowded machine
+)
 
 
 def small(servers: int = 4, zones: int = 1) -> World:
@@ -71,7 +81,9 @@
         assert version == before + 1
         await run.served(version)
         for name in run.servers:
-            assert (await run.looked_up(name, ("routes", "s7/r2987")))["value"] == {"upstream": "u2987"}
+            assert (await run.looked_up(name, ("routes", "s7/r2987")))["value"] == {
+                "upstream": "u2987"
+            }
         run.crew.boot(leader)
         await run.crew.agreed(lambda status: len(status["seats"]) == 3 and not status["learners"])
         await run.served(await run.publish(generation(2)))
@@ -85,7 +97,8 @@
     async def script(run: Configured) -> None:
         await run.served(await run.publish(generation(0)))
         changes = generation(1) | {
-            ("tenants", f"c{at % 20}/t{at}"): {"weight": at, "class": "standard"} for at in range(LARGE)
+            ("tenants", f"c{at % 20}/t{at}"): {"weight": at, "class": "standard"}
+            for at in range(LARGE)
         }
         run.recorder.longest_gap_s.clear()
         version = await run.publish_by_command(changes)
@@ -131,7 +144,9 @@
         others = run.servers[1:]
         last = await run.publish_generations(1, 60)
         await run.served(last, others)
-        await run.status_until(lambda status: "n0" in status["missing"])  # its sources have forgotten it
+        await run.status_until(
+            lambda status: "n0" in status["missing"]
+        )  # its sources have forgotten it
         run.unpause("n0")
         await run.served(last)
 
--- a/tests/fleet/test_drains.py
+++ b/tests/fleet/test_drains.py
@@ -35,7 +35,9 @@
         run.node("n0", signal.SIGSTOP)
         await run.crew.drain("n0", "n2")  # of one zone
         await run.permits("n0")
-        told = await run.crew.agreed(lambda status: any(row["against"] == "silent" for row in status["rows"]))
+        told = await run.crew.agreed(
+            lambda status: any(row["against"] == "silent" for row in status["rows"])
+        )
         assert [row["name"] for row in told["rows"]] == ["n0"] and not run.drained
         run.node("n0", signal.SIGCONT)
         await run.back("n0", "n2")
@@ -160,13 +162,17 @@
     async def script(run: Played) -> None:
         leader = await run.crew.leader()
         others = [name for name in run.crew.zone if name != leader]
-        run.crew.relay.set(others, [leader], Way(cut=True), both=False)  # it speaks, and hears nobody
+        run.crew.relay.set(
+            others, [leader], Way(cut=True), both=False
+        )  # it speaks, and hears nobody
         await run.crew.agreed(lambda status: status["leader"] != leader, 30.0)
         await run.crew.drain("n0")
         run.crew.relay.set(others, [leader], OPEN, both=False)
         await run.back("n0")
         node = ["n1"]
-        run.crew.relay.set([name for name in run.crew.zone if name != "n1"], node, Way(cut=True), both=False)
+        run.crew.relay.set(
+            [name for name in run.crew.zone if name != "n1"], node, Way(cut=True), both=False
+        )
         await run.crew.drain("n1")
         await run.permits("n1")
         run.crew.relay.heal()
@@ -222,11 +228,19 @@
 
         wrong = await said([2, "hello", ["other", "n0", "1", "a:1"]])
         assert "this is a process of the fleet 'lab'" in str(wrong)
-        assert "has the name 'v1' itself" in str(await said([2, "hello", ["lab", "v1", "x", "a:1"]]))
+        assert "has the name 'v1' itself" in str(
+            await said([2, "hello", ["lab", "v1", "x", "a:1"]])
+        )
         assert await said([0, 1, "status", []]) == []  # no hello first
-        assert await said([2, "hello", ["lab", "n8", "1", "a:1"]], [2, "agree", ["vote", "x"]], 7) == []
+        assert (
+            await said([2, "hello", ["lab", "n8", "1", "a:1"]], [2, "agree", ["vote", "x"]], 7)
+            == []
+        )
         found = await run.crew.once("v1", "local")
-        assert found[1]["counts"]["mates_refused"] == 2 and found[1]["counts"]["notices_unreadable"] == 1
+        assert (
+            found[1]["counts"]["mates_refused"] == 2
+            and found[1]["counts"]["notices_unreadable"] == 1
+        )
 
     play(script, tmp_path, world(servers=1, zones=1))
 
--- a/tests/fleet/test_hollow.py
+++ b/tests/fleet/test_hollow.py
@@ -1,5 +1,6 @@
 """Hollow fleets: a small one through the lab's runner, what keeps a run within its machine, and the judge of
-deaths."""
+deaths.
+"""
 
 import json
 import os
@@ -95,12 +96,17 @@
     assert found["rack_lost"] == 8 and found["rack_first_s"] > 0.0
     assert found["hollow_processes_fallen"] == 0
     assert found["control_cpu_percent"] > 0.0 and 0.0 < found["instance_memory_mb"] < 128.0
-    assert found["control_sent_to_voters_per_s"] > 0.5 and found["control_sent_to_servers_per_s"] > 0.5
+    assert (
+        found["control_sent_to_voters_per_s"] > 0.5 and found["control_sent_to_servers_per_s"] > 0.5
+    )
     assert found["agree_p50_ms"] > 0.0
     assert found["hollow_callers"] == found["hollow_callers_least_open"] == 40
     assert found["hollow_callers_answered"] > 100 and found["hollow_callers_ended"] == 0
     assert left_behind(out) == []
-    events = [json.loads(line) for line in (out / "with-3" / "hollow-events.jsonl").read_text().splitlines()]
+    events = [
+        json.loads(line)
+        for line in (out / "with-3" / "hollow-events.jsonl").read_text().splitlines()
+    ]
     assert {event["what"] for event in events} >= {"up", "down", "dead", "fault", "status"}
 
 
@@ -122,8 +128,11 @@
     out = tmp_path / "out"
     path = small(tmp_path, length_s="600")
     process = subprocess.Popen(
-        [*COMMAND, str(path), "--out", str(out)], stdout=subprocess.PIPE, stderr=subprocess.PIPE, text=True,
-    )  # fmt: skip
+        [*COMMAND, str(path), "--out", str(out)],
+        stdout=subprocess.PIPE,
+        stderr=subprocess.PIPE,
+        text=True,
+    )
     hollow = out / "with-1" / "hollow-events.jsonl"
     wait(lambda: hollow.exists() and any("lab.hollow" in each for each in left_behind(out)), 40.0)
     process.send_signal(number)
@@ -145,8 +154,13 @@
     )
     (tmp_path / "sitecustomize.py").write_text(code)
     environment = {**os.environ, "PYTHONPATH": str(tmp_path)}
-    ended = subprocess.run([*COMMAND, str(path), "--out", str(out), "--json"], capture_output=True, text=True,
-                           timeout=60, env=environment)  # fmt: skip
+    ended = subprocess.run(
+        [*COMMAND, str(path), "--out", str(out), "--json"],
+        capture_output=True,
+        text=True,
+        timeout=60,
+        env=environment,
+    )
     assert ended.returncode == 1
     assert "nobody comes; what had ended is kept and marked" in ended.stderr
     summary = json.loads(ended.stdout)
@@ -165,7 +179,9 @@
     command = [*COMMAND, "fleet-scale", "--set", "servers=20000"]
     ended = subprocess.run(command, capture_output=True, text=True, timeout=60)
     assert ended.returncode == 2 and ended.stdout == ""
-    assert re.fullmatch(r"(memory|processes|descriptors): 19994 hollow .*\(--set servers=N\)\n", ended.stderr)
+    assert re.fullmatch(
+        r"(memory|processes|descriptors): 19994 hollow .*\(--set servers=N\)\n", ended.stderr
+    )
 
 
 # The guard
@@ -179,16 +195,32 @@
 @pytest.mark.parametrize(
     ("machine", "instances", "text"),
     [
-        (LARGE._replace(memory_mb=4000.0), 900, r"memory: 900 hollow instances need about \d+ MB, and half of"
-         r" this machine's memory is 2000 MB: \d+ hollow instances fit \(--set servers=N\)"),
-        (LARGE._replace(available_mb=1500.0), 900, r"memory: 900 hollow instances need about \d+ MB, and free"
-         r" on this machine are 1500 MB: \d+ hollow instances fit \(--set servers=N\)"),
-        (LARGE._replace(memory_mb=1e9, available_mb=1e9), 15_000, r"processes: 15000 hollow instances need"
-         r" 251, and a run may have 200: 11776 hollow instances fit \(--set servers=N\)"),
-        (LARGE._replace(descriptors=1024), 900, r"descriptors: a process of 64 hollow instances needs 5120,"
-         r" and may have 1024: raise the hard limit \(ulimit -Hn\)"),
+        (
+            LARGE._replace(memory_mb=4000.0),
+            900,
+            r"memory: 900 hollow instances need about \d+ MB, and half of"
+            r" this machine's memory is 2000 MB: \d+ hollow instances fit \(--set servers=N\)",
+        ),
+        (
+            LARGE._replace(available_mb=1500.0),
+            900,
+            r"memory: 900 hollow instances need about \d+ MB, and free"
+            r" on this machine are 1500 MB: \d+ hollow instances fit \(--set servers=N\)",
+        ),
+        (
+            LARGE._replace(memory_mb=1e9, available_mb=1e9),
+            15_000,
+            r"processes: 15000 hollow instances need"
+            r" 251, and a run may have 200: 11776 hollow instances fit \(--set servers=N\)",
+        ),
+        (
+            LARGE._replace(descriptors=1024),
+            900,
+            r"descriptors: a process of 64 hollow instances needs 5120,"
+            r" and may have 1024: raise the hard limit \(ulimit -Hn\)",
+        ),
     ],
-)  # fmt: skip
+)
 def test_what_does_not_fit_is_named(machine: Machine, instances: int, text: str) -> None:
     with pytest.raises(MachineTooSmall, match=f"^{text}$"):
         check(instances, machine)
@@ -196,21 +228,27 @@
 
 def test_a_run_that_holds_too_much_is_ended() -> None:
     watch = Watch(LARGE._replace(memory_mb=2.0), 100.0)
-    with pytest.raises(MachineTooSmall, match=r"^memory: the run holds \d+ MB, and may hold 1 MB .*ended"):
+    with pytest.raises(
+        MachineTooSmall, match=r"^memory: the run holds \d+ MB, and may hold 1 MB .*ended"
+    ):
         watch.look([], 1.0)
 
 
 def test_a_run_that_lasts_too_long_is_ended() -> None:
     watch = Watch(LARGE, 100.0)
     watch.look([], 99.0)
-    with pytest.raises(MachineTooSmall, match=r"^time: the run has lasted 101 s, and may last 100 s"):
+    with pytest.raises(
+        MachineTooSmall, match=r"^time: the run has lasted 101 s, and may last 100 s"
+    ):
         watch.look([], 101.0)
 
 
 def test_a_run_with_too_many_processes_is_ended() -> None:
     watch = Watch(LARGE, 100.0)
     watch.look([os.getpid()] * (PROCESSES_MOST - 1), 1.0)
-    with pytest.raises(MachineTooSmall, match=r"^processes: the run has 201, and may have 200: ended$"):
+    with pytest.raises(
+        MachineTooSmall, match=r"^processes: the run has 201, and may have 200: ended$"
+    ):
         watch.look([os.getpid()] * PROCESSES_MOST, 1.0)
 
 
@@ -272,7 +310,9 @@
     judge = judged()
     loss = judge.lose("rack", [2], 40.0)
     judge.report(0, up(50.0, ("h00002", life_of(2, 0), 1), many=3))
-    assert judge.figures()["false_deaths"] == 0 and loss.first_dead_at == 50.0 and not loss.spread_at
+    assert (
+        judge.figures()["false_deaths"] == 0 and loss.first_dead_at == 50.0 and not loss.spread_at
+    )
     judge.report(0, up(51.0, ("h00002", life_of(2, 0), 2), many=3))
     assert loss.spread_at == 51.0
     judge.out(52.0, 1, {"h00002"})
@@ -303,8 +343,18 @@
 def test_use_is_taken_for_each_instance() -> None:
     judge = HollowJudge(PLACES)
     judge.report(0, Report(0.0, up=4))
-    judge.report(0, Report(2.0, up=4, cpu_s=0.4, read_bytes=800, written_bytes=1600, sent={"voter": 16},
-                           steps={0: 98, 20: 2}))  # fmt: skip
+    judge.report(
+        0,
+        Report(
+            2.0,
+            up=4,
+            cpu_s=0.4,
+            read_bytes=800,
+            written_bytes=1600,
+            sent={"voter": 16},
+            steps={0: 98, 20: 2},
+        ),
+    )
     found = judge.each("quiet", 0.0, 10.0)
     assert found["quiet_cpu_percent"] == 5.0
     assert found["quiet_bytes_per_s"] == 300.0 and found["quiet_sent_bytes_per_s"] == 200.0
--- a/tests/fleet/test_releases.py
+++ b/tests/fleet/test_releases.py
@@ -1,5 +1,6 @@
 """Releases among real voters, agents and servers. Versions are the program itself, some with a fault seeded
-in their folder."""
+in their folder.
+"""
 
 import asyncio
 import contextlib
@@ -38,7 +39,9 @@
     await run.crew.agreed(lambda status: not status["out"], 60.0)
 
 
-def test_a_good_version_goes_out_by_the_command_though_leader_and_agents_die(tmp_path: Path) -> None:
+def test_a_good_version_goes_out_by_the_command_though_leader_and_agents_die(
+    tmp_path: Path,
+) -> None:
     async def script(run: Releasing) -> None:
         made = await asyncio.to_thread(version, run.folder, "good")
         run.versions["good"] = made
@@ -72,7 +75,7 @@
         ("refuses", "start refused"),
         ("mute", "silent: not in service"),
     ],
-)  # fmt: skip
+)
 def test_a_bad_version_is_on_one_server_and_goes_back(kind: str, word: str, tmp_path: Path) -> None:
     async def script(run: Releasing) -> None:
         bad = await found(run, kind, soak=60_000)
@@ -86,7 +89,9 @@
 
 def test_a_version_that_ruins_what_all_share_goes_back(tmp_path: Path) -> None:
     async def script(run: Releasing) -> None:
-        run.versions["kills-below"] = bad = await asyncio.to_thread(version, run.folder, "kills-below")
+        run.versions["kills-below"] = bad = await asyncio.to_thread(
+            version, run.folder, "kills-below"
+        )
         await run.plan("r1", "kills-below", soak=60_000)
         while (await run.crew.ask("one_release", "r1"))[
             "usual_windows"
@@ -116,7 +121,9 @@
         # The second wave is in the other zone, which is cut off from now on.
         inside, others = run.zone_of("z1")
         run.crew.relay.set(inside, others, Way(cut=True))
-        await run.until((run.home(run.nodes[0]) / "versions" / made).is_dir)  # its agent has fetched again
+        await run.until(
+            (run.home(run.nodes[0]) / "versions" / made).is_dir
+        )  # its agent has fetched again
         status, said = await run.release("resume", "r1", "--reason", "the disk is whole")
         assert status == 0, said
         await run.until(lambda: run.had[made] == {0})
@@ -132,7 +139,9 @@
     played(Releasing, script, tmp_path, fleet())
 
 
-def test_agents_are_released_beside_servers_that_go_on_and_a_mute_one_goes_back(tmp_path: Path) -> None:
+def test_agents_are_released_beside_servers_that_go_on_and_a_mute_one_goes_back(
+    tmp_path: Path,
+) -> None:
     async def script(run: Releasing) -> None:
         servers = [node.process.pid for node in run.nodes if node.process is not None]
         agents = {number: agent.pid for number, agent in run.agents.items()}
@@ -141,9 +150,13 @@
         await run.word("r1", "start")
         await followed(run, "r1", "done")
         await run.until(
-            lambda: {run.disk(node)["runs"]["agent"] for node in run.nodes} == {run.versions["good"]}
+            lambda: (
+                {run.disk(node)["runs"]["agent"] for node in run.nodes} == {run.versions["good"]}
+            )
+        )
+        assert agents == {number: agent.pid for number, agent in run.agents.items()}, (
+            "they went on by exec"
         )
-        assert agents == {number: agent.pid for number, agent in run.agents.items()}, "they went on by exec"
         run.versions["no-agent"] = await asyncio.to_thread(version, run.folder, "no-agent")
         await run.plan("r2", "no-agent", slot="agent", soak=200)
         await run.word("r2", "start")
@@ -221,7 +234,9 @@
         return {self.crew.disk(name)["runs"]["program"] for name in self.crew.voters}
 
 
-def test_a_voters_version_that_does_not_talk_stays_on_one_and_a_good_one_replaces_all(tmp_path: Path) -> None:
+def test_a_voters_version_that_does_not_talk_stays_on_one_and_a_good_one_replaces_all(
+    tmp_path: Path,
+) -> None:
     async def script(run: VotersToo) -> None:
         waves = [[name] for name in run.crew.voters]
         run.versions["mute-voter"] = await asyncio.to_thread(version, run.folder, "mute-voter")
@@ -239,7 +254,9 @@
         assert [row["state"] for row in told["releases"]] == ["abandoned", "done"], (
             "agreed by none of the first voters"
         )
-        while (await run.crew.ask("releases"))["level"] < 3:  # all voters speak it, and no release is on
+        while (await run.crew.ask("releases"))[
+            "level"
+        ] < 3:  # all voters speak it, and no release is on
             await asyncio.sleep(0.1)
         with pytest.raises(Refused, match="no way back over a level"):
             await run.plan("r3", OLD, waves=waves, level=2)
--- a/tests/histories/configuration.py
+++ b/tests/histories/configuration.py
@@ -1,5 +1,6 @@
 """What instances served of a versioned configuration: a recorder outside of them, and a checker that knows
-only what was published and what was read. Neither asks an instance for its status."""
+only what was published and what was read. Neither asks an instance for its status.
+"""
 
 import asyncio
 import contextlib
@@ -52,7 +53,8 @@
 
 def faults(reads: Iterable[Read], published: Published) -> list[str]:
     """Values that no publication gave at their version (a mixed or lost change), and versions that went
-    back within one process's life."""
+    back within one process's life.
+    """
     found: list[str] = []
     newest: dict[tuple[str, str], int] = {}
     for read in reads:
@@ -75,7 +77,9 @@
         self.reads: list[Read] = []
         self.newest: dict[str, Read] = {}  # by instance
         self.errors: dict[str, Any] = {}  # the last refusal, by instance
-        self.longest_gap_s: dict[str, float] = {}  # between two answers on one connection, by instance
+        self.longest_gap_s: dict[
+            str, float
+        ] = {}  # between two answers on one connection, by instance
         self.tasks: list[asyncio.Task[None]] = []
 
     def watch(self, instance: str, address: str) -> None:
@@ -117,7 +121,9 @@
             writer.transport.abort()
 
     def note(self, instance: str, key: Key, result: Mapping[str, Any]) -> None:
-        read = Read(instance, result["life"], key, result["version"], result["value"], result["age_ms"])
+        read = Read(
+            instance, result["life"], key, result["version"], result["value"], result["age_ms"]
+        )
         self.reads.append(read)
         self.newest[instance] = read
 
@@ -128,7 +134,9 @@
 
     def all_at(self, version: int, instances: Iterable[str]) -> bool:
         """Whether each of them has served that version or a later one."""
-        return all(each in self.newest and self.newest[each].version >= version for each in instances)
+        return all(
+            each in self.newest and self.newest[each].version >= version for each in instances
+        )
 
 
 class Answers:
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -3,7 +3,8 @@
     tests/test_x.py::test_name | the cause | issue NUMBER
 
 They are run; that they fail is passed over, and printed. What ends the run with a failure: a fourth line,
-a line without cause or issue, a test that passes, or one that does not exist. No file means none."""
+a line without cause or issue, a test that passes, or one that does not exist. No file means none.
+"""
 
 import re
 from collections.abc import Generator
--- a/tests/play.py
+++ b/tests/play.py
@@ -89,13 +89,21 @@
         verb, *words = text.split()
         pairs = {key: val for key, _, val in (word.partition("=") for word in words if "=" in word)}
         plain = [word for word in words if "=" not in word]
-        getattr(self, "do_" + verb.replace("-", "_"))(plain, {key: value(key, pairs[key]) for key in pairs})
+        getattr(self, "do_" + verb.replace("-", "_"))(
+            plain, {key: value(key, pairs[key]) for key in pairs}
+        )
 
     def do_stage(self, plain: list[str], pairs: dict[str, Any]) -> None:
         self.stages[plain[0]] = Stage(
-            pairs["due"], 0.0, pairs["limit"], pairs.get("effect", Effect.RESTARTABLE),
-            pairs.get("window", 0.0), pairs.get("utility", 1.0),
-            pairs.get("late", 0.0), pairs.get("skip", 0.0))  # fmt: skip
+            pairs["due"],
+            0.0,
+            pairs["limit"],
+            pairs.get("effect", Effect.RESTARTABLE),
+            pairs.get("window", 0.0),
+            pairs.get("utility", 1.0),
+            pairs.get("late", 0.0),
+            pairs.get("skip", 0.0),
+        )
 
     def do_tenant(self, plain: list[str], pairs: dict[str, Any]) -> None:
         self.tenants[plain[0]] = Tenant(pairs.get("share", 1.0), pairs.get("allowance"))
@@ -117,9 +125,15 @@
 
     def do_start(self, plain: list[str], pairs: dict[str, Any]) -> None:
         self.control = Control(
-            self.seen, self.now, seed=1, pools=self.pooled([pool.name for pool in self.pools]),
+            self.seen,
+            self.now,
+            seed=1,
+            pools=self.pooled([pool.name for pool in self.pools]),
             stages=list(self.stages.values()),
-            tenants=list(self.tenants.values()), gauges=list(self.gauges), **pairs)  # fmt: skip
+            tenants=list(self.tenants.values()),
+            gauges=list(self.gauges),
+            **pairs,
+        )
         self.rings = self.now + self.seen.wake_ms
 
     def do_gauge(self, plain: list[str], pairs: dict[str, Any]) -> None:
@@ -137,10 +151,19 @@
         tenants = list(self.tenants)
         for ident in numbers(plain[:1]):
             self.control.task(
-                self.now, ident, list(self.stages).index(plain[1]),
-                tenants.index(plain[2]) if plain[2:] else 0, pairs.get("waited", 0.0), pairs.get("limit"),
-                pairs.get("work"), pairs.get("kb", 1.0), pairs.get("same"), pairs.get("caller", 0),
-                pairs.get("again", False), pairs.get("mark", 0))  # fmt: skip
+                self.now,
+                ident,
+                list(self.stages).index(plain[1]),
+                tenants.index(plain[2]) if plain[2:] else 0,
+                pairs.get("waited", 0.0),
+                pairs.get("limit"),
+                pairs.get("work"),
+                pairs.get("kb", 1.0),
+                pairs.get("same"),
+                pairs.get("caller", 0),
+                pairs.get("again", False),
+                pairs.get("mark", 0),
+            )
 
     def do_end(self, plain: list[str], pairs: dict[str, Any]) -> None:
         for ident in numbers(plain[:1]):
--- a/tests/record.py
+++ b/tests/record.py
@@ -2,7 +2,8 @@
 
 The world reacts to the actions (runs end, calls come back), so one decision that differs changes all that
 follows. `digests` in tests/record.json were made by the module as it was before pools, those of `Shifting` by
-the module as it was before its samples followed the active tenants."""
+the module as it was before its samples followed the active tenants.
+"""
 
 import hashlib
 import heapq
@@ -24,12 +25,37 @@
     Stage(1500.0, 0.0, 4000.0, Effect.SIDE_EFFECTING, 0.0, 2.0, 0.0, 0.0),
 ]
 KINDS: list[dict[str, Any]] = [
-    {"cores": 6, "crowd_multiple": 8.0, "signal": Signal.WEIGHT, "below": Below.TIER, "halt": Halt.PAUSE},
-    {"cores": 2, "crowd_multiple": 5.0, "signal": Signal.LEVEL, "below": Below.SHARED, "call_share": 0.6,
-     "call_window_ms": 5000.0, "linger_ms": 200.0, "cold": True, "cold_share": 0.2, "warm_ms": 8000.0},
-    {"cores": 6, "crowd_multiple": 6.0, "signal": Signal.CREDIT, "below": Below.SHARED, "call_share": 9.0,
-     "stay_away_passed": True, "stay_away_most_ms": 1000.0, "memory_kb": 9000.0, "entry_kb": 20.0},
-]  # fmt: skip
+    {
+        "cores": 6,
+        "crowd_multiple": 8.0,
+        "signal": Signal.WEIGHT,
+        "below": Below.TIER,
+        "halt": Halt.PAUSE,
+    },
+    {
+        "cores": 2,
+        "crowd_multiple": 5.0,
+        "signal": Signal.LEVEL,
+        "below": Below.SHARED,
+        "call_share": 0.6,
+        "call_window_ms": 5000.0,
+        "linger_ms": 200.0,
+        "cold": True,
+        "cold_share": 0.2,
+        "warm_ms": 8000.0,
+    },
+    {
+        "cores": 6,
+        "crowd_multiple": 6.0,
+        "signal": Signal.CREDIT,
+        "below": Below.SHARED,
+        "call_share": 9.0,
+        "stay_away_passed": True,
+        "stay_away_most_ms": 1000.0,
+        "memory_kb": 9000.0,
+        "entry_kb": 20.0,
+    },
+]
 PLAN = Plan((Pool("cheap", ("0",), reserve=0.4), Pool("heavy", ("1",)), Pool("rest", ("*",))))
 
 
@@ -52,9 +78,20 @@
         self.keyed: list[int] = []
         names = ["core_use", "on_cores", "heap", "links"]
         people = [Tenant(1.0 / tenants, 20.0 if at % 2 else None) for at in range(tenants)]
-        self.control = Control(self, 0.0, seed=seed, stages=stages, tenants=people, gauges=names,
-                               run_factor=8.0, drain_grace_ms=2000.0, servers=4, callers=3, idle_ms=30000.0,
-                               **keywords)  # fmt: skip
+        self.control = Control(
+            self,
+            0.0,
+            seed=seed,
+            stages=stages,
+            tenants=people,
+            gauges=names,
+            run_factor=8.0,
+            drain_grace_ms=2000.0,
+            servers=4,
+            callers=3,
+            idle_ms=30000.0,
+            **keywords,
+        )
 
     def at(self, after: float, name: str, *details: Any) -> None:
         heapq.heappush(self.events, (self.now + after, next(self.order), name, details))
@@ -68,7 +105,9 @@
         def note(*details: Any, **named: Any) -> None:
             self.asked += 1
             if not self.quiet:
-                self.digest.update(f"{self.now!r} {name} {details!r} {sorted(named.items())!r}\n".encode())
+                self.digest.update(
+                    f"{self.now!r} {name} {details!r} {sorted(named.items())!r}\n".encode()
+                )
             if react is not None:
                 react(self, *details)
 
@@ -87,7 +126,9 @@
         return Outcome.OK if self.chance.random() < 0.95 else Outcome.ERROR
 
     def called(self, task: int, give_up_ms: float) -> None:
-        outcome = self.chance.choice([Outcome.OK] * 8 + [Outcome.FULL, Outcome.TIMEOUT, Outcome.RESET])
+        outcome = self.chance.choice(
+            [Outcome.OK] * 8 + [Outcome.FULL, Outcome.TIMEOUT, Outcome.RESET]
+        )
         self.at(min(give_up_ms, self.chance.expovariate(1 / 90.0)), "call_ended", task, outcome)
 
     def back(self, task: int) -> None:
@@ -128,7 +169,9 @@
                 limit = 5000.0 + self.now if chance.random() < 0.3 else None
                 kb = chance.uniform(20.0, 60.0)
                 more = (ident % 7, False, ident) if self.marks else ()
-                self.control.task(self.now, ident, stage, tenant, waited, limit, work, kb, same, *more)
+                self.control.task(
+                    self.now, ident, stage, tenant, waited, limit, work, kb, same, *more
+                )
                 if chance.random() < 0.03:
                     self.at(chance.uniform(10.0, 3000.0), "caller_gone", ident)
                 continue
@@ -147,11 +190,23 @@
 
 class Shifting(World):
     """Few of many tenants send at a time: neighbours mostly, a new group every few seconds, or an earlier one
-    that comes back after it was idle. Pools are put in, and taken out, on the way."""
+    that comes back after it was idle. Pools are put in, and taken out, on the way.
+    """
 
     LENGTH_MS = 60_000.0
     GROUP_MS = 6_000.0  # a queue's mark takes four samples to set and four to clear
-    PLACES = (0.0, 0.37, 0.0, 0.999, 0.37, 0.371, 0.0, 0.7, 0.999, 0.1)  # where each group begins, of all
+    PLACES = (
+        0.0,
+        0.37,
+        0.0,
+        0.999,
+        0.37,
+        0.371,
+        0.0,
+        0.7,
+        0.999,
+        0.1,
+    )  # where each group begins, of all
 
     def __init__(self, seed: int, tenants: int, load: float, active: int, **keywords: Any) -> None:
         super().__init__(seed, tenants, load, **keywords)
@@ -171,7 +226,8 @@
 
 class Waiting(Shifting):
     """The same, where most of what runs waits for the disk now and then: cores idle, so the total grows, and
-    is given back after."""
+    is given back after.
+    """
 
     GROUP_MS = 4_500.0
     EVERY_MS, WAITS_MS = 7_000.0, 2_500.0
@@ -183,18 +239,25 @@
 
 
 REACTIONS: dict[str, Any] = {
-    "run": World.ran, "call": World.called, "skip_call": World.back, "reuse": World.reused,
+    "run": World.ran,
+    "call": World.called,
+    "skip_call": World.back,
+    "reuse": World.reused,
     "wake": World.woken,
-}  # fmt: skip
+}
 
 
 def streams() -> dict[str, Callable[[], World]]:
     """By kind, tenants, load and seed."""
     plain = ((1, 0.7, 1), (3, 1.2, 2), (6, 1.6, 3), (40, 1.1, 4))
     shifting = (
-        (12, 4, 1.5, 5), (50, 5, 1.3, 6), (300, 20, 1.2, 7), (300, 3, 2.0, 8), (3000, 12, 1.6, 9),
+        (12, 4, 1.5, 5),
+        (50, 5, 1.3, 6),
+        (300, 20, 1.2, 7),
+        (300, 3, 2.0, 8),
+        (3000, 12, 1.6, 9),
         (15000, 40, 1.4, 10),
-    )  # fmt: skip
+    )
     waiting = ((2, 2, 1.3, 11), (12, 4, 1.5, 12), (300, 20, 1.2, 13), (3000, 12, 2.0, 14))
     found: dict[str, Callable[[], World]] = {}
     for at, kind in enumerate(KINDS):
--- a/tests/serve.py
+++ b/tests/serve.py
@@ -68,14 +68,22 @@
     def do_serve(self, plain: list[str], pairs: dict[str, Any]) -> None:
         stop, cold, below = pairs.pop("stop", 3000), pairs.pop("cold", False), pairs.pop("db", True)
         limits = {"sockets": pairs.pop("sockets", 64), "memory_mb": pairs.pop("memory", 192)}
-        keywords = {"stages": list(self.stages.values()), "tenants": list(self.tenants.values()), **pairs}
+        keywords = {
+            "stages": list(self.stages.values()),
+            "tenants": list(self.tenants.values()),
+            **pairs,
+        }
         keywords |= {"gauges": list(self.gauges), "below": Below.TIER if below else Below.NONE}
         self.now, self.answers, self.serials = 1e6, True, count(1)
         self.core = Server(
-            keywords=keywords, stages={name: at for at, name in enumerate(self.stages)},
-            tenants={name: at for at, name in enumerate(self.tenants)}, seed=1, stop_ms=stop, below=below,
+            keywords=keywords,
+            stages={name: at for at, name in enumerate(self.stages)},
+            tenants={name: at for at, name in enumerate(self.tenants)},
+            seed=1,
+            stop_ms=stop,
+            below=below,
             **limits,
-        )  # fmt: skip
+        )
         self.step("start")
         self.step("linked", "pool")
         if not cold:
@@ -132,7 +140,9 @@
         self.step("reload", {party: ("127.0.0.9", 1) for party in plain}, "nothing")
 
     def do_finish(self, plain: list[str], pairs: dict[str, Any]) -> None:
-        self.step("finished", next(self.serials), rid(plain[0]), plain[1], "".join(plain[2:]).encode())
+        self.step(
+            "finished", next(self.serials), rid(plain[0]), plain[1], "".join(plain[2:]).encode()
+        )
 
     def do_block(self, plain: list[str], pairs: dict[str, Any]) -> None:
         self.step("blocked", next(self.serials), rid(plain[0]), plain[1].encode())
@@ -166,7 +176,9 @@
     def end(self) -> None:
         """Holds at the end of every scenario: counters add up, and no message was answered twice."""
         counts = self.core.counters.counts
-        answered = sum(counts[f"answered_{end}"] for end in ("served", "rejected", "failed", "gone"))
+        answered = sum(
+            counts[f"answered_{end}"] for end in ("served", "rejected", "failed", "gone")
+        )
         assert counts["tasks"] == answered + self.core.tasks.open, self.core.counters.text()
         answers = [made[1:4:2] for made in self.made if made[0] == "Write" and made[2] in ANSWERS]
         assert len(answers) == len(set(answers)), answers
--- a/tests/standin.py
+++ b/tests/standin.py
@@ -24,11 +24,19 @@
         {"name": "read", "target": 4_000_000, "deadline": 8_000_000, "effect": "repeatable"},
         {"name": "put", "deadline": 8_000_000, "effect": "by_key", "memory-span": 9_000_000},
     ],
-    "family-info": {"cores": 8, "memory-kb": 90000.0, "meters": ["core_use", "on_cores"], "signal": "bias",
-                    "below": "next_hop", "cold": False},
-    "rules": {"fall-multiple": 8.0}, "servers": 2, "tenants": [{"name": "acme", "share": 1.0}],
+    "family-info": {
+        "cores": 8,
+        "memory-kb": 90000.0,
+        "meters": ["core_use", "on_cores"],
+        "signal": "bias",
+        "below": "next_hop",
+        "cold": False,
+    },
+    "rules": {"fall-multiple": 8.0},
+    "servers": 2,
+    "tenants": [{"name": "acme", "share": 1.0}],
     "not-known": [None, {"x": [1, 2]}],
-}  # fmt: skip
+}
 
 
 class Peer:
@@ -111,8 +119,14 @@
         self.unpacker = msgpack.Unpacker(raw=False)
 
     def task(self, message: int, name: str, body: bytes, stage: str = "read", **more: str) -> None:
-        fields = {"rid": rid(name), "t0": str(int(time.time() * 1000)), "peer": "1", "acct": "acme",
-                  "mem": "2.5", "prio": "0.25"}  # fmt: skip
+        fields = {
+            "rid": rid(name),
+            "t0": str(int(time.time() * 1000)),
+            "peer": "1",
+            "acct": "acme",
+            "mem": "2.5",
+            "prio": "0.25",
+        }
         self.send(msgpack.packb([0, message, stage, [fields | more, body]]))
 
     def answer(self) -> Any:
@@ -135,9 +149,17 @@
 
     def __init__(self, path: Path, listen: str = "127.0.0.1:0", **changes: Any) -> None:
         self.pool, self.db, self.registry = Party(), Party(), Party()
-        told = {"name": "n3", "listen": listen, "pool": self.pool.address, "db": self.db.address,
-                "registry": self.registry.address, "seed": "8c1f30d27a5be964", "stop_ms": 3000,
-                "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 64}, "settings": SETTINGS}  # fmt: skip
+        told = {
+            "name": "n3",
+            "listen": listen,
+            "pool": self.pool.address,
+            "db": self.db.address,
+            "registry": self.registry.address,
+            "seed": "8c1f30d27a5be964",
+            "stop_ms": 3000,
+            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 64},
+            "settings": SETTINGS,
+        }
         self.told, self.config = {**told, **changes}, path / "config.json"
         self.config.write_text(json.dumps(self.told))
         command = [sys.executable, "-m", "pumicenotch"]
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -47,7 +47,12 @@
     ring = struct.pack(">HQB", 1000, 0, 0)
     starts = [attach("family-info.cores=1"), attach(odd + START.replace("cores=2", "cores=1"))]
     day = first + again + struct.pack(">HQ", 1090, 9) + ring
-    batches = [frame(starts[0]), frame(FOR + ring, 9_000_000), frame(starts[1]), frame(FOR + day, 9_000_000)]
+    batches = [
+        frame(starts[0]),
+        frame(FOR + ring, 9_000_000),
+        frame(starts[1]),
+        frame(FOR + day, 9_000_000),
+    ]
     code, out, errors = serve(b"".join(batches))
     assert (code, errors) == (0, "")
     assert struct.pack(">HHH", 1150, 7, 1140) not in out
--- a/tests/test_agent_files.py
+++ b/tests/test_agent_files.py
@@ -65,7 +65,9 @@
     assert held(into) == []
 
 
-def test_a_full_disk_is_told_and_leaves_nothing(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_full_disk_is_told_and_leaves_nothing(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     source, into = tmp_path / "source", tmp_path / "into"
     version = pack(folder(tmp_path / "a", x="1"), source)
     held(into)
@@ -112,8 +114,10 @@
         ("voters  =", "voter =", "3: voter: unknown attribute; did you mean voters"),
         ('["127.0.0.1:7100"]', '["nowhere"]', "3: voters"),
     ],
-)  # fmt: skip
-def test_a_wrong_file_is_told_by_line_with_the_remedy(old: str, new: str, fault: str, tmp_path: Path) -> None:
+)
+def test_a_wrong_file_is_told_by_line_with_the_remedy(
+    old: str, new: str, fault: str, tmp_path: Path
+) -> None:
     path = written(tmp_path, FILE.replace(old, new))
     with pytest.raises(BadFile, match=f"agent.hcl:.*{fault}"):
         agent.agent_of(path)
@@ -130,7 +134,9 @@
         agent.disk_of(told)
 
 
-def test_the_launcher_goes_back_from_a_version_of_the_agent_that_never_spoke(tmp_path: Path) -> None:
+def test_the_launcher_goes_back_from_a_version_of_the_agent_that_never_spoke(
+    tmp_path: Path,
+) -> None:
     path = written(tmp_path)
     told = agent.agent_of(path)
     first = agent.disk_of(told)
--- a/tests/test_agree.py
+++ b/tests/test_agree.py
@@ -1,5 +1,6 @@
 """Agreement among voters: explored state by state, with bugs seeded that must be found, and in random long
-runs with loss, copies, delays, cuts, stops and new lives."""
+runs with loss, copies, delays, cuts, stops and new lives.
+"""
 
 import random
 from collections import deque
@@ -27,7 +28,7 @@
     Unreadable,
     message_of,
     plain,
-)  # fmt: skip
+)
 from pumicenotch.agree.voter import CANDIDATE, FOLLOWER, LEADER, Voter
 from pumicenotch.lab.agreeing import LONG, ROOT, Agreement, Bounds, led, long_form, three
 from pumicenotch.lab.explore import Explorer
@@ -96,49 +97,89 @@
 def older_entry(voter: type[Voter]) -> tuple[Agreement, Any]:
     """Figure 8 of the thesis: a leads again with an entry of term 2, c has another of term 3."""
     bounds = Bounds(timeouts=2, proposals=0)
-    model = Agreement(list(ABC.voters), ABC, bounds, voter=voter, patient=frozenset({"b/1"}),
-                      cut=frozenset({("a/1", "c/1"), ("c/1", "a/1")}))  # fmt: skip
+    model = Agreement(
+        list(ABC.voters),
+        ABC,
+        bounds,
+        voter=voter,
+        patient=frozenset({"b/1"}),
+        cut=frozenset({("a/1", "c/1"), ("c/1", "a/1")}),
+    )
     same = {"term": 4, "commit": 1}
     leads = {"role": LEADER, "next": {"a/1": 2, "b/1": 2, "c/1": 2}, "match": {"b/1": 1}}
     return model, model.first(
-        **{"a/1": {**same, "entries": (*ROOT_AND_A, Entry(4, "noop", None)), **leads, "voted": "a/1"},
-           "b/1": {**same, "entries": (ROOT,), "voted": "a/1"},
-           "c/1": {**same, "entries": ROOT_AND_B}},
-    )  # fmt: skip
+        **{
+            "a/1": {
+                **same,
+                "entries": (*ROOT_AND_A, Entry(4, "noop", None)),
+                **leads,
+                "voted": "a/1",
+            },
+            "b/1": {**same, "entries": (ROOT,), "voted": "a/1"},
+            "c/1": {**same, "entries": ROOT_AND_B},
+        },
+    )
 
 
 def reads(voter: type[Voter]) -> tuple[Agreement, Any]:
     cut = frozenset({("a/1", "b/1"), ("a/1", "c/1"), ("b/1", "a/1"), ("c/1", "a/1")})
     model = Agreement(
-        list(ABC.voters), ABC, Bounds(timeouts=1, proposals=0, reads=1), voter=voter, cut=cut,
+        list(ABC.voters),
+        ABC,
+        Bounds(timeouts=1, proposals=0, reads=1),
+        voter=voter,
+        cut=cut,
         patient=frozenset({"c/1"}),
-    )  # fmt: skip
+    )
     return model, led(model)
 
 
 def changes(voter: type[Voter]) -> tuple[Agreement, Any]:
     """The case behind the correction of 2015: a has added e in term 1, heard by nobody; b leads term 2 and
-    takes a out."""
+    takes a out.
+    """
     names = list(FIVE.voters)
-    reach = {("a/1", "d/1"), ("a/1", "e/1"), ("d/1", "a/1"), ("e/1", "a/1"), ("b/1", "c/1"), ("c/1", "b/1")}
+    reach = {
+        ("a/1", "d/1"),
+        ("a/1", "e/1"),
+        ("d/1", "a/1"),
+        ("e/1", "a/1"),
+        ("b/1", "c/1"),
+        ("c/1", "b/1"),
+    }
     cut = frozenset((one, other) for one in names for other in names) - reach
     model = Agreement(
-        names, FOUR, Bounds(timeouts=1, proposals=0, changes=1), voter=voter, changes=(WITHOUT_A,),
-        cut=frozenset(cut), patient=frozenset({"c/1", "d/1", "e/1"}),
-    )  # fmt: skip
+        names,
+        FOUR,
+        Bounds(timeouts=1, proposals=0, changes=1),
+        voter=voter,
+        changes=(WITHOUT_A,),
+        cut=frozenset(cut),
+        patient=frozenset({"c/1", "d/1", "e/1"}),
+    )
     old = {"term": 2, "voted": "b/1", "entries": (ROOT,), "commit": 1}
     leads = {"role": LEADER, "next": dict.fromkeys(FOUR.voters, 2), "match": {"c/1": 1, "d/1": 1}}
     return model, model.first(
-        **{"a/1": {**old, "voted": "", "entries": (ROOT, Entry(1, "seats", FIVE))},
-           "b/1": {**old, "entries": (ROOT, Entry(2, "noop", None)), **leads}, "c/1": old, "d/1": old},
-    )  # fmt: skip
-
-
-SEEDED = [(elections, VotesTwice, Voter, "two leaders"), (older_entry, CountsOldTerms, Careful, "agreed"),
-          (reads, ReadsAtOnce, Voter, "stale read"), (changes, ChangesAtOnce, Voter, "agreed")]  # fmt: skip
-
-
-@pytest.mark.parametrize("model, bug, sound, what", SEEDED, ids=[bug.__name__ for _, bug, _, _ in SEEDED])
+        **{
+            "a/1": {**old, "voted": "", "entries": (ROOT, Entry(1, "seats", FIVE))},
+            "b/1": {**old, "entries": (ROOT, Entry(2, "noop", None)), **leads},
+            "c/1": old,
+            "d/1": old,
+        },
+    )
+
+
+SEEDED = [
+    (elections, VotesTwice, Voter, "two leaders"),
+    (older_entry, CountsOldTerms, Careful, "agreed"),
+    (reads, ReadsAtOnce, Voter, "stale read"),
+    (changes, ChangesAtOnce, Voter, "agreed"),
+]
+
+
+@pytest.mark.parametrize(
+    "model, bug, sound, what", SEEDED, ids=[bug.__name__ for _, bug, _, _ in SEEDED]
+)
 def test_seeded_bugs_are_found(model: Any, bug: type[Voter], sound: type[Voter], what: str) -> None:
     made, first = model(bug)
     assert what in made.explore(first, 60_000).violation
@@ -205,7 +246,9 @@
         until = self.now + for_ms
         while self.now < until:
             self.now += 5.0
-            due = sorted((each for each in self.wire if each[0] <= self.now), key=lambda each: each[:2])
+            due = sorted(
+                (each for each in self.wire if each[0] <= self.now), key=lambda each: each[:2]
+            )
             self.wire = [each for each in self.wire if each[0] > self.now]
             for _, _, sender, to, message in due:
                 if to not in self.down:
@@ -217,13 +260,17 @@
 
     def leader(self) -> str:
         found = [
-            seat for seat, voter in self.voters.items() if voter.role == LEADER and seat not in self.down
+            seat
+            for seat, voter in self.voters.items()
+            if voter.role == LEADER and seat not in self.down
         ]
         return max(found, key=lambda seat: self.voters[seat].term, default="")
 
     def await_leader(self, within_ms: float = 20_000.0) -> str:
         until = self.now + within_ms
-        while not ((seat := self.leader()) and self.voters[seat].in_touch() and self.voters[seat].commit):
+        while not (
+            (seat := self.leader()) and self.voters[seat].in_touch() and self.voters[seat].commit
+        ):
             assert self.now < until, "no leader"
             self.run(50.0)
         return seat
@@ -237,7 +284,9 @@
 
 
 @settings(max_examples=30, deadline=None)
-@given(seed=st.integers(0, 10_000), many=st.sampled_from([3, 5]), loss=st.sampled_from([0.0, 0.1, 0.3]))
+@given(
+    seed=st.integers(0, 10_000), many=st.sampled_from([3, 5]), loss=st.sampled_from([0.0, 0.1, 0.3])
+)
 def test_agreement_through_random_faults(seed: int, many: int, loss: float) -> None:
     cluster = Cluster(seed, many, loss)
     chance, seats = cluster.random, list(cluster.voters)
@@ -282,8 +331,12 @@
     cluster = Cluster(4, 5)
     leader = cluster.await_leader()
     other = next(seat for seat in cluster.voters if seat != leader)
-    for _ in range(20):  # the link of one voter to all comes and goes, longer than an election takes
-        cluster.cut |= {(other, seat) for seat in cluster.voters} | {(seat, other) for seat in cluster.voters}
+    for _ in range(
+        20
+    ):  # the link of one voter to all comes and goes, longer than an election takes
+        cluster.cut |= {(other, seat) for seat in cluster.voters} | {
+            (seat, other) for seat in cluster.voters
+        }
         cluster.run(2500.0)
         cluster.cut.clear()
         cluster.run(700.0)
@@ -344,7 +397,9 @@
     stores = [each for each in effects if isinstance(each, Store)]
     assert len(stores) == 1 and stores[0].voted == "b/1"
     assert not [each for each in effects if isinstance(each, Send)]
-    sent = [each for each in voter.step(5001.0, "stored", stores[0].serial) if isinstance(each, Send)]
+    sent = [
+        each for each in voter.step(5001.0, "stored", stores[0].serial) if isinstance(each, Send)
+    ]
     assert [each.to for each in sent] == ["b/1"]
 
 
@@ -405,8 +460,11 @@
 def founded(foundings: dict[str, Founding], rounds: int, *lost: str) -> None:
     """`foundings` by name, with everyone's seat."""
     for number in range(rounds):
-        todo = deque((founding.me, say) for founding in foundings.values()
-                     for say in founding.time(number * Founding.ASK_MS))  # fmt: skip
+        todo = deque(
+            (founding.me, say)
+            for founding in foundings.values()
+            for say in founding.time(number * Founding.ASK_MS)
+        )
         while todo:
             sender, say = todo.popleft()
             if say.to in foundings and say.told[0] not in lost:
@@ -441,7 +499,10 @@
 
 def test_what_is_no_message_is_refused_with_its_place() -> None:
     wrong: list[Any] = [[], 7, ["vote"], ["vote", 1, 2, True], ["append", -1, 0, 0, [], 0, 0]]
-    wrong += [["append", 1, 0, 0, [[1, "x", 0]], 0, 0], ["install", 1, 1, 1, [["a"], []], 0, b"", True, 0]]
+    wrong += [
+        ["append", 1, 0, 0, [[1, "x", 0]], 0, 0],
+        ["install", 1, 1, 1, [["a"], []], 0, b"", True, 0],
+    ]
     for told in wrong:
         with pytest.raises(BadMessage):
             message_of(told)
--- a/tests/test_book.py
+++ b/tests/test_book.py
@@ -73,7 +73,9 @@
     state = begun(notes)
     assert state.apply(3, ("write", "a", "one")) == Said(True, "written", 1)
     assert (notes.texts, notes.indexes, state.index) == ({"a": "one"}, [3], 3)
-    assert state.apply(4, ("write", "a", "")) == Said(False, "notes: the text is empty: write one", "empty")
+    assert state.apply(4, ("write", "a", "")) == Said(
+        False, "notes: the text is empty: write one", "empty"
+    )
     assert not state.apply(5, ("write", "a")).good
     assert not state.apply(6, ("write", 1, "x")).good
     assert "unknown" in state.apply(7, ("erase", "a")).text
@@ -196,7 +198,9 @@
     assert day.agreed("write", "a", "one")["agreed"]
 
 
-def test_a_voter_that_lost_its_memory_takes_the_book_from_a_snapshot(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_voter_that_lost_its_memory_takes_the_book_from_a_snapshot(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(VoterNode, "COMPACT_AT", 16)
     day = Fleet(3)
     day.until(day.at_level)
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -16,7 +16,9 @@
 from pumicenotch.server.tasks import Held
 
 
-def test_an_outbox_left_unread_says_so_and_ends_soon_after_its_close(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_outbox_left_unread_says_so_and_ends_soon_after_its_close(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     class Stuck(ByteStream):
         async def send(self, item: bytes) -> None:
             await anyio.sleep_forever()
@@ -54,7 +56,11 @@
         kept.keep(held, 9000.0)
         kept.run(held)
         kept.ended(held, Outcome.OK, bytes(size))
-    assert [entry.outcome for entry in kept.entries.values()] == [Outcome.ERROR, Outcome.OK, Outcome.OK]
+    assert [entry.outcome for entry in kept.entries.values()] == [
+        Outcome.ERROR,
+        Outcome.OK,
+        Outcome.OK,
+    ]
     assert (kept.bytes, kept.dropped, kept.same(tasks[0], 0.0)) == (7, 1, 1)
     assert all(kept.expire(ident) for ident in (1, 2, 3))
     assert (kept.bytes, kept.entries, kept.by_owner) == (0, {}, {})
@@ -67,10 +73,18 @@
 
 def test_a_trouble_that_comes_with_every_task_is_not_logged_each_time() -> None:
     core = Server(
-        keywords={"stages": []}, stages={}, tenants={}, seed=1, stop_ms=0.0, below=False, memory_mb=32.0,
+        keywords={"stages": []},
+        stages={},
+        tenants={},
+        seed=1,
+        stop_ms=0.0,
+        below=False,
+        memory_mb=32.0,
         sockets=64,
-    )  # fmt: skip
-    effects = [effect for _ in range(150) for effect in core.step(0.0, "met", "odd", "an odd frame")]
+    )
+    effects = [
+        effect for _ in range(150) for effect in core.step(0.0, "met", "odd", "an odd frame")
+    ]
     assert [effect.text for effect in effects if isinstance(effect, Log)] == [
         f"an odd frame (odd={found})" for found in (1, 10, 100)
     ]
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -17,9 +17,15 @@
 
 SIZES = [80.0, 160.0, 320.0, 640.0, 1280.0, 2500.0]
 GOOD = {
-    "role": "agent", "measure": "sent", "unit": "bytes/s", "by": "servers", "size": 80, "value": 1.5,
-    "seed": 1, "commit": "abc",
-}  # fmt: skip
+    "role": "agent",
+    "measure": "sent",
+    "unit": "bytes/s",
+    "by": "servers",
+    "size": 80,
+    "value": 1.5,
+    "seed": 1,
+    "commit": "abc",
+}
 
 
 @pytest.mark.parametrize("shape", ["linear", "n log n", "n squared", "log n", "inverse"])
@@ -94,7 +100,10 @@
         ("{", "no JSON"),
         ("", "no JSON"),
         ("[1]", "no JSON object"),
-        (json.dumps({key: value for key, value in GOOD.items() if key != "seed"}), "seed is missing"),
+        (
+            json.dumps({key: value for key, value in GOOD.items() if key != "seed"}),
+            "seed is missing",
+        ),
         (json.dumps(GOOD), "measured twice"),
         (json.dumps(GOOD | {"size": float("nan")}), "size nan"),
         (json.dumps(GOOD | {"value": float("inf")}), "value inf"),
@@ -145,7 +154,9 @@
     assert path.read_text() == "nothing\n"
 
 
-def test_a_role_is_measured_into_its_file(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_a_role_is_measured_into_its_file(
+    tmp_path: Path, capsys: pytest.CaptureFixture[str]
+) -> None:
     path = tmp_path / "slopes.jsonl"
     assert capacity.main(["agent", "--sizes", "16", "--seed", "3", "--out", str(path)]) == 0
     kept = records.read(path, roles.ROLES)
@@ -179,7 +190,9 @@
     changed = text.replace("2,500 servers |", "2,600 servers |", 1)
     assert changed != text
     assert page.renewed(changed, measurements) == text
-    with pytest.raises(page.BadPage, match=r"CAPACITY.md:1: table 'moons' is unknown; allowed: size, "):
+    with pytest.raises(
+        page.BadPage, match=r"CAPACITY.md:1: table 'moons' is unknown; allowed: size, "
+    ):
         page.renewed("<!-- table: moons -->\n<!-- end -->\n", measurements)
 
 
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -1,5 +1,6 @@
 """Cells: placement, maps, fences, walks, moves; and the move protocol under the model checker, over this
-very code."""
+very code.
+"""
 
 import random
 from collections import Counter
@@ -59,7 +60,9 @@
 
 
 @settings(max_examples=40)
-@given(st.lists(st.floats(0.1, 5.0), min_size=1, max_size=80), st.integers(1, 8), st.floats(0.05, 1.0))
+@given(
+    st.lists(st.floats(0.1, 5.0), min_size=1, max_size=80), st.integers(1, 8), st.floats(0.05, 1.0)
+)
 def test_no_cell_is_loaded_beyond_its_bound_where_that_can_be(
     weights: list[float], count: int, slack: float
 ) -> None:
@@ -93,7 +96,9 @@
 
 
 def test_a_map_comes_back_as_it_was_and_every_torn_or_changed_one_is_refused() -> None:
-    made = moves.resize(moves.move(cells(t="a", u="b"), ["t"], "b", 5.0), "b", nodes("B1", "B4"), 6.0)
+    made = moves.resize(
+        moves.move(cells(t="a", u="b"), ["t"], "b", 5.0), "b", nodes("B1", "B4"), 6.0
+    )
     line = dump(made)
     assert load(line) == made
     for cut in range(0, len(line), 7):
@@ -181,7 +186,9 @@
     assert [node.name[0] for node in homes.ask] == ["A", "B"]
     back = moves.move(three, ["t"], "a", 30.0).homes("t", "k", 40.0)
     assert back is not None and back.home.name[0] == "A"
-    assert [node.name[0] for node in back.ask] == ["B", "C"], "a home is not asked as its own former"
+    assert [node.name[0] for node in back.ask] == ["B", "C"], (
+        "a home is not asked as its own former"
+    )
 
 
 def test_a_tenant_that_no_map_knows_is_rejected_or_goes_to_the_fallback() -> None:
@@ -201,7 +208,9 @@
     assert fence.judge(1.0, "t", 4, Role.ASK, False) is Verdict.CLEAR
     assert fence.judge(2.0, "t", 3, Role.HOME, False) is Verdict.OLD_MAP
     assert fence.judge(2.0, "t", 3, Role.ASK, False) is Verdict.OLD_MAP
-    assert fence.judge(2.0, "t", 3, Role.HOME, True) is Verdict.SERVE, "what it knows it answers for"
+    assert fence.judge(2.0, "t", 3, Role.HOME, True) is Verdict.SERVE, (
+        "what it knows it answers for"
+    )
     assert fence.judge(2.0, "other", 3, Role.HOME, False) is Verdict.RUN
     assert fence.judge(3.0, "t", 5, Role.HOME, False) is Verdict.RUN
 
@@ -218,7 +227,9 @@
     assert fence.judge(0.0, "t", 2, Role.HOME, False) is Verdict.RUN
 
 
-def test_tenants_without_end_cost_bounded_memory_and_loosen_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_tenants_without_end_cost_bounded_memory_and_loosen_nothing(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(Fence, "MOST", 50)
     fence = Fence(-W, W)
     for at in range(500):
@@ -243,7 +254,9 @@
 
 
 @given(st.lists(st.sampled_from(list(Said)), min_size=6, max_size=6), st.booleans())
-def test_a_walk_has_one_end_and_goes_home_only_after_every_clear(answers: list[Said], keyed: bool) -> None:
+def test_a_walk_has_one_end_and_goes_home_only_after_every_clear(
+    answers: list[Said], keyed: bool
+) -> None:
     two = moves.move(cells(t="a"), ["t"], "b", 0.0)
     effect = Effect.FINGERPRINTED if keyed else Effect.RESTARTABLE
     begun = walk(two, 0.0, 1.0, "t", effect, "k", ["B1", "B2"])
@@ -265,7 +278,9 @@
 
 def test_a_former_home_that_is_silent_is_never_passed_over() -> None:
     for said in (Said.REFUSED, Said.BROKEN, Said.NO_WORD):
-        begun = walk(moves.move(cells(t="a"), ["t"], "b", 0.0), 0.0, 1.0, "t", Effect.FINGERPRINTED, "k", [])
+        begun = walk(
+            moves.move(cells(t="a"), ["t"], "b", 0.0), 0.0, 1.0, "t", Effect.FINGERPRINTED, "k", []
+        )
         assert isinstance(begun, Walk) and isinstance(begun.start(), Send)
         assert begun.said(said) == End("failed", "former_home_silent")
 
@@ -327,7 +342,11 @@
     one = cells(t="a", u="b")
     two = moves.move(one, ["t"], "b", 0.0)
     three = check(moves.abort(one, two, 10.0))
-    assert three.epoch == 3 and three.tenants["t"].cell == "a" and three.tenants["u"] == one.tenants["u"]
+    assert (
+        three.epoch == 3
+        and three.tenants["t"].cell == "a"
+        and three.tenants["u"] == one.tenants["u"]
+    )
     homes = three.homes("t", "k", 20.0)
     assert homes is not None and [node.name[0] for node in homes.ask] == ["B"]
     with pytest.raises(BadMap, match="lives in a already"):
@@ -378,7 +397,13 @@
     assert found.whole and found.states > 3000
 
 
-TIME: dict[str, Any] = {"crashes": 0, "losses": 0, "until": 2500.0, "step": 500.0, "settles": frozenset({3})}
+TIME: dict[str, Any] = {
+    "crashes": 0,
+    "losses": 0,
+    "until": 2500.0,
+    "step": 500.0,
+    "settles": frozenset({3}),
+}
 
 
 def test_no_interleaving_runs_a_task_twice_while_a_move_settles_and_after() -> None:
@@ -433,7 +458,9 @@
     ],
     ids=["forgets its oath", "vouches at once", "goes on blind", "routers told before nodes"],
 )
-def test_the_checker_finds_bugs_that_were_put_there(changes: dict[str, Any], bounds: dict[str, Any]) -> None:
+def test_the_checker_finds_bugs_that_were_put_there(
+    changes: dict[str, Any], bounds: dict[str, Any]
+) -> None:
     model = Moving(two_cells()[:2], [0.0, 0.0], **bounds)
     for name, value in changes.items():
         setattr(model, name, value)
@@ -450,8 +477,12 @@
 def test_an_old_node_that_is_cut_off_but_alive_is_bounded_by_the_lease_alone() -> None:
     """It is forced: it never hears of the move, and a router that does not either goes on sending to it."""
     cut_off: dict[str, Any] = {
-        **TIME, "until": 4000.0, "forced": ("A",), "cut": frozenset({(1, "A")}), "unheard": frozenset({0}),
-    }  # fmt: skip
+        **TIME,
+        "until": 4000.0,
+        "forced": ("A",),
+        "cut": frozenset({(1, "A")}),
+        "unheard": frozenset({0}),
+    }
     found = explored(Moving(settled(0.0), [0.0, 0.0, 0.0], **cut_off))
     assert not found.violation and found.whole, found.text()
     without = explored(Moving(settled(0.0, lease=0.0), [0.0, 0.0, 0.0], **cut_off))
@@ -474,10 +505,23 @@
 
 @settings(max_examples=60, deadline=None)
 @given(st.randoms(use_true_random=False), st.integers(2, 4))
-def test_long_random_runs_beyond_those_bounds_run_nothing_twice(chance: random.Random, tries: int) -> None:
+def test_long_random_runs_beyond_those_bounds_run_nothing_twice(
+    chance: random.Random, tries: int
+) -> None:
     one, two, _ = two_cells()
-    maps = [one, two, moves.settle(two, 500.0), moves.move(moves.settle(two, 500.0), ["t"], "a", 750.0)]
-    bounds: dict[str, Any] = {"routers": 3, "tries": tries, "crashes": 3, "losses": 3, "restarts": 2}
+    maps = [
+        one,
+        two,
+        moves.settle(two, 500.0),
+        moves.move(moves.settle(two, 500.0), ["t"], "a", 750.0),
+    ]
+    bounds: dict[str, Any] = {
+        "routers": 3,
+        "tries": tries,
+        "crashes": 3,
+        "losses": 3,
+        "restarts": 2,
+    }
     times = [0.0, 0.0, 500.0, 750.0]
     model = Moving(maps, times, settles=frozenset({3}), until=3000.0, step=250.0, **bounds)
     assert all(steps(model, chance, 150))
--- a/tests/test_cells_node.py
+++ b/tests/test_cells_node.py
@@ -1,5 +1,6 @@
 """The node's side of cells in the core: what reaches a node of another cell, by routers with maps of any
-age."""
+age.
+"""
 
 from typing import Any
 
@@ -42,9 +43,17 @@
             "cores": 4,
         }
         self.core = Server(
-            keywords={**keywords, "crowd_multiple": 8.0}, stages=STAGES, tenants={}, seed=1, stop_ms=3000.0,
-            below=False, memory_mb=192.0, sockets=64, fence=fence, node=node,
-        )  # fmt: skip
+            keywords={**keywords, "crowd_multiple": 8.0},
+            stages=STAGES,
+            tenants={},
+            seed=1,
+            stop_ms=3000.0,
+            below=False,
+            memory_mb=192.0,
+            sockets=64,
+            fence=fence,
+            node=node,
+        )
         self.written: list[tuple[Any, ...]] = []
         self.now, self.message = START, 0
         for step in (
@@ -105,7 +114,9 @@
     node = Played(one)
     assert node.send(1, "put", epoch="2", ask="1") == "clear"
     assert node.send(2, "put", epoch="1") == "old", "a router that has not heard of the move"
-    assert node.send(3, "put", token=32 * "b") == "run", "its own callers have no map: by its newest epoch"
+    assert node.send(3, "put", token=32 * "b") == "run", (
+        "its own callers have no map: by its newest epoch"
+    )
     assert node.core.counters.counts["cells_clear"] == 1
 
 
@@ -119,7 +130,9 @@
     node.step("finished", 1, f"{1:016x}", "fine", b"done")
     answers = {message[2]: message[4] for message in node.written if message[1] == "served"}
     assert answers == {1: b"done", 2: b"done", 3: b"done"}
-    assert node.send(4, "put", token=32 * "b", epoch="1") == "old", "what it does not know it runs no more"
+    assert node.send(4, "put", token=32 * "b", epoch="1") == "old", (
+        "what it does not know it runs no more"
+    )
 
 
 def test_a_node_that_has_just_started_has_no_word() -> None:
--- a/tests/test_cells_views.py
+++ b/tests/test_cells_views.py
@@ -67,7 +67,9 @@
         "twice as long"
     )
     again = after + 2.0 * EJECTED_MS + 1.0
-    assert seen.choose(again, NODES, probes=False)[0].node != "a", "no task that must not be lost on it"
+    assert seen.choose(again, NODES, probes=False)[0].node != "a", (
+        "no task that must not be lost on it"
+    )
     assert seen.choose(again, NODES)[0] == ("a", True)
     seen.sent("a", probe=True)
     seen.answered(again, "a", 10.0, 1.0, 0.0, True)
@@ -99,7 +101,9 @@
     assert set(seen.views) == {"n-open"}
 
 
-things = st.tuples(st.sampled_from(["sent", "answered", "missed", "gone", "choose"]), st.sampled_from("abcd"))
+things = st.tuples(
+    st.sampled_from(["sent", "answered", "missed", "gone", "choose"]), st.sampled_from("abcd")
+)
 
 
 @given(st.lists(st.tuples(things, st.floats(0.0, 3000.0)), max_size=150))
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -24,11 +24,20 @@
 @pytest.mark.parametrize(
     ("text", "told"),
     [
-        ('pool "a" {\n  stages = ["x"]\n  reserv = 0.5\n}', "F:3: pool.reserv: unknown attribute; did"),
+        (
+            'pool "a" {\n  stages = ["x"]\n  reserv = 0.5\n}',
+            "F:3: pool.reserv: unknown attribute; did",
+        ),
         ('pol "a" {\n}', "F:1: pol: unknown block; did you mean pool?"),
         ('zzz "a" {\n}', "F:1: zzz: unknown block; allowed: cells, fleet, pool, reading, retries"),
-        ('pool "a" {\n  stages = ["x"]\n  reserve = 1.5\n}', "F:3: pool.reserve: should be less than"),
-        ('pool "a" {\n  stages = ["x"]\n  lends = 3\n}', "F:3: pool.lends: should be a valid boolean"),
+        (
+            'pool "a" {\n  stages = ["x"]\n  reserve = 1.5\n}',
+            "F:3: pool.reserve: should be less than",
+        ),
+        (
+            'pool "a" {\n  stages = ["x"]\n  lends = 3\n}',
+            "F:3: pool.lends: should be a valid boolean",
+        ),
         ('pool "a" {\n}', "F:1: pool.stages: is missing"),
         ('pool {\n  stages = ["x"]\n}', "F:1: pool: one name in quotes after the word is wanted"),
         ('pool "A b" {\n  stages = ["x"]\n}', "F:1: pool.name: String should match pattern"),
@@ -47,7 +56,7 @@
         ("#" * 300_000, "F:1: the file has 300000 bytes"),
         ('pool "a" {\n stages = ["x"]\n}\npool "b" {\n stages = ["x"]\n}', "F:1: pool 'b': stage"),
     ],
-)  # fmt: skip
+)
 def test_what_is_wrong_is_told_by_line(text: str, told: str) -> None:
     assert any(fault.startswith(told) for fault in faults(text)), faults(text)
 
@@ -75,11 +84,21 @@
 
 names = st.text("abcdefghij-", min_size=1, max_size=8)
 pools = st.builds(
-    Pool, names, st.tuples(names), st.floats(0.0, 0.1), st.floats(0, 9), st.floats(0.2, 1.0), st.booleans()
-)  # fmt: skip
-
-
-@given(st.lists(pools, min_size=1, max_size=5, unique_by=(lambda pool: pool.name, lambda pool: pool.stages)))
+    Pool,
+    names,
+    st.tuples(names),
+    st.floats(0.0, 0.1),
+    st.floats(0, 9),
+    st.floats(0.2, 1.0),
+    st.booleans(),
+)
+
+
+@given(
+    st.lists(
+        pools, min_size=1, max_size=5, unique_by=(lambda pool: pool.name, lambda pool: pool.stages)
+    )
+)
 def test_a_compiled_plan_comes_back_as_it_was(some: list[Pool]) -> None:
     plan = Plan(tuple(some), fixed=True, retry_ratio=0.25)
     ours = compiled.Ours(plan, "n1", "/map.json")
@@ -87,7 +106,9 @@
     assert compiled.load(compiled.dump(compiled.Ours()), "F") == compiled.Ours()
 
 
-@given(st.one_of(st.text(max_size=60), st.binary(max_size=40).map(lambda raw: raw.decode("latin-1"))))
+@given(
+    st.one_of(st.text(max_size=60), st.binary(max_size=40).map(lambda raw: raw.decode("latin-1")))
+)
 def test_no_line_raises_anything_but_a_told_fault(text: str) -> None:
     try:
         compiled.load(text, "F")
@@ -106,9 +127,36 @@
 
 
 pieces = st.sampled_from(
-    ["pool", ' "a"', " {", "}", "\n", " = ", "0.5", "[", "]", ",", '"', "stages", "#", "/*", "<<E", "${", "-",
-     "true", "retries", "ratio", "\\", "\u00e9", "\x00", "(", "?", ":", "null"]
-)  # fmt: skip
+    [
+        "pool",
+        ' "a"',
+        " {",
+        "}",
+        "\n",
+        " = ",
+        "0.5",
+        "[",
+        "]",
+        ",",
+        '"',
+        "stages",
+        "#",
+        "/*",
+        "<<E",
+        "${",
+        "-",
+        "true",
+        "retries",
+        "ratio",
+        "\\",
+        "\u00e9",
+        "\x00",
+        "(",
+        "?",
+        ":",
+        "null",
+    ]
+)
 
 
 @settings(max_examples=150, deadline=None)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -1,6 +1,7 @@
 """Two events in one turn of the real program's loop, in the order that the test puts them: the process stands
 still while the bytes, the signal or the close are laid in place. Judged by what its peers sent and received.
-docs/crossings.md names the pair that each test is for."""
+docs/crossings.md names the pair that each test is for.
+"""
 
 import errno
 import json
@@ -139,7 +140,9 @@
         assert gateway.closed_cleanly()
 
 
-def test_a_crowded_table_ends_an_idle_connection_only_once_its_task_is_answered(tmp_path: Path) -> None:
+def test_a_crowded_table_ends_an_idle_connection_only_once_its_task_is_answered(
+    tmp_path: Path,
+) -> None:
     """The task of the longest idle one and the connections that crowd the table come in the same turn."""
     with Program(tmp_path) as program:  # 64 descriptors: 16 connections
         pool = program.bind()
@@ -164,9 +167,11 @@
     os.mkfifo(config)
     told = {"listen": "127.0.0.1:0", "pool": "127.0.0.1:1", "stop_ms": 300, "settings": SETTINGS}
     with subprocess.Popen(
-        [sys.executable, "-m", "pumicenotch"], stderr=subprocess.PIPE, text=True,
+        [sys.executable, "-m", "pumicenotch"],
+        stderr=subprocess.PIPE,
+        text=True,
         env={**os.environ, "LB_CONFIG": str(config)},
-    ) as process:  # fmt: skip
+    ) as process:
         with writing(config, process) as pipe:
             config.unlink()
             config.write_text(json.dumps(told))  # what a reload reads
@@ -209,10 +214,14 @@
 @pytest.mark.parametrize(
     "change",
     [
-        {"pool": "127.0.0.1:99999"}, {"db": "127.0.0.1:0"}, {"registry": "a..b:80"}, {"pool": ":5"},
-        {"registry": "127.0.0.1:-1"}, {"db": "nowhere"},
+        {"pool": "127.0.0.1:99999"},
+        {"db": "127.0.0.1:0"},
+        {"registry": "a..b:80"},
+        {"pool": ":5"},
+        {"registry": "127.0.0.1:-1"},
+        {"db": "nowhere"},
     ],
-)  # fmt: skip
+)
 def test_a_reload_that_names_no_address_leaves_the_running_values_in_force(
     tmp_path: Path, change: dict[str, str]
 ) -> None:
@@ -305,7 +314,9 @@
 
 
 @pytest.mark.parametrize("over", ["what is named", "what there is"])
-def test_clients_that_rest_fill_the_descriptors_while_the_registry_is_down(tmp_path: Path, over: str) -> None:
+def test_clients_that_rest_fill_the_descriptors_while_the_registry_is_down(
+    tmp_path: Path, over: str
+) -> None:
     """With the limit below what the configuration names, connections are accepted until none is left."""
     with Program(tmp_path, stop_ms=1500) as program:
         address = program.registry.address
--- a/tests/test_distribution_config.py
+++ b/tests/test_distribution_config.py
@@ -1,5 +1,6 @@
 """The block `distribution` in a server's and in a voter's file: what is wrong is named with its line and what
-is allowed; what is right comes whole to a server."""
+is allowed; what is right comes whole to a server.
+"""
 
 import json
 from pathlib import Path
@@ -63,20 +64,29 @@
     return found
 
 
-def test_a_server_subscribes_to_its_services_and_its_cell_unless_told_otherwise(tmp_path: Path) -> None:
+def test_a_server_subscribes_to_its_services_and_its_cell_unless_told_otherwise(
+    tmp_path: Path,
+) -> None:
     found = settings_of(tmp_path, SERVER)
     assert found.settings == DEFAULTS._replace(relays=2) and found.relay
     assert found.subscribed() == Subscription(
         {"routes": ["orders"], "policies": ["orders"], "homes": ["c1"], "tenants": ["c1"]}
     )
-    assert settings_of(tmp_path, with_line(LARGEST)).subscription == (ScopesOfTable("routes", None),)
+    assert settings_of(tmp_path, with_line(LARGEST)).subscription == (
+        ScopesOfTable("routes", None),
+    )
 
 
 def test_it_comes_whole_through_the_compiled_plan(tmp_path: Path) -> None:
-    text = with_line(LARGEST + '    relay = false\n    table "homes" {\n      newest_form = 2\n    }\n')
+    text = with_line(
+        LARGEST + '    relay = false\n    table "homes" {\n      newest_form = 2\n    }\n'
+    )
     ours = ours_of(put(tmp_path, text))
     assert ours.distribution is not None and not ours.distribution.relay
-    assert ours.distribution.tables()["homes"].form == 2 and ours.distribution.tables()["routes"].form == 1
+    assert (
+        ours.distribution.tables()["homes"].form == 2
+        and ours.distribution.tables()["routes"].form == 1
+    )
     assert compiled.load(compiled.dump(ours), "plan") == ours
     assert "configuration" in compiled.describe(ours, [])["fleet"]
 
@@ -94,7 +104,12 @@
     told["settings"]["of_a_later_program"] = 1
     del told["settings"]["relays"]
     assert instance_settings_of(told) == InstanceSettings(newest_forms=(NewestForm("homes", 3),))
-    wrongs: list[Any] = [[], {}, {**told, "settings": {"relays": "x"}}, {**told, "subscription": [1]}]
+    wrongs: list[Any] = [
+        [],
+        {},
+        {**told, "settings": {"relays": "x"}},
+        {**told, "subscription": [1]},
+    ]
     for wrong in wrongs:
         with pytest.raises(BadInstanceSettings, match="distribution"):
             instance_settings_of(wrong)
@@ -109,7 +124,10 @@
 @pytest.mark.parametrize(
     "text, fault",
     [
-        (with_line("    relays = 0\n"), "8: fleet.distribution.relays: should be greater than or equal to 1"),
+        (
+            with_line("    relays = 0\n"),
+            "8: fleet.distribution.relays: should be greater than or equal to 1",
+        ),
         (with_line("    relay = 3\n"), "8: fleet.distribution.relay"),
         (
             with_line("    relais = 1\n"),
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,5 +1,6 @@
 """What the fleet has agreed: budgets, permits, halts; explored with late letters and crashes, with bugs
-seeded."""
+seeded.
+"""
 
 import random
 from typing import Any
@@ -176,7 +177,8 @@
         if at:
             fleet.through(f"n{at}")  # the permits that were given are used in turn
         later = [
-            fleet.do("began", f"n{n}", "1", fleet.state.permits[f"n{n}"].epoch) for n in range(at + 1, 3)
+            fleet.do("began", f"n{n}", "1", fleet.state.permits[f"n{n}"].epoch)
+            for n in range(at + 1, 3)
         ]
         assert not any(said.good for said in later)
         fleet.back(f"n{at}", "2")
@@ -321,7 +323,11 @@
 SEEDED = [
     (FreedBySilence, Bounds(asks=2, returns=0), "away by permit"),
     (FreedByOldLife, Bounds(asks=2, crashes=1, returns=2, silences=0), "away by permit"),
-    (BeginsUnasked, Bounds(2, crashes=0, returns=0, copies=0, silences=0, undrains=1), "away by permit"),
+    (
+        BeginsUnasked,
+        Bounds(2, crashes=0, returns=0, copies=0, silences=0, undrains=1),
+        "away by permit",
+    ),
     (BeginsHalted, Bounds(asks=1, halts=1), "after the halt"),
 ]
 
@@ -336,7 +342,9 @@
 def test_no_random_day_goes_over_a_budget_by_permit(seed: int) -> None:
     """Entries by chance, old ones among them; judged from what the processes do."""
     chance = random.Random(seed)
-    fleet = Fleet(ZONES, Budget("all", "fleet", most_out=3), Budget("most", "region", least_capacity=0.5))
+    fleet = Fleet(
+        ZONES, Budget("all", "fleet", most_out=3), Budget("most", "region", least_capacity=0.5)
+    )
     names = [f"{zone}{at}" for zone in "abc" for at in range(3)]
     lives = dict.fromkeys(names, 1)
     for name in names:
@@ -361,7 +369,9 @@
                 old = chance.choice(sent)  # once more
                 if fleet.do(*old).good and old[0] == "began" and old[2] == str(lives[old[1]]):
                     away.add(old[1])
-            case _ if name in state.permits and state.permits[name].life == life and name not in away:
+            case _ if (
+                name in state.permits and state.permits[name].life == life and name not in away
+            ):
                 sent.append(("began", name, life, state.permits[name].epoch))
                 if chance.random() < 0.7 and fleet.do(*sent[-1]).good:
                     away.add(name)
@@ -372,6 +382,11 @@
         assert dump(load(dump(fleet.state))) == dump(fleet.state)
         if state.counted is not None:  # what is kept is what counting anew gives
             tallies, voters_out = state.counted
-            kept = {key: (tally.many, tally.out, tally.gone) for key, tally in tallies.found.items()}
-            anew = {key: (tally.many, tally.out, tally.gone) for key, tally in state.tallies().found.items()}
+            kept = {
+                key: (tally.many, tally.out, tally.gone) for key, tally in tallies.found.items()
+            }
+            anew = {
+                key: (tally.many, tally.out, tally.gone)
+                for key, tally in state.tallies().found.items()
+            }
             assert (kept, voters_out) == (anew, state.voters_out())
--- a/tests/test_fleet_config.py
+++ b/tests/test_fleet_config.py
@@ -1,5 +1,6 @@
 """Files of a fleet: what is wrong is named with its line and what is allowed; what is right comes whole to a
-server."""
+server.
+"""
 
 import json
 import random
@@ -49,7 +50,15 @@
 def test_a_servers_block_comes_whole_through_the_compiled_plan(tmp_path: Path) -> None:
     ours = ours_of(put(tmp_path, SERVER))
     settings = ours.fleet
-    assert settings is not None and settings.member("x")[:7] == ("n3", "x", "a", "", "", (), ("ledger",))
+    assert settings is not None and settings.member("x")[:7] == (
+        "n3",
+        "x",
+        "a",
+        "",
+        "",
+        (),
+        ("ledger",),
+    )
     assert compiled.load(compiled.dump(ours), "plan").fleet == settings
     assert "n3 of accra" in compiled.describe(ours, [])["fleet"]
     without = json.loads(compiled.dump(compiled.Ours()))
@@ -73,9 +82,18 @@
     "text, fault",
     [
         (VOTER.replace('voter "v3"', 'voter "v2"'), "voter v2: stands twice"),
-        (VOTER.replace('voter "v3" { address = "127.0.0.1:7103" }\n', ""), "2 voters: 3, 5 or 7 are allowed"),
-        (VOTER.replace('member = "v1"', 'member = "v9"'), "member 'v9' is none of the voters: v1, v2, v3"),
-        (VOTER.replace("most_out = 1", ""), "7: budget: budget zones: one of most_out, least_serving"),
+        (
+            VOTER.replace('voter "v3" { address = "127.0.0.1:7103" }\n', ""),
+            "2 voters: 3, 5 or 7 are allowed",
+        ),
+        (
+            VOTER.replace('member = "v1"', 'member = "v9"'),
+            "member 'v9' is none of the voters: v1, v2, v3",
+        ),
+        (
+            VOTER.replace("most_out = 1", ""),
+            "7: budget: budget zones: one of most_out, least_serving",
+        ),
         (VOTER.replace('"zone"', '"moon"'), "8: budget.each"),
         (
             VOTER.replace("most_out", "most_outs"),
@@ -99,7 +117,8 @@
 
 def test_a_permit_that_is_told_is_begun_at_once() -> None:
     """Not at the next word that is due anyway: among 300 members that was 1.5 s later, and drains took 1.35
-    times the shortest."""
+    times the shortest.
+    """
     me = Who("n0", "n0:1", "1", 1, "a", "")
     mate = MemberNode(
         fleet="f",
@@ -114,7 +133,9 @@
     for verb in ("join", "serving", "mine"):
         assert [each.verb for each in asks] == [verb]
         result = (
-            {"known": True, "standing": "serving", "permit": 0, "again_ms": 30_000} if verb == "mine" else {}
+            {"known": True, "standing": "serving", "permit": 0, "again_ms": 30_000}
+            if verb == "mine"
+            else {}
         )
         effects = mate.step(2.0, "answered", asks[0].number, None, result)
         asks = [each for each in effects if isinstance(each, Ask)]
--- a/tests/test_fleet_days.py
+++ b/tests/test_fleet_days.py
@@ -1,5 +1,6 @@
 """Whole fleets in simulated time, through faults. The observer is outside: it counts who really drains, by
-what the processes were told to do, never by what any of them thinks is agreed."""
+what the processes were told to do, never by what any of them thinks is agreed.
+"""
 
 from functools import partial
 from typing import Any
@@ -36,7 +37,9 @@
 
 def all_back(day: Day) -> bool:
     return (
-        bool(day.leader()) and not day.away and not any(map(day.state().is_out, day.state().members.values()))
+        bool(day.leader())
+        and not day.away
+        and not any(map(day.state().is_out, day.state().members.values()))
     )
 
 
@@ -117,7 +120,9 @@
     gone = [name for name in watch.left if name in inside]
     assert not watch.over and not gone
     assert all(day.processes[name].up for name in inside)  # they serve on
-    assert {name for name in day.state().members if day.state().members[name].against} == set(inside)
+    assert {name for name in day.state().members if day.state().members[name].against} == set(
+        inside
+    )
     day.heal()
     day.until(lambda: len(watch.left) == 12 and all_back(day), 240_000.0)
     assert not watch.over
@@ -155,7 +160,10 @@
     drain(day, "n0", "n3", "n6")
     day.run(2000.0)
     core = day.processes["n6"].core
-    assert core is not None and core.waits == "budget zones: zone z0: 1 of at most 1 are out; 1 before it"
+    assert (
+        core is not None
+        and core.waits == "budget zones: zone z0: 1 of at most 1 are out; 1 before it"
+    )
     day.until(lambda: core.waits.endswith("of about 3 s each"), 10_000.0)
     day.until(lambda: all_back(day), 60_000.0)
 
@@ -193,7 +201,9 @@
 
 def test_a_voter_comes_back_as_another_seat_and_a_majority_stays() -> None:
     day = usual(9)
-    for name in sorted(day.voters):  # one after the other: in the end nobody of the first seats is there
+    for name in sorted(
+        day.voters
+    ):  # one after the other: in the end nobody of the first seats is there
         day.kill(name)
         day.run(3000.0)
         day.boot(name)
@@ -305,7 +315,8 @@
 
 def test_the_first_voter_by_name_gets_a_seat_after_all_others_have_been_replaced() -> None:
     """Those who took seats later had never heard of the founding, called themselves fresh, and let its new
-    life found a fleet of its own while nobody led."""
+    life found a fleet of its own while nobody led.
+    """
     day = usual(21, nodes=2, voters=3)
 
     def seated(name: str) -> bool:
@@ -329,14 +340,17 @@
 
 def test_a_voter_is_in_service_only_once_it_has_a_seat() -> None:
     """Drained one after the other, each as soon as the one before is back: a majority of seats was lost while
-    the first had a process and no seat."""
+    the first had a process and no seat.
+    """
     day = usual(22, nodes=2, voters=3, budgets=(Budget("all", "fleet", most_out=1),))
     for name in ("v1", "v2", "v3", "v1"):
         life = day.processes[name].life
         day.agreed("drain", f"{name}-{life}", [name], "kernel", "op")
         day.until(
             lambda name=name, life=life: (  # type: ignore[misc]
-                day.processes[name].life > life and bool(day.leader()) and not day.state().voters_out()
+                day.processes[name].life > life
+                and bool(day.leader())
+                and not day.state().voters_out()
             )
         )
     assert len(day.processes[day.leader()].core.voter.log.seats.voters) == 3  # type: ignore[union-attr]
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -18,8 +18,12 @@
     assert found["threshold_halts"] >= 0.25  # the days are hard enough to fool it
 
 
-@pytest.mark.parametrize("harm, one_class, members", [(0.2, False, 1), (0.2, True, 1), (0.05, False, 3)])
-def test_harm_is_found_while_few_members_have_it(harm: float, one_class: bool, members: int) -> None:
+@pytest.mark.parametrize(
+    "harm, one_class, members", [(0.2, False, 1), (0.2, True, 1), (0.05, False, 3)]
+)
+def test_harm_is_found_while_few_members_have_it(
+    harm: float, one_class: bool, members: int
+) -> None:
     found = measure(15, 300, harm, one_class)
     assert found["judge_halts"] == 1.0
     assert found["members_worst"] <= members
@@ -53,9 +57,12 @@
     judge = Judge()
     for _ in range(60):
         verdict = close(
-            judge, ("a/preview", True, 50, 1), ("a/preview", False, 150, 3),
-            ("a/submit", True, 50, 15), ("a/submit", False, 150, 3),
-        )  # fmt: skip
+            judge,
+            ("a/preview", True, 50, 1),
+            ("a/preview", False, 150, 3),
+            ("a/submit", True, 50, 15),
+            ("a/submit", False, 150, 3),
+        )
         if verdict.harm:
             break
     assert verdict.harm and verdict.text.endswith("most in a/submit")
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -13,7 +13,9 @@
 def run(pytester: pytest.Pytester, text: str | None) -> pytest.RunResult:
     pytester.makepyfile(test_it=SUITE)
     root = str(Path(known_red.__file__).parent.parent)
-    pytester.makeconftest(f"import sys\nsys.path.insert(0, {root!r})\npytest_plugins = ['tests.known_red']\n")
+    pytester.makeconftest(
+        f"import sys\nsys.path.insert(0, {root!r})\npytest_plugins = ['tests.known_red']\n"
+    )
     if text is not None:
         (pytester.path / "KNOWN-RED.txt").write_text(text)
     return pytester.runpytest_subprocess("-p", "no:cacheprovider")
@@ -44,7 +46,15 @@
         ("test_it.py::test_red | a fault |\n", "KNOWN-RED.txt:1: give TEST"),
         ("test_it.py::test_red\n", "KNOWN-RED.txt:1: give TEST"),
     ],
-    ids=["passes", "no such test", "no such file", "a fourth", "no cause", "no issue", "a test alone"],
+    ids=[
+        "passes",
+        "no such test",
+        "no such file",
+        "a fourth",
+        "no cause",
+        "no issue",
+        "a test alone",
+    ],
 )
 def test_what_fails_the_run(pytester: pytest.Pytester, text: str, said: str) -> None:
     done = run(pytester, text)
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -21,7 +21,13 @@
 
 COMMAND = [sys.executable, "-m", "pumicenotch.cli"]
 STAGE = Stage(
-    name="put", share=1, work_ms=10, due_ms=500, limit_ms=1000, effect="fingerprinted", window_ms=9000
+    name="put",
+    share=1,
+    work_ms=10,
+    due_ms=500,
+    limit_ms=1000,
+    effect="fingerprinted",
+    window_ms=9000,
 )
 WORLD = World(stage=(STAGE,), length_s=20, warm_s=0)
 
@@ -87,7 +93,10 @@
 
 SEEDED: dict[str, tuple[str, Any]] = {
     "never answered": ("lost", lambda wire: wire.sent("a")),
-    "answered late": ("lost", lambda wire: wire.ledger.answered(1200.0, wire.sent("a"), "rejected", b"")),
+    "answered late": (
+        "lost",
+        lambda wire: wire.ledger.answered(1200.0, wire.sent("a"), "rejected", b""),
+    ),
     "cut off": ("lost", lambda wire: wire.ledger.answered(100.0, wire.sent("a"), "lost", b"")),
     "another's result": (
         "lost",
@@ -119,7 +128,9 @@
     for name in "abcd":
         work.spawn(0.0, name, task, STAGE)
     assert work.advance(199.0) == []
-    assert [notice[1:3] for notice in work.advance(201.0)] == [("finished", name) for name in "abcd"]
+    assert [notice[1:3] for notice in work.advance(201.0)] == [
+        ("finished", name) for name in "abcd"
+    ]
     assert work.serial == 4 and not cores.runs
 
 
@@ -141,7 +152,9 @@
 
     def run() -> tuple[Any, ...]:
         carried = Simulation(told, 5, pools_of(pools)).run()
-        return figures(told, carried.ledger, 0.0, 1), [(end.at, end.kind) for end in carried.ledger.ends]
+        return figures(told, carried.ledger, 0.0, 1), [
+            (end.at, end.kind) for end in carried.ledger.ends
+        ]
 
     assert run() == run()
 
@@ -196,7 +209,9 @@
 def test_a_bound_that_is_not_kept_is_told_by_the_status(tmp_path: Path) -> None:
     file = tmp_path / "short.hcl"
     base = (FOLDER / "pools.hcl").read_text().partition('arm "plain"')[0]
-    file.write_text(base + 'arm "off" {}\nbound {\n  figure = "utility"\n  arm = "off"\n  least = 0.99\n}\n')
+    file.write_text(
+        base + 'arm "off" {}\nbound {\n  figure = "utility"\n  arm = "off"\n  least = 0.99\n}\n'
+    )
     told, _ = lab("lab", "run", str(file), *QUICK, "--json", status=1)
     assert [row["kept"] for row in json.loads(told)["verdict"]][-1] is False
 
@@ -216,7 +231,7 @@
         (("serve",), "LB_CONFIG is not set"),
         (("nosuch",), "nosuch"),
     ],
-)  # fmt: skip
+)
 def test_wrong_use_is_told_with_status_2(words: tuple[str, ...], told: str) -> None:
     done = subprocess.run(
         [*COMMAND, *words], capture_output=True, text=True, env={**os.environ, "LB_CONFIG": ""}
@@ -243,7 +258,9 @@
     )
     children = Path(f"/proc/{process.pid}/task/{process.pid}/children")
     until = time.monotonic() + 60.0
-    while len(children.read_text().split()) < 3 and time.monotonic() < until:  # its workers are there
+    while (
+        len(children.read_text().split()) < 3 and time.monotonic() < until
+    ):  # its workers are there
         time.sleep(0.02)
     os.killpg(process.pid, signal.SIGINT)
     told, _ = process.communicate(timeout=60)
@@ -277,7 +294,9 @@
 """
 
 
-def test_on_loopback_a_real_server_keeps_the_rules_through_reloads_and_a_drain(tmp_path: Path) -> None:
+def test_on_loopback_a_real_server_keeps_the_rules_through_reloads_and_a_drain(
+    tmp_path: Path,
+) -> None:
     """The last reload is still being read when the notice to leave comes: it must not hold that up."""
     file, out = tmp_path / "reality.hcl", tmp_path / "kept"
     file.write_text(
--- a/tests/test_letter8.py
+++ b/tests/test_letter8.py
@@ -37,7 +37,8 @@
 
 def test_a_server_that_reads_too_late_leaves_the_list_for_seconds_and_comes_back() -> None:
     """Seen at utrecht rough-2: one of fifteen servers read 80 tasks a second against 24 on the mean, all too
-    late, and ran none; it looked idle to callers that go by measured reports, so more came."""
+    late, and ran none; it looked idle to callers that go by measured reports, so more came.
+    """
     health = late_for(listed=True, until_s=20.0, then_s=10.0)
     assert [good for _, good in health[:3]] == [True, False, True]
     bad = [end - begin for (begin, good), (end, _) in pairwise(health) if not good]
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -1,5 +1,6 @@
 """Who is up: news by a few members talking to each other in simulated time, and the rules of which news
-counts."""
+counts.
+"""
 
 import random
 from typing import Any
@@ -44,8 +45,11 @@
 
 def thought(day: Day, name: str) -> list[Opinion]:
     """By all others that are up."""
-    return [members(day, other).opinion(name) for other, process in day.processes.items()
-            if process.up and other != name]  # fmt: skip
+    return [
+        members(day, other).opinion(name)
+        for other, process in day.processes.items()
+        if process.up and other != name
+    ]
 
 
 def test_a_death_is_known_to_all_and_a_new_life_too() -> None:
@@ -61,8 +65,12 @@
     day = day_of(8)
     day.put("n3", "left")
     day.kill("n3")
-    day.until(lambda: all(members(day, f"n{at}").news["n3"].standing is Standing.OUT
-                          for at in range(8) if at != 3), 8_000.0)  # fmt: skip
+    day.until(
+        lambda: all(
+            members(day, f"n{at}").news["n3"].standing is Standing.OUT for at in range(8) if at != 3
+        ),
+        8_000.0,
+    )
 
 
 def test_no_false_death_with_a_tenth_of_the_messages_lost() -> None:
@@ -93,7 +101,9 @@
     day.until(lambda: members(day, "n0").opinion("n1") is Opinion.DEAD, 90_000.0)
     day.run(60_000.0)
     day.heal()
-    day.until(lambda: all(set(thought(day, f"n{at}")) == {Opinion.ALIVE} for at in range(9)), 120_000.0)
+    day.until(
+        lambda: all(set(thought(day, f"n{at}")) == {Opinion.ALIVE} for at in range(9)), 120_000.0
+    )
 
 
 def test_a_pause_of_minutes_is_refuted() -> None:
@@ -144,7 +154,9 @@
         me.step(1.0, "message", "z", Ping(number, (), ()))
     effects = me.step(2.0, "message", "n", Ping(40, (news(),), ()))
     ack = next(each.message for each in effects if isinstance(each, Send))
-    assert isinstance(ack, Ack) and [each.opinion for each in ack.news if each.who.name == "n"] == [opinion]
+    assert isinstance(ack, Ack) and [each.opinion for each in ack.news if each.who.name == "n"] == [
+        opinion
+    ]
     again = me.step(3.0, "message", "n", Ping(41, (news(incarnation=2),), ()))
     ack = next(each.message for each in again if isinstance(each, Send))
     assert me.opinion("n") is Opinion.ALIVE
@@ -153,7 +165,12 @@
 
 def test_a_former_life_of_mine_that_is_gone_gives_way_though_the_clock_was_set_back() -> None:
     me = made()
-    me.step(1.0, "message", "x", Ping(1, (news(ME._replace(life="0", began=9000), 1, Opinion.DEAD),), ()))
+    me.step(
+        1.0,
+        "message",
+        "x",
+        Ping(1, (news(ME._replace(life="0", began=9000), 1, Opinion.DEAD),), ()),
+    )
     assert me.me.began == 9001
     effects = me.step(2.0, "message", "x", Ping(2, (news(ME._replace(life="2", began=9999)),), ()))
     assert [each.other.life for each in effects if isinstance(each, Refused)] == ["2"]
@@ -201,10 +218,16 @@
     me.step(1.0, "message", "x", Ping(1, (news(opinion=Opinion.SUSPECT),), ()))
     alone = me.suspicions["n"].due
     now = 1.0
-    while len(me.suspicions["n"].by) == 1 and now < alone:  # somebody else's, until the probe is in vain
+    while (
+        len(me.suspicions["n"].by) == 1 and now < alone
+    ):  # somebody else's, until the probe is in vain
         now = me.due()
         for effect in me.step(now, "time"):
-            if isinstance(effect, Send) and isinstance(effect.message, Ping) and effect.address[0] == "o":
+            if (
+                isinstance(effect, Send)
+                and isinstance(effect.message, Ping)
+                and effect.address[0] == "o"
+            ):
                 me.step(now, "message", effect.address, Ack(effect.message.number, (), ()))
     assert me.suspicions["n"].by == {ME.name, "x"}
     assert me.suspicions["n"].due < alone
--- a/tests/test_move.py
+++ b/tests/test_move.py
@@ -20,9 +20,12 @@
         self.said.append(value)
 
 
-def test_a_credit_covers_what_the_server_gets_through_by_the_due_time_not_two_tasks_a_core() -> None:
+def test_a_credit_covers_what_the_server_gets_through_by_the_due_time_not_two_tasks_a_core() -> (
+    None
+):
     """With 180 gateways and two cores, two tasks a core gave each gateway 0.022, which most of them settle
-    as no room at all; the credit is now what the limit and a queue get through by the due time."""
+    as no room at all; the credit is now what the limit and a queue get through by the due time.
+    """
     told = Told()
     server = control(told, STAGE, callers=180, signal=Signal.CREDIT)
     now = 0.0
@@ -35,7 +38,8 @@
 
 def test_a_call_asked_for_waits_behind_the_places_taken_where_a_share_is_less_than_one() -> None:
     """A server with half a call's place in the shared dependency waits out the call in hand, twice over,
-    before its next; one with places to spare waits for nothing."""
+    before its next; one with places to spare waits for nothing.
+    """
     from random import Random
 
     from pumicenotch.control import Agenda, Calls
@@ -75,14 +79,19 @@
     assert start.shape({}) == "share"  # as before the move: nothing named, nothing told
     with pytest.raises(start.BadStart, match=r"family-info\.callers is missing"):
         start.keywords({key: text for key, text in new.items() if key != "family-info.callers"})
-    assert start.shape(new | {"classes.0.memory-span": "26595000"}) == "credit"  # as the wire gives it
+    assert (
+        start.shape(new | {"classes.0.memory-span": "26595000"}) == "credit"
+    )  # as the wire gives it
     with pytest.raises(start.BadStart, match=r"family-info\.callers=-1"):
         start.keywords(old | {"family-info.callers": "-1"})
 
 
-def test_the_real_server_refuses_a_credit_without_its_callers_and_starts_with_them(tmp_path: Path) -> None:
+def test_the_real_server_refuses_a_credit_without_its_callers_and_starts_with_them(
+    tmp_path: Path,
+) -> None:
     """On loopback, against the stand-ins of tests/standin.py: the mixed file stops the start with the key
-    named, and the same file with the number of callers serves, saying its shape."""
+    named, and the same file with the number of callers serves, saying its shape.
+    """
     import pytest
 
     from tests.standin import SETTINGS, Program
@@ -92,7 +101,9 @@
     refused = pytest.raises(AssertionError, match=r"family-info\.callers is missing")
     with refused, Program(tmp_path, settings=mixed):
         pass
-    with Program(tmp_path, settings=SETTINGS | {"family-info": family | {"callers": 180}}) as program:
+    with Program(
+        tmp_path, settings=SETTINGS | {"family-info": family | {"callers": 180}}
+    ) as program:
         assert program.logged(r"callers are told a (\w+)") == "credit"
 
 
@@ -101,7 +112,9 @@
 
     from pumicenotch import start
 
-    with pytest.raises(start.BadStart, match=r"family-info\.cores=0: out of range; give a value from 1"):
+    with pytest.raises(
+        start.BadStart, match=r"family-info\.cores=0: out of range; give a value from 1"
+    ):
         start.keywords({"family-info.cores": "0"})
     with pytest.raises(start.BadStart, match=r"rules\.cold-share=1\.5: out of range"):
         start.keywords({"rules.cold-share": "1.5"})
--- a/tests/test_ours.py
+++ b/tests/test_ours.py
@@ -6,7 +6,9 @@
 
 from tests.standin import Gateway, Program, result
 
-GOOD = 'pool "cheap" {\n  stages  = ["read"]\n  reserve = 0.5\n}\npool "rest" {\n  stages = ["*"]\n}\n'
+GOOD = (
+    'pool "cheap" {\n  stages  = ["read"]\n  reserve = 0.5\n}\npool "rest" {\n  stages = ["*"]\n}\n'
+)
 
 
 def test_a_bad_file_changes_nothing_a_good_one_is_taken_and_an_empty_one_switches_pools_off(
@@ -43,5 +45,8 @@
     file = tmp_path / "ours.hcl"
     file.write_text("pol {\n}\n")
     monkeypatch.setenv("PUMICENOTCH_CONFIG", str(file))
-    with pytest.raises(AssertionError, match="pol: unknown block; did you mean pool"), Program(tmp_path):
+    with (
+        pytest.raises(AssertionError, match="pol: unknown block; did you mean pool"),
+        Program(tmp_path),
+    ):
         pass
--- a/tests/test_pairs.py
+++ b/tests/test_pairs.py
@@ -1,5 +1,6 @@
 """The core is given pairs of events in both orders, at the times where they cross: drawn by hypothesis,
-judged by what holds whatever the order."""
+judged by what holds whatever the order.
+"""
 
 from collections import Counter
 from collections.abc import Sequence
@@ -18,9 +19,26 @@
 STAGES = {"read": Effect.RESTARTABLE, "put": Effect.FINGERPRINTED, "pay": Effect.SIDE_EFFECTING}
 WINDOW_MS = 400.0  # shorter than some runs here
 EVENTS = (
-    "task read", "task put", "task pay", "again", "cancel", "reset", "eof", "finish", "block", "reply", "cut",
-    "leave", "relink", "stop", "moved", "scarce", "open", "read_out", "silent_pool",
-)  # fmt: skip
+    "task read",
+    "task put",
+    "task pay",
+    "again",
+    "cancel",
+    "reset",
+    "eof",
+    "finish",
+    "block",
+    "reply",
+    "cut",
+    "leave",
+    "relink",
+    "stop",
+    "moved",
+    "scarce",
+    "open",
+    "read_out",
+    "silent_pool",
+)
 # What was before: in each of these states something is on its way that a pair of events can cross.
 STATES: dict[str, tuple[str | float, ...]] = {
     "running": ("task put", "task read"),
@@ -48,13 +66,24 @@
             return Stage(300.0, 0.0, 600.0, effect, window_ms, 1.0, 0.0, 0.0)
 
         keywords = {
-            "stages": [stage(each) for each in STAGES.values()], "tenants": [], "gauges": [], "cores": 2,
-            "crowd_multiple": 8.0, "below": Below.TIER, "drain_grace_ms": 200.0,
-        }  # fmt: skip
+            "stages": [stage(each) for each in STAGES.values()],
+            "tenants": [],
+            "gauges": [],
+            "cores": 2,
+            "crowd_multiple": 8.0,
+            "below": Below.TIER,
+            "drain_grace_ms": 200.0,
+        }
         self.core = Server(
-            keywords=keywords, stages=dict(zip(STAGES, range(3), strict=True)), tenants={}, seed=1,
-            stop_ms=800.0, below=True, memory_mb=64.0, sockets=64,
-        )  # fmt: skip
+            keywords=keywords,
+            stages=dict(zip(STAGES, range(3), strict=True)),
+            tenants={},
+            seed=1,
+            stop_ms=800.0,
+            below=True,
+            memory_mb=64.0,
+            sockets=64,
+        )
         self.now, self.ring = 1e6, 1e6
         self.serial = self.tasks = self.polls = 0
         self.message: Counter[int] = Counter()
@@ -119,7 +148,9 @@
         if token:
             came = next(when for each, _, when in self.sent.values() if each == name)
             runs = self.ran.setdefault(token, [])
-            assert not any(came - before <= WINDOW_MS for before in runs), "run twice within the window"
+            assert not any(came - before <= WINDOW_MS for before in runs), (
+                "run twice within the window"
+            )
             runs.append(came)
 
     def task(self, stage: str, token: str = "") -> None:
@@ -151,7 +182,9 @@
             case ["cancel"] if open_:
                 self.excused.add(open_[0])
                 self.step("cancel", *open_[0])
-            case ["reset" | "eof" as how] if left := [conn for conn in (1, 2, 3) if conn not in self.gone]:
+            case ["reset" | "eof" as how] if left := [
+                conn for conn in (1, 2, 3) if conn not in self.gone
+            ]:
                 if how == "reset":
                     self.gone.add(left[0])
                     self.excused |= {key for key in self.sent if key[0] == left[0]}
--- a/tests/test_pools.py
+++ b/tests/test_pools.py
@@ -1,5 +1,6 @@
 """The parts of the pools by themselves: division, estimates, budgets, likeness, reading, plans, the
-reducer."""
+reducer.
+"""
 
 from typing import Any
 
@@ -34,7 +35,9 @@
 
 
 @given(st.floats(1.0, 40.0), st.lists(side, min_size=2, max_size=8))
-def test_a_reserve_is_given_before_all_others(total: float, sides: list[tuple[float, float, float]]) -> None:
+def test_a_reserve_is_given_before_all_others(
+    total: float, sides: list[tuple[float, float, float]]
+) -> None:
     needs, _, weights = map(list, zip(*sides, strict=True))
     own = [0.5 * total] + [0.0] * (len(sides) - 1)
     assert divide(total, needs, own, weights)[0] >= min(needs[0], 0.5 * total) - 1e-6
@@ -46,7 +49,11 @@
 ) -> None:
     needs, _, weights = map(list, zip(*sides, strict=True))
     limits = divide(total, needs, [0.0] * len(sides), weights)
-    level = [limits[at] / weights[at] for at in range(len(sides)) if LEAST < limits[at] < needs[at] - 1e-6]
+    level = [
+        limits[at] / weights[at]
+        for at in range(len(sides))
+        if LEAST < limits[at] < needs[at] - 1e-6
+    ]
     assert not level or max(level) <= min(level) * (1.0 + 1e-6) + 1e-9
 
 
@@ -194,7 +201,9 @@
     plan = Plan((Pool("a", ("x",)), Pool("rest", ("*",)), Pool("b", ("y", "gone"))))
     assert lanes(plan, {"x": 0, "y": 1, "z": 2}) == [0, 2, 1]
     assert unknown(plan, ["x", "y", "z"]) == ["gone"]
-    assert lanes(Plan((Pool("a", ("x",)), Pool("b", ("y",)))), {"z": 0}) == [1], "without a rest, to the last"
+    assert lanes(Plan((Pool("a", ("x",)), Pool("b", ("y",)))), {"z": 0}) == [1], (
+        "without a rest, to the last"
+    )
 
 
 kinds = st.sampled_from(["read", "on", "off", "ended", "tick", "next"])
@@ -206,7 +215,8 @@
     stream: list[tuple[str, int, float]], total: int, fixed: bool, lends: bool
 ) -> None:
     plan = Plan(
-        (Pool("a", ("0",), 0.4, lends=lends), Pool("b", ("1",), most=0.7), Pool("c", ("*",))), fixed=fixed
+        (Pool("a", ("0",), 0.4, lends=lends), Pool("b", ("1",), most=0.7), Pool("c", ("*",))),
+        fixed=fixed,
     )
     pools = Pools(0.0, plan, [STAGE] * 4, {str(at): at for at in range(4)})
     now, busy = 0.0, [0] * pools.count
@@ -214,7 +224,9 @@
         now += value
         if name == "read":
             pools.read(now, lane % 3, 0, 0, False, 0, value)
-            _, part, slot, _ = pools.place(now, lane % 3, False, lane == 3, {lane % 3: 0}, 100.0, True)
+            _, part, slot, _ = pools.place(
+                now, lane % 3, False, lane == 3, {lane % 3: 0}, 100.0, True
+            )
             assert part > 0.0 and slot > 0.0
         elif name == "on" and sum(busy) < total:
             busy[lane] += 1
--- a/tests/test_pools_hard.py
+++ b/tests/test_pools_hard.py
@@ -1,7 +1,8 @@
 """The hard cases of pools in simulated time: the real core and decisions, a lab world, fixed seeds.
 
 Bounds are far from what was measured (docs/pools.md), so that they fail where a mechanism is gone and not
-where chance goes another way: each is met with some seeds' spread in hand."""
+where chance goes another way: each is met with some seeds' spread in hand.
+"""
 
 from functools import cache
 from pathlib import Path
@@ -66,7 +67,9 @@
     assert (found["repeats_marked"] > 0) == (marks == "true")
     if marks == "false":
         again = carried.ledger.repeats
-        assert 0.95 * again <= found["repeats_alike"] <= again, "one server: nearly every repeat is known"
+        assert 0.95 * again <= found["repeats_alike"] <= again, (
+            "one server: nearly every repeat is known"
+        )
 
 
 def test_content_that_differs_is_never_taken_for_a_repeat() -> None:
@@ -102,7 +105,10 @@
     "a single pool": ([Pool("all", ("*",), 0.9)], ()),
     "one core": ([Pool("cheap", ("preview",), 0.5), Pool("rest", ("*",))], ("cores=1",)),
     "a pool of one place": ([Pool("one", ("bake",), most=0.01), Pool("rest", ("*",))], ()),
-    "a pool that lends none": ([Pool("cheap", ("preview",), 0.5, lends=False), Pool("rest", ("*",))], ()),
+    "a pool that lends none": (
+        [Pool("cheap", ("preview",), 0.5, lends=False), Pool("rest", ("*",))],
+        (),
+    ),
 }
 
 
--- a/tests/test_publication_file.py
+++ b/tests/test_publication_file.py
@@ -17,7 +17,9 @@
 
 
 def test_records_and_deletions_come_in_order_with_their_lines(tmp_path: Path) -> None:
-    told = read_publication(put(tmp_path, GOOD + '\n{"table":"tenants","key":"c1/t1","value":null}\n'))
+    told = read_publication(
+        put(tmp_path, GOOD + '\n{"table":"tenants","key":"c1/t1","value":null}\n')
+    )
     assert told.changes == [
         Change("homes", "c1/t1", '{"cell":"c1"}'),
         Change("tenants", "c1/t1", None),
@@ -27,7 +29,9 @@
 
 
 def test_newer_forms_are_left_to_the_voters(tmp_path: Path) -> None:
-    told = read_publication(put(tmp_path, '{"table":"homes","key":"c1/t1","value":{"cell":"c1","form":9}}\n'))
+    told = read_publication(
+        put(tmp_path, '{"table":"homes","key":"c1/t1","value":{"cell":"c1","form":9}}\n')
+    )
     assert told.changes[0].value == '{"cell":"c1","form":9}'
 
 
@@ -38,13 +42,28 @@
         (GOOD + "{\n", ":2: line: no JSON"),
         (GOOD + "[]\n", ":2: line: no object with exactly table, key and value"),
         ('{"table":"homes","key":"c1/t1"}\n', ":1: line: no object with exactly"),
-        ('{"table":"moons","key":"c1/t1","value":null}\n', ":1: table 'moons': there is none of this name"),
-        ('{"table":"homes","key":"c1","value":null}\n', ":1: record homes:c1: key 'c1' is not SCOPE/NAME"),
-        ('{"table":"homes","key":"c1/t1","value":7}\n', ":1: record homes:c1/t1: the value is neither"),
-        ('{"table":"homes","key":"c1/t1","value":{}}\n', ":1: record homes:c1/t1: the field cell is missing"),
+        (
+            '{"table":"moons","key":"c1/t1","value":null}\n',
+            ":1: table 'moons': there is none of this name",
+        ),
+        (
+            '{"table":"homes","key":"c1","value":null}\n',
+            ":1: record homes:c1: key 'c1' is not SCOPE/NAME",
+        ),
+        (
+            '{"table":"homes","key":"c1/t1","value":7}\n',
+            ":1: record homes:c1/t1: the value is neither",
+        ),
+        (
+            '{"table":"homes","key":"c1/t1","value":{}}\n',
+            ":1: record homes:c1/t1: the field cell is missing",
+        ),
         ('{"table":"homes","key":"c1/t1","value":{"cell":1}}\n', "the field cell is no str"),
         (GOOD + GOOD, ":2: record homes:c1/t1: it stands in line 1 already"),
-        ('{"table":"homes","key":"c1/t1","value":{"cell":"' + 5000 * "x" + '"}}\n', "keep it within 4096"),
+        (
+            '{"table":"homes","key":"c1/t1","value":{"cell":"' + 5000 * "x" + '"}}\n',
+            "keep it within 4096",
+        ),
     ],
 )
 def test_what_is_wrong_is_named_with_its_line(tmp_path: Path, text: str, fault: str) -> None:
--- a/tests/test_regions.py
+++ b/tests/test_regions.py
@@ -47,7 +47,9 @@
         for name in names
     ]
     demand = {(name, kind.name): draw(st.floats(0.0, 60.0)) for name in names for kind in KINDS}
-    distance = {(a, b): draw(st.sampled_from([1.0, 5.0, 50.0])) for a in names for b in names if a < b}
+    distance = {
+        (a, b): draw(st.sampled_from([1.0, 5.0, 50.0])) for a in names for b in names if a < b
+    }
     return zones, demand, distance
 
 
@@ -55,19 +57,25 @@
     """Three zones of one region, alike, each with that load of its own."""
     zones = [Zone(name, "r", 100.0, states.get(name, WELL)) for name in ("a", "b", "c")]
     parts = {"bake": 0.3, "preview": 0.5, "submit": 0.2}
-    demand = {(zone.name, kind): load * 100.0 * part for zone in zones for kind, part in parts.items()}
+    demand = {
+        (zone.name, kind): load * 100.0 * part for zone in zones for kind, part in parts.items()
+    }
     return zones, demand, {}
 
 
 def served(plan: Plan, demand: Mapping[tuple[str, str], float], origin: str) -> float:
     work = {kind: many for (its, kind), many in demand.items() if its == origin}
-    rejected = sum(plan.parts(origin, kind).get(REJECTED, 0.0) * many for kind, many in work.items())
+    rejected = sum(
+        plan.parts(origin, kind).get(REJECTED, 0.0) * many for kind, many in work.items()
+    )
     return 1.0 - rejected / sum(work.values())
 
 
 @settings(deadline=None)
 @given(fleets(), st.integers(0, 1000))
-def test_every_part_goes_somewhere_and_none_takes_over_its_room_or_reserve(fleet: Fleet, seed: int) -> None:
+def test_every_part_goes_somewhere_and_none_takes_over_its_room_or_reserve(
+    fleet: Fleet, seed: int
+) -> None:
     zones, demand, distance = fleet
     plan = fill(1, zones, KINDS, demand, distance)
     for key in demand:
@@ -76,8 +84,11 @@
     for zone in zones:
         usable = 0.0 if zone.state in (LOST, EMPTIED) else zone.room
         usable *= zone.warm if zone.state == RETURNING else 1.0
-        own = sum(way.part * demand[way.origin, way.kind] for way in plan.ways
-                  if way.target == zone.name == way.origin)  # fmt: skip
+        own = sum(
+            way.part * demand[way.origin, way.kind]
+            for way in plan.ways
+            if way.target == zone.name == way.origin
+        )
         foreign = whole.get(zone.name, 0.0) - own
         slack = ROUNDED * (1.0 + sum(demand.values()))
         nobody_comes = sum(demand[key] for key in demand if key[0] == zone.name) < 1e-6
@@ -116,10 +127,16 @@
 def test_a_zone_lost_at_85_percent_goes_over_as_far_as_there_is_room_the_worthiest_first() -> None:
     zones, demand, distance = even(0.85, a=LOST)
     plan = fill(1, zones, KINDS, demand, distance)
-    assert plan.parts("a", "submit").keys() == {"b", "c"} or plan.parts("a", "submit")[REJECTED] > 0.0
+    assert (
+        plan.parts("a", "submit").keys() == {"b", "c"} or plan.parts("a", "submit")[REJECTED] > 0.0
+    )
     assert served(plan, demand, "b") == served(plan, demand, "c") == 1.0
-    assert promised(plan, demand)["b"] == pytest.approx(90.0, abs=0.1) == promised(plan, demand)["c"]
-    assert plan.parts("a", "bake") == {REJECTED: 1.0} and plan.parts("a", "preview") == {REJECTED: 1.0}
+    assert (
+        promised(plan, demand)["b"] == pytest.approx(90.0, abs=0.1) == promised(plan, demand)["c"]
+    )
+    assert plan.parts("a", "bake") == {REJECTED: 1.0} and plan.parts("a", "preview") == {
+        REJECTED: 1.0
+    }
     assert plan.parts("a", "submit")["b"] == plan.parts("a", "submit")["c"], "neither is preferred"
 
 
@@ -161,7 +178,9 @@
             assert now.get(name, 0.0) - was.get(name, 0.0) <= most * room + slack
         for zone in zones:
             if zone.state in (LOST, EMPTIED):
-                assert not [way for way in held.ways if way.target == zone.name and way not in new.ways]
+                assert not [
+                    way for way in held.ways if way.target == zone.name and way not in new.ways
+                ]
         if held == before:
             break
     for key in demand:
@@ -178,7 +197,7 @@
         ([Zone("a", "r", -1.0)], {}, "room -1"),
         ([Zone("a", "r", 1.0)], {("a", "none"): 1.0}, "'none'; known: bake"),
     ],
-)  # fmt: skip
+)
 def test_what_no_plan_can_be_made_of_is_refused_by_name(
     zones: list[Zone], demand: dict[tuple[str, str], float], word: str
 ) -> None:
@@ -191,7 +210,8 @@
 
 class Sky:
     """Three zones with ten members and two observers each; `sees` is what an observer of a zone reaches of
-    another."""
+    another.
+    """
 
     def __init__(self) -> None:
         self.now = 0.0
@@ -208,7 +228,9 @@
             self.now += 500.0
             for one in self.judge.observers:
                 if one not in self.silent:
-                    self.judge.seen(self.now, one, {zone: Seen(self.sees[one, zone], 10) for zone in "abc"})
+                    self.judge.seen(
+                        self.now, one, {zone: Seen(self.sees[one, zone], 10) for zone in "abc"}
+                    )
             for zone, part in self.work.items():
                 if zone not in self.silent:
                     self.judge.spoke(self.now, zone, 100.0, 100.0 * part)
@@ -232,7 +254,11 @@
     sky.silent.add("a")
     sky.run(10.0)
     when = sky.found[0]
-    assert when[1:] == ("a", LOST) and when[0] <= 10_000.0 + 3000.0 + Judge.LASTS_MS and len(sky.found) == 1
+    assert (
+        when[1:] == ("a", LOST)
+        and when[0] <= 10_000.0 + 3000.0 + Judge.LASTS_MS
+        and len(sky.found) == 1
+    )
     sky.reach("a", 10)
     sky.silent.clear()
     back = sky.now
--- a/tests/test_release.py
+++ b/tests/test_release.py
@@ -1,5 +1,6 @@
 """Releases in whole fleets in simulated time: versions that harm in a way of their own, faults between any
-steps."""
+steps.
+"""
 
 from collections import Counter
 from typing import Any
@@ -28,7 +29,9 @@
     def look(name: str) -> None:
         out = [each for each in day.away if each not in ("",)]
         zones = Counter(day.processes[each].spec.zone for each in out)
-        assert len(out) <= 2 and max(zones.values(), default=0) <= 1, f"{name} goes while {out} are away"
+        assert len(out) <= 2 and max(zones.values(), default=0) <= 1, (
+            f"{name} goes while {out} are away"
+        )
 
     day.on_leave = look
 
@@ -92,7 +95,7 @@
         (Version(crashes_ms=3000.0), "ends that nobody asked for"),
         (Version(memory_mb=400.0), "holds 400 MB, the others of its zone 40"),
     ],
-)  # fmt: skip
+)
 def test_a_bad_version_goes_back_by_itself(version: Version, word: str) -> None:
     day = harmful(version)
     assert word in day.state().releases.releases["r1"].why
@@ -102,7 +105,10 @@
     day = releasing.usual(1, versions={NEW: Version(crashes_ms=70_000.0)})
     day.plan(soak_ms=400_000)
     assert ended(day, within_ms=600_000.0) == "abandoned"
-    assert "ends that nobody asked for at 1 released nodes, 0 at" in day.state().releases.releases["r1"].why
+    assert (
+        "ends that nobody asked for at 1 released nodes, 0 at"
+        in day.state().releases.releases["r1"].why
+    )
     assert len(day.ever[NEW]) == 1
 
 
@@ -160,7 +166,9 @@
     watched(day)
     day.plan(soak_ms=2000)
     chance = day.chance
-    for at in chance.sample(range(12), 12):  # each server once: three ends in a minute are a crash loop
+    for at in chance.sample(
+        range(12), 12
+    ):  # each server once: three ends in a minute are a crash loop
         day.run(chance.uniform(1000.0, 6000.0))
         victim = chance.choice([day.leader() or "v1", f"a-n{at}", f"n{at}"])
         day.kill(victim)
@@ -184,11 +192,15 @@
     day.run(3000.0)  # whatever was on its way
     before = {node: dict(runs) for node, runs in day.runs.items()}
     day.run(20_000.0)
-    assert all(day.runs[node] == before[node] for node in before if day.processes[node].spec.zone == "z2")
+    assert all(
+        day.runs[node] == before[node] for node in before if day.processes[node].spec.zone == "z2"
+    )
     halts = day.word("r1", "back")
     assert "going back" in halts["text"]
     day.run(20_000.0)
-    assert all(day.runs[node] == before[node] for node in before if day.processes[node].spec.zone == "z2")
+    assert all(
+        day.runs[node] == before[node] for node in before if day.processes[node].spec.zone == "z2"
+    )
     day.heal()
     assert ended(day) == "abandoned"
     all_on(day, OLD)
@@ -211,11 +223,17 @@
     day.plan()
     day.run(6000.0)
     leader = day.leader()
-    for at, (what, seen) in enumerate((("halt", ()), ("resume", ("h0",)), ("back", ("h0",)), ("halt", ()))):
+    for at, (what, seen) in enumerate(
+        (("halt", ()), ("resume", ("h0",)), ("back", ("h0",)), ("halt", ()))
+    ):
         day.ask(leader, "release", f"h{at}", "r1", what, seen, "race", f"op{at}")
     day.run(1000.0)
     held = day.state().releases.releases["r1"]
-    assert (held.state, held.was, [halt[0] for halt in held.halts]) == ("halted", "going back", ["h3"])
+    assert (held.state, held.was, [halt[0] for halt in held.halts]) == (
+        "halted",
+        "going back",
+        ["h3"],
+    )
     moved = len(day.moves)
     day.run(10_000.0)
     assert len(day.moves) == moved, "a step while it was halted"
@@ -267,11 +285,15 @@
     assert held.was == "going back" and "start refused" in held.why
     leader = day.processes[day.leader()].core
     rows = {row["name"]: row for row in leader.reports().release_nodes(held)}  # type: ignore[union-attr]
-    assert {row["runs"] for row in rows.values() if row["trouble"].startswith("start refused")} == {OLD}
+    assert {row["runs"] for row in rows.values() if row["trouble"].startswith("start refused")} == {
+        OLD
+    }
 
 
 def test_a_voters_version_that_does_not_talk_never_has_a_majority() -> None:
-    day = releasing.usual(11, nodes=3, with_voters=True, voters=3, versions={NEW: Version(mute=True)})
+    day = releasing.usual(
+        11, nodes=3, with_voters=True, voters=3, versions={NEW: Version(mute=True)}
+    )
     voters = tuple((name,) for name in day.voters)
     day.plan(waves=voters)
     assert ended(day) == "abandoned"
@@ -309,7 +331,9 @@
     day.until(lambda: all(node.version("map") for node in day.state().releases.nodes.values()))
     day.plan("m", "m2", slot="map", soak_ms=1000)
     assert ended(day, "m") == "done"
-    assert {runs["map"] for runs in day.runs.values()} == {"m2"} and not day.away, "nobody was drained for it"
+    assert {runs["map"] for runs in day.runs.values()} == {"m2"} and not day.away, (
+        "nobody was drained for it"
+    )
     lower = (Budget("all", "fleet", most_out=1),)
     day.plan("b", "b2", slot="budgets", budgets=lower, soak_ms=1000, waves=((),))
     assert day.state().budgets == lower
@@ -390,10 +414,18 @@
 
 def planned(name: str = "r", **more: Any) -> tuple[Any, ...]:
     usual: dict[str, Any] = {
-        "slot": "program", "version": NEW, "replaces": "", "level": 2,
+        "slot": "program",
+        "version": NEW,
+        "replaces": "",
+        "level": 2,
         "waves": (("n0",), ("n2",), ("n1", "n3")),
-        "soak_ms": 1, "wait_ms": 1, "back": True, "gate": 0, "urgent": False, "mixed": False,
-    }  # fmt: skip
+        "soak_ms": 1,
+        "wait_ms": 1,
+        "back": True,
+        "gate": 0,
+        "urgent": False,
+        "mixed": False,
+    }
     return plan_fields(Release(name=name, **{**usual, **more}))
 
 
@@ -412,7 +444,7 @@
         ({"replaces": "a/b"}, "a version of letters"),
         ({"replaces": "v-other"}, ""),
     ],
-)  # fmt: skip
+)
 def test_plans_that_cannot_hold_are_refused_by_name(more: dict[str, Any], word: str) -> None:
     made = agreed()
     said = made.apply(100, ("plan", "p", planned(**more), "op"))
@@ -494,7 +526,9 @@
     assert [wave for wave in waves if wave[0][0] == "v"] == list(waves[-3:])
     assert waves.index(("db",)) == len(waves) - 4
     assert waves_of(members, order="below-first")[0] == ("db",)
-    assert max(len(wave) for wave in waves_of(members, mixed=True)) > max(len(wave) for wave in waves)
+    assert max(len(wave) for wave in waves_of(members, mixed=True)) > max(
+        len(wave) for wave in waves
+    )
     assert isinstance(agreed().releases, Releases)
 
 
@@ -502,7 +536,9 @@
 
 
 @pytest.mark.parametrize(("name", "bounds"), LONG)
-def test_no_order_of_steps_breaks_a_budget_or_leaves_two_versions(name: str, bounds: Bounds) -> None:
+def test_no_order_of_steps_breaks_a_budget_or_leaves_two_versions(
+    name: str, bounds: Bounds
+) -> None:
     found = Releasing(bounds).explore(1500)
     assert not found.violation, f"{name}: {found.text()}"
     found = Releasing(bounds).wander(1, 40)
@@ -510,7 +546,9 @@
 
 
 def goes_on_while_halted(release: Release, one: str) -> str:
-    return RIGHT_WANTED(release._replace(state="draining") if release.state == "halted" else release, one)
+    return RIGHT_WANTED(
+        release._replace(state="draining") if release.state == "halted" else release, one
+    )
 
 
 def never_catches_up(self: Releases, one: str, slot: str) -> str:
@@ -519,7 +557,12 @@
 
 def keeps_no_budget(self: Releases, node: Any) -> None:
     due, member = self.due(node), self.fleet.members.get(node.name)
-    if due.slot and not self.down(node.name) and member is not None and node.name not in self.fleet.permits:
+    if (
+        due.slot
+        and not self.down(node.name)
+        and member is not None
+        and node.name not in self.fleet.permits
+    ):
         assert isinstance(self.fleet, State)
         self.fleet.give(member, RELEASE_PERMIT, "release")
 
@@ -547,12 +590,16 @@
         ("settle", settles_once, "no way leads on: release going back"),
         ("target", never_catches_up, "no way leads on: release abandoned"),
     ],
-)  # fmt: skip
-def test_seeded_bugs_are_found(where: str, seeded: Any, word: str, monkeypatch: pytest.MonkeyPatch) -> None:
+)
+def test_seeded_bugs_are_found(
+    where: str, seeded: Any, word: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
     monkeypatch.setattr(Releases, where, seeded)
     if where == "queue_drain":
         monkeypatch.setattr(Releasing, "WAVES", (("a1", "a2"), ("b1",)))
-        monkeypatch.setattr(State, "over_with", lambda self, held, permit: "")  # who would refuse it still
+        monkeypatch.setattr(
+            State, "over_with", lambda self, held, permit: ""
+        )  # who would refuse it still
     if where == "target":
         monkeypatch.setattr(Releases, "missing", goes_back_half_way)
     found = [Releasing(bounds).explore(4000).violation for _, bounds in LONG]
@@ -565,9 +612,18 @@
 def agent_at_its_move() -> tuple[Agent, int, float]:
     """Its server has ended by permit, and it has asked for the move: the number of that question."""
     made = Agent(
-        fleet="f", node="n0", life="a", voters=["v1"], runs={"program": OLD}, holds=[OLD, NEW], child=True,
-        start_ms=1e4, drain_ms=1e4, now=0.0, seed=1,
-    )  # fmt: skip
+        fleet="f",
+        node="n0",
+        life="a",
+        voters=["v1"],
+        runs={"program": OLD},
+        holds=[OLD, NEW],
+        child=True,
+        start_ms=1e4,
+        drain_ms=1e4,
+        now=0.0,
+        seed=1,
+    )
     answer = {
         "due": ("program", NEW),
         "life": "L",
@@ -589,7 +645,9 @@
 
 def test_a_permission_that_its_agent_slept_through_is_none() -> None:
     made, number, until = agent_at_its_move()
-    assert effects.Swap("program", NEW) in made.step(until - 1.0, "answered", number, None, {"value": 9})
+    assert effects.Swap("program", NEW) in made.step(
+        until - 1.0, "answered", number, None, {"value": 9}
+    )
     made, number, until = agent_at_its_move()
     late = made.step(until, "answered", number, None, {"value": 9})
     assert not [each for each in late if isinstance(each, effects.Swap)]
--- a/tests/test_route.py
+++ b/tests/test_route.py
@@ -1,5 +1,6 @@
 """The router's reducer, by scripted nodes: one answer a task whatever nodes do, nothing sent twice that may
-have run."""
+have run.
+"""
 
 from typing import Any
 
@@ -32,9 +33,14 @@
             for effect in (Effect.RESTARTABLE, Effect.FINGERPRINTED, Effect.SIDE_EFFECTING)
         ]
         self.core = Router(
-            cells=made or cells(), confirmed=UNIX, stages=stages, seed=1,
-            numbers={"read": 0, "put": 1, "pay": 2}, stop_ms=3000.0, sockets=256,
-        )  # fmt: skip
+            cells=made or cells(),
+            confirmed=UNIX,
+            stages=stages,
+            seed=1,
+            numbers={"read": 0, "put": 1, "pay": 2},
+            stop_ms=3000.0,
+            sockets=256,
+        )
         self.now, self.message = 0.0, 0
         self.out: list[Any] = []
         self.step("start")
@@ -51,9 +57,13 @@
     def send(self, stage: str = "read", tenant: str = "acme", **more: str) -> int:
         self.message += 1
         fields = {
-            "rid": f"{self.message:016x}", "t0": str(int(UNIX + self.now)), "peer": "1",
-            "acct": tenant, "mem": "2", "prio": "0.5",
-        }  # fmt: skip
+            "rid": f"{self.message:016x}",
+            "t0": str(int(UNIX + self.now)),
+            "peer": "1",
+            "acct": tenant,
+            "mem": "2",
+            "prio": "0.5",
+        }
         if stage == "put":
             fields["token"] = 32 * "a"
         self.step("task", 1, self.message, UNIX, stage, fields | more, b"body")
@@ -64,8 +74,11 @@
 
     def tasks(self) -> list[tuple[str, int, dict[str, str]]]:
         """What was written to nodes: link, message, fields."""
-        return [(str(each.link), each.message[1], each.message[3]) for each in self.out
-                if isinstance(each, Write) and each.message[0] == "task"]  # fmt: skip
+        return [
+            (str(each.link), each.message[1], each.message[3])
+            for each in self.out
+            if isinstance(each, Write) and each.message[0] == "task"
+        ]
 
     def answers(self, message: int) -> list[tuple[Any, ...]]:
         own = [each.message for each in self.out if isinstance(each, Write) and each.link == 1]
@@ -187,14 +200,17 @@
             fields = {"rid": rid, "t0": t0, "peer": "1", "acct": "other", "mem": "2", "prio": "0.5"}
             play.step("task", conn, number + 1, UNIX, "read", fields, b"")
     assert len(play.dials()) == Router.WAYS
-    assert play.core.counters.counts["answered_rejected"] == 38 * 30 - Router.WAYS * Router.MOST_OPEN
+    assert (
+        play.core.counters.counts["answered_rejected"] == 38 * 30 - Router.WAYS * Router.MOST_OPEN
+    )
     for link in play.dials():
         play.step("linked", link)
     for link, message, _ in play.tasks():
         play.step("returned", link, message, "served", b"", {})
     play.at(6000.0)
     assert (
-        sum(isinstance(each, Close) and str(each.link).startswith("node") for each in play.out) == Router.WAYS
+        sum(isinstance(each, Close) and str(each.link).startswith("node") for each in play.out)
+        == Router.WAYS
     )
     assert not play.core.ways and not play.core.of_node
 
@@ -229,7 +245,12 @@
             number = next(iter(play.core.ways[up[0]].open))
             kind = "served" if what == "served" else "rejected"
             play.step(
-                "returned", up[0], number, kind, b"x", {"cell": what} if what in ("clear", "old") else {}
+                "returned",
+                up[0],
+                number,
+                kind,
+                b"x",
+                {"cell": what} if what in ("clear", "old") else {},
             )
     play.step("leave")
     play.at(play.now + 9000.0)
--- a/tests/test_seen.py
+++ b/tests/test_seen.py
@@ -5,9 +5,15 @@
 from pumicenotch.server.tasks import Held
 
 STAGE = Stage(
-    due_ms=100.0, due_stretch=0.0, limit_ms=500.0, effect=Effect.RESTARTABLE, window_ms=0.0, utility=1.0,
-    late_utility=0.0, skip_utility=0.0,
-)  # fmt: skip
+    due_ms=100.0,
+    due_stretch=0.0,
+    limit_ms=500.0,
+    effect=Effect.RESTARTABLE,
+    window_ms=0.0,
+    utility=1.0,
+    late_utility=0.0,
+    skip_utility=0.0,
+)
 
 
 def held(number: int, stage: str = "read") -> Held:
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -57,7 +57,11 @@
         pool.command("spawn")
         program.process.send_signal(signal.SIGTERM)
         assert gateway.answer() == [2, "draining", []]
-        assert [registry.line().strip() for _ in range(4)] == [*head[:2], b"Content-Length: 20", b""]
+        assert [registry.line().strip() for _ in range(4)] == [
+            *head[:2],
+            b"Content-Length: 20",
+            b"",
+        ]
         assert registry.file.read(20) == b'{"state":"draining"}'
         registry.send(b"HTTP/1.1 204 No Content\r\n\r\n")
         pool.finish("aa", b"done")
@@ -92,9 +96,15 @@
 
 @pytest.mark.parametrize(
     "junk",
-    [b"GET / HTTP/1.1\r\n\r\n", b"\xc1", msgpack.packb([0, "x", 3]), msgpack.packb({}),
-     b"\xc6\x7f\xff\xff\xff" + bytes(100_000), msgpack.packb([0, 1, "read", [{}, b"x" * 50000]])],
-)  # fmt: skip
+    [
+        b"GET / HTTP/1.1\r\n\r\n",
+        b"\xc1",
+        msgpack.packb([0, "x", 3]),
+        msgpack.packb({}),
+        b"\xc6\x7f\xff\xff\xff" + bytes(100_000),
+        msgpack.packb([0, 1, "read", [{}, b"x" * 50000]]),
+    ],
+)
 def test_what_is_no_message_ends_its_own_connection_alone(tmp_path: Path, junk: bytes) -> None:
     with Program(tmp_path) as program:
         pool, bad, good = program.bind(), Gateway(program.address), Gateway(program.address)
@@ -155,9 +165,17 @@
 
 @pytest.mark.parametrize(
     "spoilt",
-    [b"zz FULL\r\n", b"ID ROWS 10\r\nhalf", b"ID ROWS 3000000000\r\n", b"ID ROWS -1\r\n", b"ID ROWS 1_0\r\n",
-     b"ID ROWS 2\r\nlonger\r\n", b"\xff\0" * 50, b"ID FULL 0\r\n"],
-)  # fmt: skip
+    [
+        b"zz FULL\r\n",
+        b"ID ROWS 10\r\nhalf",
+        b"ID ROWS 3000000000\r\n",
+        b"ID ROWS -1\r\n",
+        b"ID ROWS 1_0\r\n",
+        b"ID ROWS 2\r\nlonger\r\n",
+        b"\xff\0" * 50,
+        b"ID FULL 0\r\n",
+    ],
+)
 def test_a_spoilt_reply_condemns_its_link_and_a_restartable_task_calls_again(
     tmp_path: Path, spoilt: bytes
 ) -> None:
@@ -174,14 +192,20 @@
         again = program.db.accept()
         assert again.line().startswith(b"Q %b " % name)
         assert again.line() == b"q\r\n"
-        again.send(rid("zz").encode() + b" ROWS 1\r\nz\r\n%b ROWS 0\r\n\r\n%b FULL\r\n" % (name, name))
+        again.send(
+            rid("zz").encode() + b" ROWS 1\r\nz\r\n%b ROWS 0\r\n\r\n%b FULL\r\n" % (name, name)
+        )
         assert blob(pool.command("supply")) == b""
 
 
 def test_a_reload_moves_to_new_addresses_and_a_bad_file_changes_nothing(tmp_path: Path) -> None:
     new = {name: Party() for name in ("pool", "db", "registry")}
     with Program(tmp_path) as program:
-        pool, gateway, registry = program.bind(), Gateway(program.address), program.registry.accept()
+        pool, gateway, registry = (
+            program.bind(),
+            Gateway(program.address),
+            program.registry.accept(),
+        )
         for name in ("aa", "bb"):
             gateway.task(len(program.log) + 1, name, b"")
             assert pool.command("spawn")["call"] == name
@@ -255,7 +279,9 @@
         busy.task(1, "aa", b"")
         assert pool.command("spawn")["call"] == "aa"
         many = [Gateway(program.address) for _ in range(60)]
-        assert all(each.ended() for each in many[:44])  # 64 less those left for calls and the program itself
+        assert all(
+            each.ended() for each in many[:44]
+        )  # 64 less those left for calls and the program itself
         many[-1].task(1, "bb", b"")
         assert pool.command("spawn")["call"] == "bb"
         pool.finish("aa", b"x")
@@ -271,31 +297,56 @@
         ('{"listen": "127.0.0.1:0"}', "missing start value pool"),
         (FINE + '"seed": "xyz"}', "malformed start value seed='xyz'"),
         (FINE + '"settings": {"family-info": {"cores": "many"}}}', "family-info.cores='many'"),
-        (FINE + '"settings": {"classes": [{"name": "x"}]}}', "missing start value classes.0.deadline"),
+        (
+            FINE + '"settings": {"classes": [{"name": "x"}]}}',
+            "missing start value classes.0.deadline",
+        ),
         (None, "LB_CONFIG is not set"),
         (FINE + '"db": "127.0.0.1:70000"}', "malformed start value db='127.0.0.1:70000'"),
         (FINE + ONE + "}", "missing start value stop_ms"),
         (FINE + ONE + ', "stop_ms": -1}', "stop_ms=-1: out of range; give a value from 0"),
         (FINE + ONE + ', "stop_ms": NaN}', "stop_ms=nan: out of range"),
-        (FINE + ONE + ', "stop_ms": 900, "limits": {"sockets": 7}}', "limits.sockets=7: out of range"),
+        (
+            FINE + ONE + ', "stop_ms": 900, "limits": {"sockets": 7}}',
+            "limits.sockets=7: out of range",
+        ),
         (FINE + '"stop_ms": 900}', "missing start value settings.classes"),
         (FINE + CLASSES % '"name": "x", "deadline": 0', "classes.0.deadline=0: out of range"),
-        (FINE + CLASSES % '"name": "x", "deadline": 9, "worth": -2', "classes.0.worth=-2: out of range"),
-        (FINE + CLASSES % '"name": "x", "deadline": Infinity', "classes.0.deadline=inf: out of range"),
-        (FINE + CLASSES % '"name": "x", "deadline": 9, "effect": "x"', "give one of repeatable, by_key"),
-        (FINE + CLASSES % '"name": "x", "deadline": 9, "effect": "by_key"', "classes.0.memory-span"),
-        (FINE + CLASSES % '"name": "x", "deadline": 9},{"name": "x", "deadline": 9', "name is there twice"),
+        (
+            FINE + CLASSES % '"name": "x", "deadline": 9, "worth": -2',
+            "classes.0.worth=-2: out of range",
+        ),
+        (
+            FINE + CLASSES % '"name": "x", "deadline": Infinity',
+            "classes.0.deadline=inf: out of range",
+        ),
+        (
+            FINE + CLASSES % '"name": "x", "deadline": 9, "effect": "x"',
+            "give one of repeatable, by_key",
+        ),
+        (
+            FINE + CLASSES % '"name": "x", "deadline": 9, "effect": "by_key"',
+            "classes.0.memory-span",
+        ),
+        (
+            FINE + CLASSES % '"name": "x", "deadline": 9},{"name": "x", "deadline": 9',
+            "name is there twice",
+        ),
         ("[" * 100000, "config.json"),
     ],
-)  # fmt: skip
-def test_a_bad_start_ends_with_one_plain_line(tmp_path: Path, change: str | None, said: str) -> None:
+)
+def test_a_bad_start_ends_with_one_plain_line(
+    tmp_path: Path, change: str | None, said: str
+) -> None:
     config = tmp_path / "config.json"
     environment = {key: value for key, value in os.environ.items() if key != "LB_CONFIG"}
     if change is not None:
         config.write_text(change)
         environment["LB_CONFIG"] = str(config)
     command = [sys.executable, "-m", "pumicenotch"]
-    done = subprocess.run(command, capture_output=True, text=True, env=environment, timeout=20, check=False)
+    done = subprocess.run(
+        command, capture_output=True, text=True, env=environment, timeout=20, check=False
+    )
     assert done.returncode == 1
     assert done.stderr.count("\n") == 1
     assert said in done.stderr
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -1,5 +1,6 @@
 """What the standing test asks for on its short days, on the real program against the stand-ins: judged by
-what its peers sent and received. docs/results.md names the term that each test is for."""
+what its peers sent and received. docs/results.md names the term that each test is for.
+"""
 
 import json
 import os
@@ -110,7 +111,8 @@
 @pytest.mark.parametrize("when", ["in one turn", "once it is in force", "before it"])
 def test_a_reload_followed_by_a_drain(tmp_path: Path, when: str) -> None:
     """A run in hand is answered over the new link, one that comes in the grace is run there, and the new
-    registry hears of the drain."""
+    registry hears of the drain.
+    """
     new = {name: Party() for name in ("pool", "registry")}
     moved = {name: party.address for name, party in new.items()}
     with Program(tmp_path, settings=settings()) as program:
@@ -148,7 +150,8 @@
     tmp_path: Path, kind: str
 ) -> None:
     """Each has one answer with a free value no higher than that of a cold server, and no more run at a time
-    than such a server survives."""
+    than such a server survives.
+    """
     cores = 2
     survived = cores * (1.0 + (MULTIPLE - 1.0) * COLD_SHARE)
     with Program(tmp_path, limits=MANY, settings=cold(cores, kind)) as program:
@@ -211,7 +214,8 @@
     tmp_path: Path,
 ) -> None:
     """The predecessor is killed with connections that it has accepted, or not yet; each ends. Its callers
-    send the same task again to the same address, where it is run once, in the new life."""
+    send the same task again to the same address, where it is run once, in the new life.
+    """
     (tmp_path / "next").mkdir()
     token = {"token": "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"}
     with Program(tmp_path) as program:
@@ -293,17 +297,19 @@
         assert (spawn["call"], blob(spawn)) == ("aa", body)
         pieces(gateway, task_frame(2, "bb", b"")[7:], 50)
         assert pool.command("spawn")["call"] == "bb"
-        first = (
-            '{ "blob" : "eA==" ,\t"duration":5, "more": [{}], "call":"%s", "how":"\\u0066ine", "serial":1, '
-        )
+        first = '{ "blob" : "eA==" ,\t"duration":5, "more": [{}], "call":"%s", "how":"\\u0066ine", "serial":1, '
         pieces(pool, (first % rid("bb")).encode() + b'"msg": "finished" }\r\n{"msg":', 9)
         assert result(answer(gateway))[:9] == b"x"
-        pieces(pool, b' "finished", "serial":2, "call":"%b", "how":"fine"}\n' % rid("aa").encode(), 9)
+        pieces(
+            pool, b' "finished", "serial":2, "call":"%b", "how":"fine"}\n' % rid("aa").encode(), 9
+        )
         assert result(answer(gateway)) == b""
 
 
 @pytest.mark.parametrize("rest_comes", ["in the grace", "after it"])
-def test_a_request_of_which_the_notice_to_leave_parts_the_pieces(tmp_path: Path, rest_comes: str) -> None:
+def test_a_request_of_which_the_notice_to_leave_parts_the_pieces(
+    tmp_path: Path, rest_comes: str
+) -> None:
     """It has come with its last byte: run in the grace, rejected after it, answered in either case."""
     grace_us = GRACE_US if rest_comes == "in the grace" else 0
     with Program(tmp_path, settings=settings(None, **{"stop-sending-within": grace_us})) as program:
@@ -314,7 +320,9 @@
         program.process.send_signal(LEAVE)
         assert gateway.answer() == [2, "draining", []]
         heard = time.time()
-        while time.time() < heard + 0.002:  # arrivals are told in whole ms: a later one than the notice's
+        while (
+            time.time() < heard + 0.002
+        ):  # arrivals are told in whole ms: a later one than the notice's
             time.sleep(0.0005)
         gateway.send(task_frame(2, "aa", b"x")[40:])
         if grace_us:
@@ -331,7 +339,12 @@
     """One run never ends, one waits for a call that never comes back, and the pool says nothing more."""
     limit_ms, slack_ms = 1200, 2000  # a busy machine's
     classes = [
-        {"name": "read", "target": 1000 * limit_ms, "deadline": 1000 * limit_ms, "effect": "repeatable"}
+        {
+            "name": "read",
+            "target": 1000 * limit_ms,
+            "deadline": 1000 * limit_ms,
+            "effect": "repeatable",
+        }
     ]
     with Program(tmp_path, settings={**settings({"cores": 2}), "classes": classes}) as program:
         pool, gateway = program.bind(), Gateway(program.address)
@@ -352,7 +365,8 @@
 
 def test_a_process_whose_pool_comes_late_serves_once_it_is_up(tmp_path: Path) -> None:
     """Listed while its pool is refused, and then hangs: it says that it is not good, turns tasks away without
-    a free value, and from the pool's start on asks for the share of its speed."""
+    a free value, and from the pool's start on asks for the share of its speed.
+    """
     with Program(tmp_path, settings=cold(2)) as program:
         pool_address = program.pool.address
         program.pool.sock.close()
@@ -387,7 +401,9 @@
         assert good and 0.2 <= hint * callers <= 1.0
 
 
-def test_a_report_that_is_answered_in_pieces_and_in_chunks_keeps_its_connection(tmp_path: Path) -> None:
+def test_a_report_that_is_answered_in_pieces_and_in_chunks_keeps_its_connection(
+    tmp_path: Path,
+) -> None:
     """The next report comes on the same connection, though each piece is read apart."""
     said = b"HTTP/1.1 204 No Content\r\nX-Long: " + b"x" * 300 + b"\r\n\r\n"
     with Program(tmp_path) as program:
@@ -408,9 +424,12 @@
 
 def test_a_class_has_the_effect_that_the_settings_give_it(tmp_path: Path) -> None:
     """The class that is repeatable elsewhere is by_key here, with a short window: within it one run, after it
-    another."""
+    another.
+    """
     window_ms = 300
-    classes = [{"name": "read", "deadline": 900_000, "effect": "by_key", "memory-span": 1000 * window_ms}]
+    classes = [
+        {"name": "read", "deadline": 900_000, "effect": "by_key", "memory-span": 1000 * window_ms}
+    ]
     with Program(tmp_path, settings={**settings(), "classes": classes}) as program:
         pool, gateway = program.bind(), Gateway(program.address)
         token = {"token": "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"}
