--- a/benchmarks/capacity/mechanisms.py
+++ b/benchmarks/capacity/mechanisms.py
@@ -105,10 +105,16 @@
         "voter.follower", "servers", "", "`members/members.py` `Members.exchange`: as n squared"
     ),
     Mechanism(
-        "voter.leader", "", "", "`fleet/voter_node.py` `heartbeat_interval_ms`; `agree/voter.py`"
+        "voter.leader",
+        "",
+        "",
+        "`fleet/voter_node.py` `heartbeat_interval_ms`; `consensus/voter.py`",
     ),
     Mechanism(
-        "voter.follower", "", "", "`agree/voter.py` `Voter.take`; `fleet/state.py` `State.apply`"
+        "voter.follower",
+        "",
+        "",
+        "`consensus/voter.py` `Voter.take`; `fleet/state.py` `State.apply`",
     ),
     Mechanism("agent", "", "", "`fleet/agent.py` `Agent.hear`: at the pace that the leader names"),
     Mechanism(
--- a/pumicenotch/agree/found.py
+++ b/pumicenotch/consensus/bootstrap.py
@@ -10,8 +10,8 @@
 from collections.abc import Callable, Iterable, Mapping
 from typing import Any, NamedTuple
 
-from pumicenotch.agree.messages import BadMessage, Seats, name_of, seats_of
-from pumicenotch.agree.voter import LEADER, Voter
+from pumicenotch.consensus.messages import BadMessage, Seats, name_of, seats_of
+from pumicenotch.consensus.voter import LEADER, Voter
 
 
 class Say(NamedTuple):
--- a/pumicenotch/agree/log.py
+++ b/pumicenotch/consensus/log.py
@@ -1,6 +1,6 @@
 """The log as one voter has it: a snapshot's end, and the entries after it. Indexes count from 1."""
 
-from pumicenotch.agree.messages import Entry, Seats
+from pumicenotch.consensus.messages import Entry, Seats
 
 
 class Log:
--- a/pumicenotch/agree/voter.py
+++ b/pumicenotch/consensus/voter.py
@@ -8,8 +8,8 @@
 from collections.abc import Callable
 from typing import Any, ClassVar
 
-from pumicenotch.agree.log import Log
-from pumicenotch.agree.messages import (
+from pumicenotch.consensus.log import Log
+from pumicenotch.consensus.messages import (
     Append,
     Appended,
     AskVote,
--- a/pumicenotch/fleet/replica_node.py
+++ b/pumicenotch/fleet/replica_node.py
@@ -6,9 +6,9 @@
 from collections.abc import Callable, Sequence
 from typing import Any, NamedTuple
 
-from pumicenotch.agree import messages as agree
-from pumicenotch.agree.found import Founding, Say
-from pumicenotch.agree.messages import (
+from pumicenotch.consensus import messages as agree
+from pumicenotch.consensus.bootstrap import Founding, Say
+from pumicenotch.consensus.messages import (
     Commit,
     Led,
     Readable,
@@ -19,7 +19,7 @@
     Unreadable,
     name_of,
 )
-from pumicenotch.agree.voter import LEADER, Voter
+from pumicenotch.consensus.voter import LEADER, Voter
 from pumicenotch.fleet import release, snapshot
 from pumicenotch.fleet.book import Book
 from pumicenotch.fleet.effects import Exit
--- a/pumicenotch/fleet/voter_node.py
+++ b/pumicenotch/fleet/voter_node.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable, Iterable, Sequence
 from typing import Any, NamedTuple
 
-from pumicenotch.agree import messages as agree
-from pumicenotch.agree.found import seated
+from pumicenotch.consensus import messages as agree
+from pumicenotch.consensus.bootstrap import seated
 from pumicenotch.fleet import verbs
 from pumicenotch.fleet.book import Book
 from pumicenotch.fleet.budgets import Budget, Member
--- a/pumicenotch/lab/agreeing.py
+++ b/pumicenotch/lab/agreeing.py
@@ -1,5 +1,5 @@
 """A model of voters for the checker: elections, the log, snapshots, changes of seats, reads, with messages
-that are late, lost or come twice, stops and restarts. Everything that is decided is decided by `agree/`.
+that are late, lost or come twice, stops and restarts. Everything that is decided is decided by `consensus/`.
 
 Time is left out on purpose: any voter may run out of patience at any moment, and forget that it heard a
 leader. What holds here holds whatever clocks do.
@@ -9,8 +9,8 @@
 from collections.abc import Iterator
 from typing import Any, NamedTuple
 
-from pumicenotch.agree.log import Log
-from pumicenotch.agree.messages import (
+from pumicenotch.consensus.log import Log
+from pumicenotch.consensus.messages import (
     Append,
     AskVote,
     Commit,
@@ -22,7 +22,7 @@
     Store,
     Vote,
 )
-from pumicenotch.agree.voter import LEADER, Voter
+from pumicenotch.consensus.voter import LEADER, Voter
 from pumicenotch.lab.explore import Explorer
 
 NEVER = float("-inf")
--- a/tests/compatibility/test_consensus.py
+++ b/tests/compatibility/test_consensus.py
@@ -6,8 +6,8 @@
 import msgpack
 import pytest
 
-from pumicenotch.agree.found import Founding, Say
-from pumicenotch.agree.messages import (
+from pumicenotch.consensus.bootstrap import Founding, Say
+from pumicenotch.consensus.messages import (
     KINDS,
     Append,
     Appended,
--- a/tests/test_agree.py
+++ b/tests/test_agree.py
@@ -11,8 +11,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from pumicenotch.agree.found import Founding, seated
-from pumicenotch.agree.messages import (
+from pumicenotch.consensus.bootstrap import Founding, seated
+from pumicenotch.consensus.messages import (
     Append,
     AskVote,
     BadMessage,
@@ -29,7 +29,7 @@
     message_of,
     plain,
 )
-from pumicenotch.agree.voter import CANDIDATE, FOLLOWER, LEADER, Voter
+from pumicenotch.consensus.voter import CANDIDATE, FOLLOWER, LEADER, Voter
 from pumicenotch.lab.agreeing import LONG, ROOT, Agreement, Bounds, led, long_form, three
 from pumicenotch.lab.explore import Explorer
 
