--- a/benchmarks/capacity/bad_hours.py
+++ b/benchmarks/capacity/bad_hours.py
@@ -16,7 +16,7 @@
 )
 from benchmarks.capacity.meter import frozen_heap
 from benchmarks.capacity.slope import Reading, Slope, readings
-from pumicenotch.members.messages import Opinion
+from pumicenotch.membership.messages import Opinion
 
 LEADER, MEMBERSHIP = "voter.leader", "server.membership"
 SIZES = (40, 60, 90, 135, 200)
--- a/benchmarks/capacity/hollow.py
+++ b/benchmarks/capacity/hollow.py
@@ -18,8 +18,17 @@
 from pumicenotch.fleet.records import member_fields
 from pumicenotch.fleet.state import SILENT
 from pumicenotch.lab.fleets import Process, Spec
-from pumicenotch.members import messages
-from pumicenotch.members.messages import NEWS_MOST, Ack, News, Opinion, Ping, Standing, Who, Whole
+from pumicenotch.membership import messages
+from pumicenotch.membership.messages import (
+    NEWS_MOST,
+    Ack,
+    News,
+    Opinion,
+    Ping,
+    Standing,
+    Who,
+    Whole,
+)
 
 PERIOD_MS = 1000.0  # of probes: each member is probed once a period in the mean
 HEARTBEAT_MS = 500.0  # between a member's questions, where the leader names no longer time
--- a/benchmarks/capacity/mechanisms.py
+++ b/benchmarks/capacity/mechanisms.py
@@ -75,22 +75,22 @@
         "server.membership",
         "servers",
         "traffic",
-        f"{MISSING}: `members/members.py` `Members.exchange` sends and gets everything each 15 s",
+        f"{MISSING}: `membership/swim.py` `Members.exchange` sends and gets everything each 15 s",
     ),
     Mechanism(
         "server.membership",
         "servers",
         "longest_step",
-        f"{MISSING}: `members/members.py` `probe_next` and `exchange` sort and send all in one step",
+        f"{MISSING}: `membership/swim.py` `probe_next` and `exchange` sort and send all in one step",
     ),
     Mechanism(
         "server.membership",
         "",
         "traffic",
-        f"{MISSING}: `members/members.py` `Members.exchange`, at 640 servers",
+        f"{MISSING}: `membership/swim.py` `Members.exchange`, at 640 servers",
     ),
     Mechanism(
-        "server.membership", "", "", "`members/members.py` `Members.gossip`: 12 news a message"
+        "server.membership", "", "", "`membership/swim.py` `Members.gossip`: 12 news a message"
     ),
     Mechanism(
         "server.agreement", "", "", "`fleet/voter_node.py` `VoterNode.heartbeat_interval_ms`"
@@ -99,10 +99,10 @@
         "voter.leader",
         "servers",
         "traffic",
-        "`members/members.py` `Members.exchange`: as n squared",
+        "`membership/swim.py` `Members.exchange`: as n squared",
     ),
     Mechanism(
-        "voter.follower", "servers", "", "`members/members.py` `Members.exchange`: as n squared"
+        "voter.follower", "servers", "", "`membership/swim.py` `Members.exchange`: as n squared"
     ),
     Mechanism(
         "voter.leader", "", "", "`fleet/voter_node.py` `heartbeat_interval_ms`; `agree/voter.py`"
--- a/benchmarks/capacity/members.py
+++ b/benchmarks/capacity/members.py
@@ -14,8 +14,8 @@
 from benchmarks.capacity.meter import least_ms, state_bytes
 from benchmarks.capacity.slope import Reading, Slope, readings
 from pumicenotch.fleet import snapshot
-from pumicenotch.members import messages
-from pumicenotch.members.members import Members
+from pumicenotch.membership import messages
+from pumicenotch.membership.swim import Members
 
 LEADER, FOLLOWER, MEMBERSHIP, AGREEMENT = (
     "voter.leader",
--- a/benchmarks/capacity/resident.py
+++ b/benchmarks/capacity/resident.py
@@ -27,8 +27,8 @@
     from benchmarks.capacity import configuration, connections, decisions
     from pumicenotch.cells.fence import Fence
     from pumicenotch.cells.map import dump, load
-    from pumicenotch.members.members import Members
-    from pumicenotch.members.messages import News, Opinion, Standing, Who
+    from pumicenotch.membership.messages import News, Opinion, Standing, Who
+    from pumicenotch.membership.swim import Members
 
     control = decisions.build(decisions.Silent(), 1, tenants)
     driver = connections.Driver(callers, 1)
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -10,7 +10,7 @@
 
 from pumicenotch.fleet.budgets import Budget
 from pumicenotch.lab.fleets import DRAIN_MS, RESTART_MS, Day, usual
-from pumicenotch.members.messages import Opinion
+from pumicenotch.membership.messages import Opinion
 
 
 def drain_all(many: int, seed: int) -> dict[str, float]:
--- a/pumicenotch/fleet/effects.py
+++ b/pumicenotch/fleet/effects.py
@@ -4,7 +4,7 @@
 
 from typing import Any, NamedTuple
 
-from pumicenotch.members.messages import News
+from pumicenotch.membership.messages import News
 
 
 class Post(NamedTuple):
--- a/pumicenotch/fleet/failure_detector.py
+++ b/pumicenotch/fleet/failure_detector.py
@@ -8,8 +8,8 @@
 
 from pumicenotch.fleet.budgets import SERVING, Member
 from pumicenotch.fleet.state import SILENT
-from pumicenotch.members.members import Members
-from pumicenotch.members.messages import Opinion
+from pumicenotch.membership.messages import Opinion
+from pumicenotch.membership.swim import Members
 
 OVERLOADED = "overloaded"
 NEVER = float("-inf")
--- a/pumicenotch/fleet/member_node.py
+++ b/pumicenotch/fleet/member_node.py
@@ -12,9 +12,9 @@
 from pumicenotch.fleet.entries import NAMES_MOST, TEXT_MOST
 from pumicenotch.fleet.records import member_fields
 from pumicenotch.fleet.voter_client import UNKNOWN, VoterClient
-from pumicenotch.members import messages
-from pumicenotch.members.members import Members
-from pumicenotch.members.messages import Changed, Opinion, Refused, Send, Standing, Who
+from pumicenotch.membership import messages
+from pumicenotch.membership.messages import Changed, Opinion, Refused, Send, Standing, Who
+from pumicenotch.membership.swim import Members
 from pumicenotch.sender import Sender
 
 HALT = "halt"  # the key under which members hand a halt on
--- a/pumicenotch/lab/fleets.py
+++ b/pumicenotch/lab/fleets.py
@@ -16,7 +16,7 @@
 from pumicenotch.fleet.member_node import MemberNode
 from pumicenotch.fleet.voter_node import VoterNode
 from pumicenotch.lab.simulated_time import SimulatedTime
-from pumicenotch.members.messages import Who
+from pumicenotch.membership.messages import Who
 from pumicenotch.sender import Sender
 
 DRAIN_MS, RESTART_MS = (
--- a/pumicenotch/lab/hollow_configuration.py
+++ b/pumicenotch/lab/hollow_configuration.py
@@ -11,7 +11,7 @@
 from pumicenotch.lab.hollow_messages import Spec
 from pumicenotch.lab.published import Dataset
 from pumicenotch.lab.world import Configuration
-from pumicenotch.members.messages import News
+from pumicenotch.membership.messages import News
 from pumicenotch.net.configuration import InstanceCarrier, self_of
 
 if TYPE_CHECKING:
--- a/pumicenotch/lab/hollow_instance.py
+++ b/pumicenotch/lab/hollow_instance.py
@@ -17,7 +17,7 @@
 from pumicenotch.lab.hollow_configuration import HollowConfiguration, configured
 from pumicenotch.lab.hollow_messages import FIRST_BEGAN_MS, Place, Report, Spec, life_of
 from pumicenotch.lab.hollow_meter import Meter
-from pumicenotch.members.messages import News, Opinion, Standing, Who
+from pumicenotch.membership.messages import News, Opinion, Standing, Who
 from pumicenotch.net.fleet import FRAME_MOST, LOOK_S, links
 from pumicenotch.net.peers import PeerHub, ResettableTimer, open_listener, run_hub
 
--- a/pumicenotch/members/members.py
+++ b/pumicenotch/membership/swim.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterable, Mapping
 from typing import Any, ClassVar
 
-from pumicenotch.members.messages import (
+from pumicenotch.membership.messages import (
     NEWS_MOST,
     Ack,
     Changed,
--- a/pumicenotch/net/agent.py
+++ b/pumicenotch/net/agent.py
@@ -22,7 +22,7 @@
 from pumicenotch.config.hcl import BadFile
 from pumicenotch.fleet import effects
 from pumicenotch.fleet.agent import Agent
-from pumicenotch.members.messages import Who
+from pumicenotch.membership.messages import Who
 from pumicenotch.net import logs
 from pumicenotch.net.peers import PeerHub, ResettableTimer
 
--- a/pumicenotch/net/fleet.py
+++ b/pumicenotch/net/fleet.py
@@ -20,7 +20,7 @@
 from pumicenotch.fleet.member_node import MemberNode
 from pumicenotch.fleet.settings import FleetSettings
 from pumicenotch.fleet.voter_node import VoterNode
-from pumicenotch.members.messages import Who
+from pumicenotch.membership.messages import Who
 from pumicenotch.net import logs
 from pumicenotch.net.hub import Hub
 from pumicenotch.net.peers import PeerHub, ResettableTimer, open_listener, run_hub
--- a/pumicenotch/net/peers.py
+++ b/pumicenotch/net/peers.py
@@ -18,7 +18,7 @@
 from pumicenotch import start
 from pumicenotch.fleet import effects
 from pumicenotch.fleet.member_node import MemberNode
-from pumicenotch.members.messages import News
+from pumicenotch.membership.messages import News
 from pumicenotch.net import gateways
 from pumicenotch.net.clock import Clock
 from pumicenotch.net.dial import Links, Put
--- a/pumicenotch/net/voter_configuration.py
+++ b/pumicenotch/net/voter_configuration.py
@@ -13,7 +13,7 @@
 from pumicenotch.distribution.voter_source import VoterSource
 from pumicenotch.fleet.book import Book
 from pumicenotch.fleet.voter_node import VoterNode
-from pumicenotch.members.messages import News
+from pumicenotch.membership.messages import News
 from pumicenotch.net.configuration import STATUS, Carrier, NotLeading, self_of
 from pumicenotch.net.peers import PeerHub
 
--- a/tests/compatibility/test_membership.py
+++ b/tests/compatibility/test_membership.py
@@ -10,8 +10,7 @@
 import msgpack
 import pytest
 
-from pumicenotch.members.members import Members
-from pumicenotch.members.messages import (
+from pumicenotch.membership.messages import (
     Ack,
     Changed,
     Help,
@@ -25,6 +24,7 @@
     message_of,
     plain,
 )
+from pumicenotch.membership.swim import Members
 
 GOLDEN = Path(__file__).parent / "golden" / "membership"
 MESSAGES: dict[str, str] = json.loads((GOLDEN / "messages.json").read_text())
--- a/tests/test_members.py
+++ b/tests/membership/test_swim.py
@@ -8,8 +8,7 @@
 import pytest
 
 from pumicenotch.lab.fleets import Day
-from pumicenotch.members.members import Members
-from pumicenotch.members.messages import (
+from pumicenotch.membership.messages import (
     Ack,
     BadMessage,
     Changed,
@@ -24,6 +23,7 @@
     message_of,
     plain,
 )
+from pumicenotch.membership.swim import Members
 
 
 def day_of(many: int, seed: int = 1, **more: Any) -> Day:
--- a/tests/test_book.py
+++ b/tests/test_book.py
@@ -16,8 +16,8 @@
 from pumicenotch.fleet.state import State
 from pumicenotch.fleet.voter_node import VoterNode
 from pumicenotch.lab.fleets import Day
-from pumicenotch.members import messages
-from pumicenotch.members.messages import News, Opinion, Standing, Who
+from pumicenotch.membership import messages
+from pumicenotch.membership.messages import News, Opinion, Standing, Who
 
 VOTERS = ("v1", "v2", "v3")
 
--- a/tests/test_fleet_config.py
+++ b/tests/test_fleet_config.py
@@ -17,7 +17,7 @@
 from pumicenotch.fleet.effects import Ask
 from pumicenotch.fleet.member_node import MemberNode
 from pumicenotch.fleet.settings import settings_of
-from pumicenotch.members.messages import Who
+from pumicenotch.membership.messages import Who
 
 SERVER = """fleet "accra" {
   member = "n3"
