--- /dev/null
+++ b/tests/compatibility/golden/commands/input/bad-fleet.hcl
@@ -0,0 +1,5 @@
+fleet "accra" {
+  member = "n3"
+  listen = "nowhere"
+  voters = []
+}
--- /dev/null
+++ b/tests/compatibility/golden/commands/input/cut-short.hcl
@@ -0,0 +1,2 @@
+pool "a" {
+  stages = ["x"]
--- /dev/null
+++ b/tests/compatibility/golden/commands/input/out-of-range.hcl
@@ -0,0 +1,7 @@
+pool "a" {
+  stages = ["x"]
+  reserve = 1.5
+}
+retries {
+  ratio = 7
+}
--- /dev/null
+++ b/tests/compatibility/golden/commands/input/unknown-attribute.hcl
@@ -0,0 +1,4 @@
+pool "a" {
+  stages = ["x"]
+  reserv = 0.5
+}
