--- /dev/null
+++ b/tests/compatibility/test_adapter.py
@@ -0,0 +1,56 @@
+"""The simulator's wire and the start values, against bytes kept from commit ab8f5d8."""
+
+import json
+import subprocess
+import sys
+from pathlib import Path
+from typing import Any
+
+from pumicenotch import start
+
+GOLDEN = Path(__file__).parent / "golden" / "adapter"
+READ: dict[str, Any] = json.loads((GOLDEN / "start_read.json").read_text())
+WORDS = {
+    value: word
+    for table in (start.EFFECTS, start.HALTS, start.SIGNALS, start.BELOWS)
+    for word, value in table.items()
+}
+
+
+def on_the_wire(value: Any) -> Any:
+    """The wire's word for an enumeration's member; any other value as it is."""
+    return value if isinstance(value, int | float) else WORDS.get(value, value)
+
+
+def meaning(pairs: dict[str, str]) -> dict[str, Any]:
+    """What start values are read as, by their paths."""
+    found = start.keywords(pairs)
+    by_path = {path: on_the_wire(found[word]) for path, (word, _) in start.KEYWORDS.items()}
+    by_path["classes"] = [[on_the_wire(value) for value in stage] for stage in found["stages"]]
+    by_path["tenants"] = [list(tenant) for tenant in found["tenants"]]
+    by_path["family-info.meters"] = found["gauges"]
+    return by_path
+
+
+def test_a_kept_exchange_is_answered_with_the_same_bytes() -> None:
+    lines = (GOLDEN / "exchange.txt").read_text().splitlines()
+    batches = [line.removeprefix("in ") for line in lines if line.startswith("in ")]
+    answers = [line.removeprefix("out ") for line in lines if line.startswith("out ")]
+    command = [sys.executable, "-m", "pumicenotch.adapter"]
+    sent = bytes.fromhex("".join(batches))
+    done = subprocess.run(command, input=sent, capture_output=True, timeout=60, check=True)
+    assert done.stdout.hex() == "".join(answers)
+
+
+def test_start_values_as_lines_mean_what_they_meant() -> None:
+    assert meaning(start.lines((GOLDEN / "start_lines.txt").read_text())) == READ
+
+
+def test_start_values_as_nested_json_mean_what_they_meant() -> None:
+    told = json.loads((GOLDEN / "start_nested.json").read_text())
+    pairs = start.nested(told)
+    assert (
+        "".join(f"{path}={text}\n" for path, text in pairs.items())
+        == (GOLDEN / "start_nested_pairs.txt").read_text()
+    )
+    assert meaning(start.settings(pairs)) == READ
