--- a/benchmarks/capacity/__main__.py
+++ b/benchmarks/capacity/__main__.py
@@ -13,8 +13,9 @@
 from typing import NoReturn
 
 from benchmarks.capacity import page, records, roles
-from benchmarks.capacity.records import BadSlopes, Measurement
+from benchmarks.capacity.records import InvalidSlopesError, Measurement
 from benchmarks.capacity.slope import Slope
+from pumicenotch.errors import InputError
 
 ROOT = Path(__file__).resolve().parents[2]
 SLOPES_FILE = ROOT / "docs" / "capacity" / "slopes.jsonl"
@@ -23,7 +24,7 @@
 WRONG_USE = 2
 
 
-class BadSize(ValueError):
+class InvalidSizeError(InputError):
     """A size that a slope cannot be measured at; the text says what is allowed."""
 
 
@@ -80,18 +81,20 @@
 
 
 def chosen(wanted: set[str], by: str | None, sizes: Sequence[float] | None) -> list[Slope]:
-    """The slopes of these roles. Raises BadSize."""
+    """The slopes of these roles. Raises InvalidSizeError."""
     found = [
         slope for slope in roles.SLOPES if wanted & set(slope.roles) and by in (None, slope.by)
     ]
     for slope in found:
         for each in sizes or ():
             if each < slope.least:
-                raise BadSize(
+                raise InvalidSizeError(
                     f"size {each:g} of {slope.roles[0]} by {slope.by}; allowed: from {slope.least:g} on"
                 )
     if not found:
-        raise BadSize(f"--by {by}: no slope of these roles; allowed: leave it out to measure all")
+        raise InvalidSizeError(
+            f"--by {by}: no slope of these roles; allowed: leave it out to measure all"
+        )
     return found
 
 
@@ -125,7 +128,12 @@
             )
             return 0
         kept = records.read(options.out, roles.RECORDED) if options.out is not None else []
-    except (roles.UnknownRole, BadSize, BadSlopes, page.BadPage) as error:
+    except (
+        roles.UnknownRoleError,
+        InvalidSizeError,
+        InvalidSlopesError,
+        page.InvalidPageError,
+    ) as error:
         print(f"capacity: {error}", file=sys.stderr)
         return WRONG_USE
     for each in measure(wanted, slopes, options.sizes, options.seed):
--- a/benchmarks/capacity/connections.py
+++ b/benchmarks/capacity/connections.py
@@ -10,6 +10,7 @@
 from benchmarks.capacity.decisions import GAUGES, STAGES
 from benchmarks.capacity.meter import least_ms, state_bytes
 from benchmarks.capacity.slope import Reading, Slope, readings
+from pumicenotch.control import ControllerSettings
 from pumicenotch.interface import Tenant
 from pumicenotch.server.core import Server
 from pumicenotch.server.effects import Write
@@ -27,16 +28,16 @@
     """The pool answers at once."""
 
     def __init__(self, callers: int, seed: int) -> None:
-        keywords: dict[str, Any] = {
-            "stages": STAGES,
-            "tenants": [Tenant(1.0, None)],
-            "gauges": GAUGES,
-            "cores": int(CORES.value),
-            "run_factor": 2.0,
-            "crowd_multiple": 8.0,
-        }
+        settings = ControllerSettings(
+            request_classes=STAGES,
+            tenants=[Tenant(1.0, None)],
+            gauges=GAUGES,
+            cores=int(CORES.value),
+            run_memory_factor=2.0,
+            crash_load_factor=8.0,
+        )
         core = Server(
-            keywords=keywords,
+            settings=settings,
             stages={STAGE: 0},
             tenants={TENANT: 0},
             seed=seed,
--- a/benchmarks/capacity/decisions.py
+++ b/benchmarks/capacity/decisions.py
@@ -1,4 +1,4 @@
-"""Role `server.decisions`: one Control under drawn requests, in simulated time."""
+"""Role `server.decisions`: one AdmissionController under drawn requests, in simulated time."""
 
 import heapq
 import random
@@ -9,11 +9,11 @@
 from benchmarks.capacity.core_driver import step_readings
 from benchmarks.capacity.meter import StepMeter, frozen_heap, least_ms, state_bytes
 from benchmarks.capacity.slope import Reading, Slope, readings
-from pumicenotch.control import Control
-from pumicenotch.interface import Effect, Outcome, Stage, Tenant
+from pumicenotch.control import AdmissionController, ControllerSettings
+from pumicenotch.interface import Idempotency, IncomingRequest, Outcome, RequestClass, Tenant
 
 ROLE = "server.decisions"
-STAGES = [Stage(1000.0, 0.0, 3000.0, Effect.RESTARTABLE, 0.0, 1.0, 0.0, 0.0)]
+STAGES = [RequestClass(1000.0, 0.0, 3000.0, Idempotency.IDEMPOTENT, 0.0, 1.0, 0.0, 0.0)]
 GAUGES = ["core_use", "on_cores", "heap", "links"]
 SPAN_MS = 4000.0
 REPEATS = 3
@@ -41,12 +41,12 @@
     def at(self, after: float, name: str, *details: Any) -> None:
         heapq.heappush(self.events, (self.now + after, next(self.order), name, details))
 
-    def run(self, task: int) -> None:
+    def start(self, request_id: int) -> None:
         self.running += 1
-        self.at(self.chance.expovariate(1.0 / RUN.value), "ended", task, Outcome.OK)
+        self.at(self.chance.expovariate(1.0 / RUN.value), "on_run_finished", request_id, Outcome.OK)
 
-    def wake(self, after_ms: float) -> None:
-        self.at(after_ms, "tick")
+    def schedule_tick(self, after_ms: float) -> None:
+        self.at(after_ms, "on_tick")
 
     def play(self, active: int, requests_per_s: float, span_ms: float = SPAN_MS) -> "Driver":
         """Requests of tenants 0 to `active`, each in turn, until the span is over."""
@@ -58,42 +58,37 @@
                 due += self.chance.uniform(0.5, 1.5) * gap
                 self.meter.run(
                     "task",
-                    self.control.task,
+                    self.control.on_request,
                     self.now,
-                    ident,
-                    0,
-                    ident % active,
-                    0.5,
-                    None,
-                    None,
-                    20.0,
-                    None,
+                    IncomingRequest(ident, 0, ident % active, 0.5, None, None, 20.0, None),
                 )
                 continue
             self.now, _, name, details = heapq.heappop(self.events)
-            if name == "tick":
+            if name == "on_tick":
                 use = min(1.0, self.running / CORES.value)
                 details = ((use, float(self.running), 0.3, 100.0),)
-            elif name == "ended":
+            elif name == "on_run_finished":
                 self.running -= 1
             self.meter.run(name, getattr(self.control, name), self.now, *details)
         return self
 
 
-def build(actions: Any, seed: int, known: int) -> Control:
+def build(actions: Any, seed: int, known: int) -> AdmissionController:
     tenants = [Tenant(1.0 / known, 20.0 if at % 2 else None) for at in range(known)]
-    return Control(
+    return AdmissionController(
         actions,
         0.0,
-        seed=seed,
-        stages=STAGES,
-        tenants=tenants,
-        gauges=GAUGES,
-        cores=int(CORES.value),
-        run_factor=2.0,
-        crowd_multiple=8.0,
-        servers=2500,
-        callers=1000,
+        ControllerSettings(
+            request_classes=STAGES,
+            tenants=tenants,
+            gauges=GAUGES,
+            cores=int(CORES.value),
+            run_memory_factor=2.0,
+            crash_load_factor=8.0,
+            servers=2500,
+            callers=1000,
+        ),
+        seed,
     )
 
 
--- a/benchmarks/capacity/page.py
+++ b/benchmarks/capacity/page.py
@@ -9,11 +9,12 @@
 from benchmarks.capacity import assumptions, machines, role_tables, shortfalls, totals
 from benchmarks.capacity.records import Measurement
 from benchmarks.capacity.rows import Row, rows
+from pumicenotch.errors import InputError
 
 TABLE = re.compile(r"<!-- table: ([a-z_]+) -->\n(.*?)<!-- end -->", re.DOTALL)
 
 
-class BadPage(ValueError):
+class InvalidPageError(InputError):
     """A page with a table that nobody makes, or no page at all."""
 
 
@@ -50,7 +51,7 @@
 
 
 def renewed(text: str, measurements: list[Measurement]) -> str:
-    """The page with its tables made anew. Raises BadPage."""
+    """The page with its tables made anew. Raises InvalidPageError."""
     found = rows(measurements)
 
     def made(match: re.Match[str]) -> str:
@@ -62,7 +63,9 @@
         else:
             line = text[: match.start()].count("\n") + 1
             known = ", ".join((*TABLES, *OF_MEASUREMENTS))
-            raise BadPage(f"docs/CAPACITY.md:{line}: table {name!r} is unknown; allowed: {known}")
+            raise InvalidPageError(
+                f"docs/CAPACITY.md:{line}: table {name!r} is unknown; allowed: {known}"
+            )
         return f"<!-- table: {name} -->\n{body}<!-- end -->"
 
     return TABLE.sub(made, text)
@@ -72,7 +75,7 @@
     try:
         text = path.read_text(encoding="utf-8")
     except OSError as error:
-        raise BadPage(
+        raise InvalidPageError(
             f"{path}:1: {error.strerror}; allowed: the page with its prose and marks"
         ) from None
     path.write_text(renewed(text, measurements), encoding="utf-8")
--- a/benchmarks/capacity/records.py
+++ b/benchmarks/capacity/records.py
@@ -6,6 +6,8 @@
 from pathlib import Path
 from typing import Any
 
+from pumicenotch.errors import InputError
+
 MEASURES: dict[str, str] = {
     "state": "bytes",
     "memory": "bytes",
@@ -51,7 +53,7 @@
 }
 
 
-class BadSlopes(ValueError):
+class InvalidSlopesError(InputError):
     """A line that is no measurement; the text says where, what is wrong and what is allowed."""
 
 
@@ -77,10 +79,10 @@
 
 
 def checked(raw: Any, roles: Iterable[str], place: str) -> Measurement:
-    """The measurement that a parsed line holds. Raises BadSlopes."""
+    """The measurement that a parsed line holds. Raises InvalidSlopesError."""
 
-    def wrong(problem: str, allowed: str) -> BadSlopes:
-        return BadSlopes(f"{place}: {problem}; allowed: {allowed}")
+    def wrong(problem: str, allowed: str) -> InvalidSlopesError:
+        return InvalidSlopesError(f"{place}: {problem}; allowed: {allowed}")
 
     if not isinstance(raw, dict):
         raise wrong("no JSON object", f"an object with {', '.join(FIELDS)}")
@@ -114,7 +116,7 @@
 
 
 def parse(text: str, roles: Iterable[str], name: str) -> list[Measurement]:
-    """All measurements of a slopes file. Raises BadSlopes for the first wrong line."""
+    """All measurements of a slopes file. Raises InvalidSlopesError for the first wrong line."""
     known = list(roles)
     found: dict[tuple[Any, ...], Measurement] = {}
     for number, line in enumerate(text.splitlines(), 1):
@@ -122,10 +124,10 @@
         try:
             raw = json.loads(line)
         except ValueError:
-            raise BadSlopes(f"{place}: no JSON; allowed: one object a line") from None
+            raise InvalidSlopesError(f"{place}: no JSON; allowed: one object a line") from None
         made = checked(raw, known, place)
         if made.key in found:
-            raise BadSlopes(
+            raise InvalidSlopesError(
                 f"{place}: measured twice; allowed: one line for a role, by, measure, size and seed"
             )
         found[made.key] = made
@@ -133,13 +135,15 @@
 
 
 def read(path: Path, roles: Iterable[str]) -> list[Measurement]:
-    """The measurements of a file; none where there is no such file yet. Raises BadSlopes."""
+    """The measurements of a file; none where there is no such file yet. Raises InvalidSlopesError."""
     if not path.exists():
         return []
     try:
         text = path.read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
-        raise BadSlopes(f"{path}:1: {error}; allowed: a readable file of UTF-8 text") from None
+        raise InvalidSlopesError(
+            f"{path}:1: {error}; allowed: a readable file of UTF-8 text"
+        ) from None
     return parse(text, roles, str(path))
 
 
--- a/benchmarks/capacity/roles.py
+++ b/benchmarks/capacity/roles.py
@@ -13,6 +13,7 @@
 )
 from benchmarks.capacity.mechanisms import FORMER
 from benchmarks.capacity.slope import Slope
+from pumicenotch.errors import InputError
 
 SLOPES: tuple[Slope, ...] = (
     *decisions.SLOPES,
@@ -30,7 +31,7 @@
 GROUPS: tuple[str, ...] = tuple(sorted({role.split(".")[0] for role in ROLES}))
 
 
-class UnknownRole(ValueError):
+class UnknownRoleError(InputError):
     """The text names the roles that there are."""
 
 
@@ -40,7 +41,7 @@
     for name in wanted:
         matches = {role for role in ROLES if role == name or role.startswith(f"{name}.")}
         if not matches:
-            raise UnknownRole(
+            raise UnknownRoleError(
                 f"role {name!r} is unknown; allowed: {', '.join(dict.fromkeys((*GROUPS, *ROLES)))}"
             )
         found |= matches
--- a/benchmarks/cells.py
+++ b/benchmarks/cells.py
@@ -15,7 +15,7 @@
 from pumicenotch.cells.map import Cell, CellMap, Tenant
 from pumicenotch.cells.place import Node
 from pumicenotch.cells.walk import Said, Walk, walk
-from pumicenotch.interface import Effect
+from pumicenotch.interface import Idempotency
 
 CELL = 8  # nodes of a cell
 
@@ -48,7 +48,7 @@
 
 def route(made: CellMap, at: int) -> None:
     tenant = f"t{at % len(made.tenants)}"
-    begun = walk(made, 0.0, 1.0, tenant, Effect.FINGERPRINTED, f"{at:032x}", [])
+    begun = walk(made, 0.0, 1.0, tenant, Idempotency.KEYED, f"{at:032x}", [])
     assert isinstance(begun, Walk)
     begun.start()
     while not begun.over:
--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -22,14 +22,22 @@
 from statistics import median
 from typing import Any
 
-from pumicenotch.control import Control
-from pumicenotch.interface import Outcome, Tenant
+from pumicenotch.control import AdmissionController, ControllerSettings
+from pumicenotch.interface import IncomingRequest, Outcome, Tenant
 from pumicenotch.pools import Pools
 from tests.record import KINDS, PLAN, STAGES, World
 
 KNOWN = (300, 3_000, 15_000, 54_000)
 ACTIVE = (20, 300)
-EVENTS = ("task", "ended", "at_call", "call_ended", "caller_gone", "tick", "leave")
+EVENTS = (
+    "on_request",
+    "on_run_finished",
+    "on_dependency_needed",
+    "on_dependency_finished",
+    "on_cancel",
+    "on_tick",
+    "start_draining",
+)
 
 
 class Timed:
@@ -58,7 +66,7 @@
     }
     world = World(seed, max(3, many), 1.2, stages, **KINDS[0])
     if pooled:
-        world.control.pool(0.0, Pools(0.0, PLAN, stages, numbers))
+        world.control.use_pools(0.0, Pools(0.0, PLAN, stages, numbers))
         world.marks = True
     world.quiet = True
     timed = Timed(world.control)
@@ -96,7 +104,7 @@
     of processor time.
     """
 
-    def __init__(self, control: Control) -> None:
+    def __init__(self, control: AdmissionController) -> None:
         self.control, self.longest_event, self.longest_tick, self.in_ticks = control, 0, 0, 0
 
     def __getattr__(self, name: str) -> Any:
@@ -107,7 +115,7 @@
             do(*details)
             took = time.process_time_ns() - began
             self.longest_event = max(self.longest_event, took)
-            if name == "tick":
+            if name == "on_tick":
                 self.longest_tick = max(self.longest_tick, took)
                 self.in_ticks += took
 
@@ -123,14 +131,14 @@
     ticks: float
 
 
-def sampled(control: Control, tenants: int) -> None:
+def sampled(control: AdmissionController, tenants: int) -> None:
     """Puts all tenants through a sample, before the time 0: one task of each, and neighbours differ."""
     control.sampled_at = began = -10_000.0
     for at in range(tenants):
-        control.task(began, -1 - at, 0, at, 0.0, None, None, 1.0, None)
-        control.ended(began + (100.0 if at % 2 else 400.0), -1 - at, Outcome.OK)
-    control.tick(began + 1_000.0, (0.0, 0.0, 0.0, 0.0))
-    control.agenda.items.clear()  # all tasks have ended
+        control.on_request(began, IncomingRequest(-1 - at, 0, at, 0.0, None, None, 1.0, None))
+        control.on_run_finished(began + (100.0 if at % 2 else 400.0), -1 - at, Outcome.OK)
+    control.on_tick(began + 1_000.0, (0.0, 0.0, 0.0, 0.0))
+    control.timers.items.clear()  # all tasks have ended
 
 
 def cost_of_tenants(seed: int, known: int, active: int, past: str) -> Cost:
@@ -157,7 +165,8 @@
     people = [Tenant(1.0 / known, 20.0 if at % 2 else None) for at in range(known)]
     tracemalloc.start()
     actions: Any = Quiet()
-    control = Control(actions, 0.0, seed=1, stages=STAGES, tenants=people, gauges=[], cores=1)
+    settings = ControllerSettings(STAGES, people, [])
+    control = AdmissionController(actions, 0.0, settings, 1)
     made = tracemalloc.get_traced_memory()[0]
     sampled(control, known)
     used = tracemalloc.get_traced_memory()[0]
--- a/pumicenotch/__main__.py
+++ b/pumicenotch/__main__.py
@@ -22,7 +22,7 @@
 from loguru import logger
 
 from pumicenotch import start
-from pumicenotch.control import Control
+from pumicenotch.control import AdmissionController
 from pumicenotch.net import database, gateways, logs, pool
 from pumicenotch.net.clock import Clock
 from pumicenotch.net.dial import Links
@@ -126,7 +126,7 @@
     with anyio.move_on_after(READER_S):
         done = await anyio.run_process(compiled.command(config), check=False)
         return compiled.taken(config, done.returncode, done.stdout, done.stderr)
-    raise compiled.BadConfig(f"{config}:1: not read within {READER_S:g} s")
+    raise compiled.InvalidConfigError(f"{config}:1: not read within {READER_S:g} s")
 
 
 def planned(config: str) -> Any:
@@ -143,7 +143,7 @@
     try:
         done = subprocess.run(compiled.command(config), capture_output=True, timeout=READER_S)
     except subprocess.TimeoutExpired:
-        raise compiled.BadConfig(f"{config}:1: not read within {READER_S:g} s") from None
+        raise compiled.InvalidConfigError(f"{config}:1: not read within {READER_S:g} s") from None
     return compiled.taken(config, done.returncode, done.stdout, done.stderr)
 
 
@@ -173,7 +173,7 @@
     from pumicenotch.pools import Pools
     from pumicenotch.pools.plan import unknown
 
-    stages, numbers = values["keywords"]["stages"], values["stages"]
+    stages, numbers = values["settings"].request_classes, values["stages"]
     for name in unknown(plan, list(numbers)):
         logger.warning("{}: no stage of this server is called {}", values["config"], name)
     return lambda now: Pools(now, plan, stages, numbers)
@@ -253,43 +253,43 @@
     """The start values of the program; the text of a ValueError says what is wrong with which."""
     path = os.environ.get("LB_CONFIG")
     if not path:
-        raise start.BadStart("LB_CONFIG is not set")
+        raise start.InvalidStartValueError("LB_CONFIG is not set")
     try:
         with open(path, encoding="utf-8") as file:
             told = json.load(file)
         pairs = start.nested(told)
     except (OSError, ValueError, RecursionError) as error:
-        raise start.BadStart(f"LB_CONFIG {path}: {error}") from None
+        raise start.InvalidStartValueError(f"LB_CONFIG {path}: {error}") from None
     settings = start.settings(pairs)
     values = {name: start.read(name, pairs, start.peer, None) for name in MOVABLE}
     values["listen"] = start.read("listen", pairs, start.address, None)
     for name in ("listen", "pool"):
         if values[name] is None:
-            raise start.BadStart(f"missing start value {name}")
+            raise start.InvalidStartValueError(f"missing start value {name}")
     values |= {"name": pairs.get("name", ""), "pairs": pairs}
     values["seed"] = start.read("seed", pairs, lambda text: int(text, 16), 0)
     values["memory_mb"] = start.read("limits.memory_mb", pairs, float, 192.0)
     values["stop_ms"] = start.read("stop_ms", pairs, float, None)
     values["sockets"] = start.read("limits.sockets", pairs, int, 1024)
     values["shape"] = start.shape(settings)
-    values["keywords"] = start.keywords(settings)
+    values["settings"] = start.controller_settings(settings)
     values["stages"], values["tenants"] = (
         start.named(settings, "classes"),
         start.named(settings, "tenants"),
     )
     if not values["stages"]:
-        raise start.BadStart(
+        raise start.InvalidStartValueError(
             "missing start value settings.classes: no task could be told from another"
         )
     if values["stop_ms"] is None:
-        raise start.BadStart(
+        raise start.InvalidStartValueError(
             "missing start value stop_ms: the time from the notice to the end, in ms"
         )
     start.bounded(pairs, BOUNDS)
     return values
 
 
-def made(values: dict[str, Any], decides: type[Control]) -> Server:
+def made(values: dict[str, Any], decides: type[AdmissionController]) -> Server:
     told = dict(values)
     if getattr(values["ours"], "fleet", None) is not None:
         from pumicenotch.net.fleet import links
@@ -307,12 +307,12 @@
         node=getattr(values["ours"], "node", ""),
         **{
             name: told[name]
-            for name in ("keywords", "stages", "tenants", "seed", "stop_ms", "memory_mb", "sockets")
+            for name in ("settings", "stages", "tenants", "seed", "stop_ms", "memory_mb", "sockets")
         },
     )
 
 
-def main(decides: type[Control] = Control) -> None:
+def main(decides: type[AdmissionController] = AdmissionController) -> None:
     logs.to_stderr()
     try:
         values = read()
--- a/pumicenotch/adapter/__main__.py
+++ b/pumicenotch/adapter/__main__.py
@@ -7,13 +7,13 @@
 
 from pumicenotch import start
 from pumicenotch.adapter import codec
-from pumicenotch.control import Control
+from pumicenotch.control import AdmissionController
 
 
 class Host:
     def __init__(self) -> None:
         self.reply = codec.Reply()
-        self.instances: dict[int, tuple[Control, codec.Encoder]] = {}
+        self.instances: dict[int, tuple[AdmissionController, codec.Encoder]] = {}
 
     def answer(self, clock_us: int, frame: bytes) -> bytes:
         now = clock_us / 1000.0
@@ -23,17 +23,20 @@
             if name == "for":
                 (who,) = arguments
             elif who is None:
-                raise codec.BadFrame(f"event {name} before any instance was named")
+                raise codec.FrameDecodeError(f"event {name} before any instance was named")
             elif name == "attach":
                 encoder = codec.Encoder(who, self.reply)
                 seed, text = arguments
-                keywords = start.keywords(start.lines(text))
+                settings = start.controller_settings(start.lines(text))
                 with faults(encoder):
-                    self.instances[who] = (Control(encoder, now, seed=seed, **keywords), encoder)
+                    self.instances[who] = (
+                        AdmissionController(encoder, now, settings, seed),
+                        encoder,
+                    )
             elif name == "crash_now":
                 self.instances.pop(who, None)
             elif who not in self.instances:
-                raise codec.BadFrame(f"event {name} for unknown instance {who}")
+                raise codec.FrameDecodeError(f"event {name} for unknown instance {who}")
             else:
                 control, encoder = self.instances[who]
                 with faults(encoder):
@@ -53,7 +56,9 @@
 def whole(source: BinaryIO, size: int, what: str, batch: int) -> bytes:
     data = source.read(size)
     if len(data) < size:
-        raise codec.BadFrame(f"truncated {what} of batch {batch}: {len(data)} of {size} bytes")
+        raise codec.FrameDecodeError(
+            f"truncated {what} of batch {batch}: {len(data)} of {size} bytes"
+        )
     return data
 
 
@@ -66,7 +71,7 @@
         )
         body = whole(source, length, "frame", batch)
         if length < 8:
-            raise codec.BadFrame(f"frame of batch {batch} has no clock")
+            raise codec.FrameDecodeError(f"frame of batch {batch} has no clock")
         (clock_us,) = codec.HANDLE.unpack_from(body)
         sink.write(host.answer(clock_us, body[8:]))
         sink.flush()
--- a/pumicenotch/adapter/codec.py
+++ b/pumicenotch/adapter/codec.py
@@ -4,17 +4,18 @@
 from collections.abc import Callable, Iterator
 from typing import Any
 
-from pumicenotch.interface import Outcome
+from pumicenotch.errors import InputError
+from pumicenotch.interface import IncomingRequest, Outcome
 
 OUTCOMES = {
     0: Outcome.OK,
     13: Outcome.ERROR,
-    8: Outcome.FULL,
+    8: Outcome.REJECTED,
     4: Outcome.TIMEOUT,
-    14: Outcome.UNREACHED,
+    14: Outcome.UNREACHABLE,
     10: Outcome.RESET,
     1: Outcome.CANCELLED,
-    9: Outcome.MOOT,
+    9: Outcome.NOT_STARTED,
 }
 
 LENGTH = struct.Struct(">I")
@@ -38,7 +39,7 @@
 OUT_TEXT = struct.Struct(">HH")
 
 
-class BadFrame(ValueError):
+class FrameDecodeError(InputError):
     """A frame that cannot be read; the text says what and where."""
 
 
@@ -68,43 +69,43 @@
             self.reply.records += self.by
         self.reply.records += record
 
-    def run(self, task: int) -> None:
-        self.write(OUT_HANDLE.pack(1000, task))
+    def start(self, request_id: int) -> None:
+        self.write(OUT_HANDLE.pack(1000, request_id))
 
-    def reject(self, task: int, last: bool, stay_away_ms: float) -> None:
-        self.write(OUT_SHED.pack(1010, task, last, us(stay_away_ms)))
+    def reject(self, request_id: int, do_not_retry: bool, retry_after_ms: float) -> None:
+        self.write(OUT_SHED.pack(1010, request_id, do_not_retry, us(retry_after_ms)))
 
-    def abandon(self, task: int) -> None:
-        self.write(OUT_HANDLE.pack(1020, task))
+    def fail(self, request_id: int) -> None:
+        self.write(OUT_HANDLE.pack(1020, request_id))
 
-    def halt(self, task: int) -> None:
-        self.write(OUT_HANDLE.pack(1030, task))
+    def cancel_run(self, request_id: int) -> None:
+        self.write(OUT_HANDLE.pack(1030, request_id))
 
-    def call(self, task: int, give_up_ms: float) -> None:
-        self.write(OUT_HANDLE_TIME.pack(1040, task, us(give_up_ms)))
+    def call_dependency(self, request_id: int, timeout_ms: float) -> None:
+        self.write(OUT_HANDLE_TIME.pack(1040, request_id, us(timeout_ms)))
 
-    def skip_call(self, task: int) -> None:
-        self.write(OUT_HANDLE.pack(1050, task))
+    def skip_dependency(self, request_id: int) -> None:
+        self.write(OUT_HANDLE.pack(1050, request_id))
 
-    def keep(self, task: int, for_ms: float) -> None:
-        self.write(OUT_HANDLE_TIME.pack(1060, task, us(for_ms)))
+    def retain_key(self, request_id: int, ttl_ms: float) -> None:
+        self.write(OUT_HANDLE_TIME.pack(1060, request_id, us(ttl_ms)))
 
-    def forget(self, task: int) -> None:
-        self.write(OUT_HANDLE.pack(1070, task))
+    def drop_key(self, request_id: int) -> None:
+        self.write(OUT_HANDLE.pack(1070, request_id))
 
-    def reuse(self, task: int) -> None:
-        self.write(OUT_HANDLE.pack(1080, task))
+    def replay_result(self, request_id: int) -> None:
+        self.write(OUT_HANDLE.pack(1080, request_id))
 
-    def health(self, good: bool, stored: bool) -> None:
-        self.write(OUT_READINESS.pack(1090, good, stored))
+    def set_health(self, healthy: bool, cached: bool) -> None:
+        self.write(OUT_READINESS.pack(1090, healthy, cached))
 
-    def say(self, value: float) -> None:
+    def report_load(self, value: float) -> None:
         self.write(OUT_STAMP.pack(1100, value))
 
-    def close_idle(self, after_ms: float) -> None:
-        self.write(OUT_IDLE.pack(1110, us(after_ms)))
+    def set_idle_timeout(self, timeout_ms: float) -> None:
+        self.write(OUT_IDLE.pack(1110, us(timeout_ms)))
 
-    def wake(self, after_ms: float) -> None:
+    def schedule_tick(self, after_ms: float) -> None:
         self.write(OUT_WAKE.pack(1120, us(after_ms), 0))
 
     def log(self, text: str) -> None:
@@ -127,10 +128,12 @@
             (code,) = CODE.unpack_from(frame, at)
             decode = DECODERS.get(code)
             if decode is None:
-                raise BadFrame(f"unknown event code {code} at byte {start} of the batch")
+                raise FrameDecodeError(f"unknown event code {code} at byte {start} of the batch")
             name, arguments, at = decode(frame, at + CODE.size)
         except (struct.error, UnicodeDecodeError):
-            raise BadFrame(f"truncated or malformed event at byte {start} of the batch") from None
+            raise FrameDecodeError(
+                f"truncated or malformed event at byte {start} of the batch"
+            ) from None
         yield name, arguments
 
 
@@ -161,50 +164,50 @@
         frame, at
     )
     hint = work / 1000.0 if flags & 1 else None
-    arguments = (
-        task,
-        stage,
-        tenant,
-        waited / 1000.0,
-        limit / 1000.0 or None,
-        hint,
-        kb,
-        same or None,
+    incoming = IncomingRequest(
+        request_id=task,
+        class_index=stage,
+        tenant_index=tenant,
+        waited_ms=waited / 1000.0,
+        expires_at=limit / 1000.0 or None,
+        estimated_work=hint,
+        memory_kb=kb,
+        original_id=same or None,
     )
-    return "task", arguments, at + WORK_ITEM.size
+    return "on_request", (incoming,), at + WORK_ITEM.size
 
 
 def outcome(code: int, at: int) -> Outcome:
     if code not in OUTCOMES:
-        raise BadFrame(f"unknown outcome {code} at byte {at} of the batch")
+        raise FrameDecodeError(f"unknown outcome {code} at byte {at} of the batch")
     return OUTCOMES[code]
 
 
 def result(frame: bytes, at: int) -> Decoded:
     task, code, _ = RESULT.unpack_from(frame, at)
-    return "ended", (task, outcome(code, at)), at + RESULT.size
+    return "on_run_finished", (task, outcome(code, at)), at + RESULT.size
 
 
 def dep_reply(frame: bytes, at: int) -> Decoded:
     task, _, code = DEP_REPLY.unpack_from(frame, at)
-    return "call_ended", (task, outcome(code, at)), at + DEP_REPLY.size
+    return "on_dependency_finished", (task, outcome(code, at)), at + DEP_REPLY.size
 
 
 def retire_soon(frame: bytes, at: int) -> Decoded:
     (stop,) = HANDLE.unpack_from(frame, at)
-    return "leave", (stop / 1000.0,), at + HANDLE.size
+    return "start_draining", (stop / 1000.0,), at + HANDLE.size
 
 
 def ring(frame: bytes, at: int) -> Decoded:
     _, count = RING.unpack_from(frame, at)
     at += RING.size
     values = struct.unpack(f">{count}f", counted(frame, at, 4 * count))
-    return "tick", (values,), at + 4 * count
+    return "on_tick", (values,), at + 4 * count
 
 
 DECODERS: dict[int, Callable[[bytes, int], Decoded]] = {
     1000: ring,
-    1010: plain("caller_gone", HANDLE),
+    1010: plain("on_cancel", HANDLE),
     1020: plain("crash_now", struct.Struct(">")),
     1030: plain("for", FOR),
     1040: result,
@@ -212,5 +215,5 @@
     1060: retire_soon,
     1070: dep_reply,
     1080: work_item,
-    1090: plain("at_call", HANDLE),
+    1090: plain("on_dependency_needed", HANDLE),
 }
--- a/pumicenotch/agree/found.py
+++ b/pumicenotch/agree/found.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable, Iterable, Mapping
 from typing import Any, NamedTuple
 
-from pumicenotch.agree.messages import BadMessage, Seats, name_of, seats_of
+from pumicenotch.agree.messages import MessageDecodeError, Seats, name_of, seats_of
 from pumicenotch.agree.voter import LEADER, Voter
 
 
@@ -58,7 +58,7 @@
         return [Say(name, ("who", self.me)) for name in others]
 
     def said(self, sender: str, told: Any) -> list[Say]:
-        """Raises BadMessage on what no founding says."""
+        """Raises MessageDecodeError on what no founding says."""
         match told:
             case ["who", str(seat)] if seat == sender:
                 known = Say(name_of(sender), ("known", self.me))
@@ -80,7 +80,7 @@
                 if fresh and founder == self.promised and self.me in made.voters:
                     self.seats = made
             case _:
-                raise BadMessage(f"no word of a founding: {told!r:.80}")
+                raise MessageDecodeError(f"no word of a founding: {told!r:.80}")
         return []
 
 
--- a/pumicenotch/agree/messages.py
+++ b/pumicenotch/agree/messages.py
@@ -2,6 +2,8 @@
 
 from typing import Any, NamedTuple
 
+from pumicenotch.errors import InputError
+
 
 class Seats(NamedTuple):
     """Who takes part: `voters` count for majorities, `learners` only get the log. A seat is NAME/LIFE: a
@@ -98,7 +100,7 @@
 NAMES = {kind: name for name, kind in KINDS.items()}
 
 
-class BadMessage(ValueError):
+class MessageDecodeError(InputError):
     """It is not of the form that voters send; the text says where."""
 
 
@@ -108,18 +110,18 @@
 
 
 def message_of(told: Any) -> Message:
-    """The message that `plain` gave. Raises BadMessage on whatever a voter does not send."""
+    """The message that `plain` gave. Raises MessageDecodeError on whatever a voter does not send."""
     try:
         kind = KINDS[told[0]]
         values = kind._make(told[1:])
         for name, value in zip(kind._fields, values, strict=True):
             wanted = kind.__annotations__[name]
             if wanted in (int, bool, bytes) and type(value) is not wanted:
-                raise BadMessage(
+                raise MessageDecodeError(
                     f"{told[0]}.{name}: {wanted.__name__} is wanted, not {value!r:.40}"
                 )
             if wanted is int and value < 0:
-                raise BadMessage(f"{told[0]}.{name}: {value} is below 0")
+                raise MessageDecodeError(f"{told[0]}.{name}: {value} is below 0")
         if kind is Append:
             values = values._replace(entries=tuple(entry_of(each) for each in values.entries))
         if kind is Install:
@@ -127,13 +129,15 @@
         made: Message = values
         return made
     except (KeyError, IndexError, TypeError, AttributeError) as error:
-        raise BadMessage(f"no message of voters: {type(error).__name__} {error}"[:200]) from None
+        raise MessageDecodeError(
+            f"no message of voters: {type(error).__name__} {error}"[:200]
+        ) from None
 
 
 def entry_of(told: Any) -> Entry:
     term, kind, data = told
     if type(term) is not int or kind not in ("do", "seats", "noop"):
-        raise BadMessage(f"append.entries: no entry: {told!r:.60}")
+        raise MessageDecodeError(f"append.entries: no entry: {told!r:.60}")
     return Entry(term, kind, seats_of(data) if kind == "seats" else data)
 
 
@@ -141,7 +145,7 @@
     voters, learners = told
     for each in (*voters, *learners):
         if not isinstance(each, str) or "/" not in each:
-            raise BadMessage(f"seats: {each!r:.60} is no NAME/LIFE")
+            raise MessageDecodeError(f"seats: {each!r:.60} is no NAME/LIFE")
     return Seats(tuple(voters), tuple(learners))
 
 
--- a/pumicenotch/cells/map.py
+++ b/pumicenotch/cells/map.py
@@ -11,11 +11,12 @@
 from typing import Any, NamedTuple
 
 from pumicenotch.cells.place import Node, owner, shard
+from pumicenotch.errors import InputError
 
 FORM = 1
 
 
-class BadMap(ValueError):
+class InvalidCellMapError(InputError):
     """A map that cannot be taken; the text names the place and what is allowed."""
 
 
@@ -116,49 +117,49 @@
 
 
 def check(cells: CellMap) -> CellMap:
-    """The map itself, if it can be carried. Raises BadMap."""
+    """The map itself, if it can be carried. Raises InvalidCellMapError."""
     if cells.epoch < 1:
-        raise BadMap(f"epoch {cells.epoch}: 1 or above is allowed")
+        raise InvalidCellMapError(f"epoch {cells.epoch}: 1 or above is allowed")
     if cells.window_ms <= 0.0 or cells.lease_ms < 0.0:
-        raise BadMap("window_ms must be above 0 and lease_ms not below")
+        raise InvalidCellMapError("window_ms must be above 0 and lease_ms not below")
     for name, cell in cells.cells.items():
         if not cell.nodes:
-            raise BadMap(
+            raise InvalidCellMapError(
                 f"cell {name}: no nodes: name one at the least, or move its tenants and take it out"
             )
         if not 1 <= cell.since <= cells.epoch:
-            raise BadMap(
+            raise InvalidCellMapError(
                 f"cell {name}: since {cell.since}: 1 to the map's epoch {cells.epoch} is allowed"
             )
         names = [node.name for node in cell.nodes]
         if len(set(names)) < len(names):
-            raise BadMap(f"cell {name}: a node stands twice")
+            raise InvalidCellMapError(f"cell {name}: a node stands twice")
         if any(node.weight <= 0.0 for node in cell.nodes):
-            raise BadMap(f"cell {name}: a weight must be above 0")
+            raise InvalidCellMapError(f"cell {name}: a weight must be above 0")
     for name, tenant in cells.tenants.items():
         if tenant.cell not in cells.cells:
-            raise BadMap(
+            raise InvalidCellMapError(
                 f"tenant {name}: no cell {tenant.cell!r}; cells: {', '.join(sorted(cells.cells))}"
             )
         if not 1 <= tenant.since <= cells.epoch:
-            raise BadMap(
+            raise InvalidCellMapError(
                 f"tenant {name}: since {tenant.since}: 1 to the map's epoch {cells.epoch} is allowed"
             )
         if tenant.span < 0:
-            raise BadMap(f"tenant {name}: span {tenant.span}: 0 or above is allowed")
+            raise InvalidCellMapError(f"tenant {name}: span {tenant.span}: 0 or above is allowed")
     if cells.fallback and cells.fallback not in cells.cells:
-        raise BadMap(f"fallback: no cell {cells.fallback!r}")
+        raise InvalidCellMapError(f"fallback: no cell {cells.fallback!r}")
     return cells
 
 
 def newer(held: CellMap | None, other: CellMap) -> bool:
-    """Whether the other replaces the one that is held. Raises BadMap where one epoch has two contents:
+    """Whether the other replaces the one that is held. Raises InvalidCellMapError where one epoch has two contents:
     whoever made them must not go on.
     """
     if held is None or other.epoch > held.epoch:
         return True
     if other.epoch == held.epoch and other.digest() != held.digest():
-        raise BadMap(
+        raise InvalidCellMapError(
             f"epoch {other.epoch} has two contents: make the next epoch from the newest map"
         )
     return False
@@ -200,7 +201,7 @@
 
 
 def load(text: str, name: str = "map") -> CellMap:
-    """Raises BadMap on whatever `dump` does not write."""
+    """Raises InvalidCellMapError on whatever `dump` does not write."""
 
     def nodes(some: Any) -> tuple[Node, ...]:
         return tuple(Node(str(one), str(address), float(weight)) for one, address, weight in some)
@@ -213,7 +214,9 @@
     try:
         told = json.loads(text)
         if told["form"] != FORM:
-            raise BadMap(f"{name}:1: form: {told['form']!r} is unknown, {FORM} is allowed")
+            raise InvalidCellMapError(
+                f"{name}:1: form: {told['form']!r} is unknown, {FORM} is allowed"
+            )
         inside = told["map"]
         found = CellMap(
             int(inside["epoch"]),
@@ -235,11 +238,13 @@
             str(inside["fallback"]),
         )
         if found.digest() != told["digest"]:
-            raise BadMap(
+            raise InvalidCellMapError(
                 f"{name}:1: digest: the map does not fit its checksum: torn, or changed by hand"
             )
         return check(found)
-    except BadMap as error:
-        raise BadMap(str(error) if str(error).startswith(name) else f"{name}:1: {error}") from None
+    except InvalidCellMapError as error:
+        raise InvalidCellMapError(
+            str(error) if str(error).startswith(name) else f"{name}:1: {error}"
+        ) from None
     except (ValueError, KeyError, TypeError, AttributeError, OverflowError) as error:
-        raise BadMap(f"{name}:1: no cell map ({type(error).__name__})") from None
+        raise InvalidCellMapError(f"{name}:1: no cell map ({type(error).__name__})") from None
--- a/pumicenotch/cells/moves.py
+++ b/pumicenotch/cells/moves.py
@@ -12,7 +12,7 @@
 from enum import Enum, auto
 from typing import NamedTuple
 
-from pumicenotch.cells.map import OPEN, BadMap, Cell, CellMap, Former, Tenant, check
+from pumicenotch.cells.map import OPEN, Cell, CellMap, Former, InvalidCellMapError, Tenant, check
 from pumicenotch.cells.place import Node, bounded, shard
 
 
@@ -25,17 +25,17 @@
 
 
 def relocate(cells: CellMap, places: Mapping[str, tuple[str, int]], now: float) -> CellMap:
-    """The next map, in which those tenants live in those cells, on so many nodes (0: all). Raises BadMap."""
+    """The next map, in which those tenants live in those cells, on so many nodes (0: all). Raises InvalidCellMapError."""
     tenants, epoch = dict(cells.tenants), cells.epoch + 1
     for name, (cell, span) in places.items():
         if cell not in cells.cells:
-            raise BadMap(f"no cell {cell!r}; cells: {', '.join(sorted(cells.cells))}")
+            raise InvalidCellMapError(f"no cell {cell!r}; cells: {', '.join(sorted(cells.cells))}")
         held = cells.tenant(name)
         if held is None:
             tenants[name] = Tenant(cell, span, (), epoch)
             continue
         if held.cell == cell and held.span == span:
-            raise BadMap(f"tenant {name}: lives in {cell} already")
+            raise InvalidCellMapError(f"tenant {name}: lives in {cell} already")
         # A whole place is left, whatever part of it the token's home was; what its old cell had been counts
         # too.
         formers = [left(cells, name, held), *cells.cells[held.cell].former]
@@ -46,7 +46,7 @@
 
 
 def move(cells: CellMap, names: Iterable[str], cell: str, now: float, span: int = 0) -> CellMap:
-    """The next map, in which all those tenants live in that cell. Raises BadMap."""
+    """The next map, in which all those tenants live in that cell. Raises InvalidCellMapError."""
     return relocate(cells, dict.fromkeys(names, (cell, span)), now)
 
 
@@ -71,9 +71,9 @@
         if name != cell
     ]
     if not others:
-        raise BadMap(f"cell {cell} is the only one: nowhere to go")
+        raise InvalidCellMapError(f"cell {cell} is the only one: nowhere to go")
     if cells.fallback == cell:
-        raise BadMap(f"cell {cell} is the fallback: name another first")
+        raise InvalidCellMapError(f"cell {cell} is the fallback: name another first")
     going = [name for name, each in cells.tenants.items() if each.cell == cell]
     stay = {name: each.cell for name, each in cells.tenants.items() if each.cell != cell}
     every = {name: weights.get(name, 1.0) for name in cells.tenants}
@@ -196,5 +196,5 @@
         if old is not None and new is not None and (old.cell, old.span) != (new.cell, new.span):
             back[name] = (old.cell, old.span)
     if not back:
-        raise BadMap(f"epoch {after.epoch} moved no tenant: nothing to take back")
+        raise InvalidCellMapError(f"epoch {after.epoch} moved no tenant: nothing to take back")
     return relocate(after, back, now)
--- a/pumicenotch/cells/walk.py
+++ b/pumicenotch/cells/walk.py
@@ -10,7 +10,7 @@
 
 from pumicenotch.cells.fence import Role, Verdict
 from pumicenotch.cells.map import CellMap, Homes
-from pumicenotch.interface import Effect
+from pumicenotch.interface import Idempotency
 
 
 class Said(Enum):
@@ -59,7 +59,9 @@
     the nodes of its tenant by preference, of which each is tried once at the most.
     """
 
-    def __init__(self, effect: Effect, epoch: int, homes: Homes | None, choices: list[str]) -> None:
+    def __init__(
+        self, effect: Idempotency, epoch: int, homes: Homes | None, choices: list[str]
+    ) -> None:
         self.effect, self.epoch = effect, epoch
         self.asks = [node.name for node in homes.ask] if homes is not None else []
         self.home = homes.home.name if homes is not None else ""
@@ -106,7 +108,7 @@
             return self.end("failed", "former_home_silent")
         if said is Said.OLD_MAP:
             return self.end("rejected", "map_is_old", SOON_MS)
-        if said is Said.BROKEN and self.effect is not Effect.RESTARTABLE:
+        if said is Said.BROKEN and self.effect is not Idempotency.IDEMPOTENT:
             return self.end("failed", "connection_broken")
         if self.home:  # a fingerprint has one home: no other node may run it
             why = "home_refused" if said is Said.REFUSED else "rejected_by_node"
@@ -121,15 +123,15 @@
     confirmed: float,
     now: float,
     tenant: str,
-    effect: Effect,
+    effect: Idempotency,
     token: str,
     choices: list[str],
 ) -> Walk | End:
     """The walk of a task by that map, which was last confirmed at that time (Unix ms); or its end at once."""
-    if cells.lease_ms and now - confirmed > cells.lease_ms and effect is not Effect.RESTARTABLE:
+    if cells.lease_ms and now - confirmed > cells.lease_ms and effect is not Idempotency.IDEMPOTENT:
         # A newer map may give its tenant other nodes by now, and count on nobody going by this one.
         return End("rejected", "map_unconfirmed", SOON_MS)
-    homes = cells.homes(tenant, token, now) if effect is Effect.FINGERPRINTED else None
+    homes = cells.homes(tenant, token, now) if effect is Idempotency.KEYED else None
     if cells.tenant(tenant) is None:
         return End("rejected", "tenant_unknown", SOON_MS)
     return Walk(effect, cells.stamp(tenant), homes, [] if homes is not None else choices)
--- a/pumicenotch/cli/agent.py
+++ b/pumicenotch/cli/agent.py
@@ -8,7 +8,7 @@
 from pumicenotch.cli.fleet import wrong
 from pumicenotch.config import agent as config
 from pumicenotch.config import versions
-from pumicenotch.config.hcl import BadFile
+from pumicenotch.config.hcl import InvalidFileError
 from pumicenotch.fleet.agent import AGENT_FAILED
 
 TRIES = 2  # starts of an agent's version that never spoke with the fleet, before the one before it comes back
@@ -38,6 +38,6 @@
         folder = Path(told.home) / "versions" / version
         if version:
             versions.fetch(version, Path(told.source), folder.parent)
-    except (BadFile, versions.BadVersion, OSError) as error:
+    except (InvalidFileError, versions.InvalidVersionError, OSError) as error:
         wrong(error)
     return {"PYTHONPATH": str(folder)} if version else {}
--- a/pumicenotch/cli/app.py
+++ b/pumicenotch/cli/app.py
@@ -31,16 +31,16 @@
     if path.endswith(".json"):
         try:
             return compiled.from_file(path)
-        except compiled.BadConfig as error:
+        except compiled.InvalidConfigError as error:
             wrong(error)
     try:
-        from pumicenotch.config.file import BadFile
+        from pumicenotch.config.file import InvalidFileError
         from pumicenotch.config.file import ours_of as read
     except ModuleNotFoundError as error:
         wrong(f"pumicenotch: HCL needs {error.name}: pip install 'pumicenotch[cli]'")
     try:
         return read(path)
-    except BadFile as error:
+    except InvalidFileError as error:
         wrong(error)
 
 
--- a/pumicenotch/cli/cells.py
+++ b/pumicenotch/cli/cells.py
@@ -11,9 +11,9 @@
 from cyclopts import App, Parameter
 
 from pumicenotch.cells import moves
-from pumicenotch.cells.map import BadMap, CellMap, dump
+from pumicenotch.cells.map import CellMap, InvalidCellMapError, dump
 from pumicenotch.config.files import cell_map, put
-from pumicenotch.config.hcl import BadFile
+from pumicenotch.config.hcl import InvalidFileError
 
 cells = App(
     name="cells", help="Cell maps: make the first, move tenants, see how far a move has come."
@@ -29,7 +29,7 @@
 def held(path: Path) -> CellMap:
     try:
         return cell_map(path)[0]
-    except BadMap as error:
+    except InvalidCellMapError as error:
         wrong(error)
 
 
@@ -59,7 +59,7 @@
 
     try:
         made = first(file)
-    except BadFile as error:
+    except InvalidFileError as error:
         wrong(error)
     kept(made, out)
 
@@ -75,7 +75,7 @@
     """
     try:
         made = moves.move(held(map), tenant, to, now(), span)
-    except BadMap as error:
+    except InvalidCellMapError as error:
         wrong(f"{map}: {error}")
     kept(made, out)
 
@@ -85,7 +85,7 @@
     """The next map, in which nobody lives in that cell: its tenants go to the others, within their bounds."""
     try:
         made = moves.evacuate(held(map), cell, now(), {})
-    except BadMap as error:
+    except InvalidCellMapError as error:
         wrong(f"{map}: {error}")
     kept(made, out)
 
@@ -95,7 +95,7 @@
     """The next map, in which what changed from one map to the other is taken back."""
     try:
         made = moves.abort(held(before), held(map), now())
-    except BadMap as error:
+    except InvalidCellMapError as error:
         wrong(f"{map}: {error}")
     kept(made, out)
 
--- a/pumicenotch/cli/configuration.py
+++ b/pumicenotch/cli/configuration.py
@@ -6,8 +6,12 @@
 from typing import Any
 
 from pumicenotch.cli.fleet import At, Json, Name, answer, fleet, me, new, table, wrong
-from pumicenotch.cli.session import Refused, Session, Unreached
-from pumicenotch.config.publication import BadPublicationFile, PublicationFile, read_publication
+from pumicenotch.cli.session import RequestRefusedError, ServerUnreachableError, Session
+from pumicenotch.config.publication import (
+    InvalidPublicationFileError,
+    PublicationFile,
+    read_publication,
+)
 from pumicenotch.distribution.uploads import entries_of
 
 
@@ -40,19 +44,19 @@
     """
     try:
         told = read_publication(file)
-    except BadPublicationFile as error:
+    except InvalidPublicationFileError as error:
         wrong(error)
     if not at:
         wrong("--at HOST:PORT is wanted: a process of the fleet, best several voters")
     try:
         with Session(fleet, at) as session:
             result = published(session, told, reason, previous)
-    except Refused as error:
+    except RequestRefusedError as error:
         line = told.line_of(str(error))
         if line:
             wrong(f"{file}:{line}: {error}")
         wrong(f"refused: {error}", 1)
-    except Unreached as error:
+    except ServerUnreachableError as error:
         wrong(error, 1)
     print(json.dumps(result) if as_json else result["text"])
 
@@ -60,7 +64,7 @@
 def published(
     session: Session, told: PublicationFile, reason: str, previous: int | None
 ) -> dict[str, Any]:
-    """What came of it. Raises Refused and Unreached."""
+    """What came of it. Raises RequestRefusedError and ServerUnreachableError."""
     if previous is None:
         previous = int(session.ask("configuration")["version"])
     result: dict[str, Any] = {}
--- a/pumicenotch/cli/fleet.py
+++ b/pumicenotch/cli/fleet.py
@@ -12,7 +12,13 @@
 
 from cyclopts import App, Parameter
 
-from pumicenotch.cli.session import IN_ALL_S, Connection, Refused, Unreached, asked
+from pumicenotch.cli.session import (
+    IN_ALL_S,
+    Connection,
+    RequestRefusedError,
+    ServerUnreachableError,
+    asked,
+)
 
 fleet = App(
     name="fleet", help="Drains agreed across the fleet: ask, see who waits and why, halt, resume."
@@ -38,9 +44,9 @@
         wrong("--at HOST:PORT is wanted: a process of the fleet, best several voters")
     try:
         return asked(name, at, verb, *args)
-    except Refused as error:
+    except RequestRefusedError as error:
         wrong(f"refused: {error}", 1)
-    except Unreached as error:
+    except ServerUnreachableError as error:
         wrong(error, 1)
 
 
@@ -182,11 +188,11 @@
 def budget(file: Path, /, *, at: At, fleet: Name, as_json: Json = False) -> None:
     """Put the budgets of an HCL file in the place of all that are in force."""
     from pumicenotch.config.fleet import budgets_of
-    from pumicenotch.config.hcl import BadFile
+    from pumicenotch.config.hcl import InvalidFileError
 
     try:
         made = budgets_of(file)
-    except BadFile as error:
+    except InvalidFileError as error:
         wrong(error)
     told(fleet, at, as_json, "budget", new(), made, me())
 
@@ -201,7 +207,7 @@
         try:
             with Connection(fleet, address) as connection:
                 error, result = connection.ask("halt", key, by, reason)
-        except (OSError, ValueError, Refused) as fault:
+        except (OSError, ValueError, RequestRefusedError) as fault:
             print(f"{address}: {fault}", file=sys.stderr)
             continue
         local = local or error is None
@@ -220,7 +226,7 @@
                     else "halted, agreed by the fleet"
                 )
                 return
-        except (Refused, Unreached):
+        except (RequestRefusedError, ServerUnreachableError):
             break
         time.sleep(0.1)
     text = "halted where it was reached, and handed on; not agreed yet: no majority was reached"
--- a/pumicenotch/cli/lab.py
+++ b/pumicenotch/cli/lab.py
@@ -10,9 +10,9 @@
 from rich.console import Console
 from rich.table import Table
 
-from pumicenotch.config.hcl import BadFile
+from pumicenotch.config.hcl import InvalidFileError
 from pumicenotch.lab import experiment, experiment_file, experiment_results
-from pumicenotch.lab.guard import MachineTooSmall, RunFailed
+from pumicenotch.lab.guard import MachineTooSmallError, RunFailedError
 
 lab = App(
     name="lab",
@@ -34,7 +34,7 @@
     for path in sorted(experiment_file.FOLDER.glob("*.hcl")):
         try:
             told, _ = experiment_file.read(str(path))
-        except BadFile:
+        except InvalidFileError:
             continue  # a file of pools beside them
         found.append({"name": path.stem, "carrier": told.carrier, "about": told.about})
     if as_json:
@@ -78,9 +78,11 @@
     try:
         told, path = experiment_file.read(name, sets)
         if out is not None and (out / "summary.json").exists():
-            raise BadFile(f"{out}: holds a result already: name another folder, or remove it first")
+            raise InvalidFileError(
+                f"{out}: holds a result already: name another folder, or remove it first"
+            )
         experiment.check_machine(told)
-    except (BadFile, MachineTooSmall) as error:
+    except (InvalidFileError, MachineTooSmallError) as error:
         wrong(error)
     signal.signal(signal.SIGTERM, signal.default_int_handler)  # as Ctrl-C: what runs is ended
     found: list[experiment.Run] = []
@@ -96,7 +98,7 @@
         whole = False
         signal.signal(signal.SIGTERM, signal.SIG_IGN)  # what runs is ending already
         print("stopped: what had ended is kept and marked", file=sys.stderr)
-    except RunFailed as error:
+    except RunFailedError as error:
         if not found:
             wrong(error, error.status)
         whole = False
@@ -145,7 +147,7 @@
     """A kept result's tables again."""
     try:
         shown(experiment_results.kept_summary(folder), as_json)
-    except BadFile as error:
+    except InvalidFileError as error:
         wrong(error)
 
 
@@ -165,6 +167,6 @@
     sets = [*(set_ or []), f"length_s={seconds or 3600.0}"]
     try:
         told, path = experiment_file.read("up", sets)
-    except BadFile as error:
+    except InvalidFileError as error:
         wrong(error)
     sys.exit(watch(told, path))
--- a/pumicenotch/cli/release.py
+++ b/pumicenotch/cli/release.py
@@ -27,12 +27,12 @@
     into
         The folder that agents have as `source`.
     """
-    from pumicenotch.config.versions import BadVersion
+    from pumicenotch.config.versions import InvalidVersionError
     from pumicenotch.config.versions import pack as packed
 
     try:
         print(packed(folder, into))
-    except BadVersion as error:
+    except InvalidVersionError as error:
         wrong(error)
 
 
@@ -92,14 +92,14 @@
         For the slot budgets: the HCL file.
     """
     from pumicenotch.config.fleet import budgets_of
-    from pumicenotch.config.hcl import BadFile
+    from pumicenotch.config.hcl import InvalidFileError
     from pumicenotch.fleet.release import BUDGETS, LEVEL
 
     if (slot == BUDGETS) != (budgets is not None):
         wrong("--budgets FILE goes with --slot budgets, and only with it")
     try:
         made = budgets_of(budgets) if budgets is not None else ()
-    except BadFile as error:
+    except InvalidFileError as error:
         wrong(error)
     waves: Any = ((),)
     if slot != BUDGETS:
--- a/pumicenotch/cli/session.py
+++ b/pumicenotch/cli/session.py
@@ -7,17 +7,18 @@
 import msgpack
 
 from pumicenotch import start
+from pumicenotch.errors import PumicenotchError
 
 ANSWER_S = 4.0  # of one process: longer than a leader waits for a majority
 IN_ALL_S = 15.0  # over all processes asked, changes of leaders between them
 PAUSE_S = 0.2  # before all are asked again
 
 
-class Refused(Exception):
+class RequestRefusedError(PumicenotchError):
     """The fleet's own no, with its reason."""
 
 
-class Unreached(Exception):
+class ServerUnreachableError(PumicenotchError):
     """Nobody who could say."""
 
 
@@ -41,7 +42,7 @@
                     case [1, self.number, error, result]:
                         return error, result
                     case [2, "refused", [why]]:
-                        raise Refused(why)
+                        raise RequestRefusedError(why)
             if time.monotonic() > until:
                 raise TimeoutError("no answer")
             data = self.sock.recv(65536)
@@ -68,7 +69,7 @@
         self.connection: Connection | None = None
 
     def ask(self, verb: str, *args: Any) -> Any:
-        """Each process in turn, and whoever is said to lead first. Raises Refused and Unreached."""
+        """Each process in turn, and whoever is said to lead first. Raises RequestRefusedError and ServerUnreachableError."""
         until, met = time.monotonic() + IN_ALL_S, ""
         todo = [self.address, *self.addresses] if self.address else list(self.addresses)
         while time.monotonic() < until:
@@ -86,11 +87,13 @@
                 return result
             code, text, more = (*error, None, None, None)[:3]
             if code == "Refused":
-                raise Refused(text)
+                raise RequestRefusedError(text)
             met = f"{address}: {text}"
             if code == "NotLeader" and more:
                 todo.insert(0, more)
-        raise Unreached(f"nobody of the fleet could say in {IN_ALL_S:g} s; last: {met}")
+        raise ServerUnreachableError(
+            f"nobody of the fleet could say in {IN_ALL_S:g} s; last: {met}"
+        )
 
     def connected(self, address: str) -> Connection:
         if self.connection is None or address != self.address:
@@ -112,6 +115,6 @@
 
 
 def asked(name: str, addresses: list[str], verb: str, *args: Any) -> Any:
-    """One request. Raises Refused and Unreached."""
+    """One request. Raises RequestRefusedError and ServerUnreachableError."""
     with Session(name, addresses) as session:
         return session.ask(verb, *args)
--- a/pumicenotch/config/__main__.py
+++ b/pumicenotch/config/__main__.py
@@ -3,13 +3,13 @@
 import sys
 
 from pumicenotch.config.compiled import dump
-from pumicenotch.config.file import BadFile, ours_of
+from pumicenotch.config.file import InvalidFileError, ours_of
 
 
 def main() -> None:
     try:
         made = ours_of(sys.argv[1])
-    except BadFile as error:
+    except InvalidFileError as error:
         print(error, file=sys.stderr)
         sys.exit(2)
     print(dump(made))
--- a/pumicenotch/config/agent.py
+++ b/pumicenotch/config/agent.py
@@ -8,7 +8,7 @@
 
 from pumicenotch.config.files import put
 from pumicenotch.config.fleet import Address, Name, once
-from pumicenotch.config.hcl import BadFile
+from pumicenotch.config.hcl import InvalidFileError
 from pumicenotch.config.schema import Schema, read
 from pumicenotch.fleet.release import BUDGETS, SLOTS
 
@@ -79,12 +79,12 @@
 
 
 def agent_of(path: str | Path) -> AgentFile:
-    """Raises BadFile."""
+    """Raises InvalidFileError."""
     return read(path, AgentFile)
 
 
 def disk_of(told: AgentFile) -> Disk:
-    """Raises BadFile on what no agent has written."""
+    """Raises InvalidFileError on what no agent has written."""
     first = {each.name: each.version for each in told.slot}
     path = Path(told.home) / "agent.json"
     try:
@@ -96,7 +96,7 @@
     except FileNotFoundError:
         return Disk(first, first)
     except (OSError, ValueError, KeyError, TypeError, AttributeError) as error:
-        raise BadFile(
+        raise InvalidFileError(
             f"{path}:1: cannot be read as an agent's: {error}; move it away to begin anew"
         ) from None
 
--- a/pumicenotch/config/cells.py
+++ b/pumicenotch/config/cells.py
@@ -7,9 +7,9 @@
 
 from pydantic import Field
 
-from pumicenotch.cells.map import BadMap, Cell, CellMap, Tenant, check
+from pumicenotch.cells.map import Cell, CellMap, InvalidCellMapError, Tenant, check
 from pumicenotch.cells.place import Node, bounded
-from pumicenotch.config.hcl import BadFile
+from pumicenotch.config.hcl import InvalidFileError
 from pumicenotch.config.schema import Schema, read
 
 Name = Annotated[str, Field(min_length=1, max_length=64)]
@@ -45,12 +45,12 @@
 
 
 def first(path: str | Path) -> CellMap:
-    """The map of epoch 1. Raises BadFile."""
+    """The map of epoch 1. Raises InvalidFileError."""
     told = read(path, MapFile)
     cells: dict[str, Cell] = {}
     for block in told.cell:
         if block.name in cells:
-            raise BadFile(f"{path}:1: cell {block.name}: stands twice")
+            raise InvalidFileError(f"{path}:1: cell {block.name}: stands twice")
         nodes = tuple(Node(each.name, each.address, each.weight) for each in block.node)
         cells[block.name] = Cell(block.name, nodes)
     places = [
@@ -61,5 +61,5 @@
         found = bounded({each.name: each.weight for each in told.tenant}, places, told.slack, pins)
         tenants = {each.name: Tenant(found[each.name], each.span) for each in told.tenant}
         return check(CellMap(1, cells, tenants, told.window_ms, told.lease_ms, told.fallback))
-    except (BadMap, ValueError) as error:
-        raise BadFile(f"{path}:1: {error}") from None
+    except (InvalidCellMapError, ValueError) as error:
+        raise InvalidFileError(f"{path}:1: {error}") from None
--- a/pumicenotch/config/compiled.py
+++ b/pumicenotch/config/compiled.py
@@ -5,7 +5,8 @@
 import sys
 from typing import TYPE_CHECKING, Any, NamedTuple
 
-from pumicenotch.pools.plan import BadPlan, Plan, Pool, check, unknown
+from pumicenotch.errors import InputError
+from pumicenotch.pools.plan import InvalidPoolsPlanError, Plan, Pool, check, unknown
 
 if TYPE_CHECKING:  # nothing of a fleet is loaded where there is none
     from pumicenotch.distribution.instance_settings import InstanceSettings
@@ -14,7 +15,7 @@
 FORM = 1  # of the line; a server refuses what it does not know
 
 
-class BadConfig(ValueError):
+class InvalidConfigError(InputError):
     """The file or the line cannot be taken; the text says why, for each fault a line."""
 
 
@@ -50,11 +51,11 @@
 
 
 def load(text: str, name: str) -> Ours:
-    """Raises BadConfig on anything that `dump` does not write."""
+    """Raises InvalidConfigError on anything that `dump` does not write."""
     try:
         told = json.loads(text)
         if told["form"] != FORM:
-            raise BadConfig(
+            raise InvalidConfigError(
                 f"{name}:1: form: {told['form']!r} is unknown, {FORM} is allowed: compile it anew"
             )
         node, map_file = told["cells"]["node"], told["cells"]["map"]
@@ -77,12 +78,12 @@
         )
         plan = Plan(**{**told["plan"], "pools": pools})
         check(plan)
-    except BadPlan as error:
-        raise BadConfig(f"{name}:1: plan: {error}") from None
+    except InvalidPoolsPlanError as error:
+        raise InvalidConfigError(f"{name}:1: plan: {error}") from None
     except (ValueError, KeyError, TypeError) as error:
-        if isinstance(error, BadConfig):
+        if isinstance(error, InvalidConfigError):
             raise
-        raise BadConfig(
+        raise InvalidConfigError(
             f"{name}:1: no compiled plan ({type(error).__name__}): compile it anew"
         ) from None
     return Ours(plan, node, map_file, fleet, distribution)
@@ -94,9 +95,9 @@
 
 
 def taken(path: str, status: int, out: bytes, errors: bytes) -> Ours:
-    """What such a process made of the file. Raises BadConfig with what it said."""
+    """What such a process made of the file. Raises InvalidConfigError with what it said."""
     if status:
-        raise BadConfig(
+        raise InvalidConfigError(
             errors.decode(errors="replace").strip()[:4000]
             or f"{path}:1: its reader failed ({status})"
         )
@@ -104,12 +105,12 @@
 
 
 def from_file(path: str) -> Ours:
-    """A compiled plan, by its ending `.json`. Raises BadConfig."""
+    """A compiled plan, by its ending `.json`. Raises InvalidConfigError."""
     try:
         with open(path, encoding="utf-8") as file:
             return load(file.read(), path)
     except (OSError, UnicodeDecodeError) as error:
-        raise BadConfig(
+        raise InvalidConfigError(
             f"{path}:1: cannot be read: {getattr(error, 'strerror', None) or error}"
         ) from None
 
--- a/pumicenotch/config/file.py
+++ b/pumicenotch/config/file.py
@@ -7,7 +7,7 @@
 
 from pumicenotch.config.compiled import Ours
 from pumicenotch.config.fleet import FleetBlock
-from pumicenotch.config.hcl import BadFile
+from pumicenotch.config.hcl import InvalidFileError
 from pumicenotch.config.schema import Schema, read
 from pumicenotch.pools import plan
 
@@ -77,12 +77,12 @@
 
 
 def plan_of(path: str | Path) -> plan.Plan | None:
-    """The plan in an HCL file. Raises BadFile."""
+    """The plan in an HCL file. Raises InvalidFileError."""
     return read(path, File).plan()
 
 
 def ours_of(path: str | Path) -> Ours:
-    """All that an HCL file says. Raises BadFile."""
+    """All that an HCL file says. Raises InvalidFileError."""
     told = read(path, File)
     fleet = told.fleet.settings() if told.fleet is not None else None
     distribution = told.fleet.distribution_settings() if told.fleet is not None else None
@@ -92,4 +92,4 @@
     return Ours(told.plan(), told.cells.node, cell_map, fleet, distribution)
 
 
-__all__ = ["BadFile", "File", "ours_of", "plan_of"]
+__all__ = ["File", "InvalidFileError", "ours_of", "plan_of"]
--- a/pumicenotch/config/files.py
+++ b/pumicenotch/config/files.py
@@ -3,7 +3,7 @@
 import os
 from pathlib import Path
 
-from pumicenotch.cells.map import BadMap, CellMap, load
+from pumicenotch.cells.map import CellMap, InvalidCellMapError, load
 
 
 def put(path: Path, text: str) -> None:
@@ -20,13 +20,13 @@
 
 def cell_map(path: str | Path) -> tuple[CellMap, float]:
     """The map in that file, and when the file was last confirmed: written, or touched (Unix ms). Raises
-    BadMap.
+    InvalidCellMapError.
     """
     try:
         with open(path, encoding="utf-8") as file:
             confirmed = os.fstat(file.fileno()).st_mtime * 1000.0
             return load(file.read(), str(path)), confirmed
     except (OSError, UnicodeDecodeError) as error:
-        raise BadMap(
+        raise InvalidCellMapError(
             f"{path}:1: cannot be read: {getattr(error, 'strerror', None) or error}"
         ) from None
--- a/pumicenotch/config/fleet.py
+++ b/pumicenotch/config/fleet.py
@@ -177,12 +177,12 @@
 
 
 def voter_of(path: str | Path) -> VoterSettings:
-    """Raises BadFile."""
+    """Raises InvalidFileError."""
     told = read(path, VoterFile)
     distribution = told.distribution.instance_settings() if told.distribution is not None else None
     return VoterSettings(told.settings(), told.seed, distribution)
 
 
 def budgets_of(path: str | Path) -> tuple[budgets.Budget, ...]:
-    """Raises BadFile."""
+    """Raises InvalidFileError."""
     return read(path, BudgetsFile).budgets()
--- a/pumicenotch/config/hcl.py
+++ b/pumicenotch/config/hcl.py
@@ -10,11 +10,13 @@
 from lark import Token, Tree
 from lark.exceptions import UnexpectedCharacters, UnexpectedInput
 
+from pumicenotch.errors import InputError
+
 MOST_BYTES = 256 * 1024  # of a file: thousands of lines, read within a second
 MOST_DEEP = 64  # brackets and braces in each other: beyond, the parser would go on to its own recursion limit
 
 
-class BadFile(ValueError):
+class InvalidFileError(InputError):
     """What is wrong with a file: a line each, `FILE:LINE: block.attribute: what is wrong and what is
     allowed`.
     """
@@ -34,19 +36,23 @@
 
 
 def parse(text: str, name: str) -> Block:
-    """The whole file as one block without a kind. Raises BadFile."""
+    """The whole file as one block without a kind. Raises InvalidFileError."""
     if len(text) > MOST_BYTES:
-        raise BadFile(f"{name}:1: the file has {len(text)} bytes, {MOST_BYTES} are allowed")
+        raise InvalidFileError(
+            f"{name}:1: the file has {len(text)} bytes, {MOST_BYTES} are allowed"
+        )
     deep = most = 0
     for letter in text:
         deep += (letter in "{[(") - (letter in "}])")
         most = max(most, deep)
     if most > MOST_DEEP:
-        raise BadFile(f"{name}:1: blocks and lists go {most} deep, {MOST_DEEP} are allowed")
+        raise InvalidFileError(
+            f"{name}:1: blocks and lists go {most} deep, {MOST_DEEP} are allowed"
+        )
     try:
         tree = hcl2.parses_to_tree(text.rstrip() + "\n")
     except UnexpectedCharacters as error:
-        raise BadFile(
+        raise InvalidFileError(
             f"{name}:{error.line}: no HCL at column {error.column}: {error.char!r}"
         ) from None
     except UnexpectedInput as error:
@@ -57,11 +63,11 @@
             else repr(str(token).strip() or "\n")
         )
         line = max(1, error.line) if error.line and error.line > 0 else text.count("\n") + 1
-        raise BadFile(
+        raise InvalidFileError(
             f"{name}:{line}: no HCL: {met} where a value, an attribute or a block is wanted"
         ) from None
     except RecursionError:
-        raise BadFile(f"{name}:1: too deep to be read") from None
+        raise InvalidFileError(f"{name}:1: too deep to be read") from None
     whole = Block("", [], 1)
     body = next(part for part in tree.children if isinstance(part, Tree) and part.data == "body")
     fill(whole, body, name)
@@ -90,7 +96,7 @@
         if part.data == "attribute":
             if word in block.attributes:
                 first = block.attributes[word][1]
-                raise BadFile(
+                raise InvalidFileError(
                     f"{name}:{at}: {word}: stands twice, first in line {first}: once is allowed"
                 )
             block.attributes[word] = (value(rest[0], f"{name}:{at}: {word}"), at)
@@ -104,7 +110,7 @@
             fill(inner, rest[-1], name)
             block.blocks.append(inner)
         else:
-            raise BadFile(f"{name}:{at}: neither an attribute nor a block")
+            raise InvalidFileError(f"{name}:{at}: neither an attribute nor a block")
 
 
 def text_of(tree: Tree[Token]) -> str:
@@ -117,12 +123,12 @@
     parts: list[str] = []
     for part in trees(tree):
         if any(isinstance(inner, Tree) for inner in part.children):
-            raise BadFile(f"{where}: interpolation: only plain text is allowed")
+            raise InvalidFileError(f"{where}: interpolation: only plain text is allowed")
         parts.append(text_of(part))
     try:
         return str(json.loads('"' + "".join(parts) + '"'))
     except ValueError:
-        raise BadFile(f"{where}: no text: {''.join(parts)!r}") from None
+        raise InvalidFileError(f"{where}: no text: {''.join(parts)!r}") from None
 
 
 def value(tree: Tree[Token], where: str) -> Any:
@@ -153,10 +159,10 @@
             found[str(value(trees(key)[0], where))] = value(held, where)
         return found
     if kind == "identifier":
-        raise BadFile(
+        raise InvalidFileError(
             f"{where}: {text_of(tree)!r} is a reference: write text in quotes, or a number"
         )
-    raise BadFile(
+    raise InvalidFileError(
         f"{where}: {text_of(tree).strip()[:40]!r} would be computed: only plain values are allowed"
     )
 
--- a/pumicenotch/config/publication.py
+++ b/pumicenotch/config/publication.py
@@ -6,9 +6,10 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
-from pumicenotch.distribution.errors import DistributionError, InvalidRecord
+from pumicenotch.distribution.errors import DistributionError, InvalidRecordError
 from pumicenotch.distribution.records import Change
 from pumicenotch.distribution.tables import TABLES, Table, canonical, check_change
+from pumicenotch.errors import InputError
 
 FILE_BYTES_MOST = 64 * 1024 * 1024
 FAULTS_MOST = 20  # told at once
@@ -21,7 +22,7 @@
 }
 
 
-class BadPublicationFile(ValueError):
+class InvalidPublicationFileError(InputError):
     """What is wrong with a file, a line each: `FILE:LINE: what is wrong: what is allowed`."""
 
 
@@ -38,7 +39,7 @@
 
 
 def read_publication(path: Path) -> PublicationFile:
-    """Raises BadPublicationFile."""
+    """Raises InvalidPublicationFileError."""
     changes: list[Change] = []
     faults: list[str] = []
     first_lines: dict[tuple[str, str], int] = {}
@@ -56,31 +57,33 @@
     if len(faults) > FAULTS_MOST:
         faults[FAULTS_MOST:] = [f"{path}: {len(faults) - FAULTS_MOST} further lines are wrong"]
     if faults:
-        raise BadPublicationFile("\n".join(faults))
+        raise InvalidPublicationFileError("\n".join(faults))
     return PublicationFile(changes, first_lines)
 
 
 def lines_of(path: Path) -> list[str]:
     try:
         if (size := path.stat().st_size) > FILE_BYTES_MOST:
-            raise BadPublicationFile(f"{path}:1: {size} bytes: up to {FILE_BYTES_MOST} are allowed")
+            raise InvalidPublicationFileError(
+                f"{path}:1: {size} bytes: up to {FILE_BYTES_MOST} are allowed"
+            )
         return path.read_text(encoding="utf-8").splitlines()
     except OSError as error:
-        raise BadPublicationFile(f"{path}:1: cannot be read: {error.strerror}") from None
+        raise InvalidPublicationFileError(f"{path}:1: cannot be read: {error.strerror}") from None
     except UnicodeDecodeError as error:
-        raise BadPublicationFile(f"{path}:1: no UTF-8 at byte {error.start}") from None
+        raise InvalidPublicationFileError(f"{path}:1: no UTF-8 at byte {error.start}") from None
 
 
 def change_of(line: str) -> Change:
     """Raises DistributionError."""
     told = parsed(line)
     if not isinstance(told, dict) or set(told) != set(FIELDS):
-        raise InvalidRecord("line", "no object with exactly table, key and value", FORM_REMEDY)
+        raise InvalidRecordError("line", "no object with exactly table, key and value", FORM_REMEDY)
     table, key, value = (told[name] for name in FIELDS)
     if not isinstance(table, str) or not isinstance(key, str):
-        raise InvalidRecord("line", "table and key are no texts", FORM_REMEDY)
+        raise InvalidRecordError("line", "table and key are no texts", FORM_REMEDY)
     if value is not None and not isinstance(value, dict):
-        raise InvalidRecord(
+        raise InvalidRecordError(
             f"record {table}:{key}", "the value is neither object nor null", FORM_REMEDY
         )
     change = Change(table, key, None if value is None else text_of(table, key, value))
@@ -92,14 +95,14 @@
     try:
         return json.loads(line)
     except (ValueError, RecursionError) as error:
-        raise InvalidRecord("line", f"no JSON ({error})"[:200], FORM_REMEDY) from None
+        raise InvalidRecordError("line", f"no JSON ({error})"[:200], FORM_REMEDY) from None
 
 
 def text_of(table: str, key: str, value: Mapping[str, Any]) -> str:
     try:
         return canonical(value)
     except (ValueError, RecursionError) as error:
-        raise InvalidRecord(
+        raise InvalidRecordError(
             f"record {table}:{key}", f"no plain JSON value ({error})", FORM_REMEDY
         ) from None
 
@@ -107,7 +110,7 @@
 def check_repeated(change: Change, first_lines: dict[tuple[str, str], int], number: int) -> None:
     first = first_lines.setdefault((change.table, change.key), number)
     if first != number:
-        raise InvalidRecord(
+        raise InvalidRecordError(
             f"record {change.table}:{change.key}",
             f"it stands in line {first} already",
             "name a record once",
--- a/pumicenotch/config/router.py
+++ b/pumicenotch/config/router.py
@@ -22,7 +22,7 @@
 
 
 def router_of(path: str | Path) -> RouterFile:
-    """With the other files' paths beside it. Raises BadFile."""
+    """With the other files' paths beside it. Raises InvalidFileError."""
     told, folder = read(path, RouterFile), Path(path).parent
     return told.model_copy(
         update={"map": str(folder / told.map), "settings": str(folder / told.settings)}
--- a/pumicenotch/config/schema.py
+++ b/pumicenotch/config/schema.py
@@ -6,7 +6,7 @@
 
 from pydantic import BaseModel, ConfigDict, ValidationError
 
-from pumicenotch.config.hcl import BadFile, Block, parse
+from pumicenotch.config.hcl import Block, InvalidFileError, parse
 
 Place = tuple[int | str, ...]
 
@@ -23,13 +23,13 @@
 
 
 def read(path: str | Path, model: type[Model]) -> Model:
-    """The file as the model; BadFile says all that is wrong with it, by line."""
+    """The file as the model; InvalidFileError says all that is wrong with it, by line."""
     try:
         text = Path(path).read_text(encoding="utf-8")
     except OSError as error:
-        raise BadFile(f"{path}:1: cannot be read: {error.strerror}") from None
+        raise InvalidFileError(f"{path}:1: cannot be read: {error.strerror}") from None
     except UnicodeDecodeError as error:
-        raise BadFile(f"{path}:1: no UTF-8 at byte {error.start}") from None
+        raise InvalidFileError(f"{path}:1: no UTF-8 at byte {error.start}") from None
     return load(parse(text, str(path)), str(path), model)
 
 
@@ -43,7 +43,7 @@
         faults += [told(name, each, lines) for each in error.errors()]
         found = None
     if faults or found is None:
-        raise BadFile(*sorted(set(faults), key=order))
+        raise InvalidFileError(*sorted(set(faults), key=order))
     return found
 
 
--- a/pumicenotch/config/versions.py
+++ b/pumicenotch/config/versions.py
@@ -5,6 +5,7 @@
 import shutil
 from pathlib import Path
 
+from pumicenotch.errors import InputError
 from pumicenotch.fleet.release import VERSION
 
 LETTERS = 32  # of a version's name: 128 bits
@@ -12,13 +13,13 @@
 PART = ".part-"  # how a folder is called until it is whole
 
 
-class BadVersion(ValueError):
+class InvalidVersionError(InputError):
     """The folder is no version, or not the one that was wanted."""
 
 
 def content(folder: Path) -> str:
     """The version that a folder holds: of every file its path, whether it may be run, and its bytes; compiled
-    Python is left out. Raises BadVersion.
+    Python is left out. Raises InvalidVersionError.
     """
     whole = hashlib.sha256()
     try:
@@ -28,7 +29,7 @@
             if "__pycache__" in path.parts:
                 continue
             if path.is_symlink():
-                raise BadVersion(f"{path}: a link: a version holds all that it is")
+                raise InvalidVersionError(f"{path}: a link: a version holds all that it is")
             one = hashlib.sha256()
             with path.open("rb") as file:
                 while data := file.read(CHUNK):
@@ -36,21 +37,21 @@
             runs = os.access(path, os.X_OK)
             whole.update(f"{len(name)}:{name}:{int(runs)}:{one.hexdigest()}\n".encode())
     except OSError as error:
-        raise BadVersion(f"{folder}: {error.strerror or error}") from None
+        raise InvalidVersionError(f"{folder}: {error.strerror or error}") from None
     if not found:
-        raise BadVersion(f"{folder}: holds nothing")
+        raise InvalidVersionError(f"{folder}: holds nothing")
     return whole.hexdigest()[:LETTERS]
 
 
 def fetch(version: str, source: Path, into: Path) -> None:
-    """Copies SOURCE/VERSION into INTO/VERSION, there only once it is whole and checked. Raises BadVersion."""
+    """Copies SOURCE/VERSION into INTO/VERSION, there only once it is whole and checked. Raises InvalidVersionError."""
     if not VERSION.fullmatch(version):
-        raise BadVersion(f"{version!r:.80} names no version")
+        raise InvalidVersionError(f"{version!r:.80} names no version")
     put(source / version, version, into)
 
 
 def pack(folder: Path, into: Path) -> str:
-    """Puts a folder among the versions that agents fetch from; its version. Raises BadVersion."""
+    """Puts a folder among the versions that agents fetch from; its version. Raises InvalidVersionError."""
     version = content(folder)
     put(folder, version, into)
     return version
@@ -67,14 +68,18 @@
         shutil.rmtree(part, ignore_errors=True)
         shutil.copytree(folder, part, ignore=shutil.ignore_patterns("__pycache__"))
         if (found := content(part)) != version:
-            raise BadVersion(f"half a copy, or another version: {found} is in {folder}")
+            raise InvalidVersionError(f"half a copy, or another version: {found} is in {folder}")
         sync(part)
         part.rename(goal)
         sync(into)
     except shutil.Error as error:
-        raise BadVersion(f"{folder}: {error.args[0][0][2] if error.args[0] else error}") from None
+        raise InvalidVersionError(
+            f"{folder}: {error.args[0][0][2] if error.args[0] else error}"
+        ) from None
     except OSError as error:
-        raise BadVersion(f"{error.filename or folder}: {error.strerror or error}") from None
+        raise InvalidVersionError(
+            f"{error.filename or folder}: {error.strerror or error}"
+        ) from None
     finally:
         shutil.rmtree(part, ignore_errors=True)
 
--- a/pumicenotch/control.py
+++ b/pumicenotch/control.py
@@ -1,5 +1,5 @@
-"""All decisions of one server. A carrier makes one Control per server from its start values and calls it for
-each event; the Control answers in the same call, through its Actions (interface.py). Times are ms.
+"""All decisions of one server. A carrier makes one AdmissionController per server from its start values and calls it for
+each event; the AdmissionController answers in the same call, through its Actions (interface.py). Times are ms.
 
 A task passes a chain of parts (duty, repeats, limit, queues); each passes it on, keeps it or ends it, and its
 end runs back the other way. Which tenant's task starts next, and which is rejected, is HWCS as in
@@ -13,19 +13,23 @@
 from itertools import accumulate, chain, count, repeat
 from math import exp, log
 from operator import mul, sub
-from typing import Any
+from typing import Any, NamedTuple
 
 from pumicenotch.interface import (
     Actions,
-    Below,
-    Effect,
-    Halt,
+    CancelMode,
+    DependencyKind,
+    Idempotency,
+    IncomingRequest,
+    LoadFeedback,
     Outcome,
     Pools,
-    Signal,
-    Stage,
-    State,
+    RequestClass,
+    RequestState,
+    SlotOffer,
+    SlotQuery,
     Tenant,
+    WaitAllowance,
 )
 
 TICK_MS = (
@@ -35,42 +39,98 @@
     1000.0  # the paper's 2 s halved: a surge of some seconds would be over before four long samples
 )
 NEVER_RAN = (
-    Outcome.FULL,
-    Outcome.UNREACHED,
-    Outcome.MOOT,
+    Outcome.REJECTED,
+    Outcome.UNREACHABLE,
+    Outcome.NOT_STARTED,
 )  # outcomes that prove a call never took effect
 
 
-class Task:
+class ControllerSettings(NamedTuple):
+    """What a deployment's settings say of the decisions.
+
+    Attributes:
+        request_classes: the classes of requests, by index.
+        tenants: the tenants, by index; with none all requests are of one.
+        gauges: the names of the values that come with each tick, in their order.
+        cores: of this server.
+        memory_kb: for requests, runs and kept idempotency keys.
+        run_memory_factor: the memory of a run, as a multiple of its request's.
+        key_memory_kb: what one idempotency key occupies, its result included.
+        starts_cold: whether the server has yet to warm up.
+        initial_speed: the fraction of its speed that a cold server starts with.
+        warm_up_ms: the time from there to full speed.
+        crash_load_factor: the runs on each core, at full speed, that crash the server.
+        drain_grace_ms: the time from the notice to drain in which callers still send.
+        servers: how many of them share the tenants' traffic.
+        callers: how many of them send to this server.
+        retry_after_supported: whether callers heed the wait that a rejection names.
+        max_retry_after_ms: the longest such wait.
+        cancel_mode: what the worker pool can do with a run that nobody waits for.
+        load_feedback: the value by which callers are told how much this server can take.
+        dependency_kind: who stands behind the dependency.
+        dependency_quota: how many calls to a shared dependency this server may have open.
+        dependency_window_ms: the time over which that quota holds on the mean.
+        dependency_linger_ms: how long a call that timed out still occupies the dependency.
+        idle_timeout_ms: after which idle connections are closed.
+        listed_by_health: whether a server that is unhealthy leaves the list of endpoints.
+    """
+
+    request_classes: list[RequestClass]
+    tenants: list[Tenant]
+    gauges: list[str]
+    cores: int = 1
+    memory_kb: float = float("inf")
+    run_memory_factor: float = 1.0
+    key_memory_kb: float = 0.0
+    starts_cold: bool = False
+    initial_speed: float = 1.0
+    warm_up_ms: float = 0.0
+    crash_load_factor: float = 1.0
+    drain_grace_ms: float = 0.0
+    servers: int = 1
+    callers: int = 1
+    retry_after_supported: bool = False
+    max_retry_after_ms: float = 0.0
+    cancel_mode: CancelMode = CancelMode.NONE
+    load_feedback: LoadFeedback = LoadFeedback.NONE
+    dependency_kind: DependencyKind = DependencyKind.NONE
+    dependency_quota: float = 1.0
+    dependency_window_ms: float = 0.0
+    dependency_linger_ms: float = 0.0
+    idle_timeout_ms: float = 0.0
+    listed_by_health: bool = False
+
+
+class Request:
     """One try as it was read, and how far it is."""
 
     def __init__(
-        self, ident: int, stage_no: int, stage: Stage, tenant: int, arrived: float
+        self, ident: int, stage_no: int, stage: RequestClass, tenant: int, arrived: float
     ) -> None:
         self.id, self.stage_no, self.stage, self.tenant = ident, stage_no, stage, tenant
-        self.arrived, self.state, self.answered = arrived, State.HELD, False
+        self.arrived, self.state, self.answered = arrived, RequestState.QUEUED, False
         self.work: float | None = None
-        self.first: Task | None = None  # that a repeat waits for
-        self.followers: list[Task] = []  # repeats that wait for this one
+        self.first: Request | None = None  # that a repeat waits for
+        self.followers: list[Request] = []  # repeats that wait for this one
         self.due = self.limit = self.kb = self.key = self.began = self.call_at = self.off_ms = 0.0
         self.calls = self.lane = self.caller = self.mark = 0
         self.hope, self.repeat = 1.0, False
 
-    def __lt__(self, other: "Task") -> bool:
+    def __lt__(self, other: "Request") -> bool:
         return (self.key, self.id) < (other.key, other.id)
 
 
-class Agenda:
+class TimerQueue:
     """Everything due at a time of its own, in the order of those times."""
 
     def __init__(self) -> None:
         self.items: list[tuple[float, int, Callable[..., None], Any]] = []
         self.order = count()
 
-    def at(self, when: float, do: Callable[[float, Any], None], what: Any) -> None:
+    def schedule(self, when: float, do: Callable[[float, Any], None], what: Any) -> None:
         heapq.heappush(self.items, (when, next(self.order), do, what))
 
-    def run(self, now: float) -> None:
+    def run_due(self, now: float) -> None:
         while self.items and self.items[0][0] <= now:
             _, _, do, what = heapq.heappop(self.items)
             do(now, what)
@@ -84,44 +144,44 @@
     )  # answered this long before the limit: a tick late still leaves time in hand
 
     def __init__(
-        self, agenda: Agenda, drain_grace_ms: float, answer: Callable[[float, Task], None]
+        self, timers: TimerQueue, drain_grace_ms: float, answer: Callable[[float, Request], None]
     ) -> None:
-        self.agenda, self.drain_grace_ms, self.answer = agenda, drain_grace_ms, answer
-        self.tasks: dict[int, Task] = {}
+        self.timers, self.drain_grace_ms, self.answer = timers, drain_grace_ms, answer
+        self.tasks: dict[int, Request] = {}
         self.last_arrival = self.stop = float("inf")
 
-    def take(self, task: Task) -> None:
+    def take(self, task: Request) -> None:
         self.tasks[task.id] = task
-        self.agenda.at(min(task.limit, self.stop) - self.MARGIN_MS, self.answer, task)
+        self.timers.schedule(min(task.limit, self.stop) - self.MARGIN_MS, self.answer, task)
 
     def leave(self, now: float, stop: float) -> None:
         self.last_arrival, self.stop = now + self.drain_grace_ms, stop
         for task in self.tasks.values():
-            self.agenda.at(stop - self.MARGIN_MS, self.answer, task)
+            self.timers.schedule(stop - self.MARGIN_MS, self.answer, task)
 
 
 class Repeats:
     """Rule 2: the entries by which repeats of fingerprinted tasks are known, kept for their whole window."""
 
-    def __init__(self, agenda: Agenda, actions: Actions, entry_kb: float) -> None:
-        self.agenda, self.actions, self.entry_kb = agenda, actions, entry_kb
+    def __init__(self, timers: TimerQueue, actions: Actions, entry_kb: float) -> None:
+        self.timers, self.actions, self.entry_kb = timers, actions, entry_kb
         self.kept: set[int] = set()
 
-    def keep(self, task: Task, now: float) -> None:
+    def keep(self, task: Request, now: float) -> None:
         # 20 ms beyond the window: the entry must outlast the last repeat by more than a batch.
-        ends = max(task.arrived + task.stage.window_ms, now) + 20.0
+        ends = max(task.arrived + task.stage.idempotency_window_ms, now) + 20.0
         self.kept.add(task.id)
-        self.agenda.at(ends, self.expire, task.id)
-        self.actions.keep(task.id, ends - now)
+        self.timers.schedule(ends, self.expire, task.id)
+        self.actions.retain_key(task.id, ends - now)
 
     def expire(self, now: float, ident: int) -> None:
         self.kept.discard(ident)
 
-    def drop(self, task: Task, now: float) -> None:
+    def drop(self, task: Request, now: float) -> None:
         """The task ended without having run: its entry goes, and what comes again is a first try."""
         if task.id in self.kept:
             self.expire(now, task.id)
-            self.actions.forget(task.id)
+            self.actions.drop_key(task.id)
 
     @property
     def kb(self) -> float:
@@ -188,7 +248,7 @@
     def fits(self, extra_kb: float) -> bool:
         return self.used_kb + extra_kb <= self.MEMORY_USED * self.memory_kb
 
-    def takes(self, task: Task, entries_kb: float) -> bool:
+    def takes(self, task: Request, entries_kb: float) -> bool:
         """Sets aside the memory of a run, where there is room for it."""
         extra = task.kb * (self.run_factor - 1.0)
         fits = self.fits(extra + entries_kb)
@@ -215,6 +275,9 @@
         self.limit = max(float(self.cores), factor * self.limit)
 
 
+FULL_WAIT = WaitAllowance(1.0, False)
+
+
 class Whole:
     """Stands where no pools are given: one pool of all classes, which has the total."""
 
@@ -223,30 +286,23 @@
     def __init__(self, queues: "Queues") -> None:
         self.queues = queues
 
-    def lane(self, stage: int) -> int:
+    def pool_of(self, class_index: int) -> int:
         return 0
 
-    def read(self, *_: object) -> tuple[float, bool]:
-        return 1.0, False
+    def request_received(self, now: float, pool: int, request: IncomingRequest) -> WaitAllowance:
+        return FULL_WAIT
 
-    def place(
-        self,
-        now: float,
-        lane: int,
-        repeat: bool,
-        beyond: bool,
-        waiting: Collection[int],
-        usual_ms: float,
-        room: bool,
-    ) -> tuple[int, float, float, bool]:
-        return 0, self.queues.caps.total, usual_ms, room
-
-    def next(self, now: float, waiting: Collection[int]) -> int | None:
-        return 0 if waiting else None
+    def reserve_slot(self, now: float, query: SlotQuery) -> SlotOffer:
+        return SlotOffer(0, self.queues.caps.total, query.mean_slot_ms, query.has_room)
+
+    def next_pool(self, now: float, waiting_pools: Collection[int]) -> int | None:
+        return 0 if waiting_pools else None
 
     def nothing(self, *_: object) -> None: ...
 
-    spent = held_off = on = off = ended = tick = nothing
+    retry_admitted = request_rejected = slot_taken = slot_released = request_finished = tick = (
+        nothing
+    )
 
 
 class Line:
@@ -255,7 +311,7 @@
     SAVED_MS = 4000.0  # of the allowance: arrivals here are a random part of the tenant's, and come in clumps
 
     def __init__(self, allowance_per_s: float | None, servers: int) -> None:
-        self.lanes: dict[int, list[Task]] = {}  # of those that have tasks
+        self.lanes: dict[int, list[Request]] = {}  # of those that have tasks
         self.error = self.v = self.filled_at = 0.0
         self.busy, self.above, self.below, self.marked = 0, 0, 0, False
         self.rate = allowance_per_s / 1000.0 / max(1, servers) if allowance_per_s else None
@@ -281,7 +337,7 @@
 
     def __init__(self, tenants: list[Tenant], servers: int) -> None:
         self.allowances, self.servers = (
-            [tenant.allowance_per_s for tenant in tenants] or [None],
+            [tenant.rate_limit_per_s for tenant in tenants] or [None],
             servers,
         )
 
@@ -405,13 +461,13 @@
         """q_len: what so many slots get through in the part of a due time that may go by in a queue."""
         return max(2.0, min(self.LENGTH, slots * self.HOLD * due_ms / slot_ms))
 
-    def put(self, task: Task) -> None:
+    def put(self, task: Request) -> None:
         queue = self.lines[task.tenant].lanes.setdefault(task.lane, [])
         insort(queue, task)
         if len(queue) == 1:
             insort(self.waiting.setdefault(task.lane, []), task.tenant)
 
-    def drop(self, task: Task) -> None:
+    def drop(self, task: Request) -> None:
         lanes = self.lines[task.tenant].lanes
         if task not in lanes.get(task.lane, ()):
             return
@@ -422,9 +478,9 @@
             if not self.waiting[task.lane]:
                 del self.waiting[task.lane]
 
-    def next(self, now: float) -> Task | None:
+    def next(self, now: float) -> Request | None:
         """The pools say whose class starts, caps whose work: the tenant least far into its cap goes first."""
-        if (lane := self.pools.next(now, self.waiting)) is None:
+        if (lane := self.pools.next_pool(now, self.waiting)) is None:
             return None
         tenant = min(self.waiting[lane], key=lambda at: (self.lines[at].busy + 1) / self.caps[at])
         return self.lines[tenant].lanes[lane][0]
@@ -449,28 +505,28 @@
 
     def __init__(
         self,
-        agenda: Agenda,
+        timers: TimerQueue,
         actions: Actions,
         chance: random.Random,
         most: float,
         window_ms: float,
         linger_ms: float,
     ) -> None:
-        self.agenda, self.actions, self.jitter = agenda, actions, chance.uniform
+        self.timers, self.actions, self.jitter = timers, actions, chance.uniform
         self.window_ms, self.linger_ms = window_ms, linger_ms
         self.most = self.SHARE_USED * most  # calls in hand, which the pace aims at
-        self.waiting: list[Task] = []
+        self.waiting: list[Request] = []
         self.in_hand: set[int] = set()
         self.lingering = 0
         self.recent_ms = 0.0  # 0: no call has come back yet
         self.tokens, self.filled_at = 1.0, 0.0
         self.free_at = 0.0 if most else float("inf")  # without a share nothing is called
 
-    def wait(self, now: float, task: Task) -> None:
-        if task.state is State.CALLING and not task.answered:
+    def wait(self, now: float, task: Request) -> None:
+        if task.state is RequestState.AWAITING_DEPENDENCY and not task.answered:
             insort(self.waiting, task)
 
-    def next(self, now: float) -> Task | None:
+    def next(self, now: float) -> Request | None:
         """The next waiting task that may call now."""
         gained = (now - self.filled_at) * self.most / self.recent_ms if self.recent_ms else 1.0
         self.tokens = min(max(1.0, 0.25 * self.most), self.tokens + gained)
@@ -485,9 +541,9 @@
             return None
         return self.waiting.pop(0)
 
-    def start(self, task: Task, now: float) -> None:
+    def start(self, task: Request, now: float) -> None:
         give_up_ms = task.limit - now
-        if task.stage.effect is Effect.RESTARTABLE or task.stage.skip_utility > 0.0:
+        if task.stage.idempotency is Idempotency.IDEMPOTENT or task.stage.degraded_weight > 0.0:
             # Given up while there is time to call again or go on without: a cut or a hang below.
             give_up_ms = min(
                 give_up_ms, max(self.PATIENCE * self.recent_ms, 0.25 * (task.due - now))
@@ -498,9 +554,9 @@
         self.tokens -= 1.0
         task.calls, task.call_at = task.calls + 1, now
         self.in_hand.add(task.id)
-        self.actions.call(task.id, max(TICK_MS, give_up_ms))
+        self.actions.call_dependency(task.id, max(TICK_MS, give_up_ms))
 
-    def end(self, task: Task, now: float, outcome: Outcome) -> None:
+    def end(self, task: Request, now: float, outcome: Outcome) -> None:
         if task.id not in self.in_hand:
             return
         self.in_hand.remove(task.id)
@@ -508,7 +564,7 @@
         lingers = self.linger_ms if outcome in (Outcome.TIMEOUT, Outcome.CANCELLED) else 0.0
         if lingers:
             self.linger(now, 1)
-            self.agenda.at(now + lingers, self.linger, -1)
+            self.timers.schedule(now + lingers, self.linger, -1)
         if self.most < 1.0:
             self.free_at = task.call_at + (took + lingers) / self.most
         # Times of calls given up or cut off are our own waits: learnt, they slow the pace long after a cut.
@@ -539,8 +595,8 @@
     CUT, OPEN = 0.6, 1.1  # of the share let in, a sample: a backlog fills faster than it drains
     BEHIND, LOST = 0.1, 0.3  # of its time that the mean task waits unread; of the dear, not served
 
-    def __init__(self, chance: Callable[[], float], stages: list[Stage]) -> None:
-        utilities = [stage.utility for stage in stages] or [1.0]
+    def __init__(self, chance: Callable[[], float], stages: list[RequestClass]) -> None:
+        utilities = [stage.priority_weight for stage in stages] or [1.0]
         self.chance, self.least, most = chance, max(1e-9, min(utilities)), max(1e-9, *utilities)
         self.dear = most if most > self.DEAR * sum(utilities) / len(utilities) else float("inf")
         self.floor, self.keep = (self.least / most) ** 2, 1.0  # share let in of the least useful
@@ -590,7 +646,7 @@
     def __init__(
         self,
         actions: Actions,
-        signal: Signal,
+        signal: LoadFeedback,
         speed: float,
         cores: int,
         callers: int,
@@ -610,14 +666,14 @@
         self.read = self.turned_away = 0
         self.listed, self.good, self.since = listed, True, self.GOOD  # samples since health changed
         self.shut, self.said, self.leaving = 0.0, -1.0, False
-        actions.health(
-            True, stored=True
+        actions.set_health(
+            True, cached=True
         )  # checks from store spare the cores, and what lies below, real work
         self.say(speed)
 
     def leave(self) -> None:
         self.leaving = True
-        self.actions.health(False, stored=True)
+        self.actions.set_health(False, cached=True)
         self.say(0.0)
 
     def sample(self, speed: float, links: float, room: float, unread: float) -> None:
@@ -634,7 +690,7 @@
         )
         if self.listed and not self.leaving and (turn or (not self.good and unread < Level.BEHIND)):
             self.good, self.since = not self.good, 0
-            self.actions.health(self.good, stored=True)
+            self.actions.set_health(self.good, cached=True)
 
     def close_idle(self, links: float, unread: float) -> None:
         """Halves the time that a connection may idle while many are open, and lets it grow back after."""
@@ -643,19 +699,19 @@
         idle = min(self.idle_most_ms, idle)
         if idle != self.idle_ms:
             self.idle_ms = idle
-            self.actions.close_idle(idle)
+            self.actions.set_idle_timeout(idle)
 
     def say(self, speed: float) -> None:
         share = 0.0 if self.leaving else speed * (1.0 - self.shut)
-        value = {Signal.LEVEL: 1.0 - share, Signal.WEIGHT: share}.get(
+        value = {LoadFeedback.MIN_PRIORITY: 1.0 - share, LoadFeedback.WEIGHT: share}.get(
             self.signal, self.credit * share
         )
-        if self.signal is not Signal.NONE and value != self.said:
+        if self.signal is not LoadFeedback.NONE and value != self.said:
             self.said = value
-            self.actions.say(value)
+            self.actions.report_load(value)
 
 
-class Control:
+class AdmissionController:
     """One server's decisions: the chain of parts, and what each event does to a task."""
 
     # Of the time left, what wait and run may take by a rough estimate: queued; at once; beyond the share.
@@ -668,62 +724,66 @@
         self,
         actions: Actions,
         now: float,
-        *,
+        settings: ControllerSettings,
         seed: int,
-        stages: list[Stage],
-        tenants: list[Tenant],
-        gauges: list[str],
-        cores: int = 1,
-        memory_kb: float = float("inf"),
-        run_factor: float = 1.0,
-        entry_kb: float = 0.0,
-        cold: bool = False,
-        cold_share: float = 1.0,
-        warm_ms: float = 0.0,
-        crowd_multiple: float = 1.0,
-        drain_grace_ms: float = 0.0,
-        servers: int = 1,
-        callers: int = 1,
-        stay_away_passed: bool = False,
-        stay_away_most_ms: float = 0.0,
-        halt: Halt = Halt.NONE,
-        signal: Signal = Signal.NONE,
-        below: Below = Below.NONE,
-        call_share: float = 1.0,
-        call_window_ms: float = 0.0,
-        linger_ms: float = 0.0,
-        idle_ms: float = 0.0,
-        listed_by_health: bool = False,
         pools: Pools | None = None,
     ) -> None:
         self.actions, self.stages, self.gauges, self.halts = (
             actions,
-            stages,
-            gauges,
-            halt is not Halt.NONE,
+            settings.request_classes,
+            settings.gauges,
+            settings.cancel_mode is not CancelMode.NONE,
+        )
+        self.stay_away_most_ms = (
+            settings.max_retry_after_ms if settings.retry_after_supported else 0.0
         )
-        self.stay_away_most_ms = stay_away_most_ms if stay_away_passed else 0.0
-        self.agenda = Agenda()
-        self.duty = Duty(self.agenda, drain_grace_ms, self.give_up)
-        self.repeats = Repeats(self.agenda, actions, entry_kb)
-        speed = cold_share if cold else 1.0
-        self.limit = Limit(now, cores, memory_kb, run_factor, crowd_multiple, speed, warm_ms)
-        self.queues = Queues(tenants, servers, self.limit.total(now))
-        self.pool(now, pools)
+        self.timers = TimerQueue()
+        self.duty = Duty(self.timers, settings.drain_grace_ms, self.give_up)
+        self.repeats = Repeats(self.timers, actions, settings.key_memory_kb)
+        speed = settings.initial_speed if settings.starts_cold else 1.0
+        self.limit = Limit(
+            now,
+            settings.cores,
+            settings.memory_kb,
+            settings.run_memory_factor,
+            settings.crash_load_factor,
+            speed,
+            settings.warm_up_ms,
+        )
+        self.queues = Queues(settings.tenants, settings.servers, self.limit.total(now))
+        self.use_pools(now, pools)
         # A tier guards itself: there the pace alone bounds the calls, and this many are never in hand.
-        most = call_share if below is Below.SHARED else 16.0 * cores
+        shared = settings.dependency_kind is DependencyKind.SHARED
+        most = settings.dependency_quota if shared else 16.0 * settings.cores
         chance = random.Random(seed)
-        self.calls = Calls(self.agenda, actions, chance, most, call_window_ms, linger_ms)
-        self.level = Level(chance.random, stages)
-        self.signals = Signals(actions, signal, speed, cores, callers, idle_ms, listed_by_health)
+        self.calls = Calls(
+            self.timers,
+            actions,
+            chance,
+            most,
+            settings.dependency_window_ms,
+            settings.dependency_linger_ms,
+        )
+        self.level = Level(chance.random, settings.request_classes)
+        self.signals = Signals(
+            actions,
+            settings.load_feedback,
+            speed,
+            settings.cores,
+            settings.callers,
+            settings.idle_timeout_ms,
+            settings.listed_by_health,
+        )
         self.run_ms: dict[
             int, tuple[float, float]
         ] = {}  # stage -> recent mean of a run, and of its hints
         self.calling: set[int] = set()  # stages whose tasks were seen at a call
         self.slot_ms = 0.0  # recent time in a place among those running
         self.ended_at = self.sampled_at = now
-        self.due_ms = sum(stage.due_ms for stage in stages) / max(1, len(stages))
-        actions.wake(TICK_MS)
+        self.due_ms = sum(stage.latency_objective_ms for stage in self.stages) / max(
+            1, len(self.stages)
+        )
+        actions.schedule_tick(TICK_MS)
 
     def slot(self, now: float) -> float:
         """Time a task keeps its place. With none ending it grows by itself, whatever holds the cores up."""
@@ -732,11 +792,11 @@
         )  # until one has ended: eight in a row fit
         return max(seen, 0.25 * (now - self.ended_at) * self.limit.on_cores)
 
-    def run_time(self, task: Task, now: float) -> float:
+    def run_time(self, task: Request, now: float) -> float:
         """What a run takes: the stage's mean, leaning to the hint, after the calls that wait before it."""
         turn = (
             self.calls.turn_ms(now)
-            if task.state is State.HELD and task.stage_no in self.calling
+            if task.state is RequestState.QUEUED and task.stage_no in self.calling
             else 0.0
         )
         if task.stage_no not in self.run_ms:
@@ -744,7 +804,7 @@
         mean, work = self.run_ms[task.stage_no]
         return turn + (mean * (0.3 + 0.7 * task.work / work) if task.work and work else mean)
 
-    def learn(self, task: Task, now: float) -> None:
+    def learn(self, task: Request, now: float) -> None:
         ran, slot = now - task.began, now - task.began - task.off_ms
         self.slot_ms += 0.05 * (slot - self.slot_ms) if self.slot_ms else slot
         mean, work = self.run_ms.get(task.stage_no, (self.slot(now), task.work or 0.0))
@@ -755,71 +815,73 @@
         self.ended_at = now
         self.limit.responses += 1
         self.limit.late += now > task.due
-        self.pools.ended(now, task.lane, slot)
+        self.pools.request_finished(now, task.lane, slot)
         self.queues.times.setdefault(task.tenant, []).append(now - task.arrived)
 
-    def task(
-        self,
-        now: float,
-        ident: int,
-        stage_no: int,
-        tenant: int,
-        waited: float,
-        limit: float | None,
-        work: float | None,
-        kb: float,
-        same: int | None,
-        caller: int = 0,
-        again: bool = False,
-        mark: int = 0,
-    ) -> None:
+    def on_request(self, now: float, incoming: IncomingRequest) -> None:
         """A task was read. Its caller, whether that marks a further try, and its print are for the pools."""
+        if incoming.tenant_index >= self.queues.caps.known:
+            incoming = incoming._replace(tenant_index=0)
+        stage_no, same = incoming.class_index, incoming.original_id
         stage = self.stages[stage_no]
-        task = Task(
-            ident, stage_no, stage, tenant if tenant < self.queues.caps.known else 0, now - waited
+        task = Request(
+            incoming.request_id,
+            stage_no,
+            stage,
+            incoming.tenant_index,
+            now - incoming.waited_ms,
+        )
+        task.kb, task.work, limit = incoming.memory_kb, incoming.estimated_work, incoming.expires_at
+        task.limit = max(now, limit if limit is not None else task.arrived + stage.timeout_ms)
+        task.due = min(
+            task.limit,
+            task.arrived
+            + stage.latency_objective_ms
+            + stage.objective_per_work * (task.work or 0.0),
         )
-        task.kb, task.work = kb, work
-        task.limit = max(now, limit if limit is not None else task.arrived + stage.limit_ms)
-        task.due = min(task.limit, task.arrived + stage.due_ms + stage.due_stretch * (work or 0.0))
         self.signals.read += 1
-        self.level.read((now - task.arrived) / max(1.0, task.due - task.arrived), stage.utility)
-        self.limit.used_kb += kb
+        self.level.read(
+            (now - task.arrived) / max(1.0, task.due - task.arrived), stage.priority_weight
+        )
+        self.limit.used_kb += task.kb
         self.duty.take(task)
-        task.lane, task.caller, task.mark = self.pools.lane(stage_no), caller, mark
-        if same and stage.effect is Effect.FINGERPRINTED:
+        task.lane, task.caller, task.mark = (
+            self.pools.pool_of(stage_no),
+            incoming.caller_id,
+            incoming.content_digest,
+        )
+        if same and stage.idempotency is Idempotency.KEYED:
             self.follow(task, same, now)
         else:
-            task.hope, task.repeat = self.pools.read(
-                now, task.lane, task.tenant, caller, again, mark, waited
-            )
+            task.hope, task.repeat = self.pools.request_received(now, task.lane, incoming)
             self.admit(task, now)
         self.start(now)
 
-    def follow(self, task: Task, same: int, now: float) -> None:
+    def follow(self, task: Request, same: int, now: float) -> None:
         """A repeat of a fingerprinted task is served from the first try, which it waits for while held."""
         first = self.duty.tasks.get(same)
         first = first.first if first and first.first else first
-        if first and first.state is State.HELD and self.limit.fits(self.repeats.kb):
-            task.state, task.first = State.FOLLOWING, first
+        if first and first.state is RequestState.QUEUED and self.limit.fits(self.repeats.kb):
+            task.state, task.first = RequestState.AWAITING_ORIGINAL, first
             first.followers.append(task)
         else:
             self.reuse(task, now)
 
-    def reuse(self, task: Task, now: float) -> None:
+    def reuse(self, task: Request, now: float) -> None:
         # It may need a run's memory as soon as the first try ends, so that is set aside now or not at all.
         if self.limit.takes(task, self.repeats.kb):
-            task.state = State.REUSING
-            self.actions.reuse(task.id)
+            task.state = RequestState.REPLAYING
+            self.actions.replay_result(task.id)
         else:
             self.abandon(task, now)
 
-    def admit(self, task: Task, now: float) -> None:
+    def admit(self, task: Request, now: float) -> None:
         """A first try goes to its tenant's queue, once what must be kept of it has found room."""
-        keyed = task.stage.effect is Effect.FINGERPRINTED
+        keyed = task.stage.idempotency is Idempotency.KEYED
         fits = self.limit.fits(self.repeats.kb + (self.repeats.entry_kb if keyed else 0.0))
         if not fits or task.arrived > self.duty.last_arrival:
             self.reject(task, now)
-        elif self.level.bars(task.stage.utility):
+        elif self.level.bars(task.stage.priority_weight):
             self.signals.turned_away += 1
             self.reject(task, now, self.stay_away_most_ms)
         else:
@@ -827,33 +889,34 @@
                 self.repeats.keep(task, now)
             self.queue(task, now)
 
-    def queue(self, task: Task, now: float) -> None:
+    def queue(self, task: Request, now: float) -> None:
         """A task with no hope of its due time from its place in the queue is rejected, like one too many."""
         line, left, run = self.queues.lines[task.tenant], task.due - now, self.run_time(task, now)
         over_share, room = line.over_share(now, not task.repeat), self.limit.has_room(now)
-        task.lane, places, slot, free = self.pools.place(
-            now, task.lane, task.repeat, over_share, self.queues.waiting, self.slot(now), room
+        query = SlotQuery(
+            task.lane, task.repeat, over_share, self.queues.waiting, self.slot(now), room
         )
+        task.lane, places, slot, free = self.pools.reserve_slot(now, query)
         slots, queue = (
             self.queues.part(task.tenant, task.lane, places),
             line.lanes.get(task.lane, ()),
         )
-        span = max(0.0, task.due - task.arrived - run) / task.stage.utility**0.5
+        span = max(0.0, task.due - task.arrived - run) / task.stage.priority_weight**0.5
         task.key = task.arrived + (self.BEHIND * span if over_share else span)
         wait = 0.0 if free else (1 + bisect_left(queue, task)) * slot / slots
         full = len(queue) >= self.queues.length(slots, slot, self.due_ms)
         hope = self.OVER_SHARE if over_share else self.ROOM if task.work else self.UNHINTED
         part = task.hope * hope if wait else self.DOUBT
         if full or wait + run > part * left:
-            self.pools.held_off(now, task.lane, task.mark)
+            self.pools.request_rejected(now, task.lane, task.mark)
             unread = now - task.arrived > Level.BEHIND * (task.due - task.arrived)
             self.signals.turned_away += wait > 0.0 or unread
             self.reject(task, now, wait)
         else:
             self.queues.put(task)
             if task.repeat and not free:
-                self.pools.spent(task.tenant, task.caller)
-            self.agenda.at(task.due, self.too_late, task)
+                self.pools.retry_admitted(task.tenant, task.caller)
+            self.timers.schedule(task.due, self.too_late, task)
 
     def start(self, now: float) -> None:
         """Starts what may start: any tenant's while the total has room, by the caps once it is full."""
@@ -867,92 +930,98 @@
             else:
                 return
 
-    def go(self, task: Task, now: float) -> None:
+    def go(self, task: Request, now: float) -> None:
         self.queues.drop(task)
         self.queues.lines[task.tenant].busy += 1
         self.enter(now, task)
-        task.state, task.began = State.RUNNING, now
-        self.actions.run(task.id)
+        task.state, task.began = RequestState.RUNNING, now
+        self.actions.start(task.id)
         followers, task.followers = task.followers, []
         for follower in followers:
             follower.first = None  # it is no longer among those that wait for it
             self.reuse(follower, now)
 
-    def ended(self, now: float, ident: int, outcome: Outcome) -> None:
+    def on_run_finished(self, now: float, ident: int, outcome: Outcome) -> None:
         if (task := self.duty.tasks.get(ident)) is not None:
             self.calls.end(task, now, Outcome.CANCELLED)
-            if task.state is State.RUNNING and outcome in (Outcome.OK, Outcome.ERROR):
+            if task.state is RequestState.RUNNING and outcome in (Outcome.OK, Outcome.ERROR):
                 self.learn(task, now)
             task.answered = True
             self.over(task, now)
             self.work(now)
 
-    def at_call(self, now: float, ident: int) -> None:
-        if (task := self.duty.tasks.get(ident)) is not None and task.state is State.RUNNING:
+    def on_dependency_needed(self, now: float, ident: int) -> None:
+        if (task := self.duty.tasks.get(ident)) is not None and task.state is RequestState.RUNNING:
             self.calling.add(task.stage_no)
-            self.move(task, State.CALLING, now)
+            self.move(task, RequestState.AWAITING_DEPENDENCY, now)
             task.calls = 0
             self.calls.wait(now, task)
             if (
-                task.stage.skip_utility > 0.0
+                task.stage.degraded_weight > 0.0
             ):  # in time for the rest of the run, half of it on the mean
-                self.agenda.at(task.due - 0.5 * self.run_time(task, now), self.go_without, task)
+                self.timers.schedule(
+                    task.due - 0.5 * self.run_time(task, now), self.go_without, task
+                )
             self.work(now)
 
-    def call_ended(self, now: float, ident: int, outcome: Outcome) -> None:
-        if (task := self.duty.tasks.get(ident)) is None or task.state is not State.CALLING:
+    def on_dependency_finished(self, now: float, ident: int, outcome: Outcome) -> None:
+        if (
+            task := self.duty.tasks.get(ident)
+        ) is None or task.state is not RequestState.AWAITING_DEPENDENCY:
             return
         self.calls.end(task, now, outcome)
         if outcome is Outcome.OK:
-            self.move(task, State.RUNNING, now)
+            self.move(task, RequestState.RUNNING, now)
         elif not task.answered:
             spare = (
-                task.stage.skip_utility > 0.0 and outcome is not Outcome.RESET
+                task.stage.degraded_weight > 0.0 and outcome is not Outcome.RESET
             )  # a broken link is no cut
-            tries = Calls.TRIES if task.stage.effect is Effect.RESTARTABLE and not spare else 0
+            tries = (
+                Calls.TRIES if task.stage.idempotency is Idempotency.IDEMPOTENT and not spare else 0
+            )
             again = outcome in NEVER_RAN or task.calls < tries
             if again and now + max(TICK_MS, 2.0 * self.calls.recent_ms) < task.due:
                 later = self.calls.jitter(0.5, 1.5) * max(TICK_MS, 0.5 * self.calls.recent_ms)
-                self.agenda.at(now + later, self.calls.wait, task)
-            elif task.stage.skip_utility > 0.0:
+                self.timers.schedule(now + later, self.calls.wait, task)
+            elif task.stage.degraded_weight > 0.0:
                 self.skip(task, now)
             else:
                 self.abandon(task, now)
         self.work(now)
 
-    def move(self, task: Task, state: State, now: float) -> None:
+    def move(self, task: Request, state: RequestState, now: float) -> None:
         """Off the cores to a call, or back."""
         task.state = state
-        if state is State.CALLING:
+        if state is RequestState.AWAITING_DEPENDENCY:
             task.off_ms -= now
             self.limit.away, self.limit.on_cores = self.limit.away + 1, self.limit.on_cores - 1
-            self.pools.off(now, task.lane)
+            self.pools.slot_released(now, task.lane)
         else:
             task.off_ms += now
             self.limit.away -= 1
             self.enter(now, task)
 
-    def enter(self, now: float, task: Task) -> None:
+    def enter(self, now: float, task: Request) -> None:
         """Onto the cores; where they were empty, time without an end counts from here and not from before."""
         if not self.limit.on_cores:
             self.ended_at = now
         self.limit.on_cores += 1
-        self.pools.on(now, task.lane, task.state is State.HELD)
+        self.pools.slot_taken(now, task.lane, task.state is RequestState.QUEUED)
 
-    def pool(self, now: float, pools: Pools | None) -> None:
+    def use_pools(self, now: float, pools: Pools | None) -> None:
         """Takes these pools, or none, in place of those before, with all that waits and runs."""
         self.pools: Pools | Whole = pools or Whole(self.queues)
         for task in self.duty.tasks.values():
-            task.lane = self.pools.lane(task.stage_no)
-            if task.state is State.RUNNING:
-                self.pools.on(now, task.lane, True)
+            task.lane = self.pools.pool_of(task.stage_no)
+            if task.state is RequestState.RUNNING:
+                self.pools.slot_taken(now, task.lane, True)
         self.queues.pool(self.pools)
 
-    def skip(self, task: Task, now: float) -> None:
-        self.actions.skip_call(task.id)
-        self.move(task, State.RUNNING, now)
+    def skip(self, task: Request, now: float) -> None:
+        self.actions.skip_dependency(task.id)
+        self.move(task, RequestState.RUNNING, now)
 
-    def go_without(self, now: float, task: Task) -> None:
+    def go_without(self, now: float, task: Request) -> None:
         """A call still waiting for its turn when the run could hardly end in time is left out."""
         if task in self.calls.waiting:
             self.calls.waiting.remove(task)
@@ -961,27 +1030,27 @@
     def work(self, now: float) -> None:
         """Sends the calls that the pace allows, then starts tasks."""
         while (task := self.calls.next(now)) is not None:
-            if task.stage.skip_utility > 0.0 and task.due - now < 2.0 * self.calls.recent_ms:
+            if task.stage.degraded_weight > 0.0 and task.due - now < 2.0 * self.calls.recent_ms:
                 self.skip(task, now)
             else:
                 self.calls.start(task, now)
         self.start(now)
 
-    def caller_gone(self, now: float, ident: int) -> None:
+    def on_cancel(self, now: float, ident: int) -> None:
         if (task := self.duty.tasks.get(ident)) is not None and not task.answered:
             self.let_go(task, now)
             self.work(now)
 
-    def leave(self, now: float, stop: float) -> None:
+    def start_draining(self, now: float, stop: float) -> None:
         self.duty.leave(now, stop)
         self.signals.leave()
         self.actions.log(
             f"leaving in {stop - now:.0f} ms with {len(self.duty.tasks)} tasks in hand"
         )
 
-    def tick(self, now: float, values: tuple[float, ...]) -> None:
-        self.actions.wake(TICK_MS)
-        self.agenda.run(now)
+    def on_tick(self, now: float, values: tuple[float, ...]) -> None:
+        self.actions.schedule_tick(TICK_MS)
+        self.timers.run_due(now)
         gauges = dict(zip(self.gauges, values, strict=False))
         self.limit.tick(now, bool(self.queues.waiting), gauges)
         self.pools.tick(now, self.limit.total(now))
@@ -997,68 +1066,77 @@
             )
         self.work(now)
 
-    def give_up(self, now: float, task: Task) -> None:
+    def give_up(self, now: float, task: Request) -> None:
         """The last time for an answer, whatever the task is doing."""
         if not task.answered:
-            (self.reject if task.state is State.HELD else self.abandon)(task, now)
+            (self.reject if task.state is RequestState.QUEUED else self.abandon)(task, now)
 
-    def too_late(self, now: float, task: Task) -> None:
+    def too_late(self, now: float, task: Request) -> None:
         """Past its due time, what is held, kept from its call or can be stopped is given up at once."""
-        waits = task.state is State.HELD or task in self.calls.waiting
-        if task.stage.late_utility <= 0.0 and (waits or self.stops(task)):
+        waits = task.state is RequestState.QUEUED or task in self.calls.waiting
+        if task.stage.late_weight <= 0.0 and (waits or self.stops(task)):
             self.give_up(now, task)
 
-    def stops(self, task: Task) -> bool:
+    def stops(self, task: Request) -> bool:
         return (
-            self.halts and task.state is State.RUNNING and task.stage.effect is Effect.RESTARTABLE
+            self.halts
+            and task.state is RequestState.RUNNING
+            and task.stage.idempotency is Idempotency.IDEMPOTENT
         )
 
-    def reject(self, task: Task, now: float, stay_away: float = 0.0) -> None:
+    def reject(self, task: Request, now: float, stay_away: float = 0.0) -> None:
         """Final answer to a task that has not run. While many are turned away, it is the last: another server
         is hardly better off. Not from a server that leaves or is cold, and not for a dear task.
         """
-        leaving, utility = self.signals.leaving, task.stage.utility
+        leaving, utility = self.signals.leaving, task.stage.priority_weight
         wait = self.stay_away_most_ms if leaving else min(stay_away, self.stay_away_most_ms)
         last = not leaving and utility < self.level.dear and self.signals.shut > self.CROWDED
         self.actions.reject(task.id, last and self.limit.speed(now) >= 1.0, wait)
         self.level.turned(utility)
         self.let_go(task, now)
 
-    def abandon(self, task: Task, now: float) -> None:
-        self.actions.abandon(task.id)
-        self.level.turned(task.stage.utility)
+    def abandon(self, task: Request, now: float) -> None:
+        self.actions.fail(task.id)
+        self.level.turned(task.stage.priority_weight)
         self.let_go(task, now)
 
-    def let_go(self, task: Task, now: float) -> None:
+    def let_go(self, task: Request, now: float) -> None:
         """No answer is owed any more. What has not started is over; what runs ends with its result."""
         task.answered = True
-        if task.state in (State.HELD, State.FOLLOWING, State.REUSING):
+        if task.state in (
+            RequestState.QUEUED,
+            RequestState.AWAITING_ORIGINAL,
+            RequestState.REPLAYING,
+        ):
             self.over(task, now)
         elif task in self.calls.waiting:
             self.calls.waiting.remove(task)
         elif self.stops(task):
-            self.actions.halt(task.id)
+            self.actions.cancel_run(task.id)
 
-    def over(self, task: Task, now: float) -> None:
+    def over(self, task: Request, now: float) -> None:
         """The task is gone from the server: its memory and places are free, and a follower takes its turn."""
-        state, task.state = task.state, State.OVER
-        if state is State.HELD:
+        state, task.state = task.state, RequestState.FINISHED
+        if state is RequestState.QUEUED:
             self.queues.drop(task)
-            if task.stage.effect is Effect.FINGERPRINTED:
+            if task.stage.idempotency is Idempotency.KEYED:
                 self.repeats.drop(task, now)
-        elif state is State.FOLLOWING and task.first:
+        elif state is RequestState.AWAITING_ORIGINAL and task.first:
             task.first.followers.remove(task)
-        self.queues.lines[task.tenant].busy -= state in (State.RUNNING, State.CALLING)
-        if state is State.RUNNING:
+        self.queues.lines[task.tenant].busy -= state in (
+            RequestState.RUNNING,
+            RequestState.AWAITING_DEPENDENCY,
+        )
+        if state is RequestState.RUNNING:
             self.limit.on_cores -= 1
-            self.pools.off(now, task.lane)
-        self.limit.away -= state is State.CALLING
-        held = state in (State.HELD, State.FOLLOWING)
+            self.pools.slot_released(now, task.lane)
+        self.limit.away -= state is RequestState.AWAITING_DEPENDENCY
+        held = state in (RequestState.QUEUED, RequestState.AWAITING_ORIGINAL)
         self.limit.used_kb -= task.kb * (1.0 if held else self.limit.run_factor)
         del self.duty.tasks[task.id]
         if task.followers:  # none of them has run: the next in line becomes the first try
             heir, *rest = task.followers
-            heir.state, heir.first, heir.followers = State.HELD, None, rest
+            heir.state, heir.first, heir.followers = RequestState.QUEUED, None, rest
             for follower in rest:
                 follower.first = heir
             self.admit(heir, now)
--- a/pumicenotch/distribution/codec.py
+++ b/pumicenotch/distribution/codec.py
@@ -4,7 +4,7 @@
 from typing import Any
 
 from pumicenotch.distribution import messages as m
-from pumicenotch.distribution.errors import DistributionError, MalformedMessage
+from pumicenotch.distribution.errors import DistributionError, MalformedMessageError
 from pumicenotch.distribution.records import (
     DIGEST_BYTES,
     VALUE_BYTES_MOST,
@@ -37,7 +37,7 @@
 
 
 def message_of(params: Any) -> m.Message:
-    """The message of [kind, *fields]. Raises MalformedMessage."""
+    """The message of [kind, *fields]. Raises MalformedMessageError."""
     if not isinstance(params, list | tuple) or not params or not isinstance(params[0], str):
         raise _malformed("no kind and fields")
     name, *fields = params
@@ -50,7 +50,7 @@
         message: m.Message = m.KINDS[name]._make(
             reader(field) for reader, field in zip(readers, fields, strict=True)
         )
-    except MalformedMessage:
+    except MalformedMessageError:
         raise
     except DistributionError as error:
         raise _malformed(f"{name}: {error.problem}") from None
@@ -59,8 +59,8 @@
     return message
 
 
-def _malformed(problem: str) -> MalformedMessage:
-    return MalformedMessage(PLACE, problem[:200], REMEDY)
+def _malformed(problem: str) -> MalformedMessageError:
+    return MalformedMessageError(PLACE, problem[:200], REMEDY)
 
 
 def _number(told: Any) -> int:
--- a/pumicenotch/distribution/copy.py
+++ b/pumicenotch/distribution/copy.py
@@ -8,7 +8,7 @@
 from pumicenotch.distribution import messages as m
 from pumicenotch.distribution.changelog import LogEntry
 from pumicenotch.distribution.children import page_bytes
-from pumicenotch.distribution.errors import DigestMismatch, DistributionError
+from pumicenotch.distribution.errors import DigestMismatchError, DistributionError
 from pumicenotch.distribution.outbox import Outbox
 from pumicenotch.distribution.records import ScopeId
 from pumicenotch.distribution.settings import Settings
@@ -150,7 +150,7 @@
         self.suspects.update(found)
         names = ", ".join(f"{table}:{scope}" for table, scope in found[:3])
         self.fail(
-            DigestMismatch(
+            DigestMismatchError(
                 f"scopes {names}", "the records are not what the source has", DIGEST_REMEDY
             )
         )
--- a/pumicenotch/distribution/dumping.py
+++ b/pumicenotch/distribution/dumping.py
@@ -7,7 +7,7 @@
 from typing import Any, NamedTuple
 
 from pumicenotch.distribution.changelog import ChangeLog, ChangeSet, LogEntry
-from pumicenotch.distribution.errors import DistributionError, InvalidPublication
+from pumicenotch.distribution.errors import DistributionError, InvalidPublicationError
 from pumicenotch.distribution.records import Change, ScopeId
 from pumicenotch.distribution.uploads import Upload
 from pumicenotch.distribution.view import Builder, Scope, View
@@ -66,7 +66,7 @@
     except DistributionError:
         raise
     except (ValueError, TypeError, KeyError, IndexError) as error:
-        raise InvalidPublication(
+        raise InvalidPublicationError(
             "dump of the configuration",
             f"it is not readable: {error}"[:200],
             "start this voter without its state: it takes that of the others",
--- a/pumicenotch/distribution/entries.py
+++ b/pumicenotch/distribution/entries.py
@@ -5,7 +5,11 @@
 from collections.abc import Callable, Mapping
 from typing import Any
 
-from pumicenotch.distribution.errors import InvalidPublication, InvalidRecord, OversizedPublication
+from pumicenotch.distribution.errors import (
+    InvalidPublicationError,
+    InvalidRecordError,
+    OversizedPublicationError,
+)
 from pumicenotch.distribution.records import (
     KEY_PART,
     KEY_PART_MOST,
@@ -22,7 +26,7 @@
 
 def identifier(told: Any) -> str:
     if not isinstance(told, str) or not KEY_PART.match(told):
-        raise InvalidPublication(
+        raise InvalidPublicationError(
             PLACE, f"{told!r:.80} is no id", f"use 1 to {KEY_PART_MOST} of A-Z a-z 0-9 . _ -"
         )
     return told
@@ -34,13 +38,13 @@
 
 def whole_number(told: Any) -> int:
     if type(told) is not int or told < 0:
-        raise InvalidPublication(PLACE, f"{told!r:.40} is no whole number from 0", "give one")
+        raise InvalidPublicationError(PLACE, f"{told!r:.40} is no whole number from 0", "give one")
     return told
 
 
 def reason(told: Any) -> str:
     if not isinstance(told, str) or not told.strip() or len(told) > WHY_MOST:
-        raise InvalidPublication(
+        raise InvalidPublicationError(
             PLACE, "it says nothing of who or why", f"give texts of 1 to {WHY_MOST} characters"
         )
     return told
@@ -48,7 +52,7 @@
 
 def digest_text(told: Any) -> str:
     if not isinstance(told, str) or len(told) > KEY_PART_MOST:
-        raise InvalidPublication(
+        raise InvalidPublicationError(
             PLACE, "its digest is no text", "use changes_digest of its changes"
         )
     return told
@@ -57,27 +61,33 @@
 def change_list(told: Any) -> tuple[Change, ...]:
     """The changes of one part."""
     if not isinstance(told, list | tuple) or len(told) > PART_CHANGES_MOST:
-        raise OversizedPublication(
+        raise OversizedPublicationError(
             PLACE, f"a part is no list of up to {PART_CHANGES_MOST} changes", ADVICE
         )
     changes = tuple(map(change_of, told))
     if sum(change.size for change in changes) > PART_BYTES_MOST + VALUE_BYTES_MOST:
-        raise OversizedPublication(PLACE, f"a part has more than {PART_BYTES_MOST} bytes", ADVICE)
+        raise OversizedPublicationError(
+            PLACE, f"a part has more than {PART_BYTES_MOST} bytes", ADVICE
+        )
     return changes
 
 
 def change_of(told: Any) -> Change:
     """One change, as any program reads it; its table's form is checked before it is proposed."""
     if not isinstance(told, list | tuple) or len(told) != 3 or not all(map(_is_text, told[:2])):
-        raise InvalidRecord(PLACE, f"{told!r:.80} is no change", "give [table, SCOPE/NAME, value]")
+        raise InvalidRecordError(
+            PLACE, f"{told!r:.80} is no change", "give [table, SCOPE/NAME, value]"
+        )
     table, key, value = told
     split_key(f"record {table:.64}:{key:.140}", key)
     if not KEY_PART.match(table):
-        raise InvalidRecord(PLACE, f"{table!r:.80} is no name of a table", "use A-Z a-z 0-9 . _ -")
+        raise InvalidRecordError(
+            PLACE, f"{table!r:.80} is no name of a table", "use A-Z a-z 0-9 . _ -"
+        )
     if value is not None and (
         not _is_text(value) or not value.isascii() or len(value) > VALUE_BYTES_MOST
     ):
-        raise InvalidRecord(
+        raise InvalidRecordError(
             f"record {table}:{key}",
             f"its value is no ASCII text of up to {VALUE_BYTES_MOST} bytes",
             "publish canonical JSON, or divide it",
--- a/pumicenotch/distribution/errors.py
+++ b/pumicenotch/distribution/errors.py
@@ -2,88 +2,92 @@
 
 from typing import ClassVar
 
-from pumicenotch.errors import PumicenotchError
+from pumicenotch.errors import InputError
 
 
-class DistributionError(PumicenotchError, ValueError):
+class DistributionError(InputError):
     """The root of the errors of this package. A ValueError, as readers of log entries raise."""
 
     code: ClassVar[str] = "distribution"
 
+    def __init__(self, place: str, problem: str, remedy: str) -> None:
+        super().__init__(problem, place=place, remedy=remedy)
+        self.args = (place, problem, remedy)
 
-class UnknownTable(DistributionError):
+
+class UnknownTableError(DistributionError):
     """A change, a lookup or a subscription names no table of this program."""
 
     code = "unknown-table"
 
 
-class InvalidRecord(DistributionError):
+class InvalidRecordError(DistributionError):
     """A record's key or value is not of its table's form."""
 
     code = "invalid-record"
 
 
-class InvalidSubscription(DistributionError):
+class InvalidSubscriptionError(DistributionError):
     """A subscription is malformed or too large."""
 
     code = "invalid-subscription"
 
 
-class InvalidPublication(DistributionError):
+class InvalidPublicationError(DistributionError):
     """A publication is incomplete, empty or names one record twice."""
 
     code = "invalid-publication"
 
 
-class OversizedPublication(DistributionError):
+class OversizedPublicationError(DistributionError):
     """A publication, or one part of it, has more changes or bytes than are allowed."""
 
     code = "oversized-publication"
 
 
-class OversizedRecord(DistributionError):
+class OversizedRecordError(DistributionError):
     """A record's value is longer than allowed."""
 
     code = "oversized-record"
 
 
-class OversizedScope(DistributionError):
+class OversizedScopeError(DistributionError):
     """A scope would hold more records, or a table more scopes, than allowed."""
 
     code = "oversized-scope"
 
 
-class Conflict(DistributionError):
+class ConflictError(DistributionError):
     """The publication was made against a version that is no longer the current one."""
 
     code = "conflict"
 
 
-class UnreadableForm(DistributionError):
+class UnreadableFormError(DistributionError):
     """A record has a newer form than this program reads."""
 
     code = "unreadable-form"
 
 
-class DigestMismatch(DistributionError):
+class DigestMismatchError(DistributionError):
     """A scope's records do not have the digest that was told for them."""
 
     code = "digest-mismatch"
 
 
-class SourceRefused(DistributionError):
+class SourceRefusedError(DistributionError):
     """No source serves this instance at the moment."""
 
     code = "source-refused"
 
 
-class SourceBehind(DistributionError):
+class SourceBehindError(DistributionError):
     """All sources of this instance have lower versions than its own copy."""
 
     code = "source-behind"
 
 
-class MalformedMessage(DistributionError):
+class MalformedMessageError(DistributionError):
     """A message is not of the form that sources and replicas send."""
 
     code = "malformed-message"
--- a/pumicenotch/distribution/fetching.py
+++ b/pumicenotch/distribution/fetching.py
@@ -5,7 +5,7 @@
 from collections import deque
 from collections.abc import Iterable, Mapping
 
-from pumicenotch.distribution.errors import DigestMismatch
+from pumicenotch.distribution.errors import DigestMismatchError
 from pumicenotch.distribution.messages import FIRST_SCOPE, WANTS_MOST, ScopePart, Scopes, Want
 from pumicenotch.distribution.records import DIGEST_MODULUS, ScopeId, record_digest
 from pumicenotch.distribution.subscription import Subscription
@@ -93,7 +93,7 @@
 
     def work(self, budget: int) -> int:
         """Reads records up to so many, and returns how many more it might. Raises what a record may be wrong
-        in, and DigestMismatch.
+        in, and DigestMismatchError.
         """
         while self._inbox and budget > 0:
             part, at = self._inbox.popleft()
@@ -120,7 +120,7 @@
     def _finish_scope(self, scope_id: ScopeId) -> None:
         scope = self._partial.pop(scope_id)
         if scope.digest != self._listed[scope_id]:
-            raise DigestMismatch(
+            raise DigestMismatchError(
                 f"scope {scope_id.table}:{scope_id.scope}",
                 "what the source sent is not what it listed",
                 "it is fetched from another source; if this persists, restart the source",
--- a/pumicenotch/distribution/instance_settings.py
+++ b/pumicenotch/distribution/instance_settings.py
@@ -6,6 +6,7 @@
 from pumicenotch.distribution.settings import DEFAULTS, Settings
 from pumicenotch.distribution.subscription import Subscription
 from pumicenotch.distribution.tables import TABLES, Table
+from pumicenotch.errors import InputError
 
 
 class ScopesOfTable(NamedTuple):
@@ -47,7 +48,7 @@
         }
 
 
-class BadInstanceSettings(ValueError):
+class InvalidInstanceSettingsError(InputError):
     """The compiled plan was not written by this program's own reader."""
 
 
@@ -57,7 +58,7 @@
 
 
 def instance_settings_of(told: Any) -> InstanceSettings | None:
-    """What `plain` gave, read from JSON again; None as it is. Raises BadInstanceSettings."""
+    """What `plain` gave, read from JSON again; None as it is. Raises InvalidInstanceSettingsError."""
     if told is None:
         return None
     try:
@@ -73,7 +74,9 @@
             DEFAULTS._replace(**limits),
         )
     except (TypeError, ValueError, KeyError, AttributeError) as error:
-        raise BadInstanceSettings(f"distribution: {type(error).__name__} {error}") from None
+        raise InvalidInstanceSettingsError(
+            f"distribution: {type(error).__name__} {error}"
+        ) from None
 
 
 def scopes_of_table(told: Any) -> ScopesOfTable:
--- a/pumicenotch/distribution/node.py
+++ b/pumicenotch/distribution/node.py
@@ -10,7 +10,7 @@
 from pumicenotch.distribution.acknowledging import Acknowledger
 from pumicenotch.distribution.changelog import LogEntry
 from pumicenotch.distribution.effects import Effect, WakeAt
-from pumicenotch.distribution.errors import DistributionError, SourceBehind, SourceRefused
+from pumicenotch.distribution.errors import DistributionError, SourceBehindError, SourceRefusedError
 from pumicenotch.distribution.events import (
     NodeEvent,
     Peer,
@@ -110,14 +110,14 @@
         if self._replica.copy.error is not None:
             return self._replica.copy.error
         if self._is_ahead_of_sources():
-            return SourceBehind(
+            return SourceBehindError(
                 f"instance {self.me.name}",
                 f"it has version {self.view.version}, and all its sources have lower ones",
                 "if the fleet was founded anew, publish all again, then restart this instance",
             )
         if self._started_at + self._settings.source_silent_ms > self._now or self._has_source():
             return None
-        return SourceRefused(
+        return SourceRefusedError(
             f"instance {self.me.name}",
             "no relay and no voter serves it at the moment",
             "see that it reaches voters and relays of its zone; it serves on with what it has",
@@ -324,7 +324,7 @@
         """Of the error that sources are to hear of."""
         error = self._replica.copy.error
         if error is None:
-            return SourceBehind.code if self._is_ahead_of_sources() else ""
+            return SourceBehindError.code if self._is_ahead_of_sources() else ""
         return error.code
 
     def _acknowledge(self, now: float) -> None:
--- a/pumicenotch/distribution/publications.py
+++ b/pumicenotch/distribution/publications.py
@@ -8,7 +8,11 @@
 from pumicenotch.distribution import dumping
 from pumicenotch.distribution.changelog import ChangeLog
 from pumicenotch.distribution.entries import VERBS, Reader
-from pumicenotch.distribution.errors import Conflict, DistributionError, InvalidPublication
+from pumicenotch.distribution.errors import (
+    ConflictError,
+    DistributionError,
+    InvalidPublicationError,
+)
 from pumicenotch.distribution.records import Change
 from pumicenotch.distribution.tables import TABLES, Table, check_change
 from pumicenotch.distribution.uploads import UPLOADS_MOST, Upload, changes_digest
@@ -81,7 +85,7 @@
 
     def _check_previous(self, previous: int) -> None:
         if previous != self.version:
-            raise Conflict(
+            raise ConflictError(
                 "publication",
                 f"it was made against version {previous}, the current one is {self.version}",
                 "look at what has changed since, and publish again",
@@ -95,7 +99,7 @@
         if part < upload.parts:
             return Outcome(True, "staged already", part)
         if part > upload.parts:
-            raise InvalidPublication(
+            raise InvalidPublicationError(
                 f"upload {name}",
                 f"part {upload.parts} is missing",
                 "stage its parts in order, from 0",
@@ -143,7 +147,7 @@
     def _complete_upload(self, name: str, parts: int, digest: str) -> Upload:
         upload = self.uploads.get(name)
         if upload is None or upload.parts != parts or upload.digest != digest:
-            raise InvalidPublication(
+            raise InvalidPublicationError(
                 f"upload {name}",
                 "its parts are not all here, or are others",
                 "stage and publish it again",
@@ -152,7 +156,7 @@
 
     def _small(self, digest: str, changes: Sequence[Change]) -> Upload:
         if not changes or changes_digest(changes) != digest:
-            raise InvalidPublication(
+            raise InvalidPublicationError(
                 "publication", "it has no changes, or its digest is not theirs", "publish it again"
             )
         upload = Upload(self.view)
--- a/pumicenotch/distribution/records.py
+++ b/pumicenotch/distribution/records.py
@@ -4,7 +4,7 @@
 from hashlib import blake2b
 from typing import NamedTuple
 
-from pumicenotch.distribution.errors import InvalidRecord
+from pumicenotch.distribution.errors import InvalidRecordError
 
 KEY_PART_MOST = 64  # characters of a scope, and of a name
 VALUE_BYTES_MOST = 4096
@@ -39,10 +39,10 @@
 
 
 def split_key(place: str, key: str) -> tuple[str, str]:
-    """The scope and the name of a record. Raises InvalidRecord."""
+    """The scope and the name of a record. Raises InvalidRecordError."""
     scope, slash, name = key.partition("/")
     if not slash or not KEY_PART.match(scope) or not KEY_PART.match(name):
-        raise InvalidRecord(
+        raise InvalidRecordError(
             place,
             f"key {key!r:.140} is not SCOPE/NAME",
             f"use 1 to {KEY_PART_MOST} of the characters A-Z a-z 0-9 . _ - for each",
--- a/pumicenotch/distribution/replica.py
+++ b/pumicenotch/distribution/replica.py
@@ -11,7 +11,7 @@
 from pumicenotch.distribution.audit import Auditor
 from pumicenotch.distribution.changelog import LogEntry
 from pumicenotch.distribution.copy import Copy
-from pumicenotch.distribution.errors import DigestMismatch, DistributionError
+from pumicenotch.distribution.errors import DigestMismatchError, DistributionError
 from pumicenotch.distribution.fetching import Transfer
 from pumicenotch.distribution.outbox import Outbox
 from pumicenotch.distribution.records import ScopeId
@@ -195,7 +195,7 @@
     def _failed(self, now_ms: float, error: DistributionError, transfer: Transfer | None) -> None:
         staging = self.copy.staging
         self._break_off()
-        if transfer is not None and isinstance(error, DigestMismatch):
+        if transfer is not None and isinstance(error, DigestMismatchError):
             self.copy.fail(error)
             self._sources.failed(now_ms, transfer.address)
         elif transfer is not None:
--- a/pumicenotch/distribution/subscription.py
+++ b/pumicenotch/distribution/subscription.py
@@ -4,7 +4,7 @@
 from collections.abc import Iterable, Mapping
 from typing import Any
 
-from pumicenotch.distribution.errors import InvalidSubscription
+from pumicenotch.distribution.errors import InvalidSubscriptionError
 from pumicenotch.distribution.records import KEY_PART, ScopeId
 
 SCOPES_MOST = 1024  # named in one subscription: beyond that, a whole table is asked for
@@ -128,14 +128,16 @@
 
 
 def subscription_of(told: Any) -> Subscription:
-    """From what `plain` gives. Raises InvalidSubscription."""
+    """From what `plain` gives. Raises InvalidSubscriptionError."""
     if not isinstance(told, list | tuple) or len(told) > TABLES_MOST:
-        raise InvalidSubscription(PLACE, "no list of tables", f"name up to {TABLES_MOST} tables")
+        raise InvalidSubscriptionError(
+            PLACE, "no list of tables", f"name up to {TABLES_MOST} tables"
+        )
     tables: dict[str, Iterable[str] | None] = {}
     count = 0
     for pair in told:
         if not isinstance(pair, list | tuple) or len(pair) != 2 or not _is_key_part(pair[0]):
-            raise InvalidSubscription(
+            raise InvalidSubscriptionError(
                 PLACE, f"{pair!r:.80} is no table with its scopes", "give a pair of them"
             )
         table, scopes = pair
@@ -144,7 +146,7 @@
             count += len(scopes)
         tables[table] = scopes
     if count > SCOPES_MOST:
-        raise InvalidSubscription(
+        raise InvalidSubscriptionError(
             PLACE, f"{count} scopes are named", f"name up to {SCOPES_MOST}, or take a table whole"
         )
     return Subscription(tables)
@@ -152,7 +154,7 @@
 
 def _check_scopes(table: str, scopes: Any) -> None:
     if not isinstance(scopes, list | tuple | set | frozenset) or not all(map(_is_key_part, scopes)):
-        raise InvalidSubscription(
+        raise InvalidSubscriptionError(
             PLACE,
             f"the scopes of {table} are no list of names",
             "use the characters A-Z a-z 0-9 . _ -",
--- a/pumicenotch/distribution/tables.py
+++ b/pumicenotch/distribution/tables.py
@@ -5,10 +5,10 @@
 from typing import Any, NamedTuple
 
 from pumicenotch.distribution.errors import (
-    InvalidRecord,
-    OversizedRecord,
-    UnknownTable,
-    UnreadableForm,
+    InvalidRecordError,
+    OversizedRecordError,
+    UnknownTableError,
+    UnreadableFormError,
 )
 from pumicenotch.distribution.records import VALUE_BYTES_MOST, Change, split_key
 
@@ -50,10 +50,10 @@
 
 
 def table_of(tables: Mapping[str, Table], name: str) -> Table:
-    """Raises UnknownTable."""
+    """Raises UnknownTableError."""
     table = tables.get(name)
     if table is None:
-        raise UnknownTable(
+        raise UnknownTableError(
             f"table {name!r:.40}", "there is none of this name", f"use one of {', '.join(tables)}"
         )
     return table
@@ -68,18 +68,18 @@
         return
     value = read_value(table, change.key, change.value)
     if change.value != _canonical_or_none(value):
-        raise InvalidRecord(
+        raise InvalidRecordError(
             place, "the value is not canonical JSON", "sort its keys and leave out spaces"
         )
 
 
 def read_value(table: Table, key: str, text: str) -> Mapping[str, Any]:
-    """The value of a record, of a form that this program reads. Raises InvalidRecord, OversizedRecord and
-    UnreadableForm.
+    """The value of a record, of a form that this program reads. Raises InvalidRecordError, OversizedRecordError and
+    UnreadableFormError.
     """
     place = f"record {table.name}:{key}"
     if len(text) > VALUE_BYTES_MOST:
-        raise OversizedRecord(
+        raise OversizedRecordError(
             place,
             f"the value has {len(text)} bytes",
             f"keep it within {VALUE_BYTES_MOST}, or divide it",
@@ -87,9 +87,9 @@
     try:
         value = json.loads(text)
     except (ValueError, RecursionError):
-        raise InvalidRecord(place, "the value is not JSON", "publish a JSON object") from None
+        raise InvalidRecordError(place, "the value is not JSON", "publish a JSON object") from None
     if not isinstance(value, dict):
-        raise InvalidRecord(place, "the value is no object", "publish a JSON object")
+        raise InvalidRecordError(place, "the value is no object", "publish a JSON object")
     _check_form(table, place, value.get("form", 1))
     for field in table.fields:
         _check_field(place, field, value)
@@ -98,11 +98,11 @@
 
 def _check_form(table: Table, place: str, form: Any) -> None:
     if type(form) is not int or form < 1:
-        raise InvalidRecord(
+        raise InvalidRecordError(
             place, f"form {form!r:.40} is no whole number from 1", "leave it out, or use 1"
         )
     if form > table.form:
-        raise UnreadableForm(
+        raise UnreadableFormError(
             place,
             f"its form is {form}, this program reads forms up to {table.form}",
             "upgrade this instance, or publish the record in an older form",
@@ -112,13 +112,15 @@
 def _check_field(place: str, field: Field, value: Mapping[str, Any]) -> None:
     if field.name not in value:
         if field.required:
-            raise InvalidRecord(
+            raise InvalidRecordError(
                 place, f"the field {field.name} is missing", "publish it with the record"
             )
         return
     if type(value[field.name]) not in field.kinds:
         wanted = " or ".join(kind.__name__ for kind in field.kinds)
-        raise InvalidRecord(place, f"the field {field.name} is no {wanted}", f"publish a {wanted}")
+        raise InvalidRecordError(
+            place, f"the field {field.name} is no {wanted}", f"publish a {wanted}"
+        )
 
 
 def _canonical_or_none(value: Mapping[str, Any]) -> str | None:
--- a/pumicenotch/distribution/uploads.py
+++ b/pumicenotch/distribution/uploads.py
@@ -4,7 +4,7 @@
 from typing import Any
 
 from pumicenotch.distribution.changelog import ChangeSet, LogEntry
-from pumicenotch.distribution.errors import InvalidPublication, OversizedPublication
+from pumicenotch.distribution.errors import InvalidPublicationError, OversizedPublicationError
 from pumicenotch.distribution.records import (
     DIGEST_MODULUS,
     Change,
@@ -43,12 +43,12 @@
         return f"{self._digest % DIGEST_MODULUS:032x}"
 
     def add(self, changes: Sequence[Change]) -> None:
-        """The next part. Raises OversizedPublication, OversizedScope and InvalidPublication; the upload is
+        """The next part. Raises OversizedPublicationError, OversizedScopeError and InvalidPublicationError; the upload is
         of no use after that.
         """
         for change in changes:
             if (change.table, change.key) in self._keys:
-                raise InvalidPublication(
+                raise InvalidPublicationError(
                     f"record {change.table}:{change.key}",
                     "it is named twice",
                     "name each record once",
@@ -59,7 +59,7 @@
             self._digest += record_digest(change.table, change.key, change.value or "")
         self.parts += 1
         if self._changes.count > CHANGES_MOST or self._changes.size > BYTES_MOST:
-            raise OversizedPublication(
+            raise OversizedPublicationError(
                 "publication", f"more than {CHANGES_MOST} changes or {BYTES_MOST} bytes", ADVICE
             )
 
--- a/pumicenotch/distribution/view.py
+++ b/pumicenotch/distribution/view.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterator, Mapping
 from types import MappingProxyType
 
-from pumicenotch.distribution.errors import OversizedScope
+from pumicenotch.distribution.errors import OversizedScopeError
 from pumicenotch.distribution.records import (
     DIGEST_MODULUS,
     SCOPE_RECORDS_MOST,
@@ -138,7 +138,7 @@
         self._new_scopes: dict[str, int] = {}
 
     def put(self, change: Change) -> int:
-        """Stages one change, and says what it cost in changes. Raises OversizedScope."""
+        """Stages one change, and says what it cost in changes. Raises OversizedScopeError."""
         scope_name, _, name = change.key.partition("/")
         scope_id = ScopeId(change.table, scope_name)
         draft, cost = self._draft(scope_id)
@@ -202,7 +202,7 @@
     def _count_new_scope(self, table: str) -> None:
         count = self._new_scopes.get(table, 0) + 1
         if count + len(self.base.tables.get(table, NO_TABLE).scopes) > TABLE_SCOPES_MOST:
-            raise OversizedScope(
+            raise OversizedScopeError(
                 f"table {table}",
                 f"it would have more than {TABLE_SCOPES_MOST} scopes",
                 "delete scopes in a publication before, or use fewer and larger ones",
@@ -212,7 +212,7 @@
     @staticmethod
     def _check_size(scope_id: ScopeId, draft: Scope) -> None:
         if len(draft.records) > SCOPE_RECORDS_MOST:
-            raise OversizedScope(
+            raise OversizedScopeError(
                 f"scope {scope_id.table}:{scope_id.scope}",
                 f"it would hold more than {SCOPE_RECORDS_MOST} records",
                 "delete records first, or divide it into scopes",
--- a/pumicenotch/errors.py
+++ b/pumicenotch/errors.py
@@ -1,18 +1,30 @@
-"""The root of all errors that an operator may see: where, what is wrong, and what can be done about it."""
+"""The root of all errors that an operator may see."""
 
 from typing import ClassVar
 
 
 class PumicenotchError(Exception):
-    """An error with a place, a problem and a remedy; `code` names its kind for logs and tests."""
+    """An error with a problem, and where they are known its place and its remedy.
 
-    code: ClassVar[str] = "error"
+    Attributes:
+        code: the kind of error in answers to other programs, where it is told apart there.
+        problem: what is wrong.
+        place: where it is wrong: a file and its line, a setting, a field of a message.
+        remedy: what can be done about it.
+    """
 
-    def __init__(self, place: str, problem: str, remedy: str) -> None:
-        super().__init__(place, problem, remedy)
-        self.place = place
+    code: ClassVar[str | None] = None
+
+    def __init__(self, problem: str, *, place: str = "", remedy: str = "") -> None:
+        super().__init__(problem)
         self.problem = problem
+        self.place = place
         self.remedy = remedy
 
     def __str__(self) -> str:
-        return f"{self.place}: {self.problem}: {self.remedy}"
+        """Return `PLACE: PROBLEM: REMEDY`, without the parts that are not known."""
+        return ": ".join(part for part in (self.place, self.problem, self.remedy) if part)
+
+
+class InputError(PumicenotchError, ValueError):
+    """Input that cannot be accepted. Also a ValueError, which readers of input catch."""
--- a/pumicenotch/fleet/book.py
+++ b/pumicenotch/fleet/book.py
@@ -7,6 +7,7 @@
 from collections.abc import Mapping
 from typing import Any, Protocol
 
+from pumicenotch.errors import InputError
 from pumicenotch.fleet.entries import Reader
 
 
@@ -52,7 +53,7 @@
         """In place of all that it holds. Raises ValueError on what `dump` did not give."""
 
 
-class UnknownBook(ValueError):
+class UnknownBookError(InputError):
     """Another voter's state has a subject that this voter does not keep."""
 
     def __init__(self, name: str) -> None:
--- a/pumicenotch/fleet/budgets.py
+++ b/pumicenotch/fleet/budgets.py
@@ -5,11 +5,13 @@
 from collections.abc import Iterable, Iterator
 from typing import Any, NamedTuple
 
+from pumicenotch.errors import InputError
+
 EACH = ("fleet", "zone", "region", "cell", "service", "callers")
 SERVING, DRAINING, OUT = "serving", "draining", "out"
 
 
-class BadBudget(ValueError):
+class InvalidBudgetError(InputError):
     """It says nothing, or what cannot hold."""
 
 
@@ -41,7 +43,7 @@
 
 
 def check(budget: Budget) -> Budget:
-    """Raises BadBudget."""
+    """Raises InvalidBudgetError."""
     limits = (
         budget.most_out >= 0,
         budget.least_serving >= 0,
@@ -49,22 +51,24 @@
         budget.apart,
     )
     if budget.each not in EACH:
-        raise BadBudget(f"budget {budget.name}: each: {budget.each!r}; allowed: {', '.join(EACH)}")
+        raise InvalidBudgetError(
+            f"budget {budget.name}: each: {budget.each!r}; allowed: {', '.join(EACH)}"
+        )
     if sum(limits) != 1:
-        raise BadBudget(
+        raise InvalidBudgetError(
             f"budget {budget.name}: one of most_out, least_serving, least_capacity, apart is wanted"
         )
     if budget.apart and budget.each != "service":
-        raise BadBudget(f"budget {budget.name}: apart: for each = service only")
+        raise InvalidBudgetError(f"budget {budget.name}: apart: for each = service only")
     if budget.least_capacity > 1.0:
-        raise BadBudget(
+        raise InvalidBudgetError(
             f"budget {budget.name}: least_capacity: {budget.least_capacity:g} of 1 never holds"
         )
     return budget
 
 
 def budget_of(told: Any) -> Budget:
-    """From what `Budget` comes to on a wire. Raises BadBudget."""
+    """From what `Budget` comes to on a wire. Raises InvalidBudgetError."""
     try:
         made = Budget._make(told)
         texts = (made.name, made.each, made.only)
@@ -78,9 +82,9 @@
             )
         )
     except (TypeError, ValueError) as error:
-        if isinstance(error, BadBudget):
+        if isinstance(error, InvalidBudgetError):
             raise
-        raise BadBudget(f"no budget: {told!r:.80}") from None
+        raise InvalidBudgetError(f"no budget: {told!r:.80}") from None
 
 
 def groups(budget: Budget, member: Member) -> Iterator[str]:
--- a/pumicenotch/fleet/release_entries.py
+++ b/pumicenotch/fleet/release_entries.py
@@ -3,7 +3,7 @@
 from typing import Any
 
 from pumicenotch.fleet.entries import (
-    BadEntry,
+    InvalidEntryError,
     Reader,
     budgets_of,
     name,
@@ -21,7 +21,7 @@
 
 def word_of(told: Any) -> str:
     if told not in WORDS:
-        raise BadEntry(f"{told!r:.40}: {', '.join(WORDS)} are known")
+        raise InvalidEntryError(f"{told!r:.40}: {', '.join(WORDS)} are known")
     return str(told)
 
 
@@ -31,38 +31,40 @@
 
 def down_of(told: Any) -> str:
     if told not in ("", GONE, STARTING):
-        raise BadEntry(f"{told!r:.40}: {GONE}, {STARTING} or nothing is wanted")
+        raise InvalidEntryError(f"{told!r:.40}: {GONE}, {STARTING} or nothing is wanted")
     return str(told)
 
 
 def truth(told: Any) -> bool:
     if type(told) is not bool:
-        raise BadEntry(f"yes or no is wanted, not {told!r:.40}")
+        raise InvalidEntryError(f"yes or no is wanted, not {told!r:.40}")
     return told
 
 
 def usual_of(told: Any) -> tuple[float, ...]:
     if not isinstance(told, list | tuple) or len(told) != 3:
-        raise BadEntry("three figures are wanted")
+        raise InvalidEntryError("three figures are wanted")
     found = tuple(float(each) for each in told if isinstance(each, int | float))
     if len(found) < 3 or not all(0.0 <= each < 1e12 for each in found):
-        raise BadEntry(f"no figures: {told!r:.60}")
+        raise InvalidEntryError(f"no figures: {told!r:.60}")
     return found
 
 
 def version_of(told: Any) -> str:
     """It names a folder: nothing that leads elsewhere."""
     if not VERSION.fullmatch(name(told)):
-        raise BadEntry(f"a version of letters, digits, dots, dashes is wanted, not {told!r:.80}")
+        raise InvalidEntryError(
+            f"a version of letters, digits, dots, dashes is wanted, not {told!r:.80}"
+        )
     return str(told)
 
 
 def runs_of(told: Any) -> tuple[tuple[str, str], ...]:
     if not isinstance(told, list | tuple) or len(told) > len(SLOTS):
-        raise BadEntry("what a node runs: slot and version, for each slot")
+        raise InvalidEntryError("what a node runs: slot and version, for each slot")
     found = tuple((name(slot), version_of(version)) for slot, version in told)
     if unknown := [slot for slot, _ in found if slot not in SLOTS]:
-        raise BadEntry(f"no slot {unknown[0]}; known: {', '.join(SLOTS)}")
+        raise InvalidEntryError(f"no slot {unknown[0]}; known: {', '.join(SLOTS)}")
     return found
 
 
@@ -100,13 +102,13 @@
             budgets_of(budgets),
         )
     except (TypeError, ValueError) as error:
-        raise BadEntry(f"no plan of a release: {error}") from None
+        raise InvalidEntryError(f"no plan of a release: {error}") from None
     if slot not in SLOTS:
-        raise BadEntry(f"no slot {slot!r:.40}; known: {', '.join(SLOTS)}")
+        raise InvalidEntryError(f"no slot {slot!r:.40}; known: {', '.join(SLOTS)}")
     if slot != BUDGETS and (not made.nodes or not all(made.waves) or len(made.waves) > WAVES_MOST):
-        raise BadEntry(f"1 to {WAVES_MOST} waves of one node or more are wanted")
+        raise InvalidEntryError(f"1 to {WAVES_MOST} waves of one node or more are wanted")
     if len(set(made.nodes)) < len(made.nodes):
-        raise BadEntry("a node stands in two waves")
+        raise InvalidEntryError("a node stands in two waves")
     return made
 
 
--- a/pumicenotch/fleet/replica_node.py
+++ b/pumicenotch/fleet/replica_node.py
@@ -111,7 +111,7 @@
         name, life, _ = sender
         match method:
             case "agree" | "found" if name not in self.names:
-                raise agree.BadMessage(f"{name} is no voter of this fleet")
+                raise agree.MessageDecodeError(f"{name} is no voter of this fleet")
             case "agree":
                 self.step_voter("message", f"{name}/{life}", agree.message_of(params))
             case "found":
--- a/pumicenotch/fleet/reports.py
+++ b/pumicenotch/fleet/reports.py
@@ -4,6 +4,7 @@
 
 from typing import Any, NamedTuple
 
+from pumicenotch.errors import InputError
 from pumicenotch.fleet.budgets import Member, Tally
 from pumicenotch.fleet.drain_times import DrainTimes
 from pumicenotch.fleet.records import Request
@@ -18,7 +19,7 @@
 Table = dict[str, Any]
 
 
-class BadRead(ValueError):
+class InvalidReadError(InputError):
     """What is asked about is not there, or the values are of another kind."""
 
 
@@ -46,7 +47,7 @@
         )
 
     def answer(self, verb: str, args: tuple[Any, ...]) -> Table:
-        """To one of READ_VERBS. Raises BadRead."""
+        """To one of READ_VERBS. Raises InvalidReadError."""
         match [verb, *args]:
             case ["status"]:
                 return self.status()
@@ -62,7 +63,7 @@
                 return {"waves": self.waves(tuple(map(float, shares)), mixed, order)}
             case ["why", str(name)]:
                 return self.why(name)
-        raise BadRead(f"{verb}: other values are wanted")
+        raise InvalidReadError(f"{verb}: other values are wanted")
 
     def log(self, many: int) -> Table:
         rows = [
@@ -80,7 +81,7 @@
     def one_release(self, name: str) -> Table:
         release = self.state.releases.releases.get(name)
         if release is None:
-            raise BadRead(f"no release {name}")
+            raise InvalidReadError(f"no release {name}")
         return {**self.release_row(release), "rows": self.release_nodes(release)}
 
     def waves(
@@ -193,7 +194,7 @@
     def why(self, name: str) -> Table:
         """Why it waits and about how long, or how else it stands."""
         if name not in self.state.members:
-            raise BadRead(f"no member {name}")
+            raise InvalidReadError(f"no member {name}")
         member, waits = self.state.members[name], self.state.waits.get(name, "")
         table = {**self.member_row(member), "budgets": self.budgets_of(member), "waits": waits}
         if name in self.state.waits:
--- a/pumicenotch/fleet/settings.py
+++ b/pumicenotch/fleet/settings.py
@@ -4,10 +4,11 @@
 
 from typing import Any, NamedTuple
 
+from pumicenotch.errors import InputError
 from pumicenotch.fleet.budgets import Budget, Member
 
 
-class BadSettings(ValueError):
+class InvalidSettingsError(InputError):
     """It was not written by this program's own reader."""
 
 
@@ -49,7 +50,7 @@
 
 
 def settings_of(told: Any) -> FleetSettings | None:
-    """A server's, from the compiled plan, where it has one. Raises BadSettings."""
+    """A server's, from the compiled plan, where it has one. Raises InvalidSettingsError."""
     if told is None:
         return None
     try:
@@ -63,4 +64,4 @@
             raise TypeError("texts are wanted")
         return made
     except (TypeError, AttributeError) as error:
-        raise BadSettings(f"fleet: {error}") from None
+        raise InvalidSettingsError(f"fleet: {error}") from None
--- a/pumicenotch/fleet/snapshot.py
+++ b/pumicenotch/fleet/snapshot.py
@@ -7,9 +7,9 @@
 from collections.abc import Iterable, Sequence
 from typing import Any
 
-from pumicenotch.fleet.book import Book, UnknownBook
+from pumicenotch.fleet.book import Book, UnknownBookError
 from pumicenotch.fleet.budgets import Budget, Member
-from pumicenotch.fleet.entries import BadEntry
+from pumicenotch.fleet.entries import InvalidEntryError
 from pumicenotch.fleet.records import Answer, Event, FleetHalt, Permit, Request
 from pumicenotch.fleet.state import State
 
@@ -55,12 +55,12 @@
 
 
 def load(data: bytes, books: Sequence[Book] = ()) -> State:
-    """What `dump` gave. Raises BadEntry on anything else, UnknownBook where `books` lacks one of it."""
+    """What `dump` gave. Raises InvalidEntryError on anything else, UnknownBookError where `books` lacks one of it."""
     header, _, sections = data.partition(b"\n")
     try:
         told = json.loads(header)
         if told["form"] not in FORMS:
-            raise BadEntry(
+            raise InvalidEntryError(
                 f"a state of form {told['form']!r}: {FORMS} are known: a newer program is wanted"
             )
         made = State(books)
@@ -76,10 +76,12 @@
         if "releases" in told:
             made.releases.load(told["releases"])
         load_books(made, told.get("books", ()), sections)
-    except (BadEntry, UnknownBook):
+    except (InvalidEntryError, UnknownBookError):
         raise
     except (KeyError, TypeError, ValueError, IndexError) as error:
-        raise BadEntry(f"no state of a fleet: {type(error).__name__} {error}"[:200]) from None
+        raise InvalidEntryError(
+            f"no state of a fleet: {type(error).__name__} {error}"[:200]
+        ) from None
     made.settle()
     return made
 
@@ -96,7 +98,7 @@
     found = list(lengths)
     for book, _ in found:
         if book not in state.books:
-            raise UnknownBook(book)
+            raise UnknownBookError(book)
     if sum(length for _, length in found) != len(sections):
         raise ValueError("its books are not whole")
     start = 0
--- a/pumicenotch/fleet/verbs.py
+++ b/pumicenotch/fleet/verbs.py
@@ -6,7 +6,7 @@
 from pumicenotch.fleet import release_entries
 from pumicenotch.fleet.book import Book
 from pumicenotch.fleet.entries import (
-    BadEntry,
+    InvalidEntryError,
     Reader,
     budgets_of,
     member_of,
@@ -56,21 +56,23 @@
 
 
 def read(entry: Any) -> tuple[str, tuple[Any, ...]]:
-    """The method that an entry calls, and its fields. Raises BadEntry: it is not proposed."""
+    """The method that an entry calls, and its fields. Raises InvalidEntryError: it is not proposed."""
     if not isinstance(entry, list | tuple) or not entry or entry[0] not in ENTRIES:
-        raise BadEntry(f"unknown: {entry!r:.60}; known: {', '.join(ENTRIES)}")
+        raise InvalidEntryError(f"unknown: {entry!r:.60}; known: {', '.join(ENTRIES)}")
     verb, readers = ENTRIES[entry[0]]
     return verb, read_fields(entry, readers)
 
 
 def read_fields(entry: Sequence[Any], readers: tuple[Reader, ...]) -> tuple[Any, ...]:
-    """What follows an entry's verb, by its readers. Raises BadEntry, or what a book's reader raises."""
+    """What follows an entry's verb, by its readers. Raises InvalidEntryError, or what a book's reader raises."""
     if len(entry) != len(readers) + 1:
-        raise BadEntry(f"{entry[0]}: {len(readers)} values are wanted, not {len(entry) - 1}")
+        raise InvalidEntryError(
+            f"{entry[0]}: {len(readers)} values are wanted, not {len(entry) - 1}"
+        )
     try:
         return tuple(reader(value) for reader, value in zip(readers, entry[1:], strict=True))
     except TypeError as error:
-        raise BadEntry(f"{entry[0]}: {error}") from None
+        raise InvalidEntryError(f"{entry[0]}: {error}") from None
 
 
 def books_by_verb(books: Iterable[Book]) -> dict[str, Book]:
--- a/pumicenotch/fleet/voter_node.py
+++ b/pumicenotch/fleet/voter_node.py
@@ -12,7 +12,7 @@
 from pumicenotch.fleet.budgets import Budget, Member
 from pumicenotch.fleet.drain_times import DrainTimes
 from pumicenotch.fleet.effects import Exit
-from pumicenotch.fleet.entries import BadEntry, Said
+from pumicenotch.fleet.entries import InvalidEntryError, Said
 from pumicenotch.fleet.failure_detector import (
     NAME_HELD_MS,
     NEVER,
@@ -24,7 +24,7 @@
 from pumicenotch.fleet.pending import NOBODY, Pending, PendingRead
 from pumicenotch.fleet.records import member_fields
 from pumicenotch.fleet.replica_node import ReplicaNode
-from pumicenotch.fleet.reports import READ_VERBS, BadRead, Leading, Reports
+from pumicenotch.fleet.reports import READ_VERBS, InvalidReadError, Leading, Reports
 from pumicenotch.fleet.state import error_code
 from pumicenotch.fleet.voter_client import NO_MAJORITY, NOT_LEADER, REFUSED, UNKNOWN
 from pumicenotch.fleet.watch import Watch, memory_of, rows_of
@@ -106,7 +106,7 @@
         name, life, _ = sender
         match method:
             case "sees" if name not in self.names:
-                raise agree.BadMessage(f"{name} is no voter of this fleet")
+                raise agree.MessageDecodeError(f"{name} is no voter of this fleet")
             case "sees":
                 self.detector.observe(
                     self.now, name, [each for each in params if isinstance(each, str)]
@@ -217,7 +217,7 @@
             return
         try:
             self.reply(read.conn, read.message, self.reports().answer(read.verb, read.args))
-        except BadRead as error:
+        except InvalidReadError as error:
             self.refuse(read.conn, read.message, REFUSED, str(error))
 
     def read_failed(self, key: int) -> None:
@@ -247,7 +247,7 @@
         """What an agent says of its node is agreed where it is new."""
         try:
             _, (one, *said) = verbs.read(("word", *args))
-        except BadEntry as error:
+        except InvalidEntryError as error:
             self.refuse(conn, message, REFUSED, str(error))
             return
         releases = self.state.releases
@@ -265,7 +265,7 @@
         try:
             self.state.read(entry)
             if why := self.unsafe(entry):
-                raise BadEntry(why)
+                raise InvalidEntryError(why)
             self.state.admit(entry)
         except ValueError as error:
             self.refuse(conn, message, REFUSED, str(error), error_code(error))
--- a/pumicenotch/fleet/watch.py
+++ b/pumicenotch/fleet/watch.py
@@ -15,7 +15,7 @@
 from statistics import median
 from typing import Any, NamedTuple
 
-from pumicenotch.fleet.entries import BadEntry
+from pumicenotch.fleet.entries import InvalidEntryError
 from pumicenotch.fleet.judge import Judge, Told
 from pumicenotch.fleet.release import BUDGETS, FORWARD, SOAKING, Release
 from pumicenotch.fleet.state import SILENT, State
@@ -46,19 +46,19 @@
 
 def memory_of(told: Any) -> float:
     if not isinstance(told, int | float) or not 0.0 <= told < 1e9:
-        raise BadEntry(f"no memory of a process: {told!r:.40}")
+        raise InvalidEntryError(f"no memory of a process: {told!r:.40}")
     return float(told)
 
 
 def rows_of(told: Any) -> dict[str, Row]:
-    """From a word on the wire: (class, fields of Row) each. Raises BadEntry."""
+    """From a word on the wire: (class, fields of Row) each. Raises InvalidEntryError."""
     try:
         found = {str(name)[:64]: Row(*map(float, fields)) for name, *fields in told[:ROWS_MOST]}
         if not all(math.isfinite(value) and value >= 0 for row in found.values() for value in row):
             raise ValueError("no counts")
         return found
     except (TypeError, ValueError) as error:
-        raise BadEntry(f"no counts of a member: {error}") from None
+        raise InvalidEntryError(f"no counts of a member: {error}") from None
 
 
 class Pressure:
--- a/pumicenotch/lab/configuration_run.py
+++ b/pumicenotch/lab/configuration_run.py
@@ -9,7 +9,7 @@
 
 from pumicenotch.lab.configuration_judge import ConfigurationJudge
 from pumicenotch.lab.crew import Crew
-from pumicenotch.lab.guard import MachineTooSmall
+from pumicenotch.lab.guard import MachineTooSmallError
 from pumicenotch.lab.hollow_fleet import HollowFleet
 from pumicenotch.lab.hollow_messages import Report
 from pumicenotch.lab.published import Dataset
@@ -65,7 +65,7 @@
         began = time.monotonic()
         while (serving := self.judge.serving(self.publisher.initial)) < many:
             if time.monotonic() - began > within_s:
-                raise MachineTooSmall(
+                raise MachineTooSmallError(
                     f"time: {serving} of {many} hollow instances serve the configuration after {within_s:.0f}"
                     f" s: the machine is too slow for so many just now (--set servers=N)"
                 )
--- a/pumicenotch/lab/crew.py
+++ b/pumicenotch/lab/crew.py
@@ -16,6 +16,7 @@
 
 import msgpack
 
+from pumicenotch.errors import PumicenotchError
 from pumicenotch.lab.relay import Relay
 
 FLEET = "lab"
@@ -35,7 +36,7 @@
         return self.process is not None and self.process.poll() is None
 
 
-class Refused(Exception):
+class RequestRefusedError(PumicenotchError):
     """The fleet's own no."""
 
 
@@ -166,7 +167,7 @@
             writer.transport.abort()
 
     async def ask(self, verb: str, *args: Any, within_s: float = 30.0) -> Any:
-        """Of whoever leads. Raises Refused with the fleet's reason, TimeoutError where nobody agreed."""
+        """Of whoever leads. Raises RequestRefusedError with the fleet's reason, TimeoutError where nobody agreed."""
         names, met = {self.shown(name): name for name in self.voters}, ""
         todo, until = self.in_turn(), time.monotonic() + within_s
         while time.monotonic() < until:
@@ -184,7 +185,7 @@
                 return result
             met = f"{name}: {error}"
             if error[0] == "Refused":
-                raise Refused(error[1])
+                raise RequestRefusedError(error[1])
             if error[2] in names:
                 todo.insert(0, names[error[2]])
         raise TimeoutError(f"{verb}: nobody agreed in {within_s:g} s; last: {met}")
--- a/pumicenotch/lab/experiment.py
+++ b/pumicenotch/lab/experiment.py
@@ -45,11 +45,11 @@
     told, path, name, seed, folder = job
     arm = next(each for each in told.arm if each.name == name)
     if told.carrier == "simulated":
-        from pumicenotch.control import Control
+        from pumicenotch.control import AdmissionController
         from pumicenotch.lab.plain import Plain
         from pumicenotch.lab.simulate import Simulation, pools_of
 
-        decides = Plain if arm.decides == "plain" else Control
+        decides = Plain if arm.decides == "plain" else AdmissionController
         carried = Simulation(told, seed, pools_of(plan(arm, path)), decides).run()
         cpu, ledger, late = sum(node.cpu_ms for node in carried.nodes), carried.ledger, [0.0]
     else:
@@ -149,7 +149,7 @@
 
 
 def check_machine(told: Experiment) -> None:
-    """Raises MachineTooSmall."""
+    """Raises MachineTooSmallError."""
     if told.hollow is not None and any(arm.hollow for arm in told.arm):
         raise_descriptors()
         check(told.hollow.instances, Machine.here())
--- a/pumicenotch/lab/experiment_file.py
+++ b/pumicenotch/lab/experiment_file.py
@@ -7,8 +7,8 @@
 
 from pydantic import Field, model_validator
 
-from pumicenotch.config.compiled import BadConfig, from_file
-from pumicenotch.config.file import BadFile, plan_of
+from pumicenotch.config.compiled import InvalidConfigError, from_file
+from pumicenotch.config.file import InvalidFileError, plan_of
 from pumicenotch.config.hcl import Block, parse
 from pumicenotch.config.schema import Schema, load
 from pumicenotch.lab.world import World, names_of, region_of, zone_of
@@ -183,7 +183,7 @@
     for text in sets:
         path, equals, told = text.partition("=")
         if not equals or not path:
-            raise BadFile(f"--set {text}: K=V is wanted, as load=1.2")
+            raise InvalidFileError(f"--set {text}: K=V is wanted, as load=1.2")
         try:
             value = json.loads(told)
         except ValueError:
@@ -201,7 +201,7 @@
                 whole.blocks.append(Block(kind, [], 1))
                 found = whole.blocks[-1:]
             if not found:
-                raise BadFile(f"--set {text}: no block {'.'.join(blocks)} in {name}")
+                raise InvalidFileError(f"--set {text}: no block {'.'.join(blocks)} in {name}")
         for block in found:
             block.attributes[last] = (value, block.line)
 
@@ -213,12 +213,12 @@
         path = FOLDER / f"{name}.hcl"
     if not path.is_file():
         known = sorted(each.stem for each in FOLDER.glob("*.hcl"))
-        raise BadFile(f"{name}: no such experiment; known: {', '.join(known) or 'none'}")
+        raise InvalidFileError(f"{name}: no such experiment; known: {', '.join(known) or 'none'}")
     return path
 
 
 def read(name: str, sets: Iterable[str] = ()) -> tuple[Experiment, Path]:
-    """Raises BadFile."""
+    """Raises InvalidFileError."""
     path = named(name)
     whole = blocks(path)
     assign(whole, str(path), sets)
@@ -245,25 +245,25 @@
     try:
         whole = parse(path.read_text(encoding="utf-8"), str(path))
     except (OSError, UnicodeDecodeError) as error:
-        raise BadFile(f"{path}:1: cannot be read: {error}") from None
+        raise InvalidFileError(f"{path}:1: cannot be read: {error}") from None
     if "like" not in whole.attributes:
         return whole
     other, line = whole.attributes.pop("like")
     base = path.parent / str(other)
     if depth >= 4 or not base.is_file():
-        raise BadFile(
+        raise InvalidFileError(
             f"{path}:{line}: like: {other!r} is no file beside it, or they go in a circle"
         )
     under = blocks(base, depth + 1)
     kept, line = whole.attributes.pop("keep", ([], 1))
     if not isinstance(kept, list):
-        raise BadFile(f"{path}:{line}: keep: a list of kinds of blocks is wanted")
+        raise InvalidFileError(f"{path}:{line}: keep: a list of kinds of blocks is wanted")
     kinds = {block.kind for block in whole.blocks} - set(kept)
     whole.attributes = {**under.attributes, **whole.attributes}
     whole.blocks += [block for block in under.blocks if block.kind not in kinds]
     sets, line = whole.attributes.pop("set", ([], 1))
     if not isinstance(sets, list) or not all(isinstance(each, str) for each in sets):
-        raise BadFile(f"{path}:{line}: set: a list of texts K=V is wanted")
+        raise InvalidFileError(f"{path}:{line}: set: a list of texts K=V is wanted")
     assign(whole, str(path), sets)
     return whole
 
@@ -274,5 +274,5 @@
     file = path.parent / arm.pools
     try:
         return from_file(str(file)).plan if file.suffix == ".json" else plan_of(file)
-    except BadConfig as error:
-        raise BadFile(str(error)) from None
+    except InvalidConfigError as error:
+        raise InvalidFileError(str(error)) from None
--- a/pumicenotch/lab/experiment_results.py
+++ b/pumicenotch/lab/experiment_results.py
@@ -9,7 +9,7 @@
 from statistics import mean, stdev
 from typing import Any
 
-from pumicenotch.config.file import BadFile
+from pumicenotch.config.file import InvalidFileError
 from pumicenotch.config.files import put
 from pumicenotch.lab.experiment import Run
 from pumicenotch.lab.experiment_file import Bound, Experiment
@@ -128,17 +128,19 @@
 
 
 def kept_summary(folder: Path) -> dict[str, Any]:
-    """Raises BadFile where there is none, or one that this program cannot read."""
+    """Raises InvalidFileError where there is none, or one that this program cannot read."""
     path = folder / "summary.json"
     try:
         told: dict[str, Any] = json.loads(path.read_text())
     except OSError as error:
-        raise BadFile(f"{path}:1: cannot be read: {error.strerror}") from None
+        raise InvalidFileError(f"{path}:1: cannot be read: {error.strerror}") from None
     except ValueError:
-        raise BadFile(f"{path}:1: no JSON: was the run cut off while it was kept?") from None
+        raise InvalidFileError(
+            f"{path}:1: no JSON: was the run cut off while it was kept?"
+        ) from None
     if not isinstance(told, dict) or told.get("form") != FORM:
         form = told.get("form") if isinstance(told, dict) else None
-        raise BadFile(
+        raise InvalidFileError(
             f"{path}:1: form: {form!r} is unknown, {FORM} is allowed: run the experiment again"
         )
     return told
--- a/pumicenotch/lab/guard.py
+++ b/pumicenotch/lab/guard.py
@@ -7,6 +7,8 @@
 from pathlib import Path
 from typing import NamedTuple
 
+from pumicenotch.errors import PumicenotchError
+
 MEMORY_PART = 0.5  # of the machine's, that a run may hold
 PROCESSES_MOST = 200
 SEED_S = 240.0  # for all arms of a seed
@@ -19,13 +21,13 @@
 OTHERS_MB = 60.0  # each
 
 
-class RunFailed(Exception):
+class RunFailedError(PumicenotchError):
     """A run that could not be carried out: one line."""
 
     status = 1  # that the command ends with
 
 
-class MachineTooSmall(RunFailed):
+class MachineTooSmallError(RunFailedError):
     """A run needs, or has come to hold, more than it may have of this machine."""
 
     status = 2
@@ -68,27 +70,27 @@
 
 
 def check(instances: int, machine: Machine) -> None:
-    """Raises MachineTooSmall, naming what the machine lacks, before anything is started."""
+    """Raises MachineTooSmallError, naming what the machine lacks, before anything is started."""
     needs = needed_mb(instances)
     for has, what in (
         (machine.allowed_mb, "half of this machine's memory is"),
         (machine.available_mb, "free on this machine are"),
     ):
         if needs > has:
-            raise MachineTooSmall(
+            raise MachineTooSmallError(
                 f"memory: {instances} hollow instances need about {needs:.0f} MB, and {what} {has:.0f} MB:"
                 f" {bearable(has)} hollow instances fit (--set servers=N)"
             )
     processes = processes_for(instances) + OTHERS
     if processes > PROCESSES_MOST:
         most = (PROCESSES_MOST - OTHERS) * INSTANCES_A_PROCESS
-        raise MachineTooSmall(
+        raise MachineTooSmallError(
             f"processes: {instances} hollow instances need {processes}, and a run may have {PROCESSES_MOST}:"
             f" {most} hollow instances fit (--set servers=N)"
         )
     descriptors = min(instances, INSTANCES_A_PROCESS) * DESCRIPTORS_AN_INSTANCE
     if descriptors > machine.descriptors:
-        raise MachineTooSmall(
+        raise MachineTooSmallError(
             f"descriptors: a process of {min(instances, INSTANCES_A_PROCESS)} hollow instances needs"
             f" {descriptors}, and may have {machine.descriptors}: raise the hard limit (ulimit -Hn)"
         )
@@ -114,7 +116,7 @@
 
 
 class Watch:
-    """Of one run, from now on: raises MachineTooSmall once it holds more than it may, or lasts too long."""
+    """Of one run, from now on: raises MachineTooSmallError once it holds more than it may, or lasts too long."""
 
     def __init__(self, machine: Machine, seconds: float) -> None:
         self.allowed_mb, self.seconds = machine.allowed_mb, seconds
@@ -125,16 +127,16 @@
         self.most_mb = max(self.most_mb, held)
         self.most_processes = max(self.most_processes, len(pids) + 1)
         if held > self.allowed_mb:
-            raise MachineTooSmall(
+            raise MachineTooSmallError(
                 f"memory: the run holds {held:.0f} MB, and may hold {self.allowed_mb:.0f} MB (half of this"
                 f" machine's): ended; fewer servers fit (--set servers=N)"
             )
         if len(pids) + 1 > PROCESSES_MOST:
-            raise MachineTooSmall(
+            raise MachineTooSmallError(
                 f"processes: the run has {len(pids) + 1}, and may have {PROCESSES_MOST}: ended"
             )
         if lasted_s > self.seconds:
-            raise MachineTooSmall(
+            raise MachineTooSmallError(
                 f"time: the run has lasted {lasted_s:.0f} s, and may last {self.seconds:.0f} s so that a seed"
                 f" ends in {SEED_S:.0f} s: ended; the machine is too slow for so many servers just now"
             )
--- a/pumicenotch/lab/hollow_fleet.py
+++ b/pumicenotch/lab/hollow_fleet.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from pumicenotch.lab.crew import FLEET, Crew
-from pumicenotch.lab.guard import MachineTooSmall, RunFailed, processes_for
+from pumicenotch.lab.guard import MachineTooSmallError, RunFailedError, processes_for
 from pumicenotch.lab.hollow_messages import Command, Place, Report, Spec
 from pumicenotch.lab.world import Hollow, region_of, zone_of
 
@@ -84,7 +84,7 @@
     # Start
 
     async def start(self, others: list[Place], within_s: float) -> None:
-        """Raises RunFailed. `others` are the real members."""
+        """Raises RunFailedError. `others` are the real members."""
         directory = self.folder / "directory.json"
         directory.write_text(json.dumps([*self.places, *others]))
         voters = [self.crew.shown(name) for name in self.crew.voters]
@@ -141,9 +141,9 @@
             serving := sum(each.latest.serving for each in self.processes)
         ) < self.hollow.instances:
             if self.ended_by_themselves:
-                raise RunFailed(f"{self.ended_by_themselves[0]}: see {self.folder}")
+                raise RunFailedError(f"{self.ended_by_themselves[0]}: see {self.folder}")
             if time.monotonic() > until:
-                raise MachineTooSmall(
+                raise MachineTooSmallError(
                     f"time: {serving} of {self.hollow.instances} hollow instances are in service after"
                     f" {within_s:.0f} s: the machine is too slow for so many just now (--set servers=N)"
                 )
--- a/pumicenotch/lab/hollow_run.py
+++ b/pumicenotch/lab/hollow_run.py
@@ -12,8 +12,8 @@
 import numpy as np
 
 from pumicenotch.lab.configuration_run import ConfigurationRun
-from pumicenotch.lab.crew import Crew, Refused
-from pumicenotch.lab.guard import MachineTooSmall, Watch
+from pumicenotch.lab.crew import Crew, RequestRefusedError
+from pumicenotch.lab.guard import MachineTooSmallError, Watch
 from pumicenotch.lab.hollow_fleet import HollowFleet
 from pumicenotch.lab.hollow_judge import HollowJudge, Loss
 from pumicenotch.lab.hollow_messages import Place, Report
@@ -62,7 +62,7 @@
         self.machine = MachineUse()
         self.start_s = 0.0
         self.others_pids: Callable[[], list[int]] = list
-        self.fail: Callable[[MachineTooSmall], None] = lambda error: None
+        self.fail: Callable[[MachineTooSmallError], None] = lambda error: None
         self.started = time.monotonic()
 
     # Start
@@ -109,7 +109,7 @@
             pids = [*self.fleet.pids, *self.others_pids()]
             try:
                 self.guard.look(pids, time.monotonic() - self.started)
-            except MachineTooSmall as error:
+            except MachineTooSmallError as error:
                 self.fail(error)
                 return
             self.machine.look()
@@ -120,7 +120,7 @@
 
     async def statuses(self) -> None:
         while True:
-            with contextlib.suppress(TimeoutError, Refused):
+            with contextlib.suppress(TimeoutError, RequestRefusedError):
                 status = await self.crew.ask("status", within_s=2.0)
                 now = time.monotonic()
                 self.note(now, "status", {"leader": status["leader"], "out": status["out"]})
@@ -133,7 +133,7 @@
         name = next(iter(self.crew.voters))
         while True:
             began = time.monotonic()
-            with contextlib.suppress(TimeoutError, Refused):
+            with contextlib.suppress(TimeoutError, RequestRefusedError):
                 await self.crew.ask(
                     "undrain", secrets.token_hex(8), [name], "timed", "lab", within_s=10.0
                 )
--- a/pumicenotch/lab/moving.py
+++ b/pumicenotch/lab/moving.py
@@ -10,7 +10,7 @@
 from pumicenotch.cells.map import CellMap
 from pumicenotch.cells.moves import may_tell_routers
 from pumicenotch.cells.walk import SAYS, End, Said, Send, Step, Walk, walk
-from pumicenotch.interface import Effect
+from pumicenotch.interface import Idempotency
 
 TENANT, TOKEN = "t", "fingerprint"
 
@@ -189,7 +189,7 @@
         for at, router in enumerate(state.routers):
             held = self.maps[router.held]
             begun = self.walks(
-                held, router.confirmed, state.now, TENANT, Effect.FINGERPRINTED, TOKEN, []
+                held, router.confirmed, state.now, TENANT, Idempotency.KEYED, TOKEN, []
             )
             if isinstance(begun, End):
                 made = Try(number, state.now, at, router.held, (), "", "", begun.kind)
@@ -276,7 +276,7 @@
         if held.end:
             yield f"{why}try {letter.number} has ended already", state
             return
-        path = self.walk_type(Effect.FINGERPRINTED, held.epoch, None, [])
+        path = self.walk_type(Idempotency.KEYED, held.epoch, None, [])
         path.asks, path.home, path.asked = list(held.asks), held.home, held.asked
         step = path.said(said)
         end = step.kind if isinstance(step, End) else ""
--- a/pumicenotch/lab/plain.py
+++ b/pumicenotch/lab/plain.py
@@ -2,20 +2,20 @@
 short bounded queue, no classes, no estimates. It keeps the four rules, which the chain around it keeps.
 """
 
-from pumicenotch.control import Control, Task
+from pumicenotch.control import AdmissionController, Request
 
 
-class Plain(Control):
+class Plain(AdmissionController):
     PLACES_A_CORE, HELD_A_CORE = 1, 2
 
-    def queue(self, task: Task, now: float) -> None:
+    def queue(self, task: Request, now: float) -> None:
         task.key = task.arrived
         waiting = sum(len(queue) for lanes in self.lanes() for queue in lanes.values())
         if waiting >= self.HELD_A_CORE * self.limit.cores:
             self.reject(task, now)
         else:
             self.queues.put(task)
-            self.agenda.at(task.due, self.too_late, task)
+            self.timers.schedule(task.due, self.too_late, task)
 
     def start(self, now: float) -> None:
         while self.limit.on_cores < self.PLACES_A_CORE * self.limit.cores and self.queues.waiting:
@@ -24,7 +24,7 @@
                 return
             self.go(task, now)
 
-    def lanes(self) -> list[dict[int, list[Task]]]:
+    def lanes(self) -> list[dict[int, list[Request]]]:
         """The queues by lane of each tenant that has tasks waiting."""
         return [self.queues.lines[tenant].lanes for tenant in self.queues.held()]
 
--- a/pumicenotch/lab/publisher.py
+++ b/pumicenotch/lab/publisher.py
@@ -14,7 +14,7 @@
 from pumicenotch.distribution.records import Change
 from pumicenotch.distribution.uploads import entries_of
 from pumicenotch.lab.crew import Crew
-from pumicenotch.lab.guard import RunFailed
+from pumicenotch.lab.guard import RunFailedError
 from pumicenotch.lab.published import Dataset, Writer
 from pumicenotch.lab.world import DAY_S
 
@@ -53,7 +53,7 @@
         until = time.monotonic() + READY_S
         while int((await self.crew.ask("status"))["level"]) < Publications.level:
             if time.monotonic() > until:
-                raise RunFailed(f"the voters understand no publications after {READY_S:g} s")
+                raise RunFailedError(f"the voters understand no publications after {READY_S:g} s")
             await asyncio.sleep(0.2)
 
     async def publish(self, changes: list[Change]) -> None:
--- a/pumicenotch/lab/releaserun.py
+++ b/pumicenotch/lab/releaserun.py
@@ -21,7 +21,7 @@
 from pumicenotch.config.versions import pack
 from pumicenotch.fleet.release import LEVEL
 from pumicenotch.lab import world as world_
-from pumicenotch.lab.crew import FLEET, Crew, Refused
+from pumicenotch.lab.crew import FLEET, Crew, RequestRefusedError
 from pumicenotch.lab.fleetrun import FORMED_S, LOOK_S, FleetRun
 from pumicenotch.lab.peers import GatewayPeer
 from pumicenotch.lab.server_process import Launch, Node
@@ -286,7 +286,7 @@
         """All agents have, and the fleet is at the level that it takes."""
         async with asyncio.timeout(FORMED_S):
             while True:
-                with contextlib.suppress(Refused):
+                with contextlib.suppress(RequestRefusedError):
                     waves = (await self.crew.ask("waves", [1.0], True, ""))["waves"]
                     if self.led_names() <= {one for wave in waves for one in wave}:
                         return
--- a/pumicenotch/lab/simulate.py
+++ b/pumicenotch/lab/simulate.py
@@ -10,7 +10,7 @@
 
 from pumicenotch import start
 from pumicenotch.config.file import plan_of
-from pumicenotch.control import Control
+from pumicenotch.control import AdmissionController
 from pumicenotch.lab import world as world_
 from pumicenotch.lab.attempt import Attempt
 from pumicenotch.lab.clients import Clients, fields
@@ -60,7 +60,7 @@
         world: World,
         seed: int,
         pools: MakePools | None = None,
-        decides: type[Control] = Control,
+        decides: type[AdmissionController] = AdmissionController,
     ) -> None:
         self.world, self.now, self.order = world, 0.0, count()
         self.events: list[tuple[float, int, Callable[..., object], tuple[Any, ...]]] = []
@@ -74,10 +74,10 @@
         self.stages = start.names(pairs, "classes")
         self.nodes = []
         for at in range(world.servers):
-            keywords = start.keywords(pairs)
-            made = pools(keywords["stages"], self.stages) if pools is not None else None
+            settings = start.controller_settings(pairs)
+            made = pools(settings.request_classes, self.stages) if pools is not None else None
             core = Server(
-                keywords=keywords,
+                settings=settings,
                 stages=self.stages,
                 tenants=start.names(pairs, "tenants"),
                 seed=seed + at,
@@ -281,7 +281,7 @@
                 self.put(node, "leave")
             case "reload":
                 made = pools_of(plan_of(fault.pools) if fault.pools else None)
-                stages = node.core.keywords["stages"]
+                stages = node.core.settings.request_classes
                 self.put(
                     node,
                     "repool",
