--- a/pumicenotch/members/messages.py
+++ b/pumicenotch/members/messages.py
@@ -3,6 +3,8 @@
 from enum import IntEnum
 from typing import Any, NamedTuple
 
+from pumicenotch.errors import InputError
+
 
 class Standing(IntEnum):
     """What a member says of itself."""
@@ -80,7 +82,7 @@
 NEWS_MOST = 64  # in one message
 
 
-class BadMessage(ValueError):
+class MessageDecodeError(InputError):
     """It is not of the form that members send."""
 
 
@@ -90,28 +92,28 @@
 
 def news_of(told: Any) -> tuple[News, ...]:
     if len(told) > NEWS_MOST:
-        raise BadMessage(f"{len(told)} news in one message: {NEWS_MOST} are allowed")
+        raise MessageDecodeError(f"{len(told)} news in one message: {NEWS_MOST} are allowed")
     found = []
     for who, incarnation, standing, opinion, by in told:
         made = Who._make(who)
         texts = (made.name, made.address, made.life, made.zone, made.region, by)
         if not all(isinstance(text, str) and len(text) <= 64 for text in texts) or not made.name:
-            raise BadMessage(f"news of {made!r:.80}: texts of up to 64 letters are wanted")
+            raise MessageDecodeError(f"news of {made!r:.80}: texts of up to 64 letters are wanted")
         if type(incarnation) is not int or type(made.began) is not int or incarnation < 0:
-            raise BadMessage(f"news of {made.name}: whole numbers are wanted")
+            raise MessageDecodeError(f"news of {made.name}: whole numbers are wanted")
         found.append(News(made, incarnation, Standing(standing), Opinion(opinion), by))
     return tuple(found)
 
 
 def message_of(told: Any) -> Message:
-    """Raises BadMessage."""
+    """Raises MessageDecodeError."""
     try:
         kind = KINDS[told[0]]
         made = kind._make(told[1:])
         if kind is not Whole and type(made.number) is not int:
-            raise BadMessage(f"{told[0]}.number: a whole number is wanted")
+            raise MessageDecodeError(f"{told[0]}.number: a whole number is wanted")
         if kind is Help and not isinstance(made.target, str):
-            raise BadMessage("help.target: a name is wanted")
+            raise MessageDecodeError("help.target: a name is wanted")
         if "news" in kind._fields:
             made = made._replace(news=news_of(made.news))
         if "extra" in kind._fields:
@@ -119,9 +121,11 @@
         message: Message = made
         return message
     except (KeyError, IndexError, TypeError, ValueError, AttributeError) as error:
-        if isinstance(error, BadMessage):
+        if isinstance(error, MessageDecodeError):
             raise
-        raise BadMessage(f"no message of members: {type(error).__name__} {error}"[:200]) from None
+        raise MessageDecodeError(
+            f"no message of members: {type(error).__name__} {error}"[:200]
+        ) from None
 
 
 class Send(NamedTuple):
--- a/pumicenotch/net/agent.py
+++ b/pumicenotch/net/agent.py
@@ -19,7 +19,7 @@
 
 from pumicenotch.config import agent as config
 from pumicenotch.config import versions
-from pumicenotch.config.hcl import BadFile
+from pumicenotch.config.hcl import InvalidFileError
 from pumicenotch.fleet import effects
 from pumicenotch.fleet.agent import Agent
 from pumicenotch.members.messages import Who
@@ -100,7 +100,7 @@
             await to_thread.run_sync(
                 versions.fetch, version, Path(self.told.source), self.home / "versions"
             )
-        except versions.BadVersion as error:
+        except versions.InvalidVersionError as error:
             why = str(error)
         self.put("held", version, why)
 
@@ -111,7 +111,7 @@
             tries = {"tries": 0} if slot == "agent" else {}
             runs = {**self.disk.runs, slot: version}
             why = self.save(runs=runs, **tries) if found == version else f"its content is {found}"
-        except versions.BadVersion as error:
+        except versions.InvalidVersionError as error:
             why = str(error)
         self.put("swapped", slot, why)
 
@@ -213,7 +213,7 @@
 
 
 def first(told: config.AgentFile, disk: config.Disk) -> None:
-    """What stands in the slots must be there before anything starts. Raises BadVersion."""
+    """What stands in the slots must be there before anything starts. Raises InvalidVersionError."""
     for version in dict.fromkeys(disk.runs.values()):
         versions.fetch(version, Path(told.source), Path(told.home) / "versions")
 
@@ -225,7 +225,7 @@
         told = config.agent_of(sys.argv[1])
         disk = config.disk_of(told)
         first(told, disk)
-    except (BadFile, versions.BadVersion) as error:
+    except (InvalidFileError, versions.InvalidVersionError) as error:
         print(error, file=sys.stderr)
         sys.exit(2)
     logger.info("agent: its versions are whole ({:.1f} s)", time.monotonic() - began)
--- a/pumicenotch/net/configuration.py
+++ b/pumicenotch/net/configuration.py
@@ -19,7 +19,7 @@
 
 from pumicenotch.distribution import effects, events
 from pumicenotch.distribution.codec import message_of, plain
-from pumicenotch.distribution.errors import MalformedMessage
+from pumicenotch.distribution.errors import MalformedMessageError
 from pumicenotch.distribution.instance_settings import InstanceSettings
 from pumicenotch.distribution.messages import METHOD
 from pumicenotch.distribution.node import Node
@@ -123,7 +123,7 @@
     def receive(self, sender: Sender, params: Any) -> None:
         try:
             message = message_of(params)
-        except MalformedMessage as error:
+        except MalformedMessageError as error:
             self.hub.count_trouble("configuration_unreadable", f"{sender.name}: {error}")
             return
         self.put(events.Received(sender, message))
@@ -134,15 +134,15 @@
             return False
         try:
             result = self.answer(verb, args)
-        except PumicenotchError as error:
-            self.hub.write(conn, ("error", message, (REFUSED, str(error), error.code)))
-        except NotLeading as error:
+        except NotLeaderError as error:
             code, text = (
                 (NOT_LEADER, f"{error.leader} leads")
                 if error.leader
                 else (NO_MAJORITY, "nobody leads")
             )
             self.hub.write(conn, ("error", message, (code, text, error.leader)))
+        except PumicenotchError as error:
+            self.hub.write(conn, ("error", message, (REFUSED, str(error), error.code)))
         else:
             self.hub.write(conn, ("result", message, result))
         return True
@@ -169,18 +169,20 @@
                 return self.looked_up(table, key)
             case ["configuration"]:
                 return {**self.status(), "steps": self.step_times.plain()}
-        raise BadRequest(
-            verb, "other values are wanted", "lookup: a table and a key; configuration: nothing"
+        raise InvalidArgumentsError(
+            "other values are wanted",
+            place=verb,
+            remedy="lookup: a table and a key; configuration: nothing",
         )
 
     def looked_up(self, table: str, key: str) -> dict[str, Any]:
         table_of(TABLES, table)
         scope, _ = split_key(f"record {table}:{key}", key)
         if not self.holds(table, scope):
-            raise NotHeld(
-                f"record {table}:{key}",
+            raise RecordNotHeldError(
                 f"{self.hub.hello.name} does not hold the scope {scope}",
-                "ask a process that subscribes to it, or a voter; one that has just started: ask again",
+                place=f"record {table}:{key}",
+                remedy="ask a process that subscribes to it, or a voter; one that has just started: ask again",
             )
         value = self.view.lookup(table, key)
         return {
@@ -223,19 +225,19 @@
         """For operators."""
 
 
-class BadRequest(PumicenotchError):
+class InvalidArgumentsError(PumicenotchError):
     """A request with other values than its verb takes."""
 
     code = "bad-request"
 
 
-class NotHeld(PumicenotchError):
+class RecordNotHeldError(PumicenotchError):
     """A record of a scope to which the process does not subscribe, or that it has not got yet."""
 
     code = "not-held"
 
 
-class NotLeading(Exception):
+class NotLeaderError(PumicenotchError):
     """A voter that does not lead is asked for what only the leader knows."""
 
     def __init__(self, leader: str) -> None:
--- a/pumicenotch/net/fleet.py
+++ b/pumicenotch/net/fleet.py
@@ -172,11 +172,11 @@
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})  # nothing is read again
     logs.to_stderr()
     from pumicenotch.config.fleet import voter_of
-    from pumicenotch.config.hcl import BadFile
+    from pumicenotch.config.hcl import InvalidFileError
 
     try:
         told = voter_of(sys.argv[1])
-    except BadFile as error:
+    except InvalidFileError as error:
         print(error, file=sys.stderr)
         sys.exit(2)
     try:
--- a/pumicenotch/net/voter_configuration.py
+++ b/pumicenotch/net/voter_configuration.py
@@ -14,7 +14,7 @@
 from pumicenotch.fleet.book import Book
 from pumicenotch.fleet.voter_node import VoterNode
 from pumicenotch.members.messages import News
-from pumicenotch.net.configuration import STATUS, Carrier, NotLeading, self_of
+from pumicenotch.net.configuration import STATUS, Carrier, NotLeaderError, self_of
 from pumicenotch.net.peers import PeerHub
 
 
@@ -65,7 +65,7 @@
     def answer(self, verb: str, args: Any) -> dict[str, Any]:
         """Only the leader knows who is current."""
         if verb == STATUS and not self.node.leads:
-            raise NotLeading(self.node.leadership().address)
+            raise NotLeaderError(self.node.leadership().address)
         return super().answer(verb, args)
 
     def holds(self, table: str, scope: str) -> bool:
--- a/pumicenotch/pools/plan.py
+++ b/pumicenotch/pools/plan.py
@@ -3,6 +3,8 @@
 from collections.abc import Mapping, Sequence
 from typing import NamedTuple
 
+from pumicenotch.errors import InputError
+
 
 class Pool(NamedTuple):
     """One pool as it is asked for. `stages` are names; `"*"` takes all that no other pool names."""
@@ -35,14 +37,14 @@
     )
 
 
-class BadPlan(ValueError):
+class InvalidPoolsPlanError(InputError):
     """A plan that cannot be carried; the text names the pool and what is allowed."""
 
 
 def lanes(plan: Plan, stages: Mapping[str, int]) -> list[int]:
     """The pool of each stage, by the stage's number. Stages that no pool names go to the pool of `"*"`, and
     where there is none to the last pool. A name that is no stage of this server is no fault: one plan serves
-    deployments with different stages. Raises BadPlan.
+    deployments with different stages. Raises InvalidPoolsPlanError.
     """
     check(plan)
     spare = next(
@@ -57,29 +59,35 @@
 
 
 def check(plan: Plan) -> None:
-    """Raises BadPlan where pools contradict each other."""
+    """Raises InvalidPoolsPlanError where pools contradict each other."""
     if not plan.pools:
-        raise BadPlan("no pool: name one at the least")
+        raise InvalidPoolsPlanError("no pool: name one at the least")
     seen: dict[str, str] = {}
     for pool in plan.pools:
         if not pool.stages:
-            raise BadPlan(f'pool {pool.name!r}: no stages: name one at the least, or "*"')
+            raise InvalidPoolsPlanError(
+                f'pool {pool.name!r}: no stages: name one at the least, or "*"'
+            )
         for name in pool.stages:
             if name in seen:
-                raise BadPlan(
+                raise InvalidPoolsPlanError(
                     f"pool {pool.name!r}: stage {name!r} is also of {seen[name]!r}: name it once"
                 )
             seen[name] = pool.name
         if pool.reserve > pool.most:
-            raise BadPlan(f"pool {pool.name!r}: reserve {pool.reserve} is over most {pool.most}")
+            raise InvalidPoolsPlanError(
+                f"pool {pool.name!r}: reserve {pool.reserve} is over most {pool.most}"
+            )
     names = [pool.name for pool in plan.pools]
     if len(set(names)) < len(names):
-        raise BadPlan(
+        raise InvalidPoolsPlanError(
             f"pools named twice: {', '.join(sorted({n for n in names if names.count(n) > 1}))}"
         )
     reserved = sum(pool.reserve for pool in plan.pools)
     if reserved > 0.9 + 1e-9:
-        raise BadPlan(f"reserves sum to {reserved:g}: 0.9 at the most, or the other pools starve")
+        raise InvalidPoolsPlanError(
+            f"reserves sum to {reserved:g}: 0.9 at the most, or the other pools starve"
+        )
 
 
 def unknown(plan: Plan, stages: Sequence[str]) -> list[str]:
--- a/pumicenotch/pools/pools.py
+++ b/pumicenotch/pools/pools.py
@@ -1,14 +1,20 @@
 """The reducer of the pools: which class's work may start, and what a task may hope for on its arrival.
 
 The decision module tells it what happens (read, on the cores, off them, ended, tick) with the time, and asks
-it three questions: what hope a task has (`read`), where and before how many places it would wait (`place`),
-and which pool's work starts next (`next`). Whose work it is, HWCS says. The total is the decision module's
+it three questions: what hope a task has (`request_received`), where and before how many places it would
+wait (`reserve_slot`), and which pool's work starts next (`next_pool`). Whose work it is, HWCS says. The total is the decision module's
 own; pools divide it.
 """
 
 from collections.abc import Collection, Sequence
 
-from pumicenotch.interface import Stage
+from pumicenotch.interface import (
+    IncomingRequest,
+    RequestClass,
+    SlotOffer,
+    SlotQuery,
+    WaitAllowance,
+)
 from pumicenotch.pools.budget import Budgets
 from pumicenotch.pools.divide import divide
 from pumicenotch.pools.estimate import Demand, Typical
@@ -64,7 +70,7 @@
     EVERY_MS = 300.0  # between two divisions: less than half of the demand's span
 
     def __init__(
-        self, now: float, plan: Plan, stages: Sequence[Stage], numbers: dict[str, int]
+        self, now: float, plan: Plan, stages: Sequence[RequestClass], numbers: dict[str, int]
     ) -> None:
         self.plan, self.of = plan, lanes(plan, numbers)
         self.of += [len(plan.pools) - 1] * (len(stages) - len(self.of))
@@ -73,7 +79,9 @@
         self.sides: list[Side] = []
         for at, pool in enumerate((*plan.pools, Pool("beyond", ()))):
             inside = [
-                stage.utility for stage, lane in zip(stages, self.of, strict=False) if lane == at
+                stage.priority_weight
+                for stage, lane in zip(stages, self.of, strict=False)
+                if lane == at
             ]
             self.sides.append(Side(now, pool, sum(inside) / len(inside) if inside else 1.0))
         self.budgets = Budgets(plan.retry_ratio, plan.retry_burst, plan.callers_most)
@@ -90,29 +98,26 @@
         self.repeats_seen = self.repeats_marked = 0
         self.redivide(now, 1)
 
-    def lane(self, stage: int) -> int:
-        return self.of[stage]
+    def pool_of(self, class_index: int) -> int:
+        return self.of[class_index]
 
     # What happens
 
-    def read(
-        self,
-        now: float,
-        lane: int,
-        tenant: int,
-        caller: int,
-        again: bool,
-        mark: int,
-        waited_ms: float,
-    ) -> tuple[float, bool]:
+    def request_received(self, now: float, pool: int, request: IncomingRequest) -> WaitAllowance:
         """A task was read: its hope, as a part of the time that one like it may usually wait (0: it is let in
         only where a place is free), and whether it is a repeat, marked or by its content.
         """
-        side = self.sides[lane]
+        side = self.sides[pool]
         side.read += 1
         side.asked_at = now
+        tenant = request.tenant_index
+        caller = request.caller_id
+        again = request.is_marked_retry
+        waited_ms = request.waited_ms
         likeness = self.likeness
-        repeat = again or (bool(likeness.young or likeness.old) and likeness.seen(now, mark))
+        repeat = again or (
+            bool(likeness.young or likeness.old) and likeness.seen(now, request.content_digest)
+        )
         hope = 1.0
         if not repeat:
             budgets = self.budgets
@@ -129,71 +134,63 @@
             waited_ms > reading.SOON_MS or reading.wait_ms > reading.SOON_MS
         ) and not reading.passes(now, waited_ms, side.reserved):
             hope = 0.0
-        return hope, repeat
-
-    def place(
-        self,
-        now: float,
-        lane: int,
-        repeat: bool,
-        beyond: bool,
-        waiting: Collection[int],
-        usual_ms: float,
-        room: bool,
-    ) -> tuple[int, float, float, bool]:
+        return WaitAllowance(hope, repeat)
+
+    def reserve_slot(self, now: float, query: SlotQuery) -> SlotOffer:
         """Where a task would wait: its lane, the places that lane comes to, the time that each is held, and
         whether one is free now. Demand is what is asked for first: a caller that repeats makes no reserve
         larger. What is beyond its tenant's share waits apart, so that a tenant that floods makes neither a
         reserve its own nor takes the places that a reserve has filled.
         """
-        if beyond and not self.plan.fixed:
+        lane = query.pool
+        if query.over_quota and not self.plan.fixed:
             lane = self.beyond
             self.sides[lane].asked_at = now
         side = self.sides[lane]
-        if not repeat:
+        if not query.is_retry:
             side.demand.arrived += 1
         slot = side.slot
-        slot_ms = slot.value if slot.samples >= side.SEEN else usual_ms
-        return (
+        slot_ms = slot.value if slot.samples >= side.SEEN else query.mean_slot_ms
+        return SlotOffer(
             lane,
-            self.part(lane, side, waiting),
+            self.part(lane, side, query.waiting_pools),
             slot_ms,
-            room and (not self.strict or self.takes(now, lane, side)),
+            query.has_room and (not self.strict or self.takes(now, lane, side)),
         )
 
-    def spent(self, tenant: int, caller: int) -> None:
+    def retry_admitted(self, tenant_index: int, caller_id: int) -> None:
         """A repeat was let in though no place was free for it."""
-        self.budgets.spend(caller, tenant)
+        self.budgets.spend(caller_id, tenant_index)
 
-    def held_off(self, now: float, lane: int, mark: int) -> None:
+    def request_rejected(self, now: float, pool: int, content_digest: int) -> None:
         """A task was turned away for want of a place, and may be sent again."""
-        self.sides[lane].held_off += 1
-        self.likeness.turned_away(now, mark)
+        self.sides[pool].held_off += 1
+        self.likeness.turned_away(now, content_digest)
 
-    def on(self, now: float, lane: int, first: bool) -> None:
+    def slot_taken(self, now: float, pool: int, is_start: bool) -> None:
         """A task of it came onto the cores, at its start or back from a call."""
-        side = self.sides[lane]
+        side = self.sides[pool]
         side.held_ms += side.busy * (now - side.held_at)
         side.held_at = now
         side.busy += 1
-        side.started += first
+        side.started += is_start
         self.running += 1
 
-    def off(self, now: float, lane: int) -> None:
-        side = self.sides[lane]
+    def slot_released(self, now: float, pool: int) -> None:
+        side = self.sides[pool]
         side.held_ms += side.busy * (now - side.held_at)
         side.held_at = now
         side.busy -= 1
         self.running -= 1
 
-    def ended(self, now: float, lane: int, slot_ms: float) -> None:
+    def request_finished(self, now: float, pool: int, slot_ms: float) -> None:
         """A run ended well or badly after so long on the cores, calls not counted."""
-        self.sides[lane].slot.add(slot_ms)
+        self.sides[pool].slot.add(slot_ms)
 
-    def tick(self, now: float, total: int) -> None:
-        self.total = total
-        if now >= self.divide_at or not 0.8 * total <= self.divided <= 1.25 * total:
-            self.redivide(now, total)
+    def tick(self, now: float, total_slots: int) -> None:
+        self.total = total_slots
+        if now >= self.divide_at or not 0.8 * total_slots <= self.divided <= 1.25 * total_slots:
+            self.redivide(now, total_slots)
 
     # What it says
 
@@ -251,11 +248,12 @@
         )
         return ends * self.RETURN_MS < 1.0
 
-    def next(self, now: float, waiting: Collection[int]) -> int | None:
+    def next_pool(self, now: float, waiting_pools: Collection[int]) -> int | None:
         """The pool whose task starts next, of those that have one waiting: the one furthest below its
         limit.
         """
         sides = self.sides
+        waiting = waiting_pools
         if self.strict or (self.running + 1) * self.RETURN_MS < self.longest_ms:
             waiting = [lane for lane in waiting if self.takes(now, lane, sides[lane])]
             if not waiting:
--- a/pumicenotch/regions/plan.py
+++ b/pumicenotch/regions/plan.py
@@ -10,6 +10,8 @@
 from collections.abc import Iterable, Mapping
 from typing import NamedTuple
 
+from pumicenotch.errors import InputError
+
 WELL, WEAK, CUT, LOST, EMPTIED, RETURNING = "well", "weak", "cut", "lost", "emptied", "returning"
 STATES = (WELL, WEAK, CUT, LOST, EMPTIED, RETURNING)
 # One that is cut off serves those who reach it, and no plan reaches them.
@@ -56,24 +58,26 @@
 Distance = Mapping[tuple[str, str], float]  # between zones, ms
 
 
-class BadPlan(ValueError):
+class InvalidRegionPlanError(InputError):
     """Zones or demand that no plan can be made of."""
 
 
 def check(zones: Iterable[Zone], kinds: Iterable[Kind], demand: Demand) -> None:
     names, known = [zone.name for zone in zones], {kind.name for kind in kinds}
     if len(set(names)) < len(names):
-        raise BadPlan("a zone stands twice")
+        raise InvalidRegionPlanError("a zone stands twice")
     for zone in zones:
         if zone.state not in STATES:
-            raise BadPlan(f"zone {zone.name}: state {zone.state!r}; allowed: {', '.join(STATES)}")
+            raise InvalidRegionPlanError(
+                f"zone {zone.name}: state {zone.state!r}; allowed: {', '.join(STATES)}"
+            )
         if zone.room < 0.0 or not 0.0 <= zone.reserve < 1.0 or not 0.0 <= zone.warm <= 1.0:
-            raise BadPlan(
+            raise InvalidRegionPlanError(
                 f"zone {zone.name}: room {zone.room:g}, reserve {zone.reserve:g}, warm {zone.warm:g}"
             )
     for (origin, kind), work in demand.items():
         if kind not in known or work < 0.0:
-            raise BadPlan(
+            raise InvalidRegionPlanError(
                 f"demand of {origin}: {work:g} of {kind!r}; known: {', '.join(sorted(known))}"
             )
 
@@ -173,7 +177,7 @@
 def fill(
     epoch: int, zones: Iterable[Zone], kinds: Iterable[Kind], demand: Demand, distance: Distance
 ) -> Plan:
-    """The plan for that moment. Raises BadPlan."""
+    """The plan for that moment. Raises InvalidRegionPlanError."""
     zones, kinds = list(zones), list(kinds)
     made = Fill(zones, kinds, demand, distance)
     ways = []
--- a/pumicenotch/route/__main__.py
+++ b/pumicenotch/route/__main__.py
@@ -14,9 +14,9 @@
 from loguru import logger
 
 from pumicenotch import start
-from pumicenotch.cells.map import BadMap, newer
+from pumicenotch.cells.map import InvalidCellMapError, newer
 from pumicenotch.config.files import cell_map
-from pumicenotch.config.hcl import BadFile
+from pumicenotch.config.hcl import InvalidFileError
 from pumicenotch.config.router import RouterFile, router_of
 from pumicenotch.net import gateways, logs
 from pumicenotch.net.clock import Clock
@@ -30,19 +30,19 @@
 
 
 def made(told: RouterFile, clock: Clock) -> Router:
-    """Raises BadMap and BadStart."""
+    """Raises InvalidCellMapError and InvalidStartValueError."""
     cells, confirmed = cell_map(told.map)
     try:
         with open(told.settings, encoding="utf-8") as file:
             pairs = start.nested(json.load(file))
     except (OSError, ValueError) as error:
-        raise start.BadStart(f"{told.settings}:1: cannot be read: {error}") from None
+        raise start.InvalidStartValueError(f"{told.settings}:1: cannot be read: {error}") from None
     inside = start.settings(pairs)
-    keywords = start.keywords(inside)
+    settings = start.controller_settings(inside)
     return Router(
         cells=cells,
         confirmed=confirmed,
-        stages=keywords["stages"],
+        stages=settings.request_classes,
         numbers=start.names(inside, "classes"),
         seed=told.seed,
         stop_ms=told.stop_ms,
@@ -81,7 +81,7 @@
                     "maps_old",
                     f"{path}: epoch {cells.epoch} is older than {core.cells.epoch}",
                 )
-        except (BadMap, OSError) as error:
+        except (InvalidCellMapError, OSError) as error:
             hub.put("met", "maps_unreadable", f"{error}; epoch {core.cells.epoch} stays in force")
 
 
@@ -119,7 +119,7 @@
     try:
         told = router_of(sys.argv[1])
         core = made(told, clock)
-    except (BadFile, BadMap, start.BadStart) as error:
+    except (InvalidFileError, InvalidCellMapError, start.InvalidStartValueError) as error:
         print(error, file=sys.stderr)
         sys.exit(2)
     try:
--- a/pumicenotch/route/decide.py
+++ b/pumicenotch/route/decide.py
@@ -14,12 +14,12 @@
 from pumicenotch.cells.map import CellMap
 from pumicenotch.cells.views import Views
 from pumicenotch.cells.walk import SAYS, End, Said, Step, Walk, walk
-from pumicenotch.control import Agenda
-from pumicenotch.interface import Effect as Repeat
+from pumicenotch.control import TimerQueue
+from pumicenotch.interface import Idempotency
 from pumicenotch.pools.budget import Budget
 from pumicenotch.server.effects import Close, Dial, Exit, Fault, Log, Wake, Write
 from pumicenotch.server.front import Front
-from pumicenotch.server.tasks import BadTask, Held, Tasks
+from pumicenotch.server.tasks import Held, InvalidRequestError, Tasks
 
 PARTY = "node"
 LISTENER = "listener"
@@ -78,7 +78,7 @@
         chance = random.Random(seed)
         self.views = Views(chance.random)
         self.budget = Budget(self.RETRY, self.BURST, 4096)
-        self.agenda = Agenda()
+        self.timers = TimerQueue()
         self.names = count(1)
         self.ways: dict[str, Way] = {}
         self.of_node: dict[str, list[str]] = {}
@@ -91,7 +91,7 @@
         self.effects.append(Wake(self.TICK_MS))
 
     def time(self) -> None:
-        self.agenda.run(self.now)
+        self.timers.run_due(self.now)
         self.callers.close_idle(self.now)
         for link, way in list(self.ways.items()):
             if way.up and not way.open and self.now - way.used_at > self.IDLE_MS:
@@ -106,9 +106,9 @@
         self.leaving = True
         stop = self.stop = self.now + max(0.0, self.stop_ms - self.STOP_MARGIN_MS)
         self.callers.tell_all(self.now)
-        self.agenda.at(max(self.now, stop - self.UNHEARD_MS), self.close_door, None)
-        self.agenda.at(stop - self.MARGIN_MS, self.give_all_up, None)
-        self.agenda.at(stop, self.exit, None)
+        self.timers.schedule(max(self.now, stop - self.UNHEARD_MS), self.close_door, None)
+        self.timers.schedule(stop - self.MARGIN_MS, self.give_all_up, None)
+        self.timers.schedule(stop, self.exit, None)
         self.effects.append(
             Log(f"leaving in {stop - self.now:.0f} ms with {len(self.trips)} tasks open")
         )
@@ -173,7 +173,7 @@
         unix = self.now + ahead_ms
         try:
             held = self.tasks.read(conn, message, unix, stage, fields, body)
-        except BadTask as error:
+        except InvalidRequestError as error:
             self.malformed(conn, message, error)
             return
         self.callers.taken(conn, message, held)
@@ -188,16 +188,16 @@
             self.confirmed,
             unix,
             tenant,
-            held.stage.effect,
+            held.stage.idempotency,
             held.token,
             self.choices(held, tenant),
         )
         if isinstance(begun, End):
             self.ended(held, begun)
             return
-        limit = self.now - max(0.0, unix - held.t0) + held.stage.limit_ms - self.MARGIN_MS
+        limit = self.now - max(0.0, unix - held.t0) + held.stage.timeout_ms - self.MARGIN_MS
         trip = self.trips[held.id] = Trip(held, fields, begun)
-        self.agenda.at(limit, self.too_late, trip)
+        self.timers.schedule(limit, self.too_late, trip)
         if not held.again:
             self.budget.first(tenant)
         self.onward(trip, begun.start())
@@ -209,7 +209,7 @@
         if held.token:
             return []
         nodes = [(node.name, node.weight) for node in self.cells.nodes(tenant)]
-        probes = held.stage.effect is Repeat.RESTARTABLE
+        probes = held.stage.idempotency is Idempotency.IDEMPOTENT
         return [choice.node for choice in self.views.choose(self.now, nodes, probes)]
 
     def let_go(self, held: Held) -> None:
--- a/pumicenotch/server/calls.py
+++ b/pumicenotch/server/calls.py
@@ -3,8 +3,7 @@
 from collections import deque
 from itertools import count
 
-from pumicenotch.interface import Effect as Repeat
-from pumicenotch.interface import Outcome
+from pumicenotch.interface import Idempotency, Outcome
 from pumicenotch.server.backoff import Backoff
 from pumicenotch.server.effects import Close, Dial, Effect, Write
 from pumicenotch.server.tasks import Held
@@ -12,10 +11,10 @@
 PARTY = "db"
 ENDS = {
     "ROWS": Outcome.OK,
-    "FULL": Outcome.FULL,
+    "FULL": Outcome.REJECTED,
     "FAIL": Outcome.ERROR,
     "TIMEOUT": Outcome.TIMEOUT,
-    "NONE": Outcome.MOOT,
+    "NONE": Outcome.NOT_STARTED,
 }
 
 
@@ -62,7 +61,9 @@
         return call
 
     def place(self, now: float, call: Call) -> None:
-        idle_most = self.IDLE_MS if call.held.stage.effect is Repeat.RESTARTABLE else self.TRUST_MS
+        idle_most = (
+            self.IDLE_MS if call.held.stage.idempotency is Idempotency.IDEMPOTENT else self.TRUST_MS
+        )
         for at in range(len(self.free) - 1, -1, -1):
             way = self.ways[self.free[at]]
             if now - way.used_at > idle_most:
@@ -149,7 +150,7 @@
             del self.calls[call.held.name]
         self.next(now)
         return (
-            (call.held, Outcome.RESET if call.written else Outcome.UNREACHED)
+            (call.held, Outcome.RESET if call.written else Outcome.UNREACHABLE)
             if call is not None
             else None
         )
--- a/pumicenotch/server/core.py
+++ b/pumicenotch/server/core.py
@@ -6,8 +6,8 @@
 from collections.abc import Callable, Mapping
 from typing import TYPE_CHECKING, Any
 
-from pumicenotch.control import Agenda, Control
-from pumicenotch.interface import Outcome, Pools
+from pumicenotch.control import AdmissionController, ControllerSettings, TimerQueue
+from pumicenotch.interface import IncomingRequest, Outcome, Pools
 from pumicenotch.server import runs
 from pumicenotch.server.backoff import Backoff
 from pumicenotch.server.calls import ENDS, PARTY, Call, Calls
@@ -15,7 +15,7 @@
 from pumicenotch.server.front import Front
 from pumicenotch.server.kept import Kept
 from pumicenotch.server.runs import Runs
-from pumicenotch.server.tasks import BadTask, Held, Tasks
+from pumicenotch.server.tasks import Held, InvalidRequestError, Tasks
 
 if TYPE_CHECKING:  # nothing of cells is loaded where there are none
     from pumicenotch.cells.fence import Fence
@@ -27,7 +27,15 @@
     "fine": Outcome.OK,
     "fault": Outcome.ERROR,
     "broken_off": Outcome.CANCELLED,
-    "late": Outcome.MOOT,
+    "late": Outcome.NOT_STARTED,
+}
+
+
+# Counters keep the names that dashboards know.
+COUNTED_AS = {
+    Outcome.REJECTED: "full",
+    Outcome.UNREACHABLE: "unreached",
+    Outcome.NOT_STARTED: "moot",
 }
 
 
@@ -51,7 +59,7 @@
     def __init__(
         self,
         *,
-        keywords: dict[str, Any],
+        settings: ControllerSettings,
         stages: dict[str, int],
         tenants: dict[str, int],
         seed: int,
@@ -60,18 +68,18 @@
         memory_mb: float,
         sockets: int,
         pools: Callable[[float], Pools] | None = None,
-        decides: type[Control] = Control,
+        decides: type[AdmissionController] = AdmissionController,
         fence: "Fence | None" = None,
         node: str = "",
     ) -> None:
         links = max(1, int(self.CALLS_PART * sockets))
         most = max(8, sockets - links - self.SPARE)
-        super().__init__(Tasks(keywords["stages"], stages, tenants), sockets // 2, most)
+        super().__init__(Tasks(settings.request_classes, stages, tenants), sockets // 2, most)
         self.tasks.stamped = fence is not None
-        self.keywords, self.seed, self.stop_ms, self.below = keywords, seed, stop_ms, below
+        self.settings, self.seed, self.stop_ms, self.below = settings, seed, stop_ms, below
         self.fence, self.node = fence, node  # where this node knows its cells
         self.pools, self.decides = pools, decides  # pools are made anew from the time they start at
-        self.control: Control | None = (
+        self.control: AdmissionController | None = (
             None  # made when the pool is first bound: warmth counts from its start
         )
         chance = random.Random(seed).uniform
@@ -79,7 +87,7 @@
         self.runs = Runs(self.effects, Backoff(chance))
         self.calls = Calls(self.effects, Backoff(chance), links)
         self.reports = Backoff(chance)
-        self.agenda = Agenda()
+        self.timers = TimerQueue()
         self.rang_at = self.house_at = 0.0
         self.tick_ms = self.HOUSE_MS
         self.gauges: tuple[float, ...] = ()
@@ -89,26 +97,26 @@
 
     # The program's own life
 
-    def start(self) -> None:
+    def on_start(self) -> None:
         self.effects.append(Dial(runs.LINK, 0.0))
         self.rang_at = self.house_at = self.now
         self.house(self.now, None)
-        self.wake(0.0)
+        self.schedule_tick(0.0)
 
     def time(self) -> None:
         self.rang_at = self.now
-        self.agenda.run(self.now)
+        self.timers.run_due(self.now)
         if self.control is not None and self.runs.hangs(self.now):
             self.met("links_hung", "pool: no answer on a link that is up")
             self.runs.renew()
         if self.control is None:
-            self.wake(self.HOUSE_MS)
+            self.schedule_tick(self.HOUSE_MS)
         elif self.runs.up and self.runs.asked_at is None:
             self.runs.poll(self.now)  # its answer brings the tick, with fresh gauges
-            self.wake(self.tick_ms)
+            self.schedule_tick(self.tick_ms)
         else:
             self.counters.add("ticks_without_gauges")
-            self.control.tick(self.now, self.gauges)
+            self.control.on_tick(self.now, self.gauges)
 
     def house(self, now: float, _: None) -> None:
         if now >= self.report_at:
@@ -118,7 +126,7 @@
         ):  # after a stall the news of the idle ones is still unread
             self.callers.close_idle(now)
         self.house_at = now + self.HOUSE_MS
-        self.agenda.at(self.house_at, self.house, None)
+        self.timers.schedule(self.house_at, self.house, None)
         self.calls.close_idle(now)
         if now >= self.quiet_from and not self.callers.connections:
             self.exit(now, None)  # what the listener still holds is answered after it
@@ -129,13 +137,13 @@
             return
         self.leaving = True
         self.stop = self.now + max(0.0, self.stop_ms - self.STOP_MARGIN_MS)
-        grace = self.now + self.keywords.get("drain_grace_ms", 0.0)
-        self.agenda.at(min(grace, self.stop - self.UNHEARD_MS), self.close_door, None)
+        grace = self.now + self.settings.drain_grace_ms
+        self.timers.schedule(min(grace, self.stop - self.UNHEARD_MS), self.close_door, None)
         self.report()
         self.callers.tell_all(self.now)
         if self.control is not None:
-            self.control.leave(self.now, self.stop)
-        self.agenda.at(self.stop, self.exit, None)
+            self.control.start_draining(self.now, self.stop)
+        self.timers.schedule(self.stop, self.exit, None)
 
     def close_door(self, now: float, _: None) -> None:
         """What comes from now on is not run anyway, and a refused connection proves it to the caller."""
@@ -148,7 +156,7 @@
             return
         self.over = True
         if self.control is not None:
-            self.control.tick(
+            self.control.on_tick(
                 self.now, self.gauges
             )  # after a stall the last answers may still be owed
         if self.quiet_from == float("inf"):
@@ -203,7 +211,7 @@
         self.effects.append(Log(f"reload: {text}"))
         self.pools = pools
         if self.control is not None:
-            self.control.pool(self.now, pools(self.now) if pools is not None else None)
+            self.control.use_pools(self.now, pools(self.now) if pools is not None else None)
 
     def linked(self, link: str) -> None:
         if link == runs.LINK:
@@ -253,7 +261,7 @@
             held = self.tasks.read(conn, message, unix, stage, fields, body)
             waited = max(0.0, unix - held.t0)
             same = self.kept.same(held, self.now - waited) if held.token else None
-        except BadTask as error:
+        except InvalidRequestError as error:
             self.malformed(conn, message, error)
             return
         self.callers.taken(conn, message, held)
@@ -271,19 +279,21 @@
         ):  # none is to arrive before the pool is up, and nothing of it has run
             self.reject(held.id, False, 0.0)
         else:
-            self.control.task(
+            self.control.on_request(
                 self.now,
-                held.id,
-                held.stage_number,
-                held.tenant,
-                waited,
-                None,
-                held.work,
-                held.kb,
-                same,
-                held.peer,
-                held.again,
-                held.print() if self.pools is not None else 0,
+                IncomingRequest(
+                    request_id=held.id,
+                    class_index=held.stage_number,
+                    tenant_index=held.tenant,
+                    waited_ms=waited,
+                    expires_at=None,
+                    estimated_work=held.work,
+                    memory_kb=held.kb,
+                    original_id=same,
+                    caller_id=held.peer,
+                    is_marked_retry=held.again,
+                    content_digest=held.print() if self.pools is not None else 0,
+                ),
             )
 
     def too_late(self, held: Held, same: int | None) -> None:
@@ -295,7 +305,7 @@
             self.answer(held, "served", entry.result)
             self.tasks.remove(held)
         else:
-            self.abandon(held.id)
+            self.fail(held.id)
 
     def barred(self, held: Held, unix: float, fields: Mapping[str, str], known: bool) -> str:
         """Why the task may not run on this node, by the cells that its tenant lives in; nothing if it may. A
@@ -329,7 +339,7 @@
         else:
             self.tasks.remove(held)
         if self.control is not None:
-            self.control.caller_gone(self.now, held.id)
+            self.control.on_cancel(self.now, held.id)
 
     def alive(self, conn: int, message: int) -> None:
         self.counters.add("checks")
@@ -345,20 +355,18 @@
         if self.control is None:
             # Kept entries lie in the program's own memory: counted in the settings', which is for runs, they
             # would turn tasks away that have room. Some hundred bytes each, and no more than ran in a window.
-            keywords = self.keywords | {"cold": how == "starting", "entry_kb": 0.0}
+            settings = self.settings._replace(starts_cold=how == "starting", key_memory_kb=0.0)
             pools = self.pools(self.now) if self.pools is not None else None
-            self.control = self.decides(
-                self, self.now - for_ms, seed=self.seed, pools=pools, **keywords
-            )
+            self.control = self.decides(self, self.now - for_ms, settings, self.seed, pools)
             if self.leaving:
-                self.control.leave(self.now, self.stop)
+                self.control.start_draining(self.now, self.stop)
         self.runs.bound(self.now)
 
     def polled(self, cookie: str, gauges: tuple[float, ...]) -> None:
         if self.runs.answered(cookie):
             self.gauges = gauges
             if self.control is not None:
-                self.control.tick(self.now, gauges)
+                self.control.on_tick(self.now, gauges)
 
     def blocked(self, serial: int, name: str, body: bytes) -> None:
         held = self.tasks.by_name.get(name) if self.runs.fresh(serial) else None
@@ -366,7 +374,7 @@
             self.counters.add("notices_stale")
         else:
             held.heard, held.asked = serial, body
-            self.control.at_call(self.now, held.id)
+            self.control.on_dependency_needed(self.now, held.id)
 
     def finished(self, serial: int, name: str, how: str, result: bytes) -> None:
         held = self.tasks.by_name.get(name) if self.runs.fresh(serial) else None
@@ -387,7 +395,7 @@
         self.met("unknown", f"pool does not know {command} of {name}")
         held = self.tasks.by_name.get(name)
         if held is not None and held.started and command == "spawn":
-            self.run_ended(held, Outcome.MOOT, b"")
+            self.run_ended(held, Outcome.NOT_STARTED, b"")
             self.kept.forget(held.id, proven=True)
 
     def run_ended(self, held: Held, outcome: Outcome, result: bytes) -> None:
@@ -401,7 +409,7 @@
         for other in self.kept.ended(held, outcome, result):
             self.reuse_ended(other, outcome, result)
         if self.control is not None:
-            self.control.ended(self.now, held.id, outcome)
+            self.control.on_run_finished(self.now, held.id, outcome)
 
     def reuse_ended(self, held: Held, outcome: Outcome, result: bytes) -> None:
         if not held.answered:
@@ -421,21 +429,21 @@
         self.call_ended(held, outcome)
 
     def call_ended(self, held: Held, outcome: Outcome) -> None:
-        self.counters.add(f"calls_{outcome.name.lower()}")
+        self.counters.add(f"calls_{COUNTED_AS.get(outcome, outcome.name.lower())}")
         if self.seen is not None:
             self.seen.call_ended(self.now, held, outcome)
         if self.control is not None:
-            self.control.call_ended(self.now, held.id, outcome)
+            self.control.on_dependency_finished(self.now, held.id, outcome)
 
     def call_due(self, now: float, call: Call) -> None:
         if self.calls.in_hand(call):
             written = self.calls.give_up(call.held)
-            self.call_ended(call.held, Outcome.TIMEOUT if written else Outcome.UNREACHED)
+            self.call_ended(call.held, Outcome.TIMEOUT if written else Outcome.UNREACHABLE)
 
     # What the control asks for
 
-    def run(self, task: int) -> None:
-        held = self.tasks.by_id[task]
+    def start(self, request_id: int) -> None:
+        held = self.tasks.by_id[request_id]
         self.counters.add("runs")
         if held.halted:
             held.halted = False
@@ -445,75 +453,75 @@
             self.kept.run(held)
             self.runs.send(held, "spawn", held.name, held.stage_name, held.body)
 
-    def reject(self, task: int, last: bool, stay_away_ms: float) -> None:
-        held = self.tasks.by_id[task]
-        self.answer(held, "rejected", stay_away_ms, last)
+    def reject(self, request_id: int, do_not_retry: bool, retry_after_ms: float) -> None:
+        held = self.tasks.by_id[request_id]
+        self.answer(held, "rejected", retry_after_ms, do_not_retry)
         self.tasks.remove(held)
 
-    def abandon(self, task: int) -> None:
-        held = self.tasks.by_id[task]
+    def fail(self, request_id: int) -> None:
+        held = self.tasks.by_id[request_id]
         self.answer(held, "failed")
         if held.started:
             self.calls.give_up(held)
         else:
             self.tasks.remove(held)
 
-    def halt(self, task: int) -> None:
-        held = self.tasks.by_id[task]
+    def cancel_run(self, request_id: int) -> None:
+        held = self.tasks.by_id[request_id]
         held.halted = True
         self.runs.send(held, "suspend", held.name)
 
-    def call(self, task: int, give_up_ms: float) -> None:
-        held = self.tasks.by_id[task]
+    def call_dependency(self, request_id: int, timeout_ms: float) -> None:
+        held = self.tasks.by_id[request_id]
         if not self.below:
-            self.later.append(lambda: self.call_ended(held, Outcome.UNREACHED))
+            self.later.append(lambda: self.call_ended(held, Outcome.UNREACHABLE))
             return
         self.counters.add("calls")
         if self.seen is not None:
             self.seen.called(self.now, held)
-        self.agenda.at(
-            self.now + give_up_ms, self.call_due, self.calls.start(self.now, held, give_up_ms)
+        self.timers.schedule(
+            self.now + timeout_ms, self.call_due, self.calls.start(self.now, held, timeout_ms)
         )
 
-    def skip_call(self, task: int) -> None:
-        held = self.tasks.by_id[task]
+    def skip_dependency(self, request_id: int) -> None:
+        held = self.tasks.by_id[request_id]
         self.counters.add("calls_left_out")
         self.runs.send(held, "pass", held.name, held.heard)
 
-    def keep(self, task: int, for_ms: float) -> None:
-        held = self.tasks.by_id[task]
+    def retain_key(self, request_id: int, ttl_ms: float) -> None:
+        held = self.tasks.by_id[request_id]
         if held.token:
-            self.kept.keep(held, self.now + for_ms)
-            after_ms = held.stage.limit_ms
-            self.agenda.at(self.now + for_ms + after_ms, self.expire, (held.id, after_ms))
+            self.kept.keep(held, self.now + ttl_ms)
+            after_ms = held.stage.timeout_ms
+            self.timers.schedule(self.now + ttl_ms + after_ms, self.expire, (held.id, after_ms))
 
     def expire(self, now: float, what: tuple[int, float]) -> None:
         owner, after_ms = what
         if not self.kept.expire(owner):
-            self.agenda.at(now + after_ms, self.expire, what)
+            self.timers.schedule(now + after_ms, self.expire, what)
 
-    def forget(self, task: int) -> None:
-        for other in self.kept.forget(task):
+    def drop_key(self, request_id: int) -> None:
+        for other in self.kept.forget(request_id):
             self.reuse_ended(other, Outcome.ERROR, b"")
 
-    def reuse(self, task: int) -> None:
-        held = self.tasks.by_id[task]
+    def replay_result(self, request_id: int) -> None:
+        held = self.tasks.by_id[request_id]
         entry = self.kept.reuse(held)
         if entry is None:
             self.reuse_ended(held, Outcome.ERROR, b"")
         elif entry.outcome is not None:
             self.reuse_ended(held, entry.outcome, entry.result)
 
-    def health(self, good: bool, stored: bool) -> None:
-        self.good = good
+    def set_health(self, healthy: bool, cached: bool) -> None:
+        self.good = healthy
 
-    def say(self, value: float) -> None:
+    def report_load(self, value: float) -> None:
         self.hint = value
 
-    def close_idle(self, after_ms: float) -> None:
-        self.callers.idle_ms = after_ms
+    def set_idle_timeout(self, timeout_ms: float) -> None:
+        self.callers.idle_ms = timeout_ms
 
-    def wake(self, after_ms: float) -> None:
+    def schedule_tick(self, after_ms: float) -> None:
         """From when the timer last rang, not from when the pool had answered with its gauges."""
         self.tick_ms = after_ms
         self.effects.append(Wake(max(0.0, self.rang_at + after_ms - self.now)))
@@ -523,9 +531,10 @@
 
 
 Server.inputs = {
+    "start": Server.on_start,  # `start` is an action
+} | {
     name: getattr(Server, name)
     for name in (
-        "start",
         "time",
         "leave",
         "show_counters",
--- a/pumicenotch/server/front.py
+++ b/pumicenotch/server/front.py
@@ -11,7 +11,7 @@
 from pumicenotch.server.counters import Counters
 from pumicenotch.server.effects import Effect, Log, Write
 from pumicenotch.server.seen import Seen
-from pumicenotch.server.tasks import BadTask, Held, Tasks
+from pumicenotch.server.tasks import Held, InvalidRequestError, Tasks
 
 
 class Front(ABC):
@@ -116,7 +116,7 @@
         self.counters.add("tasks")
         return True
 
-    def malformed(self, conn: int, message: int, error: BadTask) -> None:
+    def malformed(self, conn: int, message: int, error: InvalidRequestError) -> None:
         self.met("malformed", f"malformed task: {error}")
         self.count_answer("failed")
         self.effects.append(Write(conn, ("failed", message, self.hint)))
--- a/pumicenotch/server/kept.py
+++ b/pumicenotch/server/kept.py
@@ -1,7 +1,7 @@
 """Kept entries: by them a repeat of a fingerprinted task is known, and served from the first try's result."""
 
 from pumicenotch.interface import Outcome
-from pumicenotch.server.tasks import BadTask, Held
+from pumicenotch.server.tasks import Held, InvalidRequestError
 
 
 class Entry:
@@ -37,7 +37,7 @@
         if entry is None or not (entry.runs or arrived <= entry.until):
             return None
         if entry.mark != held.mark:
-            raise BadTask("another body under that token")
+            raise InvalidRequestError("another body under that token")
         return entry.owner
 
     def keep(self, held: Held, until: float) -> None:
--- a/pumicenotch/server/seen.py
+++ b/pumicenotch/server/seen.py
@@ -21,7 +21,7 @@
         return found
 
     def taken(self, now: float, held: Held, waited: float) -> None:
-        held.due = now - waited + held.stage.due_ms
+        held.due = now - waited + held.stage.latency_objective_ms
 
     def answered(self, now: float, held: Held, outcome: str) -> None:
         row = self.of(held)
--- a/pumicenotch/server/tasks.py
+++ b/pumicenotch/server/tasks.py
@@ -6,7 +6,8 @@
 from itertools import count
 from typing import Any
 
-from pumicenotch.interface import Effect, Stage
+from pumicenotch.errors import InputError
+from pumicenotch.interface import Idempotency, RequestClass
 
 MOST_BODY = 2048  # the protocol's bound
 MOST_KB = 2000.0  # the protocol's bound
@@ -33,7 +34,7 @@
 class Held:
     """One task and what the carrying of it needs; its decisions stand in the control."""
 
-    stage: Stage
+    stage: RequestClass
     stage_number = tenant = peer = 0
     again = False  # marked as a further try
     epoch: int | None = None  # of a router's map, since when the tenant's nodes are what they are
@@ -61,27 +62,27 @@
         return int.from_bytes(blake2b(content, digest_size=8).digest()) or 1
 
 
-class BadTask(ValueError):
+class InvalidRequestError(InputError):
     """A well-formed message that is no task; the text names the field."""
 
 
 def word(fields: Mapping[str, str], name: str, form: re.Pattern[str] | None = None) -> str:
     value = fields.get(name)
     if not isinstance(value, str) or not (form or FORMS[name]).fullmatch(value):
-        raise BadTask(name)
+        raise InvalidRequestError(name)
     return value
 
 
 def number(fields: Mapping[str, str], name: str, below: float) -> float:
     value = float(word(fields, name, NUMBER))
     if value >= below:
-        raise BadTask(name)
+        raise InvalidRequestError(name)
     return value
 
 
 class Tasks:
     def __init__(
-        self, stages: list[Stage], numbers: dict[str, int], tenants: dict[str, int]
+        self, stages: list[RequestClass], numbers: dict[str, int], tenants: dict[str, int]
     ) -> None:
         self.stages, self.numbers, self.tenants = stages, numbers, tenants
         self.stamped = False  # routers stamp tasks, and this node looks at it
@@ -98,24 +99,24 @@
         fields: Mapping[str, str],
         body: Any,
     ) -> Held:
-        """The task that such a message brings; a field that is wrong raises BadTask. Fields that no decision
+        """The task that such a message brings; a field that is wrong raises InvalidRequestError. Fields that no decision
         reads are checked as well: who gets them wrong is no gateway, and its other fields mean nothing.
         """
         if stage_name not in self.numbers:
-            raise BadTask("stage")
+            raise InvalidRequestError("stage")
         if not isinstance(body, bytes) or len(body) > MOST_BODY:
-            raise BadTask("body")
+            raise InvalidRequestError("body")
         held = Held(next(self.ids), word(fields, "rid"), conn, message, stage_name, body)
         if held.name in self.by_name:
-            raise BadTask("rid")
+            raise InvalidRequestError("rid")
         held.stage_number = self.numbers[stage_name]
         held.stage = self.stages[held.stage_number]
         held.t0 = float(word(fields, "t0"))
         if held.t0 > unix + AHEAD_MS:
-            raise BadTask("t0")
+            raise InvalidRequestError("t0")
         held.kb = number(fields, "mem", MOST_KB)
         if held.kb <= 0.0:
-            raise BadTask("mem")
+            raise InvalidRequestError("mem")
         held.work = number(fields, "est", MOST_WORK) if "est" in fields else None
         number(fields, "prio", 1.0)
         held.peer = int(word(fields, "peer"))
@@ -128,15 +129,15 @@
         if self.tenants:
             account = word(fields, "acct")
             if account not in self.tenants:
-                raise BadTask("acct")
+                raise InvalidRequestError("acct")
             held.tenant = self.tenants[account]
-        if held.stage.effect is Effect.FINGERPRINTED:
+        if held.stage.idempotency is Idempotency.KEYED:
             held.token = word(fields, "token")
             held.mark = blake2b(b"%d " % held.stage_number + body, digest_size=16).digest()
             if "obj" in fields:
-                raise BadTask("obj")
+                raise InvalidRequestError("obj")
         elif "token" in fields:
-            raise BadTask("token")
+            raise InvalidRequestError("token")
         return held
 
     def add(self, held: Held) -> None:
--- a/pumicenotch/start.py
+++ b/pumicenotch/start.py
@@ -6,21 +6,34 @@
 from collections.abc import Callable
 from typing import Any
 
-from pumicenotch.interface import Below, Effect, Halt, Signal, Stage, Tenant
+from pumicenotch.control import ControllerSettings
+from pumicenotch.errors import InputError
+from pumicenotch.interface import (
+    CancelMode,
+    DependencyKind,
+    Idempotency,
+    LoadFeedback,
+    RequestClass,
+    Tenant,
+)
 
 EFFECTS = {
-    "repeatable": Effect.RESTARTABLE,
-    "by_key": Effect.FINGERPRINTED,
-    "once": Effect.SIDE_EFFECTING,
+    "repeatable": Idempotency.IDEMPOTENT,
+    "by_key": Idempotency.KEYED,
+    "once": Idempotency.NONE,
 }
-HALTS = {"off": Halt.NONE, "drop": Halt.DROP, "pause": Halt.PAUSE}
+HALTS = {"off": CancelMode.NONE, "drop": CancelMode.KILL, "pause": CancelMode.SUSPEND}
 SIGNALS = {
-    "off": Signal.NONE,
-    "min_rank": Signal.LEVEL,
-    "tokens": Signal.CREDIT,
-    "bias": Signal.WEIGHT,
+    "off": LoadFeedback.NONE,
+    "min_rank": LoadFeedback.MIN_PRIORITY,
+    "tokens": LoadFeedback.TOKENS,
+    "bias": LoadFeedback.WEIGHT,
+}
+BELOWS = {
+    "off": DependencyKind.NONE,
+    "common": DependencyKind.SHARED,
+    "next_hop": DependencyKind.NEXT_TIER,
 }
-BELOWS = {"off": Below.NONE, "common": Below.SHARED, "next_hop": Below.TIER}
 TRUTHS = {"true": True, "false": False}
 
 
@@ -39,31 +52,31 @@
 
 # Path on the wire -> keyword of the control and how the text is read.
 KEYWORDS: dict[str, tuple[str, Callable[[str], Any]]] = {
-    "caps.max-retry-after": ("stay_away_most_ms", ms),
-    "caps.retry-after": ("stay_away_passed", TRUTHS.__getitem__),
-    "family-info.below": ("below", BELOWS.__getitem__),
-    "family-info.call-share": ("call_share", float),
+    "caps.max-retry-after": ("max_retry_after_ms", ms),
+    "caps.retry-after": ("retry_after_supported", TRUTHS.__getitem__),
+    "family-info.below": ("dependency_kind", BELOWS.__getitem__),
+    "family-info.call-share": ("dependency_quota", float),
     "family-info.callers": ("callers", int),
-    "family-info.cold": ("cold", TRUTHS.__getitem__),
+    "family-info.cold": ("starts_cold", TRUTHS.__getitem__),
     "family-info.cores": ("cores", int),
-    "family-info.dep-window": ("call_window_ms", ms),
-    "family-info.entry-kb": ("entry_kb", float),
-    "family-info.halt": ("halt", HALTS.__getitem__),
-    "family-info.idle": ("idle_ms", ms),
+    "family-info.dep-window": ("dependency_window_ms", ms),
+    "family-info.entry-kb": ("key_memory_kb", float),
+    "family-info.halt": ("cancel_mode", HALTS.__getitem__),
+    "family-info.idle": ("idle_timeout_ms", ms),
     "family-info.memory-kb": ("memory_kb", float),
     "family-info.readiness": ("listed_by_health", TRUTHS.__getitem__),
-    "family-info.run-factor": ("run_factor", float),
-    "family-info.signal": ("signal", SIGNALS.__getitem__),
-    "family-info.stays-for": ("linger_ms", ms),
-    "rules.cold-share": ("cold_share", float),
-    "rules.fall-multiple": ("crowd_multiple", float),
+    "family-info.run-factor": ("run_memory_factor", float),
+    "family-info.signal": ("load_feedback", SIGNALS.__getitem__),
+    "family-info.stays-for": ("dependency_linger_ms", ms),
+    "rules.cold-share": ("initial_speed", float),
+    "rules.fall-multiple": ("crash_load_factor", float),
     "rules.stop-sending-within": ("drain_grace_ms", ms),
-    "rules.warm-after": ("warm_ms", ms),
+    "rules.warm-after": ("warm_up_ms", ms),
     "servers": ("servers", int),
 }
 
 
-class BadStart(ValueError):
+class InvalidStartValueError(InputError):
     """A start value that cannot be read; the text names its path."""
 
 
@@ -75,7 +88,9 @@
     except (ValueError, KeyError):
         words = getattr(kind, "__self__", None)  # of a table that names what is allowed
         allowed = f"; give one of {', '.join(words)}" if isinstance(words, dict) else ""
-        raise BadStart(f"malformed start value {path}={pairs[path]!r}{allowed}") from None
+        raise InvalidStartValueError(
+            f"malformed start value {path}={pairs[path]!r}{allowed}"
+        ) from None
 
 
 def lines(text: str) -> dict[str, str]:
@@ -85,7 +100,7 @@
         if line.strip():
             path, equals, value = line.partition("=")
             if not equals:
-                raise BadStart(f"malformed start value {line!r}: no '='")
+                raise InvalidStartValueError(f"malformed start value {line!r}: no '='")
             pairs[path.strip()] = value.strip()
     return pairs
 
@@ -182,7 +197,7 @@
         path = prefix + name
         value = read(path, pairs, float, None)
         if value is not None and not least <= value <= most:
-            raise BadStart(
+            raise InvalidStartValueError(
                 f"{path}={pairs[path]}: out of range; give a value from {least:g} to {most:g}"
             )
 
@@ -191,7 +206,9 @@
     """`names`, where none may be there twice: their tasks could not be told apart."""
     found, count = names(pairs, what), read(f"{what}.count", pairs, int, 0)
     if len(found) < count:
-        raise BadStart(f"{what}: a name is there twice among {count}; give each a name of its own")
+        raise InvalidStartValueError(
+            f"{what}: a name is there twice among {count}; give each a name of its own"
+        )
     return found
 
 
@@ -202,59 +219,59 @@
     """
     credit = pairs.get("family-info.signal") == "tokens"
     if credit and "family-info.callers" not in pairs:
-        raise BadStart(
+        raise InvalidStartValueError(
             "family-info.callers is missing: a credit (family-info.signal=tokens) is shared among the"
             " callers; name how many there are, or tell a share (bias) or a level (min_rank)"
         )
     return "credit" if credit else "share"
 
 
-def keywords(pairs: dict[str, str]) -> dict[str, Any]:
+def controller_settings(pairs: dict[str, str]) -> ControllerSettings:
     shape(pairs)
     bounded(pairs)
-    found = {
+    found: dict[str, Any] = {
         word: read(path, pairs, kind, None)
         for path, (word, kind) in KEYWORDS.items()
         if path in pairs
     }
     skips = read("family-info.class-skip-worth", pairs, floats, [])
-    found["stages"] = [
+    found["request_classes"] = [
         stage(pairs, at, skips) for at in range(read("classes.count", pairs, int, 0))
     ]
     found["tenants"] = [tenant(pairs, at) for at in range(read("tenants.count", pairs, int, 0))]
     meters = pairs.get("family-info.meters", "")
     found["gauges"] = meters.split(",") if meters else []
-    return found
+    return ControllerSettings(**found)
 
 
-def stage(pairs: dict[str, str], at: int, skips: list[float]) -> Stage:
+def stage(pairs: dict[str, str], at: int, skips: list[float]) -> RequestClass:
     prefix = f"classes.{at}."
     bounded(pairs, OF_STAGE, prefix)
     limit_ms = read(prefix + "deadline", pairs, ms, None)
     if limit_ms is None:
-        raise BadStart(f"missing start value {prefix}deadline")
-    effect = read(prefix + "effect", pairs, EFFECTS.__getitem__, Effect.SIDE_EFFECTING)
+        raise InvalidStartValueError(f"missing start value {prefix}deadline")
+    effect = read(prefix + "effect", pairs, EFFECTS.__getitem__, Idempotency.NONE)
     window_ms = read(prefix + "memory-span", pairs, ms, 0.0)
-    if effect is Effect.FINGERPRINTED and not window_ms:
+    if effect is Idempotency.KEYED and not window_ms:
         path = prefix + "memory-span"
-        raise BadStart(
+        raise InvalidStartValueError(
             f"missing start value {path}: how long a task by_key may come again, above 0"
         )
-    return Stage(
-        due_ms=read(prefix + "target", pairs, ms, limit_ms),
-        due_stretch=read(prefix + "aim-stretch", pairs, float, 0.0),
-        limit_ms=limit_ms,
-        effect=effect,
-        window_ms=window_ms,
-        utility=max(UTILITY_LEAST, read(prefix + "worth", pairs, float, 1.0)),
-        late_utility=read(prefix + "late-value", pairs, float, 0.0),
-        skip_utility=skips[at] if at < len(skips) else 0.0,
+    return RequestClass(
+        latency_objective_ms=read(prefix + "target", pairs, ms, limit_ms),
+        objective_per_work=read(prefix + "aim-stretch", pairs, float, 0.0),
+        timeout_ms=limit_ms,
+        idempotency=effect,
+        idempotency_window_ms=window_ms,
+        priority_weight=max(UTILITY_LEAST, read(prefix + "worth", pairs, float, 1.0)),
+        late_weight=read(prefix + "late-value", pairs, float, 0.0),
+        degraded_weight=skips[at] if at < len(skips) else 0.0,
     )
 
 
 def tenant(pairs: dict[str, str], at: int) -> Tenant:
     bounded(pairs, OF_TENANT, f"tenants.{at}.")
     return Tenant(
-        share=read(f"tenants.{at}.share", pairs, float, 1.0),
-        allowance_per_s=read(f"tenants.{at}.allowance-per-s", pairs, float, None),
+        quota=read(f"tenants.{at}.share", pairs, float, 1.0),
+        rate_limit_per_s=read(f"tenants.{at}.allowance-per-s", pairs, float, None),
     )
--- a/tests/compatibility/test_adapter.py
+++ b/tests/compatibility/test_adapter.py
@@ -24,11 +24,15 @@
 
 def meaning(pairs: dict[str, str]) -> dict[str, Any]:
     """What start values are read as, by their paths."""
-    found = start.keywords(pairs)
-    by_path = {path: on_the_wire(found[word]) for path, (word, _) in start.KEYWORDS.items()}
-    by_path["classes"] = [[on_the_wire(value) for value in stage] for stage in found["stages"]]
-    by_path["tenants"] = [list(tenant) for tenant in found["tenants"]]
-    by_path["family-info.meters"] = found["gauges"]
+    found = start.controller_settings(pairs)
+    by_path = {
+        path: on_the_wire(getattr(found, word)) for path, (word, _) in start.KEYWORDS.items()
+    }
+    by_path["classes"] = [
+        [on_the_wire(value) for value in stage] for stage in found.request_classes
+    ]
+    by_path["tenants"] = [list(tenant) for tenant in found.tenants]
+    by_path["family-info.meters"] = found.gauges
     return by_path
 
 
--- a/tests/controls.py
+++ b/tests/controls.py
@@ -2,8 +2,8 @@
 
 from typing import Any
 
-from pumicenotch.control import Control
-from pumicenotch.interface import Stage
+from pumicenotch.control import AdmissionController, ControllerSettings
+from pumicenotch.interface import RequestClass
 
 
 class IgnoredActions:
@@ -13,16 +13,18 @@
         return lambda *_, **__: None
 
 
-def control(actions: IgnoredActions, stage: Stage, **more: Any) -> Control:
+def control(actions: IgnoredActions, stage: RequestClass, **more: Any) -> AdmissionController:
     """A server of two cores with that stage alone, begun at time 0."""
-    return Control(
+    return AdmissionController(
         actions,
         0.0,
+        ControllerSettings(
+            request_classes=[stage],
+            tenants=[],
+            gauges=[],
+            cores=2,
+            crash_load_factor=5.0,
+            **more,
+        ),
         seed=1,
-        stages=[stage],
-        tenants=[],
-        gauges=[],
-        cores=2,
-        crowd_multiple=5.0,
-        **more,
     )
--- a/tests/distribution/test_faults.py
+++ b/tests/distribution/test_faults.py
@@ -44,7 +44,7 @@
     network.run(15_000)
     old = network.node("i1")
     assert old.view.version == 1 and old.view.lookup("tenants", "c/a") == '{"weight":1}'
-    assert isinstance(old.error, errors.UnreadableForm) and "upgrade this instance" in str(
+    assert isinstance(old.error, errors.UnreadableFormError) and "upgrade this instance" in str(
         old.error
     )
     assert all(node.view.version == 2 for name, node in network.nodes().items() if name != "i1")
@@ -133,7 +133,8 @@
     assert node.view.lookup("tenants", "c/a") == '{"weight":1}'
     assert node.age_ms(network.now) > 55_000
     assert (
-        isinstance(node.error, errors.SourceRefused) and node.status(network.now)["error"]["code"]
+        isinstance(node.error, errors.SourceRefusedError)
+        and node.status(network.now)["error"]["code"]
     )
     network.cut = set()
     network.run(70_000)
--- a/tests/distribution/test_messages.py
+++ b/tests/distribution/test_messages.py
@@ -11,7 +11,7 @@
 from pumicenotch.distribution import messages as m
 from pumicenotch.distribution.admission import TokenBucket
 from pumicenotch.distribution.codec import FIELDS, message_of, plain
-from pumicenotch.distribution.errors import InvalidSubscription, MalformedMessage
+from pumicenotch.distribution.errors import InvalidSubscriptionError, MalformedMessageError
 from pumicenotch.distribution.records import Change, ScopeId
 from pumicenotch.distribution.rendezvous import ranked
 from pumicenotch.distribution.reports import BEHIND, TROUBLES_MOST, Report, merged, own_report
@@ -50,7 +50,7 @@
     told = msgpack.unpackb(msgpack.packb(plain(message)))
     found = message_of(told)
     assert found == message and type(found) is type(message)
-    with pytest.raises(MalformedMessage):
+    with pytest.raises(MalformedMessageError):
         message_of([*told, 1])
 
 
@@ -75,13 +75,13 @@
     told[min(at, len(told) - 1)] = value
     try:
         message_of(told)
-    except MalformedMessage as error:
+    except MalformedMessageError as error:
         assert error.remedy
 
 
 @pytest.mark.parametrize("told", [None, [], "pull", [7], ["nothing"], ["pull", 1], {"pull": 1}])
 def test_what_is_no_message_is_malformed(told: Any) -> None:
-    with pytest.raises(MalformedMessage):
+    with pytest.raises(MalformedMessageError):
         message_of(told)
 
 
@@ -114,7 +114,7 @@
     ],
 )
 def test_a_wrong_subscription_is_refused(told: Any) -> None:
-    with pytest.raises(InvalidSubscription):
+    with pytest.raises(InvalidSubscriptionError):
         subscription_of(told)
 
 
--- a/tests/distribution/test_publications.py
+++ b/tests/distribution/test_publications.py
@@ -46,7 +46,7 @@
     outcome = small(book, [tenant("c", "b", 1)], request="r2", previous=0)
     assert (
         not outcome.good
-        and outcome.value == errors.Conflict.code
+        and outcome.value == errors.ConflictError.code
         and "publish again" in outcome.text
     )
     assert book.version == 1 and book.view.lookup("tenants", "c/b") is None
@@ -79,10 +79,10 @@
     outcome = entry(book, second[0], *second[1:])
     assert not outcome.good and "part 0 is missing" in outcome.text
     entry(book, first[0], *first[1:])
-    assert entry(book, last[0], *last[1:]).value == errors.InvalidPublication.code
+    assert entry(book, last[0], *last[1:]).value == errors.InvalidPublicationError.code
     small(book, [tenant("c", "a", 1)])
-    assert entry(book, second[0], *second[1:]).value == errors.Conflict.code
-    assert entry(book, last[0], *last[1:]).value == errors.Conflict.code
+    assert entry(book, second[0], *second[1:]).value == errors.ConflictError.code
+    assert entry(book, last[0], *last[1:]).value == errors.ConflictError.code
     assert book.view.record_count() == 1 and not book.uploads
 
 
@@ -98,20 +98,20 @@
     for at in range(0, SCOPE_RECORDS_MOST, 1024):
         publish(book, [tenant("c", f"t{at + each}", 1) for each in range(1024)])
     outcome = small(book, [tenant("c", "one-more", 1)])
-    assert not outcome.good and outcome.value == errors.OversizedScope.code
+    assert not outcome.good and outcome.value == errors.OversizedScopeError.code
     assert small(book, [Change("tenants", "c/t0", None)], request="r2").good
 
 
 @pytest.mark.parametrize(
     ("change", "error"),
     [
-        (("nowhere", "c/a", '{"n":1}'), errors.UnknownTable),
-        (("tenants", "c/a", '{"weight":"x"}'), errors.InvalidRecord),
-        (("tenants", "c/a", "{}"), errors.InvalidRecord),
-        (("tenants", "c/a", '{"weight": 1}'), errors.InvalidRecord),
-        (("tenants", "c/a", "nonsense"), errors.InvalidRecord),
-        (("tenants", "c/a", '{"form":2,"weight":1}'), errors.UnreadableForm),
-        (("tenants", "c/a", '{"form":true,"weight":1}'), errors.InvalidRecord),
+        (("nowhere", "c/a", '{"n":1}'), errors.UnknownTableError),
+        (("tenants", "c/a", '{"weight":"x"}'), errors.InvalidRecordError),
+        (("tenants", "c/a", "{}"), errors.InvalidRecordError),
+        (("tenants", "c/a", '{"weight": 1}'), errors.InvalidRecordError),
+        (("tenants", "c/a", "nonsense"), errors.InvalidRecordError),
+        (("tenants", "c/a", '{"form":2,"weight":1}'), errors.UnreadableFormError),
+        (("tenants", "c/a", '{"form":true,"weight":1}'), errors.InvalidRecordError),
     ],
 )
 def test_a_record_that_does_not_validate_is_refused_before_it_is_proposed(
@@ -146,10 +146,10 @@
 def test_one_record_twice_or_another_digest_is_refused() -> None:
     book = Publications()
     outcome = small(book, [tenant("c", "a", 1), tenant("c", "a", 2)])
-    assert outcome.value == errors.InvalidPublication.code
+    assert outcome.value == errors.InvalidPublicationError.code
     told = [list(tenant("c", "a", 1))]
     outcome = entry(book, "publish", "r", "", 0, changes_digest([]), 0, "me", "why", 1, told)
-    assert outcome.value == errors.InvalidPublication.code and book.version == 0
+    assert outcome.value == errors.InvalidPublicationError.code and book.version == 0
 
 
 def test_a_dump_gives_the_same_book_again() -> None:
@@ -173,7 +173,7 @@
 def test_a_dump_that_is_none_changes_nothing(told: bytes) -> None:
     book = Publications()
     publish(book, [tenant("c", "a", 1)])
-    with pytest.raises(errors.InvalidPublication):
+    with pytest.raises(errors.InvalidPublicationError):
         book.load(told)
     assert book.view.lookup("tenants", "c/a") is not None and book.version == 1
 
--- a/tests/fleet/configured.py
+++ b/tests/fleet/configured.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 from typing import Any
 
-from pumicenotch.cli.session import Refused, Session
+from pumicenotch.cli.session import RequestRefusedError, Session
 from pumicenotch.distribution.publications import LEVEL
 from pumicenotch.distribution.records import Change
 from pumicenotch.distribution.tables import canonical
@@ -115,7 +115,7 @@
         return int((await self.crew.ask("configuration"))["version"])
 
     async def publish(self, changes: Mapping[Key, Value], previous: int | None = None) -> int:
-        """Its version. Raises Refused."""
+        """Its version. Raises RequestRefusedError."""
         if previous is None:
             previous = await self.version()
         return await self.publish_entries(changes, entries(changes, previous))
@@ -241,4 +241,4 @@
     return made
 
 
-__all__ = ["WATCHED", "Configured", "Refused", "entries", "generation", "play"]
+__all__ = ["WATCHED", "Configured", "RequestRefusedError", "entries", "generation", "play"]
--- a/tests/fleet/test_config_spread.py
+++ b/tests/fleet/test_config_spread.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from pumicenotch.config.hcl import BadFile
+from pumicenotch.config.hcl import InvalidFileError
 from pumicenotch.distribution.records import Change
 from pumicenotch.distribution.tables import TABLES, check_change
 from pumicenotch.distribution.view import Builder, View
@@ -228,5 +228,5 @@
 
 
 def test_a_configuration_needs_hollow_instances() -> None:
-    with pytest.raises(BadFile, match="needs blocks configuration and hollow"):
+    with pytest.raises(InvalidFileError, match="needs blocks configuration and hollow"):
         read("fleet-scale", ["arm.with.configuration=changes"])
--- a/tests/fleet/test_distribution.py
+++ b/tests/fleet/test_distribution.py
@@ -13,7 +13,7 @@
     SUBSCRIBE_ALL,
     WATCHED,
     Configured,
-    Refused,
+    RequestRefusedError,
     entries,
     generation,
     play,
@@ -164,7 +164,7 @@
                     try:
                         await run.publish({key: {field: number}})
                         break
-                    except Refused as error:
+                    except RequestRefusedError as error:
                         assert "current one is" in str(error)
                         refused += 1
 
@@ -173,7 +173,7 @@
         both = await asyncio.gather(
             *(run.publish(changes, previous) for changes in told), return_exceptions=True
         )
-        assert sum(isinstance(each, Refused) for each in both) == 1, both
+        assert sum(isinstance(each, RequestRefusedError) for each in both) == 1, both
         await asyncio.gather(count_up(WATCHED[1], "rate", 20), count_up(WATCHED[3], "weight", 20))
         version = await run.version()
         assert version == previous + 41
--- a/tests/fleet/test_drains.py
+++ b/tests/fleet/test_drains.py
@@ -9,7 +9,7 @@
 import msgpack
 
 from pumicenotch.config.fleet import BudgetBlock
-from pumicenotch.lab.crew import Refused
+from pumicenotch.lab.crew import RequestRefusedError
 from pumicenotch.lab.relay import OPEN, Way
 from tests.fleet.harness import ALL, ZONES, Played, play, world
 
@@ -75,7 +75,7 @@
         assert 1 not in run.drained
         voters = list(run.crew.voters)
         run.crew.relay.set(voters, voters, Way(cut=True))  # nobody has a majority now
-        with contextlib.suppress(TimeoutError, Refused):
+        with contextlib.suppress(TimeoutError, RequestRefusedError):
             await run.crew.ask("drain", "nobody", ["n2"], "kernel", "op", within_s=6.0)
             raise AssertionError("agreed without a majority")
         assert 2 not in run.drained
--- a/tests/fleet/test_hollow.py
+++ b/tests/fleet/test_hollow.py
@@ -14,12 +14,12 @@
 
 import pytest
 
-from pumicenotch.config.hcl import BadFile
+from pumicenotch.config.hcl import InvalidFileError
 from pumicenotch.lab.experiment_file import FOLDER, read
 from pumicenotch.lab.guard import (
     PROCESSES_MOST,
     Machine,
-    MachineTooSmall,
+    MachineTooSmallError,
     Watch,
     bearable,
     check,
@@ -148,8 +148,8 @@
     text = path.read_text().replace('arm "with" {}', arms)
     path.write_text(text.replace("at_s  = 0.5", "at_s  = 3"))
     code = (
-        "from pumicenotch.lab import hollow_fleet\nfrom pumicenotch.lab.guard import RunFailed\n"
-        "async def start(self, others, within_s):\n    raise RunFailed('nobody comes')\n"
+        "from pumicenotch.lab import hollow_fleet\nfrom pumicenotch.lab.guard import RunFailedError\n"
+        "async def start(self, others, within_s):\n    raise RunFailedError('nobody comes')\n"
         "hollow_fleet.HollowFleet.start = start\n"
     )
     (tmp_path / "sitecustomize.py").write_text(code)
@@ -222,14 +222,14 @@
     ],
 )
 def test_what_does_not_fit_is_named(machine: Machine, instances: int, text: str) -> None:
-    with pytest.raises(MachineTooSmall, match=f"^{text}$"):
+    with pytest.raises(MachineTooSmallError, match=f"^{text}$"):
         check(instances, machine)
 
 
 def test_a_run_that_holds_too_much_is_ended() -> None:
     watch = Watch(LARGE._replace(memory_mb=2.0), 100.0)
     with pytest.raises(
-        MachineTooSmall, match=r"^memory: the run holds \d+ MB, and may hold 1 MB .*ended"
+        MachineTooSmallError, match=r"^memory: the run holds \d+ MB, and may hold 1 MB .*ended"
     ):
         watch.look([], 1.0)
 
@@ -238,7 +238,7 @@
     watch = Watch(LARGE, 100.0)
     watch.look([], 99.0)
     with pytest.raises(
-        MachineTooSmall, match=r"^time: the run has lasted 101 s, and may last 100 s"
+        MachineTooSmallError, match=r"^time: the run has lasted 101 s, and may last 100 s"
     ):
         watch.look([], 101.0)
 
@@ -247,7 +247,7 @@
     watch = Watch(LARGE, 100.0)
     watch.look([os.getpid()] * (PROCESSES_MOST - 1), 1.0)
     with pytest.raises(
-        MachineTooSmall, match=r"^processes: the run has 201, and may have 200: ended$"
+        MachineTooSmallError, match=r"^processes: the run has 201, and may have 200: ended$"
     ):
         watch.look([os.getpid()] * PROCESSES_MOST, 1.0)
 
@@ -266,7 +266,7 @@
     ],
 )
 def test_sizes_that_make_no_sense_are_refused(sets: list[str], text: str) -> None:
-    with pytest.raises(BadFile, match=re.escape(text)):
+    with pytest.raises(InvalidFileError, match=re.escape(text)):
         read("fleet-scale", sets)
 
 
--- a/tests/fleet/test_releases.py
+++ b/tests/fleet/test_releases.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from pumicenotch.lab.crew import Crew, Refused
+from pumicenotch.lab.crew import Crew, RequestRefusedError
 from pumicenotch.lab.fleetrun import block
 from pumicenotch.lab.relay import Way
 from pumicenotch.lab.releaserun import OLD, agent_text, started, version
@@ -258,7 +258,7 @@
             "level"
         ] < 3:  # all voters speak it, and no release is on
             await asyncio.sleep(0.1)
-        with pytest.raises(Refused, match="no way back over a level"):
+        with pytest.raises(RequestRefusedError, match="no way back over a level"):
             await run.plan("r3", OLD, waves=waves, level=2)
 
     played(VotersToo, script, tmp_path, fleet(servers=2, zones=1))
--- a/tests/play.py
+++ b/tests/play.py
@@ -17,11 +17,82 @@
 
 from typing import Any
 
-from pumicenotch.control import Control
-from pumicenotch.interface import Below, Effect, Halt, Outcome, Signal, Stage, Tenant
+from pumicenotch.control import AdmissionController, ControllerSettings
+from pumicenotch.interface import (
+    CancelMode,
+    DependencyKind,
+    Idempotency,
+    IncomingRequest,
+    LoadFeedback,
+    Outcome,
+    RequestClass,
+    Tenant,
+)
 from pumicenotch.pools import Plan, Pool, Pools
 
-KINDS: dict[str, Any] = {"effect": Effect, "halt": Halt, "signal": Signal, "below": Below}
+# The notation's words, and what they stand for.
+KINDS: dict[str, dict[str, Any]] = {
+    "effect": {
+        "RESTARTABLE": Idempotency.IDEMPOTENT,
+        "FINGERPRINTED": Idempotency.KEYED,
+        "SIDE_EFFECTING": Idempotency.NONE,
+    },
+    "halt": {"NONE": CancelMode.NONE, "DROP": CancelMode.KILL, "PAUSE": CancelMode.SUSPEND},
+    "signal": {
+        "NONE": LoadFeedback.NONE,
+        "LEVEL": LoadFeedback.MIN_PRIORITY,
+        "CREDIT": LoadFeedback.TOKENS,
+        "WEIGHT": LoadFeedback.WEIGHT,
+    },
+    "below": {
+        "NONE": DependencyKind.NONE,
+        "SHARED": DependencyKind.SHARED,
+        "TIER": DependencyKind.NEXT_TIER,
+    },
+}
+OUTCOMES = {
+    "OK": Outcome.OK,
+    "ERROR": Outcome.ERROR,
+    "FULL": Outcome.REJECTED,
+    "TIMEOUT": Outcome.TIMEOUT,
+    "UNREACHED": Outcome.UNREACHABLE,
+    "RESET": Outcome.RESET,
+    "CANCELLED": Outcome.CANCELLED,
+    "MOOT": Outcome.NOT_STARTED,
+}
+SETTINGS = {
+    "cold": "starts_cold",
+    "cold_share": "initial_speed",
+    "warm_ms": "warm_up_ms",
+    "crowd_multiple": "crash_load_factor",
+    "run_factor": "run_memory_factor",
+    "entry_kb": "key_memory_kb",
+    "stay_away_passed": "retry_after_supported",
+    "stay_away_most_ms": "max_retry_after_ms",
+    "halt": "cancel_mode",
+    "signal": "load_feedback",
+    "below": "dependency_kind",
+    "call_share": "dependency_quota",
+    "call_window_ms": "dependency_window_ms",
+    "linger_ms": "dependency_linger_ms",
+    "idle_ms": "idle_timeout_ms",
+}
+ACTIONS = {
+    "start": "run",
+    "reject": "reject",
+    "fail": "abandon",
+    "cancel_run": "halt",
+    "call_dependency": "call",
+    "skip_dependency": "skip_call",
+    "retain_key": "keep",
+    "drop_key": "forget",
+    "replay_result": "reuse",
+    "set_health": "health",
+    "report_load": "say",
+    "set_idle_timeout": "close_idle",
+    "schedule_tick": "wake",
+    "log": "log",
+}
 
 
 class Seen:
@@ -33,12 +104,13 @@
 
     def __getattr__(self, name: str) -> Any:
         def note(first: Any, *rest: Any, **named: Any) -> None:
-            if name == "wake":
+            word = ACTIONS[name]
+            if word == "wake":
                 self.wake_ms = first
             else:
-                self.made.append((name, first))
-                self.made += [("last", first)] if name == "reject" and rest[0] else []
-                self.patience_ms = rest[0] if name == "call" else self.patience_ms
+                self.made.append((word, first))
+                self.made += [("last", first)] if word == "reject" and rest[0] else []
+                self.patience_ms = rest[0] if word == "call" else self.patience_ms
 
         return note
 
@@ -77,13 +149,13 @@
 class Play:
     def __init__(self) -> None:
         self.seen = Seen()
-        self.stages: dict[str, Stage] = {}
+        self.stages: dict[str, RequestClass] = {}
         self.tenants: dict[str, Tenant] = {}
         self.pools: list[Pool] = []
         self.budget = (0.1, 10.0)
         self.now = self.rings = 0.0
         self.gauges: dict[str, float] = {"on_cores": 0.0}
-        self.control: Control
+        self.control: AdmissionController
 
     def line(self, text: str) -> None:
         verb, *words = text.split()
@@ -94,11 +166,11 @@
         )
 
     def do_stage(self, plain: list[str], pairs: dict[str, Any]) -> None:
-        self.stages[plain[0]] = Stage(
+        self.stages[plain[0]] = RequestClass(
             pairs["due"],
             0.0,
             pairs["limit"],
-            pairs.get("effect", Effect.RESTARTABLE),
+            pairs.get("effect", Idempotency.IDEMPOTENT),
             pairs.get("window", 0.0),
             pairs.get("utility", 1.0),
             pairs.get("late", 0.0),
@@ -121,18 +193,23 @@
         return Pools(self.now, plan, list(self.stages.values()), numbers) if pools else None
 
     def do_repool(self, plain: list[str], pairs: dict[str, Any]) -> None:
-        self.control.pool(self.now, self.pooled(plain))
+        self.control.use_pools(self.now, self.pooled(plain))
+
+    def settings(self, pairs: dict[str, Any]) -> ControllerSettings:
+        return ControllerSettings(
+            request_classes=list(self.stages.values()),
+            tenants=list(self.tenants.values()),
+            gauges=list(self.gauges),
+            **{SETTINGS.get(word, word): value for word, value in pairs.items()},
+        )
 
     def do_start(self, plain: list[str], pairs: dict[str, Any]) -> None:
-        self.control = Control(
+        self.control = AdmissionController(
             self.seen,
             self.now,
+            self.settings(pairs),
             seed=1,
             pools=self.pooled([pool.name for pool in self.pools]),
-            stages=list(self.stages.values()),
-            tenants=list(self.tenants.values()),
-            gauges=list(self.gauges),
-            **pairs,
         )
         self.rings = self.now + self.seen.wake_ms
 
@@ -143,45 +220,45 @@
         until = float(plain[0])
         while self.rings <= until:
             self.now = self.rings
-            self.control.tick(self.now, tuple(self.gauges.values()))
+            self.control.on_tick(self.now, tuple(self.gauges.values()))
             self.rings = self.now + self.seen.wake_ms
         self.now = until
 
     def do_task(self, plain: list[str], pairs: dict[str, Any]) -> None:
         tenants = list(self.tenants)
         for ident in numbers(plain[:1]):
-            self.control.task(
-                self.now,
-                ident,
-                list(self.stages).index(plain[1]),
-                tenants.index(plain[2]) if plain[2:] else 0,
-                pairs.get("waited", 0.0),
-                pairs.get("limit"),
-                pairs.get("work"),
-                pairs.get("kb", 1.0),
-                pairs.get("same"),
-                pairs.get("caller", 0),
-                pairs.get("again", False),
-                pairs.get("mark", 0),
+            incoming = IncomingRequest(
+                request_id=ident,
+                class_index=list(self.stages).index(plain[1]),
+                tenant_index=tenants.index(plain[2]) if plain[2:] else 0,
+                waited_ms=pairs.get("waited", 0.0),
+                expires_at=pairs.get("limit"),
+                estimated_work=pairs.get("work"),
+                memory_kb=pairs.get("kb", 1.0),
+                original_id=pairs.get("same"),
+                caller_id=pairs.get("caller", 0),
+                is_marked_retry=pairs.get("again", False),
+                content_digest=pairs.get("mark", 0),
             )
+            self.control.on_request(self.now, incoming)
 
     def do_end(self, plain: list[str], pairs: dict[str, Any]) -> None:
         for ident in numbers(plain[:1]):
-            self.control.ended(self.now, ident, Outcome[plain[1]])
+            self.control.on_run_finished(self.now, ident, OUTCOMES[plain[1]])
 
     def do_call(self, plain: list[str], pairs: dict[str, Any]) -> None:
         for ident in numbers(plain):
-            self.control.at_call(self.now, ident)
+            self.control.on_dependency_needed(self.now, ident)
 
     def do_back(self, plain: list[str], pairs: dict[str, Any]) -> None:
         for ident in numbers(plain[:1]):
-            self.control.call_ended(self.now, ident, Outcome[plain[1]])
+            self.control.on_dependency_finished(self.now, ident, OUTCOMES[plain[1]])
 
     def do_gone(self, plain: list[str], pairs: dict[str, Any]) -> None:
-        self.control.caller_gone(self.now, int(plain[0]))
+        self.control.on_cancel(self.now, int(plain[0]))
 
     def do_leave(self, plain: list[str], pairs: dict[str, Any]) -> None:
-        self.control.leave(self.now, float(plain[0]))
+        self.control.start_draining(self.now, float(plain[0]))
 
     def do_expect(self, plain: list[str], pairs: dict[str, Any]) -> None:
         for ident in numbers(plain[1:]):
--- a/tests/record.py
+++ b/tests/record.py
@@ -14,51 +14,78 @@
 from itertools import count
 from typing import Any
 
-from pumicenotch.control import Control
-from pumicenotch.interface import Below, Effect, Halt, Outcome, Signal, Stage, Tenant
+from pumicenotch.control import AdmissionController, ControllerSettings
+from pumicenotch.interface import (
+    CancelMode,
+    DependencyKind,
+    Idempotency,
+    IncomingRequest,
+    LoadFeedback,
+    Outcome,
+    RequestClass,
+    Tenant,
+)
 from pumicenotch.pools import Plan, Pool, Pools
 
 STAGES = [
-    Stage(2500.0, 0.0, 6300.0, Effect.RESTARTABLE, 0.0, 1.0, 0.0, 0.5),
-    Stage(3400.0, 0.3, 8400.0, Effect.RESTARTABLE, 0.0, 1.0, 0.2, 0.0),
-    Stage(5000.0, 0.0, 13000.0, Effect.FINGERPRINTED, 9000.0, 3.0, 0.0, 0.0),
-    Stage(1500.0, 0.0, 4000.0, Effect.SIDE_EFFECTING, 0.0, 2.0, 0.0, 0.0),
+    RequestClass(2500.0, 0.0, 6300.0, Idempotency.IDEMPOTENT, 0.0, 1.0, 0.0, 0.5),
+    RequestClass(3400.0, 0.3, 8400.0, Idempotency.IDEMPOTENT, 0.0, 1.0, 0.2, 0.0),
+    RequestClass(5000.0, 0.0, 13000.0, Idempotency.KEYED, 9000.0, 3.0, 0.0, 0.0),
+    RequestClass(1500.0, 0.0, 4000.0, Idempotency.NONE, 0.0, 2.0, 0.0, 0.0),
 ]
 KINDS: list[dict[str, Any]] = [
     {
         "cores": 6,
-        "crowd_multiple": 8.0,
-        "signal": Signal.WEIGHT,
-        "below": Below.TIER,
-        "halt": Halt.PAUSE,
+        "crash_load_factor": 8.0,
+        "load_feedback": LoadFeedback.WEIGHT,
+        "dependency_kind": DependencyKind.NEXT_TIER,
+        "cancel_mode": CancelMode.SUSPEND,
     },
     {
         "cores": 2,
-        "crowd_multiple": 5.0,
-        "signal": Signal.LEVEL,
-        "below": Below.SHARED,
-        "call_share": 0.6,
-        "call_window_ms": 5000.0,
-        "linger_ms": 200.0,
-        "cold": True,
-        "cold_share": 0.2,
-        "warm_ms": 8000.0,
+        "crash_load_factor": 5.0,
+        "load_feedback": LoadFeedback.MIN_PRIORITY,
+        "dependency_kind": DependencyKind.SHARED,
+        "dependency_quota": 0.6,
+        "dependency_window_ms": 5000.0,
+        "dependency_linger_ms": 200.0,
+        "starts_cold": True,
+        "initial_speed": 0.2,
+        "warm_up_ms": 8000.0,
     },
     {
         "cores": 6,
-        "crowd_multiple": 6.0,
-        "signal": Signal.CREDIT,
-        "below": Below.SHARED,
-        "call_share": 9.0,
-        "stay_away_passed": True,
-        "stay_away_most_ms": 1000.0,
+        "crash_load_factor": 6.0,
+        "load_feedback": LoadFeedback.TOKENS,
+        "dependency_kind": DependencyKind.SHARED,
+        "dependency_quota": 9.0,
+        "retry_after_supported": True,
+        "max_retry_after_ms": 1000.0,
         "memory_kb": 9000.0,
-        "entry_kb": 20.0,
+        "key_memory_kb": 20.0,
     },
 ]
 PLAN = Plan((Pool("cheap", ("0",), reserve=0.4), Pool("heavy", ("1",)), Pool("rest", ("*",))))
 
 
+# The names of actions, and of their keywords, that the kept digests were made with.
+KEPT_NAMES = {
+    "start": "run",
+    "fail": "abandon",
+    "cancel_run": "halt",
+    "call_dependency": "call",
+    "skip_dependency": "skip_call",
+    "retain_key": "keep",
+    "drop_key": "forget",
+    "replay_result": "reuse",
+    "set_health": "health",
+    "report_load": "say",
+    "set_idle_timeout": "close_idle",
+    "schedule_tick": "wake",
+    "cached": "stored",
+}
+
+
 class World:
     """Takes the actions, and answers each with an event at a drawn time."""
 
@@ -67,7 +94,12 @@
     marks = False  # tasks tell who sends them and what they hold
 
     def __init__(
-        self, seed: int, tenants: int, load: float, stages: list[Stage] = STAGES, **keywords: Any
+        self,
+        seed: int,
+        tenants: int,
+        load: float,
+        stages: list[RequestClass] = STAGES,
+        **keywords: Any,
     ) -> None:
         self.chance = random.Random(seed)
         self.events: list[tuple[float, int, str, tuple[Any, ...]]] = []
@@ -78,19 +110,21 @@
         self.keyed: list[int] = []
         names = ["core_use", "on_cores", "heap", "links"]
         people = [Tenant(1.0 / tenants, 20.0 if at % 2 else None) for at in range(tenants)]
-        self.control = Control(
+        self.control = AdmissionController(
             self,
             0.0,
-            seed=seed,
-            stages=stages,
-            tenants=people,
-            gauges=names,
-            run_factor=8.0,
-            drain_grace_ms=2000.0,
-            servers=4,
-            callers=3,
-            idle_ms=30000.0,
-            **keywords,
+            ControllerSettings(
+                request_classes=stages,
+                tenants=people,
+                gauges=names,
+                run_memory_factor=8.0,
+                drain_grace_ms=2000.0,
+                servers=4,
+                callers=3,
+                idle_timeout_ms=30000.0,
+                **keywords,
+            ),
+            seed,
         )
 
     def at(self, after: float, name: str, *details: Any) -> None:
@@ -101,13 +135,13 @@
             raise AttributeError(name)
 
         react = REACTIONS.get(name)
+        kept_name = KEPT_NAMES.get(name, name)
 
         def note(*details: Any, **named: Any) -> None:
             self.asked += 1
             if not self.quiet:
-                self.digest.update(
-                    f"{self.now!r} {name} {details!r} {sorted(named.items())!r}\n".encode()
-                )
+                kept = sorted((KEPT_NAMES.get(word, word), value) for word, value in named.items())
+                self.digest.update(f"{self.now!r} {kept_name} {details!r} {kept!r}\n".encode())
             if react is not None:
                 react(self, *details)
 
@@ -118,27 +152,34 @@
         self.running.add(task)
         stretch = max(1.0, len(self.running) / self.cores)
         if self.chance.random() < 0.4:
-            self.at(self.chance.expovariate(1 / 60.0) * stretch, "at_call", task)
+            self.at(self.chance.expovariate(1 / 60.0) * stretch, "on_dependency_needed", task)
         else:
-            self.at(self.chance.expovariate(1 / 260.0) * stretch, "ended", task, self.end())
+            self.at(
+                self.chance.expovariate(1 / 260.0) * stretch, "on_run_finished", task, self.end()
+            )
 
     def end(self) -> Outcome:
         return Outcome.OK if self.chance.random() < 0.95 else Outcome.ERROR
 
     def called(self, task: int, give_up_ms: float) -> None:
         outcome = self.chance.choice(
-            [Outcome.OK] * 8 + [Outcome.FULL, Outcome.TIMEOUT, Outcome.RESET]
+            [Outcome.OK] * 8 + [Outcome.REJECTED, Outcome.TIMEOUT, Outcome.RESET]
+        )
+        self.at(
+            min(give_up_ms, self.chance.expovariate(1 / 90.0)),
+            "on_dependency_finished",
+            task,
+            outcome,
         )
-        self.at(min(give_up_ms, self.chance.expovariate(1 / 90.0)), "call_ended", task, outcome)
 
     def back(self, task: int) -> None:
-        self.at(self.chance.expovariate(1 / 150.0), "ended", task, self.end())
+        self.at(self.chance.expovariate(1 / 150.0), "on_run_finished", task, self.end())
 
     def reused(self, task: int) -> None:
-        self.at(self.chance.uniform(0.0, 300.0), "ended", task, Outcome.OK)
+        self.at(self.chance.uniform(0.0, 300.0), "on_run_finished", task, Outcome.OK)
 
     def woken(self, after_ms: float) -> None:
-        self.at(after_ms, "tick")
+        self.at(after_ms, "on_tick")
 
     def tenant(self) -> int:
         """Whose the next task is."""
@@ -152,7 +193,7 @@
         """Events in order until the stream is over; the digest of all that was asked for."""
         ids, chance, next_task = count(1), self.chance, 0.0
         mean = 300.0 / (self.cores * self.load)
-        self.at(self.LENGTH_MS - 4000.0, "leave", self.LENGTH_MS)
+        self.at(self.LENGTH_MS - 4000.0, "start_draining", self.LENGTH_MS)
         while self.now < self.LENGTH_MS:
             if not self.events or next_task <= self.events[0][0]:
                 self.now, ident = next_task, next(ids)
@@ -168,22 +209,23 @@
                 tenant, waited = self.tenant(), chance.expovariate(1 / 4.0)
                 limit = 5000.0 + self.now if chance.random() < 0.3 else None
                 kb = chance.uniform(20.0, 60.0)
-                more = (ident % 7, False, ident) if self.marks else ()
-                self.control.task(
-                    self.now, ident, stage, tenant, waited, limit, work, kb, same, *more
+                more = (ident % 7, False, ident) if self.marks else (0, False, 0)
+                incoming = IncomingRequest(
+                    ident, stage, tenant, waited, limit, work, kb, same, *more
                 )
+                self.control.on_request(self.now, incoming)
                 if chance.random() < 0.03:
-                    self.at(chance.uniform(10.0, 3000.0), "caller_gone", ident)
+                    self.at(chance.uniform(10.0, 3000.0), "on_cancel", ident)
                 continue
             self.now, _, name, details = heapq.heappop(self.events)
-            if name == "tick":
+            if name == "on_tick":
                 details = (self.gauges(),)
-            elif name == "ended":
+            elif name == "on_run_finished":
                 self.running.discard(details[0])
-            elif name == "call_ended" and details[1] is Outcome.OK:
+            elif name == "on_dependency_finished" and details[1] is Outcome.OK:
                 self.back(details[0])
-            elif name == "call_ended":
-                self.at(4000.0, "ended", details[0], Outcome.CANCELLED)
+            elif name == "on_dependency_finished":
+                self.at(4000.0, "on_run_finished", details[0], Outcome.CANCELLED)
             getattr(self.control, name)(self.now, *details)
         return f"{self.asked} {self.digest.hexdigest()[:24]}"
 
@@ -212,8 +254,8 @@
         super().__init__(seed, tenants, load, **keywords)
         self.active = active
         numbers = {str(at): at for at in range(len(self.stages))}
-        self.at(20_000.0, "pool", Pools(0.0, PLAN, self.stages, numbers))
-        self.at(40_000.0, "pool", None)
+        self.at(20_000.0, "use_pools", Pools(0.0, PLAN, self.stages, numbers))
+        self.at(40_000.0, "use_pools", None)
 
     def tenant(self) -> int:
         group = int(self.now / self.GROUP_MS) % len(self.PLACES)
@@ -239,11 +281,11 @@
 
 
 REACTIONS: dict[str, Any] = {
-    "run": World.ran,
-    "call": World.called,
-    "skip_call": World.back,
-    "reuse": World.reused,
-    "wake": World.woken,
+    "start": World.ran,
+    "call_dependency": World.called,
+    "skip_dependency": World.back,
+    "replay_result": World.reused,
+    "schedule_tick": World.woken,
 }
 
 
--- a/tests/serve.py
+++ b/tests/serve.py
@@ -20,7 +20,7 @@
 from itertools import count
 from typing import Any
 
-from pumicenotch.interface import Below
+from pumicenotch.interface import DependencyKind
 from pumicenotch.server.core import Server
 from pumicenotch.server.effects import Fault, Reach, ReadOut, Wake, Write
 from tests.play import Play, numbers, rid, short
@@ -68,15 +68,10 @@
     def do_serve(self, plain: list[str], pairs: dict[str, Any]) -> None:
         stop, cold, below = pairs.pop("stop", 3000), pairs.pop("cold", False), pairs.pop("db", True)
         limits = {"sockets": pairs.pop("sockets", 64), "memory_mb": pairs.pop("memory", 192)}
-        keywords = {
-            "stages": list(self.stages.values()),
-            "tenants": list(self.tenants.values()),
-            **pairs,
-        }
-        keywords |= {"gauges": list(self.gauges), "below": Below.TIER if below else Below.NONE}
+        pairs["below"] = DependencyKind.NEXT_TIER if below else DependencyKind.NONE
         self.now, self.answers, self.serials = 1e6, True, count(1)
         self.core = Server(
-            keywords=keywords,
+            settings=self.settings(pairs),
             stages={name: at for at, name in enumerate(self.stages)},
             tenants={name: at for at, name in enumerate(self.tenants)},
             seed=1,
--- a/tests/test_agent_files.py
+++ b/tests/test_agent_files.py
@@ -8,8 +8,8 @@
 
 from pumicenotch.cli.agent import TRIES, environment_of
 from pumicenotch.config import agent, versions
-from pumicenotch.config.hcl import BadFile
-from pumicenotch.config.versions import PART, BadVersion, content, fetch, held, pack
+from pumicenotch.config.hcl import InvalidFileError
+from pumicenotch.config.versions import PART, InvalidVersionError, content, fetch, held, pack
 
 
 def folder(path: Path, **files: str) -> Path:
@@ -33,10 +33,10 @@
     found.add(content(same))
     assert len(found) == 4
     (one / "link").symlink_to(one / "x")
-    with pytest.raises(BadVersion, match="a link"):
+    with pytest.raises(InvalidVersionError, match="a link"):
         content(one)
     (tmp_path / "empty").mkdir()
-    with pytest.raises(BadVersion, match="holds nothing"):
+    with pytest.raises(InvalidVersionError, match="holds nothing"):
         content(tmp_path / "empty")
 
 
@@ -46,7 +46,7 @@
     assert pack(tmp_path / "a", source) == version, "a second time changes nothing"
     assert held(into) == []
     (source / version / "y").unlink()
-    with pytest.raises(BadVersion, match="half a copy"):
+    with pytest.raises(InvalidVersionError, match="half a copy"):
         fetch(version, source, into)
     assert held(into) == []
     (source / version / "y").write_text("2")
@@ -57,9 +57,9 @@
     assert content(into / version) == version
     (into / f"{PART}other").mkdir()  # of an agent that was killed
     assert held(into) == [version] and not (into / f"{PART}other").exists()
-    with pytest.raises(BadVersion, match="No such file"):
+    with pytest.raises(InvalidVersionError, match="No such file"):
         fetch("v-none", source, into)
-    with pytest.raises(BadVersion, match="names no version"):
+    with pytest.raises(InvalidVersionError, match="names no version"):
         fetch(f"../source/{version}", source, into)
     versions.remove(into / version)
     assert held(into) == []
@@ -76,7 +76,7 @@
         raise OSError(28, "No space left on device", str(into))
 
     monkeypatch.setattr(shutil, "copytree", full)
-    with pytest.raises(BadVersion, match="No space left"):
+    with pytest.raises(InvalidVersionError, match="No space left"):
         fetch(version, source, into)
     assert held(into) == []
 
@@ -119,7 +119,7 @@
     old: str, new: str, fault: str, tmp_path: Path
 ) -> None:
     path = written(tmp_path, FILE.replace(old, new))
-    with pytest.raises(BadFile, match=f"agent.hcl:.*{fault}"):
+    with pytest.raises(InvalidFileError, match=f"agent.hcl:.*{fault}"):
         agent.agent_of(path)
 
 
@@ -130,7 +130,9 @@
     agent.write(told, first._replace(pid=7, runs={**first.runs, "program": "v2"}))
     assert agent.disk_of(told).runs["program"] == "v2" and agent.disk_of(told).pid == 7
     (Path(told.home) / "agent.json").write_text('{"form": 1, "runs"')
-    with pytest.raises(BadFile, match=r"agent.json:1: cannot be read as an agent's.*move it away"):
+    with pytest.raises(
+        InvalidFileError, match=r"agent.json:1: cannot be read as an agent's.*move it away"
+    ):
         agent.disk_of(told)
 
 
--- a/tests/test_agree.py
+++ b/tests/test_agree.py
@@ -15,11 +15,11 @@
 from pumicenotch.agree.messages import (
     Append,
     AskVote,
-    BadMessage,
     Commit,
     Entry,
     Install,
     Led,
+    MessageDecodeError,
     Readable,
     Restore,
     Seats,
@@ -504,9 +504,9 @@
         ["install", 1, 1, 1, [["a"], []], 0, b"", True, 0],
     ]
     for told in wrong:
-        with pytest.raises(BadMessage):
+        with pytest.raises(MessageDecodeError):
             message_of(told)
-    with pytest.raises(BadMessage, match="no word of a founding"):
+    with pytest.raises(MessageDecodeError, match="no word of a founding"):
         Founding("a/1", ["a"]).said("b/1", ("who", "c/1"))
 
 
--- a/tests/test_book.py
+++ b/tests/test_book.py
@@ -7,9 +7,9 @@
 import pytest
 
 from pumicenotch.fleet import entries
-from pumicenotch.fleet.book import UnknownBook
+from pumicenotch.fleet.book import UnknownBookError
 from pumicenotch.fleet.effects import MemberChanged
-from pumicenotch.fleet.entries import BadEntry, Reader, Said
+from pumicenotch.fleet.entries import InvalidEntryError, Reader, Said
 from pumicenotch.fleet.release import LEVEL
 from pumicenotch.fleet.replica_node import Leadership
 from pumicenotch.fleet.snapshot import dump, load
@@ -118,14 +118,14 @@
 
 def test_a_state_with_an_unknown_book_is_refused_with_a_remedy() -> None:
     data = dump(begun(Notes()))
-    with pytest.raises(UnknownBook, match=r"'notes'.*give its file the block"):
+    with pytest.raises(UnknownBookError, match=r"'notes'.*give its file the block"):
         load(data)
 
 
 def test_a_dump_that_is_not_whole_is_refused() -> None:
     data = dump(begun(Notes()))
     for spoilt in (data[:-1], data + b"x", data.partition(b"\n")[0], data[:-3] + b"abc"):
-        with pytest.raises(BadEntry):
+        with pytest.raises(InvalidEntryError):
             load(spoilt, [Notes()])
 
 
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -7,6 +7,7 @@
 import pytest
 from anyio.abc import ByteStream
 
+from pumicenotch.control import ControllerSettings
 from pumicenotch.interface import Outcome
 from pumicenotch.net import link
 from pumicenotch.net.link import Outbox
@@ -73,7 +74,7 @@
 
 def test_a_trouble_that_comes_with_every_task_is_not_logged_each_time() -> None:
     core = Server(
-        keywords={"stages": []},
+        settings=ControllerSettings([], [], []),
         stages={},
         tenants={},
         seed=1,
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -11,7 +11,7 @@
 from benchmarks.capacity.bad_hours import RealFleet
 from benchmarks.capacity.hollow import HollowFleet
 from benchmarks.capacity.measured_day import Meter
-from benchmarks.capacity.records import BadSlopes
+from benchmarks.capacity.records import InvalidSlopesError
 from benchmarks.capacity.rows import rows
 from benchmarks.capacity.spread import Load, Spread
 
@@ -86,7 +86,7 @@
     change: dict[str, object], problem: str, allowed: str
 ) -> None:
     text = "\n".join((json.dumps(GOOD), json.dumps(GOOD | {"size": 160} | change)))
-    with pytest.raises(BadSlopes) as found:
+    with pytest.raises(InvalidSlopesError) as found:
         records.parse(text, roles.ROLES, "slopes.jsonl")
     told = str(found.value)
     assert told.startswith(f"slopes.jsonl:2: {problem}; allowed: ")
@@ -110,7 +110,7 @@
     ],
 )
 def test_a_line_that_is_no_measurement_is_named(line: str, problem: str) -> None:
-    with pytest.raises(BadSlopes, match=f"^f:2: {problem}"):
+    with pytest.raises(InvalidSlopesError, match=f"^f:2: {problem}"):
         records.parse(f"{json.dumps(GOOD)}\n{line}\n", roles.ROLES, "f")
 
 
@@ -191,7 +191,7 @@
     assert changed != text
     assert page.renewed(changed, measurements) == text
     with pytest.raises(
-        page.BadPage, match=r"CAPACITY.md:1: table 'moons' is unknown; allowed: size, "
+        page.InvalidPageError, match=r"CAPACITY.md:1: table 'moons' is unknown; allowed: size, "
     ):
         page.renewed("<!-- table: moons -->\n<!-- end -->\n", measurements)
 
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -13,10 +13,20 @@
 
 from pumicenotch.cells import moves
 from pumicenotch.cells.fence import Fence, Role, Verdict
-from pumicenotch.cells.map import BadMap, Cell, CellMap, Former, Tenant, check, dump, load, newer
+from pumicenotch.cells.map import (
+    Cell,
+    CellMap,
+    Former,
+    InvalidCellMapError,
+    Tenant,
+    check,
+    dump,
+    load,
+    newer,
+)
 from pumicenotch.cells.place import Node, bounded, least_moves, owner, ranked, shard
 from pumicenotch.cells.walk import End, Said, Send, Walk, walk
-from pumicenotch.interface import Effect
+from pumicenotch.interface import Idempotency
 from pumicenotch.lab.explore import Explorer, Found
 from pumicenotch.lab.moving import Moving
 
@@ -102,13 +112,13 @@
     line = dump(made)
     assert load(line) == made
     for cut in range(0, len(line), 7):
-        with pytest.raises(BadMap):
+        with pytest.raises(InvalidCellMapError):
             load(line[:cut])
     for at in range(0, len(line), 5):
         for put in "0x":
             changed = line[:at] + put + line[at + 1 :]
             if changed != line:
-                with pytest.raises(BadMap):
+                with pytest.raises(InvalidCellMapError):
                     load(changed)
 
 
@@ -128,7 +138,7 @@
     ],
 )
 def test_maps_that_cannot_be_carried_are_refused(changes: dict[str, Any], told: str) -> None:
-    with pytest.raises(BadMap, match=told):
+    with pytest.raises(InvalidCellMapError, match=told):
         check(cells(t="a")._replace(**changes))
 
 
@@ -136,7 +146,7 @@
     one = cells(t="a")
     two = moves.move(one, ["t"], "b", 0.0)
     assert newer(None, one) and newer(one, two) and not newer(two, one) and not newer(two, two)
-    with pytest.raises(BadMap, match="two contents"):
+    with pytest.raises(InvalidCellMapError, match="two contents"):
         newer(two, moves.move(one, ["t"], "b", 0.0, span=1))
 
 
@@ -192,10 +202,10 @@
 
 
 def test_a_tenant_that_no_map_knows_is_rejected_or_goes_to_the_fallback() -> None:
-    assert walk(cells(), 0.0, 0.0, "t", Effect.RESTARTABLE, "", ["A1"]) == End(
+    assert walk(cells(), 0.0, 0.0, "t", Idempotency.IDEMPOTENT, "", ["A1"]) == End(
         "rejected", "tenant_unknown", 200.0
     )
-    begun = walk(cells()._replace(fallback="b"), 0.0, 0.0, "t", Effect.FINGERPRINTED, "k", [])
+    begun = walk(cells()._replace(fallback="b"), 0.0, 0.0, "t", Idempotency.KEYED, "k", [])
     assert isinstance(begun, Walk) and begun.home[0] == "B"
 
 
@@ -258,7 +268,7 @@
     answers: list[Said], keyed: bool
 ) -> None:
     two = moves.move(cells(t="a"), ["t"], "b", 0.0)
-    effect = Effect.FINGERPRINTED if keyed else Effect.RESTARTABLE
+    effect = Idempotency.KEYED if keyed else Idempotency.IDEMPOTENT
     begun = walk(two, 0.0, 1.0, "t", effect, "k", ["B1", "B2"])
     assert isinstance(begun, Walk)
     step, sent, cleared = begun.start(), [], 0
@@ -279,28 +289,28 @@
 def test_a_former_home_that_is_silent_is_never_passed_over() -> None:
     for said in (Said.REFUSED, Said.BROKEN, Said.NO_WORD):
         begun = walk(
-            moves.move(cells(t="a"), ["t"], "b", 0.0), 0.0, 1.0, "t", Effect.FINGERPRINTED, "k", []
+            moves.move(cells(t="a"), ["t"], "b", 0.0), 0.0, 1.0, "t", Idempotency.KEYED, "k", []
         )
         assert isinstance(begun, Walk) and isinstance(begun.start(), Send)
         assert begun.said(said) == End("failed", "former_home_silent")
 
 
 def test_side_effecting_work_in_doubt_goes_nowhere_else() -> None:
-    begun = Walk(Effect.SIDE_EFFECTING, 1, None, ["A1", "A2"])
+    begun = Walk(Idempotency.NONE, 1, None, ["A1", "A2"])
     assert begun.start() == Send("A1", Role.HOME, 1)
     assert begun.said(Said.BROKEN) == End("failed", "connection_broken")
-    begun = Walk(Effect.SIDE_EFFECTING, 1, None, ["A1", "A2"])
+    begun = Walk(Idempotency.NONE, 1, None, ["A1", "A2"])
     begun.start()
     assert begun.said(Said.REFUSED) == Send("A2", Role.HOME, 1)
 
 
 def test_a_router_whose_map_nobody_confirms_runs_nothing_that_must_not_run_twice() -> None:
     one = cells(t="a")
-    assert walk(one, 0.0, 501.0, "t", Effect.FINGERPRINTED, "k", []) == End(
+    assert walk(one, 0.0, 501.0, "t", Idempotency.KEYED, "k", []) == End(
         "rejected", "map_unconfirmed", 200.0
     )
-    assert isinstance(walk(one, 0.0, 501.0, "t", Effect.RESTARTABLE, "", ["A1"]), Walk)
-    assert isinstance(walk(one, 0.0, 499.0, "t", Effect.FINGERPRINTED, "k", []), Walk)
+    assert isinstance(walk(one, 0.0, 501.0, "t", Idempotency.IDEMPOTENT, "", ["A1"]), Walk)
+    assert isinstance(walk(one, 0.0, 499.0, "t", Idempotency.KEYED, "k", []), Walk)
 
 
 # Moves
@@ -334,7 +344,7 @@
     moved = [name for name in one.tenants if one.tenants[name].cell != two.tenants[name].cell]
     assert all(one.tenants[name].cell == "a" for name in moved)
     assert all(two.tenants[name].former for name in moved)
-    with pytest.raises(BadMap, match="only one"):
+    with pytest.raises(InvalidCellMapError, match="only one"):
         moves.evacuate(one._replace(cells={"a": one.cells["a"]}), "a", 0.0, {})
 
 
@@ -349,11 +359,11 @@
     )
     homes = three.homes("t", "k", 20.0)
     assert homes is not None and [node.name[0] for node in homes.ask] == ["B"]
-    with pytest.raises(BadMap, match="lives in a already"):
+    with pytest.raises(InvalidCellMapError, match="lives in a already"):
         moves.move(one, ["t"], "a", 0.0)
-    with pytest.raises(BadMap, match="no cell"):
+    with pytest.raises(InvalidCellMapError, match="no cell"):
         moves.move(one, ["t"], "zz", 0.0)
-    with pytest.raises(BadMap, match="nothing to take back"):
+    with pytest.raises(InvalidCellMapError, match="nothing to take back"):
         moves.abort(one, one, 0.0)
 
 
--- a/tests/test_cells_node.py
+++ b/tests/test_cells_node.py
@@ -10,7 +10,8 @@
 from pumicenotch.cells.fence import Fence
 from pumicenotch.cells.map import Cell, CellMap, Tenant
 from pumicenotch.cells.place import Node
-from pumicenotch.interface import Below, Effect, Stage
+from pumicenotch.control import ControllerSettings
+from pumicenotch.interface import Idempotency, RequestClass
 from pumicenotch.net.gateways import rejected
 from pumicenotch.server.core import Server
 from pumicenotch.server.effects import Write
@@ -31,19 +32,19 @@
 
     def __init__(self, cells: CellMap | None, node: str = "A", up: float = 2 * W) -> None:
         stages = [
-            Stage(4000.0, 0.0, 8000.0, Effect.RESTARTABLE, 0.0, 1.0, 0.0, 0.0),
-            Stage(4000.0, 0.0, 8000.0, Effect.FINGERPRINTED, W, 1.0, 0.0, 0.0),
+            RequestClass(4000.0, 0.0, 8000.0, Idempotency.IDEMPOTENT, 0.0, 1.0, 0.0, 0.0),
+            RequestClass(4000.0, 0.0, 8000.0, Idempotency.KEYED, W, 1.0, 0.0, 0.0),
         ]
         fence = Fence(START - up, W, cells) if cells is not None else None
-        keywords: dict[str, Any] = {
-            "stages": stages,
-            "tenants": [],
-            "gauges": [],
-            "below": Below.NONE,
-            "cores": 4,
-        }
+        settings = ControllerSettings(
+            request_classes=stages,
+            tenants=[],
+            gauges=[],
+            cores=4,
+            crash_load_factor=8.0,
+        )
         self.core = Server(
-            keywords={**keywords, "crowd_multiple": 8.0},
+            settings=settings,
             stages=STAGES,
             tenants={},
             seed=1,
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -8,7 +8,7 @@
 
 from pumicenotch.config import compiled
 from pumicenotch.config.file import File, plan_of
-from pumicenotch.config.hcl import BadFile, parse
+from pumicenotch.config.hcl import InvalidFileError, parse
 from pumicenotch.config.schema import load
 from pumicenotch.pools import Plan, Pool
 
@@ -16,7 +16,7 @@
 
 
 def faults(text: str) -> list[str]:
-    with pytest.raises(BadFile) as caught:
+    with pytest.raises(InvalidFileError) as caught:
         load(parse(text, "F"), "F", File)
     return list(caught.value.faults)
 
@@ -75,10 +75,10 @@
     )
     path.write_text("# nothing\n")
     assert plan_of(path) is None
-    with pytest.raises(BadFile, match="cannot be read: No such file"):
+    with pytest.raises(InvalidFileError, match="cannot be read: No such file"):
         plan_of(tmp_path / "none.hcl")
     path.write_bytes(b"\xff\xfe\x00")
-    with pytest.raises(BadFile, match="no UTF-8 at byte 0"):
+    with pytest.raises(InvalidFileError, match="no UTF-8 at byte 0"):
         plan_of(path)
 
 
@@ -112,17 +112,17 @@
 def test_no_line_raises_anything_but_a_told_fault(text: str) -> None:
     try:
         compiled.load(text, "F")
-    except compiled.BadConfig as error:
+    except compiled.InvalidConfigError as error:
         assert str(error).startswith("F:1: ")
 
 
 def test_compiled_forms_that_are_newer_or_torn_are_refused() -> None:
     line = compiled.dump(compiled.Ours(Plan((Pool("a", ("x",)),))))
-    with pytest.raises(compiled.BadConfig, match="form: 9 is unknown, 1 is allowed"):
+    with pytest.raises(compiled.InvalidConfigError, match="form: 9 is unknown, 1 is allowed"):
         compiled.load(line.replace('"form": 1', '"form": 9'), "F")
-    with pytest.raises(compiled.BadConfig, match="no compiled plan"):
+    with pytest.raises(compiled.InvalidConfigError, match="no compiled plan"):
         compiled.load(line[:-9], "F")
-    with pytest.raises(compiled.BadConfig, match="no compiled plan"):
+    with pytest.raises(compiled.InvalidConfigError, match="no compiled plan"):
         compiled.load(line.replace("reserve", "reserved"), "F")
 
 
@@ -164,7 +164,7 @@
 def test_whatever_stands_in_a_file_is_read_or_told(text: str) -> None:
     try:
         load(parse(text, "F"), "F", File)
-    except BadFile as error:
+    except InvalidFileError as error:
         assert all(fault.startswith("F:") for fault in error.faults)
 
 
@@ -173,5 +173,5 @@
 def test_a_good_file_with_a_hole_in_it_is_read_or_told(at: int, cut: int, put: str) -> None:
     try:
         load(parse(GOOD[:at] + put + GOOD[at + cut :], "F"), "F", File)
-    except BadFile as error:
+    except InvalidFileError as error:
         assert all(fault.startswith("F:") for fault in error.faults)
--- a/tests/test_distribution_config.py
+++ b/tests/test_distribution_config.py
@@ -11,10 +11,10 @@
 from pumicenotch.config import compiled
 from pumicenotch.config.file import ours_of
 from pumicenotch.config.fleet import voter_of
-from pumicenotch.config.hcl import BadFile
+from pumicenotch.config.hcl import InvalidFileError
 from pumicenotch.distribution.instance_settings import (
-    BadInstanceSettings,
     InstanceSettings,
+    InvalidInstanceSettingsError,
     NewestForm,
     ScopesOfTable,
     instance_settings_of,
@@ -111,7 +111,7 @@
         {**told, "subscription": [1]},
     ]
     for wrong in wrongs:
-        with pytest.raises(BadInstanceSettings, match="distribution"):
+        with pytest.raises(InvalidInstanceSettingsError, match="distribution"):
             instance_settings_of(wrong)
 
 
@@ -158,11 +158,11 @@
 )
 def test_what_is_wrong_with_a_servers_block_is_named(tmp_path: Path, text: str, fault: str) -> None:
     path = put(tmp_path, text)
-    with pytest.raises(BadFile) as found:
+    with pytest.raises(InvalidFileError) as found:
         ours_of(path)
     assert fault in str(found.value) and str(found.value).startswith(f"{path}:")
 
 
 def test_a_voter_subscribes_to_nothing(tmp_path: Path) -> None:
-    with pytest.raises(BadFile, match=r"distribution\.subscribe: unknown block"):
+    with pytest.raises(InvalidFileError, match=r"distribution\.subscribe: unknown block"):
         voter_of(put(tmp_path, VOTER.replace("  relays = 2\n", LARGEST)))
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from pumicenotch.fleet.budgets import OUT, SERVING, Budget, Member
-from pumicenotch.fleet.entries import BadEntry, Said
+from pumicenotch.fleet.entries import InvalidEntryError, Said
 from pumicenotch.fleet.records import member_fields
 from pumicenotch.fleet.snapshot import dump, load
 from pumicenotch.fleet.state import State
@@ -251,7 +251,7 @@
     assert dump(same) == dump(fleet.state) and same.waits == fleet.state.waits
     assert same.apply(99, ("undrain", "u", ("a2",), "x", "op")).good
     for wrong in (b"", b"{}", b'{"form": 2}', dump(fleet.state)[:-1]):
-        with pytest.raises(BadEntry):
+        with pytest.raises(InvalidEntryError):
             load(wrong)
 
 
@@ -273,7 +273,7 @@
 @pytest.mark.parametrize("entry", WRONG, ids=repr)
 def test_what_is_no_entry_is_refused_and_changes_nothing(fleet: Fleet, entry: Any) -> None:
     before = dump(fleet.state)
-    with pytest.raises(BadEntry):
+    with pytest.raises(InvalidEntryError):
         read(entry)
     assert not fleet.state.apply(fleet.state.index, entry).good
     assert dump(fleet.state) == before
--- a/tests/test_fleet_config.py
+++ b/tests/test_fleet_config.py
@@ -12,7 +12,7 @@
 from pumicenotch.config import compiled
 from pumicenotch.config.file import ours_of
 from pumicenotch.config.fleet import budgets_of, voter_of
-from pumicenotch.config.hcl import BadFile
+from pumicenotch.config.hcl import InvalidFileError
 from pumicenotch.fleet.budgets import Member
 from pumicenotch.fleet.effects import Ask
 from pumicenotch.fleet.member_node import MemberNode
@@ -105,13 +105,13 @@
 )
 def test_what_is_wrong_with_a_voters_file_is_named(tmp_path: Path, text: str, fault: str) -> None:
     path = put(tmp_path, text)
-    with pytest.raises(BadFile) as found:
+    with pytest.raises(InvalidFileError) as found:
         voter_of(path)
     assert fault in str(found.value) and str(found.value).startswith(f"{path}:")
 
 
 def test_budgets_apart_are_for_services_alone(tmp_path: Path) -> None:
-    with pytest.raises(BadFile, match="apart: for each = service only"):
+    with pytest.raises(InvalidFileError, match="apart: for each = service only"):
         budgets_of(put(tmp_path, 'budget "x" {\n  each = "zone"\n  apart = true\n}\n'))
 
 
--- a/tests/test_letter8.py
+++ b/tests/test_letter8.py
@@ -4,10 +4,10 @@
 
 from pumicenotch import start
 from pumicenotch.control import TICK_MS
-from pumicenotch.interface import Effect, Signal, Stage
+from pumicenotch.interface import Idempotency, IncomingRequest, LoadFeedback, RequestClass
 from tests.controls import IgnoredActions, control
 
-STAGE = Stage(1000.0, 0.0, 3000.0, Effect.RESTARTABLE, 0.0, 1.0, 0.0, 0.0)
+STAGE = RequestClass(1000.0, 0.0, 3000.0, Idempotency.IDEMPOTENT, 0.0, 1.0, 0.0, 0.0)
 
 
 class Heard(IgnoredActions):
@@ -17,21 +17,25 @@
         self.now = 0.0
         self.answers: list[tuple[float, bool]] = []
 
-    def health(self, good: bool, stored: bool) -> None:
-        self.answers.append((self.now, good))
+    def set_health(self, healthy: bool, cached: bool) -> None:
+        self.answers.append((self.now, healthy))
 
 
 def late_for(listed: bool, until_s: float, then_s: float) -> list[tuple[float, bool]]:
     """Three tasks a tick are read after nine tenths of their time, then fresh ones."""
     heard, ident = Heard(), 0
-    server = control(heard, STAGE, memory_kb=1e6, signal=Signal.WEIGHT, listed_by_health=listed)
+    server = control(
+        heard, STAGE, memory_kb=1e6, load_feedback=LoadFeedback.WEIGHT, listed_by_health=listed
+    )
     while heard.now < 1000.0 * (until_s + then_s):
         heard.now += TICK_MS
         for _ in range(3):
             ident += 1
             waited = 900.0 if heard.now < 1000.0 * until_s else 0.0
-            server.task(heard.now, ident, 0, 0, waited, None, None, 1.0, None)
-        server.tick(heard.now, ())
+            server.on_request(
+                heard.now, IncomingRequest(ident, 0, 0, waited, None, None, 1.0, None)
+            )
+        server.on_tick(heard.now, ())
     return heard.answers
 
 
@@ -56,13 +60,13 @@
 def test_a_server_that_leaves_stays_out_of_the_list() -> None:
     heard = Heard()
     server = control(heard, STAGE, memory_kb=1e6, listed_by_health=True)
-    server.leave(0.0, 60_000.0)
+    server.start_draining(0.0, 60_000.0)
     while heard.now < 20_000.0:
         heard.now += TICK_MS
-        server.tick(heard.now, ())
+        server.on_tick(heard.now, ())
     assert [good for _, good in heard.answers] == [True, False]
 
 
 def test_readiness_comes_from_the_settings_and_is_off_without_them() -> None:
-    assert start.keywords({"family-info.readiness": "true"})["listed_by_health"] is True
-    assert "listed_by_health" not in start.keywords({})
+    assert start.controller_settings({"family-info.readiness": "true"}).listed_by_health is True
+    assert start.controller_settings({}).listed_by_health is False
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -11,8 +11,8 @@
 from pumicenotch.members.members import Members
 from pumicenotch.members.messages import (
     Ack,
-    BadMessage,
     Changed,
+    MessageDecodeError,
     News,
     Opinion,
     Ping,
@@ -207,7 +207,7 @@
         ["ping", 1, (news(),) * 65, ()],
         ["ping", 1, (news(ME._replace(name="")),), ()],
     ):
-        with pytest.raises(BadMessage):
+        with pytest.raises(MessageDecodeError):
             message_of(wrong)
 
 
--- a/tests/test_move.py
+++ b/tests/test_move.py
@@ -4,10 +4,10 @@
 from typing import Any, cast
 
 from pumicenotch.control import SAMPLE_MS, TICK_MS
-from pumicenotch.interface import Effect, Signal, Stage
+from pumicenotch.interface import Idempotency, LoadFeedback, RequestClass
 from tests.controls import IgnoredActions, control
 
-STAGE = Stage(1600.0, 0.0, 5400.0, Effect.RESTARTABLE, 0.0, 1.0, 0.2, 0.0)
+STAGE = RequestClass(1600.0, 0.0, 5400.0, Idempotency.IDEMPOTENT, 0.0, 1.0, 0.2, 0.0)
 
 
 class Told(IgnoredActions):
@@ -16,7 +16,7 @@
     def __init__(self) -> None:
         self.said: list[float] = []
 
-    def say(self, value: float) -> None:
+    def report_load(self, value: float) -> None:
         self.said.append(value)
 
 
@@ -27,11 +27,11 @@
     as no room at all; the credit is now what the limit and a queue get through by the due time.
     """
     told = Told()
-    server = control(told, STAGE, callers=180, signal=Signal.CREDIT)
+    server = control(told, STAGE, callers=180, load_feedback=LoadFeedback.TOKENS)
     now = 0.0
     while now <= SAMPLE_MS:
         now += TICK_MS
-        server.tick(now, ())
+        server.on_tick(now, ())
     assert told.said[0] == 2.0 * 2 / 180
     assert told.said[-1] > 2.0 * (2.0 * 2 / 180)
 
@@ -42,14 +42,14 @@
     """
     from random import Random
 
-    from pumicenotch.control import Agenda, Calls
+    from pumicenotch.control import Calls, TimerQueue
 
-    scarce = Calls(Agenda(), Told(), Random(1), most=0.56, window_ms=5000.0, linger_ms=200.0)
+    scarce = Calls(TimerQueue(), Told(), Random(1), most=0.56, window_ms=5000.0, linger_ms=200.0)
     scarce.recent_ms, scarce.free_at = 100.0, 0.0
     assert scarce.turn_ms(0.0) == 0.0
     scarce.in_hand.add(7)
     assert abs(scarce.turn_ms(0.0) - 100.0 / (0.9 * 0.56)) < 1e-9
-    plenty = Calls(Agenda(), Told(), Random(1), most=32.0, window_ms=0.0, linger_ms=0.0)
+    plenty = Calls(TimerQueue(), Told(), Random(1), most=32.0, window_ms=0.0, linger_ms=0.0)
     plenty.recent_ms, plenty.free_at = 100.0, 0.0
     plenty.in_hand.update({1, 2, 3})
     assert plenty.turn_ms(0.0) == 0.0
@@ -77,13 +77,15 @@
     }
     assert start.shape(old) == "share" and start.shape(new) == "credit"
     assert start.shape({}) == "share"  # as before the move: nothing named, nothing told
-    with pytest.raises(start.BadStart, match=r"family-info\.callers is missing"):
-        start.keywords({key: text for key, text in new.items() if key != "family-info.callers"})
+    with pytest.raises(start.InvalidStartValueError, match=r"family-info\.callers is missing"):
+        start.controller_settings(
+            {key: text for key, text in new.items() if key != "family-info.callers"}
+        )
     assert (
         start.shape(new | {"classes.0.memory-span": "26595000"}) == "credit"
     )  # as the wire gives it
-    with pytest.raises(start.BadStart, match=r"family-info\.callers=-1"):
-        start.keywords(old | {"family-info.callers": "-1"})
+    with pytest.raises(start.InvalidStartValueError, match=r"family-info\.callers=-1"):
+        start.controller_settings(old | {"family-info.callers": "-1"})
 
 
 def test_the_real_server_refuses_a_credit_without_its_callers_and_starts_with_them(
@@ -113,9 +115,12 @@
     from pumicenotch import start
 
     with pytest.raises(
-        start.BadStart, match=r"family-info\.cores=0: out of range; give a value from 1"
+        start.InvalidStartValueError,
+        match=r"family-info\.cores=0: out of range; give a value from 1",
     ):
-        start.keywords({"family-info.cores": "0"})
-    with pytest.raises(start.BadStart, match=r"rules\.cold-share=1\.5: out of range"):
-        start.keywords({"rules.cold-share": "1.5"})
-    assert start.keywords({"family-info.cores": "2", "rules.cold-share": "0.21"})["cores"] == 2
+        start.controller_settings({"family-info.cores": "0"})
+    with pytest.raises(start.InvalidStartValueError, match=r"rules\.cold-share=1\.5: out of range"):
+        start.controller_settings({"rules.cold-share": "1.5"})
+    assert (
+        start.controller_settings({"family-info.cores": "2", "rules.cold-share": "0.21"}).cores == 2
+    )
--- a/tests/test_pairs.py
+++ b/tests/test_pairs.py
@@ -11,12 +11,13 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from pumicenotch.interface import Below, Effect, Stage
+from pumicenotch.control import ControllerSettings
+from pumicenotch.interface import DependencyKind, Idempotency, RequestClass
 from pumicenotch.server.core import Server
 from pumicenotch.server.effects import Close, Exit, Fault, Reach, ReadOut, Wake, Write
 from tests.play import rid
 
-STAGES = {"read": Effect.RESTARTABLE, "put": Effect.FINGERPRINTED, "pay": Effect.SIDE_EFFECTING}
+STAGES = {"read": Idempotency.IDEMPOTENT, "put": Idempotency.KEYED, "pay": Idempotency.NONE}
 WINDOW_MS = 400.0  # shorter than some runs here
 EVENTS = (
     "task read",
@@ -61,21 +62,21 @@
     """One core and the peers that it has, as far as the test plays them. Runs are counted by fingerprint."""
 
     def __init__(self) -> None:
-        def stage(effect: Effect) -> Stage:
-            window_ms = WINDOW_MS if effect is Effect.FINGERPRINTED else 0.0
-            return Stage(300.0, 0.0, 600.0, effect, window_ms, 1.0, 0.0, 0.0)
+        def stage(effect: Idempotency) -> RequestClass:
+            window_ms = WINDOW_MS if effect is Idempotency.KEYED else 0.0
+            return RequestClass(300.0, 0.0, 600.0, effect, window_ms, 1.0, 0.0, 0.0)
 
-        keywords = {
-            "stages": [stage(each) for each in STAGES.values()],
-            "tenants": [],
-            "gauges": [],
-            "cores": 2,
-            "crowd_multiple": 8.0,
-            "below": Below.TIER,
-            "drain_grace_ms": 200.0,
-        }
+        settings = ControllerSettings(
+            request_classes=[stage(each) for each in STAGES.values()],
+            tenants=[],
+            gauges=[],
+            cores=2,
+            crash_load_factor=8.0,
+            dependency_kind=DependencyKind.NEXT_TIER,
+            drain_grace_ms=200.0,
+        )
         self.core = Server(
-            keywords=keywords,
+            settings=settings,
             stages=dict(zip(STAGES, range(3), strict=True)),
             tenants={},
             seed=1,
--- a/tests/test_pools.py
+++ b/tests/test_pools.py
@@ -8,16 +8,16 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from pumicenotch.interface import Effect, Stage
+from pumicenotch.interface import Idempotency, IncomingRequest, RequestClass, SlotQuery
 from pumicenotch.pools import Plan, Pool, Pools
 from pumicenotch.pools.budget import Budget, Budgets
 from pumicenotch.pools.divide import LEAST, divide
 from pumicenotch.pools.estimate import Demand, Typical
 from pumicenotch.pools.likeness import Likeness
-from pumicenotch.pools.plan import BadPlan, lanes, unknown
+from pumicenotch.pools.plan import InvalidPoolsPlanError, lanes, unknown
 from pumicenotch.pools.reading import Reading
 
-STAGE = Stage(2500.0, 0.0, 6300.0, Effect.RESTARTABLE, 0.0, 1.0, 0.0, 0.0)
+STAGE = RequestClass(2500.0, 0.0, 6300.0, Idempotency.IDEMPOTENT, 0.0, 1.0, 0.0, 0.0)
 places = st.floats(0.0, 50.0)
 side = st.tuples(places, places, st.floats(0.01, 10.0))
 
@@ -193,7 +193,7 @@
     ],
 )
 def test_plans_that_contradict_themselves_are_refused(pools: list[Pool], words: str) -> None:
-    with pytest.raises(BadPlan, match=words):
+    with pytest.raises(InvalidPoolsPlanError, match=words):
         lanes(Plan(tuple(pools)), {"x": 0, "y": 1})
 
 
@@ -223,29 +223,30 @@
     for name, lane, value in stream:
         now += value
         if name == "read":
-            pools.read(now, lane % 3, 0, 0, False, 0, value)
-            _, part, slot, _ = pools.place(
-                now, lane % 3, False, lane == 3, {lane % 3: 0}, 100.0, True
+            incoming = IncomingRequest(0, 0, 0, value, None, None, 1.0, None)
+            pools.request_received(now, lane % 3, incoming)
+            offer = pools.reserve_slot(
+                now, SlotQuery(lane % 3, False, lane == 3, {lane % 3: 0}, 100.0, True)
             )
-            assert part > 0.0 and slot > 0.0
+            assert offer.slots > 0.0 and offer.slot_ms > 0.0
         elif name == "on" and sum(busy) < total:
             busy[lane] += 1
-            pools.on(now, lane, True)
+            pools.slot_taken(now, lane, True)
         elif name == "off" and busy[lane]:
             busy[lane] -= 1
-            pools.off(now, lane)
+            pools.slot_released(now, lane)
         elif name == "ended":
-            pools.ended(now, lane, value)
+            pools.request_finished(now, lane, value)
         elif name == "tick":
             pools.tick(now, total)
             sides: Any = pools.sides
             assert all(0.0 < each.limit <= max(total, 1) + LEAST * 4 for each in sides)
         elif name == "next":
             every = list(range(pools.count))
-            chosen = pools.next(now, every)
+            chosen = pools.next_pool(now, every)
             assert chosen in (None, *every)
             if not fixed and not sum(busy):
                 assert chosen is not None, "on empty cores something always starts"
-            assert pools.next(now, []) is None
+            assert pools.next_pool(now, []) is None
     assert [each.busy for each in pools.sides] == busy
     assert pools.running == sum(busy)
--- a/tests/test_publication_file.py
+++ b/tests/test_publication_file.py
@@ -4,7 +4,11 @@
 
 import pytest
 
-from pumicenotch.config.publication import FAULTS_MOST, BadPublicationFile, read_publication
+from pumicenotch.config.publication import (
+    FAULTS_MOST,
+    InvalidPublicationFileError,
+    read_publication,
+)
 from pumicenotch.distribution.records import Change
 
 GOOD = '{"table": "homes", "key": "c1/t1", "value": {"cell": "c1"}}\n'
@@ -68,21 +72,21 @@
 )
 def test_what_is_wrong_is_named_with_its_line(tmp_path: Path, text: str, fault: str) -> None:
     path = put(tmp_path, text)
-    with pytest.raises(BadPublicationFile) as found:
+    with pytest.raises(InvalidPublicationFileError) as found:
         read_publication(path)
     assert fault in str(found.value) and str(found.value).startswith(f"{path}:")
 
 
 def test_of_many_wrong_lines_the_first_are_told(tmp_path: Path) -> None:
-    with pytest.raises(BadPublicationFile) as found:
+    with pytest.raises(InvalidPublicationFileError) as found:
         read_publication(put(tmp_path, (FAULTS_MOST + 5) * "{\n"))
     told = str(found.value).splitlines()
     assert len(told) == FAULTS_MOST + 1 and told[-1].endswith("5 further lines are wrong")
 
 
 def test_a_file_that_is_not_there_or_no_text_is_named(tmp_path: Path) -> None:
-    with pytest.raises(BadPublicationFile, match="cannot be read: No such file"):
+    with pytest.raises(InvalidPublicationFileError, match="cannot be read: No such file"):
         read_publication(tmp_path / "none")
     (tmp_path / "bytes").write_bytes(b"\xff")
-    with pytest.raises(BadPublicationFile, match="no UTF-8 at byte 0"):
+    with pytest.raises(InvalidPublicationFileError, match="no UTF-8 at byte 0"):
         read_publication(tmp_path / "bytes")
--- a/tests/test_regions.py
+++ b/tests/test_regions.py
@@ -17,7 +17,7 @@
     STATES,
     WEAK,
     WELL,
-    BadPlan,
+    InvalidRegionPlanError,
     Kind,
     Plan,
     Zone,
@@ -201,7 +201,7 @@
 def test_what_no_plan_can_be_made_of_is_refused_by_name(
     zones: list[Zone], demand: dict[tuple[str, str], float], word: str
 ) -> None:
-    with pytest.raises(BadPlan, match=word):
+    with pytest.raises(InvalidRegionPlanError, match=word):
         fill(1, zones, KINDS, demand, {})
 
 
--- a/tests/test_route.py
+++ b/tests/test_route.py
@@ -11,7 +11,7 @@
 from pumicenotch.cells import moves
 from pumicenotch.cells.map import Cell, CellMap, Tenant
 from pumicenotch.cells.place import Node
-from pumicenotch.interface import Effect, Stage
+from pumicenotch.interface import Idempotency, RequestClass
 from pumicenotch.route.decide import Router
 from pumicenotch.server.effects import Close, Dial, Exit, Fault, Reach, Write
 
@@ -29,8 +29,8 @@
 
     def __init__(self, made: CellMap | None = None) -> None:
         stages = [
-            Stage(4000.0, 0.0, 8000.0, effect, 9000.0, 1.0, 0.0, 0.0)
-            for effect in (Effect.RESTARTABLE, Effect.FINGERPRINTED, Effect.SIDE_EFFECTING)
+            RequestClass(4000.0, 0.0, 8000.0, effect, 9000.0, 1.0, 0.0, 0.0)
+            for effect in (Idempotency.IDEMPOTENT, Idempotency.KEYED, Idempotency.NONE)
         ]
         self.core = Router(
             cells=made or cells(),
--- a/tests/test_seen.py
+++ b/tests/test_seen.py
@@ -1,18 +1,18 @@
 """Counts of tasks and calls by class, for a fleet."""
 
-from pumicenotch.interface import Effect, Outcome, Stage
+from pumicenotch.interface import Idempotency, Outcome, RequestClass
 from pumicenotch.server.seen import MOST, REST, Seen
 from pumicenotch.server.tasks import Held
 
-STAGE = Stage(
-    due_ms=100.0,
-    due_stretch=0.0,
-    limit_ms=500.0,
-    effect=Effect.RESTARTABLE,
-    window_ms=0.0,
-    utility=1.0,
-    late_utility=0.0,
-    skip_utility=0.0,
+STAGE = RequestClass(
+    latency_objective_ms=100.0,
+    objective_per_work=0.0,
+    timeout_ms=500.0,
+    idempotency=Idempotency.IDEMPOTENT,
+    idempotency_window_ms=0.0,
+    priority_weight=1.0,
+    late_weight=0.0,
+    degraded_weight=0.0,
 )
 
 
@@ -38,7 +38,7 @@
     seen.taken(0.0, given_up, 0.0)
     seen.called(10.0, given_up)  # and its task is let go: the call never ends
     unmade = held(6)
-    seen.call_ended(10.0, unmade, Outcome.UNREACHED)  # where nothing is below
+    seen.call_ended(10.0, unmade, Outcome.UNREACHABLE)  # where nothing is below
     assert seen.rows() == [("read", 4, 3, 3, 1, 1, 15.0)]
     assert vars(seen).keys() == {"counts"}, "nothing is kept by task"
 
