--- a/benchmarks/capacity/mechanisms.py
+++ b/benchmarks/capacity/mechanisms.py
@@ -114,7 +114,7 @@
         "voter.follower",
         "",
         "",
-        "`consensus/voter.py` `Voter.take`; `fleet/state.py` `State.apply`",
+        "`consensus/replication.py` `LogReplication.on_append_entries`; `fleet/state.py` `State.apply`",
     ),
     Mechanism("agent", "", "", "`fleet/agent.py` `Agent.hear`: at the pace that the leader names"),
     Mechanism(
--- a/pumicenotch/consensus/__init__.py
+++ b/pumicenotch/consensus/__init__.py
@@ -1,3 +1,5 @@
-"""A replicated log among voters, by Raft as Ongaro's thesis publishes it (2014, with the correction of 2015
-to changes of one voter). No I/O, no clock: storage, sending and time are effects and inputs.
+"""A replicated log among voters by Raft, as Ongaro's thesis describes it (2014, with its correction of 2015).
+
+The package does no I/O and reads no clock: time, messages and finished writes are inputs (`inputs`), and what
+is to be sent, persisted or applied are effects (`effects`).
 """
--- a/pumicenotch/consensus/bootstrap.py
+++ b/pumicenotch/consensus/bootstrap.py
@@ -1,111 +1,118 @@
-"""How a fleet's first seats come to be, and how a process gets a seat among those that are there.
+"""How the first membership of a cluster comes to be.
 
-A process that starts knows nothing: it has a new life. Where all configured names are there and every one of
-them knows nothing, the first by name founds the fleet: each has promised itself to that founder's life, and
-takes its seats from nobody else. Where any knows of a fleet, nothing is founded ever: who is new asks for a
-seat instead. Its leader takes the seat of the name's former life out, has the new one learn the log, then
-gives it the vote.
+A process that starts knows nothing: it is a new incarnation. Where all configured names are there and every
+one of them knows of no cluster, the first by name makes one: each has promised itself to that founder's
+incarnation, and takes a membership from nobody else. Where any process knows of a cluster, none is made ever
+again: a new process asks to join instead, and the leader replaces its former incarnation (see
+`membership_changes.next_membership`).
 """
 
-from collections.abc import Callable, Iterable, Mapping
-from typing import Any, NamedTuple
+from collections.abc import Iterable
+from typing import NamedTuple
 
-from pumicenotch.consensus.messages import BadMessage, Seats, name_of, seats_of
-from pumicenotch.consensus.voter import LEADER, Voter
+from pumicenotch.consensus.messages import (
+    BootstrapMessage,
+    Bootstrapped,
+    ClusterMembership,
+    Discover,
+    Initialized,
+    MessageDecodeError,
+    Uninitialized,
+    VoterId,
+    voter_name,
+)
 
 
-class Say(NamedTuple):
-    """To a name, not to a seat: nobody knows the life behind it yet."""
+class SendToName(NamedTuple):
+    """A message to a name, not to a voter: nobody knows the incarnation behind it yet."""
 
-    to: str
-    told: tuple[Any, ...]
+    recipient_name: str
+    message: BootstrapMessage
 
 
-class Founding:
-    """The part of a voter's process before it has a voter. `say` and `said` carry tuples:
-    ("who", seat), ("fresh", seat, founder), ("known", seat), ("found", founder, seats).
-    """
+class Bootstrap:
+    """The part of a voter's process that runs before it has a log."""
 
-    ASK_MS = 250.0  # between rounds of asking: some times as long as a round takes
+    DISCOVERY_INTERVAL_MS = 250.0  # some times as long as a round of messages takes
 
-    def __init__(self, me: str, names: Iterable[str]) -> None:
-        self.me, self.names = me, sorted(names)
-        self.promised = ""  # the founder's seat
-        # name -> seat of those that know nothing and promised themselves here
-        self.fresh: dict[str, str] = {}
-        self.known = False  # whether any knows of a fleet
-        self.over = False  # this process has a log, by whatever way it came to its seat: it is fresh no more
-        self.seats: Seats | None = None
-        self.next_at = 0.0
+    def __init__(self, voter_id: VoterId, names: Iterable[str]) -> None:
+        self.voter_id = voter_id
+        self.names = sorted(names)
+        self.promised_founder: VoterId = ""
+        self.promised_here: dict[str, VoterId] = {}  # by name: uninitialized, promised to this one
+        self.cluster_exists = False
+        self.has_log = (
+            False  # this process takes part, by whatever way: it is uninitialized no more
+        )
+        self.membership: ClusterMembership | None = None
+        self.next_discovery_ms = 0.0
 
     @property
-    def founder(self) -> bool:
-        return name_of(self.me) == self.names[0]
+    def is_founder(self) -> bool:
+        """Whether this process is the first by name."""
+        return voter_name(self.voter_id) == self.names[0]
 
-    def time(self, now: float) -> list[Say]:
-        if now < self.next_at:
+    def on_tick(self, now_ms: float) -> list[SendToName]:
+        """A round of discovery where one is due; after the bootstrap, its outcome for who missed it."""
+        if now_ms < self.next_discovery_ms:
             return []
-        self.next_at = now + self.ASK_MS
-        others = [name for name in self.names if name != name_of(self.me)]
-        if self.seats is not None:  # who took part and has not heard yet
-            return [Say(name, ("found", self.promised, self.seats)) for name in others]
-        if self.founder and not self.known:
-            self.promised = self.me
-            if len(self.fresh) == len(others):
-                seats = sorted([self.me, *self.fresh.values()])
-                self.seats, self.next_at = Seats(tuple(seats)), 0.0
-                return self.time(now)
-        return [Say(name, ("who", self.me)) for name in others]
-
-    def said(self, sender: str, told: Any) -> list[Say]:
-        """Raises BadMessage on what no founding says."""
-        match told:
-            case ["who", str(seat)] if seat == sender:
-                known = Say(name_of(sender), ("known", self.me))
-                if self.seats is not None:
-                    return [known, Say(name_of(sender), ("found", self.promised, self.seats))]
-                if self.over:
-                    return [known]
-                if name_of(sender) == self.names[0]:
-                    self.promised = sender  # a founder that has started anew found nobody before
-                return [Say(name_of(sender), ("fresh", self.me, self.promised))]
-            case ["fresh", str(seat), str(founder)] if seat == sender:
-                if self.founder and founder == self.me and name_of(seat) in self.names:
-                    self.fresh[name_of(seat)] = seat
-            case ["known", str(seat)] if seat == sender:
-                self.known = True
-            case ["found", str(founder), seats]:
-                made = seats_of(seats)
-                fresh = self.seats is None and not self.over
-                if fresh and founder == self.promised and self.me in made.voters:
-                    self.seats = made
-            case _:
-                raise BadMessage(f"no word of a founding: {told!r:.80}")
+        self.next_discovery_ms = now_ms + self.DISCOVERY_INTERVAL_MS
+        others = [name for name in self.names if name != voter_name(self.voter_id)]
+        if self.is_founder and not self.cluster_exists and self.membership is None:
+            self.promised_founder = self.voter_id
+            if len(self.promised_here) == len(others):
+                voters = sorted([self.voter_id, *self.promised_here.values()])
+                self.membership = ClusterMembership(tuple(voters))
+                self.next_discovery_ms = 0.0
+                return self.on_tick(now_ms)
+        message = Discover(self.voter_id) if self.membership is None else self.outcome()
+        return [SendToName(name, message) for name in others]
+
+    def outcome(self) -> Bootstrapped:
+        """The cluster in which this process takes part from its beginning."""
+        assert self.membership is not None
+        return Bootstrapped(self.promised_founder, self.membership)
+
+    def receive(self, sender: VoterId, message: BootstrapMessage) -> list[SendToName]:
+        """Takes a message of another process and returns the answers.
+
+        Raises:
+            MessageDecodeError: The message names another process as its sender.
+        """
+        if not isinstance(message, Bootstrapped) and message.sender != sender:
+            raise MessageDecodeError("bootstrap", f"{message!r:.80} comes from {sender}")
+        match message:
+            case Discover():
+                return [
+                    SendToName(voter_name(sender), answer) for answer in self.on_discover(sender)
+                ]
+            case Uninitialized(_, promised_founder):
+                if promised_founder == self.voter_id and voter_name(sender) in self.names:
+                    self.on_promise(sender)
+            case Initialized():
+                self.cluster_exists = True
+            case Bootstrapped():
+                self.on_bootstrapped(message)
         return []
 
+    def on_discover(self, sender: VoterId) -> list[BootstrapMessage]:
+        """What this process knows of a cluster."""
+        if self.membership is not None:
+            return [Initialized(self.voter_id), self.outcome()]
+        if self.has_log:
+            return [Initialized(self.voter_id)]
+        if voter_name(sender) == self.names[0]:
+            self.promised_founder = sender  # a founder that has restarted made no cluster before
+        return [Uninitialized(self.voter_id, self.promised_founder)]
+
+    def on_promise(self, sender: VoterId) -> None:
+        """An uninitialized process has promised itself to this one."""
+        if self.is_founder:
+            self.promised_here[voter_name(sender)] = sender
 
-def seated(voter: Voter, wanting: Mapping[str, str], alive: Callable[[str], bool]) -> Seats | None:
-    """The next change of seats that a leader is to propose, one at a time, for those names that want one
-    with the life that they have now; None where nothing is to change or not yet. `alive` says whether a
-    seat's process was heard from lately: the name of one that was is taken.
-    """
-    seats = voter.log.seats
-    if voter.role != LEADER or not voter.settled():
-        return None
-    for name, seat in sorted(wanting.items()):
-        former = [each for each in seats.all if name_of(each) == name and each != seat]
-        if any(each == voter.me or alive(each) for each in former):
-            continue
-        if former:
-            return Seats(
-                tuple(each for each in seats.voters if each not in former),
-                tuple(each for each in seats.learners if each not in former),
-            )
-        if seat in seats.voters:
-            continue
-        if seat not in seats.learners:
-            return seats._replace(learners=tuple(sorted((*seats.learners, seat))))
-        if voter.caught_up(seat):
-            learners = tuple(each for each in seats.learners if each != seat)
-            return Seats(tuple(sorted((*seats.voters, seat))), learners)
-    return None
+    def on_bootstrapped(self, message: Bootstrapped) -> None:
+        """Takes the membership from the founder that this process has promised itself to."""
+        is_uninitialized = self.membership is None and not self.has_log
+        is_promised = message.founder == self.promised_founder
+        if is_uninitialized and is_promised and self.voter_id in message.membership.voters:
+            self.membership = message.membership
--- a/pumicenotch/consensus/log.py
+++ b/pumicenotch/consensus/log.py
@@ -1,60 +1,88 @@
-"""The log as one voter has it: a snapshot's end, and the entries after it. Indexes count from 1."""
+"""The log as one voter has it: a snapshot, and the entries after it. Indexes count from 1."""
 
-from pumicenotch.consensus.messages import Entry, Seats
+from pumicenotch.consensus.messages import ClusterMembership, Entry, EntryKind
 
 
 class Log:
-    def __init__(self, seats: Seats, base: int = 0, base_term: int = 0, state: bytes = b"") -> None:
-        self.seats_at_base, self.base, self.base_term, self.state = seats, base, base_term, state
+    """The entries after the snapshot, and the membership that the newest of them sets.
+
+    Membership is as of the newest entry that changes it, committed or not (thesis, 4.1).
+    """
+
+    def __init__(
+        self,
+        membership: ClusterMembership,
+        snapshot_index: int = 0,
+        snapshot_term: int = 0,
+        snapshot: bytes = b"",
+    ) -> None:
+        self.snapshot_membership = membership
+        self.snapshot_index = snapshot_index
+        self.snapshot_term = snapshot_term
+        self.snapshot = snapshot
         self.entries: list[Entry] = []
-        self.seats = seats  # as of the newest entry that says, agreed or not (thesis, 4.1)
-        self.seats_index = base
+        self.membership = membership
+        self.membership_index = snapshot_index
 
     @property
-    def last(self) -> int:
-        return self.base + len(self.entries)
+    def last_index(self) -> int:
+        """The index of the last entry, or of the snapshot's where there is none after it."""
+        return self.snapshot_index + len(self.entries)
 
     @property
     def last_term(self) -> int:
-        return self.entries[-1].term if self.entries else self.base_term
+        """The term of the last entry."""
+        return self.entries[-1].term if self.entries else self.snapshot_term
 
-    def term(self, index: int) -> int:
-        """-1 for what is not there: before the snapshot's end, or after the last."""
-        if index == self.base:
-            return self.base_term
-        if not self.base < index <= self.last:
+    def term_at(self, index: int) -> int:
+        """The term of that entry; -1 where it is before the snapshot's end or after the last."""
+        if index == self.snapshot_index:
+            return self.snapshot_term
+        if not self.snapshot_index < index <= self.last_index:
             return -1
-        return self.entries[index - self.base - 1].term
+        return self.entries[index - self.snapshot_index - 1].term
 
-    def entry(self, index: int) -> Entry:
-        return self.entries[index - self.base - 1]
+    def entry_at(self, index: int) -> Entry:
+        """The entry of that index, which must be after the snapshot."""
+        return self.entries[index - self.snapshot_index - 1]
 
-    def since(self, index: int, most: int) -> tuple[Entry, ...]:
-        return tuple(self.entries[index - self.base - 1 : index - self.base - 1 + most])
+    def entries_from(self, index: int, max_entries: int | None = None) -> tuple[Entry, ...]:
+        """Entries from that index on, up to so many."""
+        start = index - self.snapshot_index - 1
+        end = None if max_entries is None else start + max_entries
+        return tuple(self.entries[start:end])
 
     def append(self, entry: Entry) -> None:
+        """Adds the entry after the last."""
         self.entries.append(entry)
-        if entry.kind == "seats":
-            self.seats, self.seats_index = entry.data, self.last
-
-    def cut(self, index: int) -> None:
-        """Takes out everything from that index on."""
-        del self.entries[index - self.base - 1 :]
-        if self.seats_index >= index:
-            self.find_seats()
-
-    def find_seats(self) -> None:
-        self.seats, self.seats_index = self.seats_at_base, self.base
-        for index in range(self.last, self.base, -1):
-            if self.entry(index).kind == "seats":
-                self.seats, self.seats_index = self.entry(index).data, index
+        if entry.kind is EntryKind.MEMBERSHIP:
+            self.membership = entry.data
+            self.membership_index = self.last_index
+
+    def truncate_from(self, index: int) -> None:
+        """Removes everything from that index on."""
+        del self.entries[index - self.snapshot_index - 1 :]
+        if self.membership_index >= index:
+            self.find_membership()
+
+    def find_membership(self) -> None:
+        """Takes the membership from the newest entry that sets it, or from the snapshot."""
+        self.membership = self.snapshot_membership
+        self.membership_index = self.snapshot_index
+        for index in range(self.last_index, self.snapshot_index, -1):
+            if self.entry_at(index).kind is EntryKind.MEMBERSHIP:
+                self.membership = self.entry_at(index).data
+                self.membership_index = index
                 return
 
-    def compact(self, index: int, state: bytes) -> None:
-        """All up to that index is in `state` from now on."""
-        kept = self.entries[index - self.base :]
-        for entry in self.entries[: index - self.base]:
-            if entry.kind == "seats":
-                self.seats_at_base = entry.data
-        self.base_term, self.base, self.entries, self.state = self.term(index), index, kept, state
-        self.find_seats()
+    def compact(self, index: int, snapshot: bytes) -> None:
+        """Replaces all entries up to that index by the snapshot, which holds them."""
+        compacted = self.entries[: index - self.snapshot_index]
+        for entry in compacted:
+            if entry.kind is EntryKind.MEMBERSHIP:
+                self.snapshot_membership = entry.data
+        self.snapshot_term = self.term_at(index)
+        self.entries = self.entries[len(compacted) :]
+        self.snapshot_index = index
+        self.snapshot = snapshot
+        self.find_membership()
--- a/pumicenotch/consensus/messages.py
+++ b/pumicenotch/consensus/messages.py
@@ -1,199 +1,289 @@
-"""What voters say to each other, and what the reducer asks of its carrier. All plain values."""
+"""The messages among voters, and the one table from their types to the words on the wire.
 
-from typing import Any, NamedTuple
+A message travels as a list: its wire name, then its fields in order. Decoding raises `MessageDecodeError` for
+whatever a voter does not send.
+"""
 
+from collections.abc import Set as AbstractSet
+from enum import StrEnum
+from typing import Any, NamedTuple, TypeAlias
+
+from pumicenotch.errors import PumicenotchError
+
+VoterId: TypeAlias = str
+"""One process that takes part, as NAME/INCARNATION. A process that has lost its log is another voter under the
+same name. The empty string stands for no voter.
+"""
 
-class Seats(NamedTuple):
-    """Who takes part: `voters` count for majorities, `learners` only get the log. A seat is NAME/LIFE: a
-    process that has lost its memory is another seat under the same name.
-    """
 
-    voters: tuple[str, ...] = ()
-    learners: tuple[str, ...] = ()
+class ClusterMembership(NamedTuple):
+    """Who takes part: `voters` count for majorities, `learners` only receive the log."""
+
+    voters: tuple[VoterId, ...] = ()
+    learners: tuple[VoterId, ...] = ()
 
     @property
-    def all(self) -> tuple[str, ...]:
+    def members(self) -> tuple[VoterId, ...]:
+        """All that receive the log: voters, then learners."""
         return self.voters + self.learners
 
-    def majority(self, seats: set[str]) -> bool:
-        return 2 * sum(voter in seats for voter in self.voters) > len(self.voters)
+    def has_majority(self, voter_ids: AbstractSet[VoterId]) -> bool:
+        """Whether those are more than half of the voters."""
+        return 2 * sum(voter in voter_ids for voter in self.voters) > len(self.voters)
+
 
+def voter_name(voter_id: VoterId) -> str:
+    """The name under which every incarnation of that voter goes."""
+    return voter_id.partition("/")[0]
 
-def name_of(seat: str) -> str:
-    return seat.partition("/")[0]
+
+class EntryKind(StrEnum):
+    """What a log entry is; the values are the words on the wire."""
+
+    COMMAND = "do"
+    MEMBERSHIP = "seats"
+    NO_OP = "noop"  # the first entry of each leader's term
 
 
 class Entry(NamedTuple):
+    """One entry of the log."""
+
     term: int
-    kind: str  # "do", "seats", or "noop", with which a leader's term begins
-    data: Any  # of "do": whatever was proposed; of "seats": a Seats
+    kind: EntryKind
+    data: Any  # of COMMAND: what was proposed; of MEMBERSHIP: a ClusterMembership; else None
 
 
-class AskVote(NamedTuple):
+class RequestVote(NamedTuple):
+    """A candidate's request, or a pre-candidate's (thesis, 3.4 and 9.6)."""
+
     term: int
-    at: int  # the last of the candidate's log, and its term
-    at_term: int
-    pre: bool  # whether it only asks if it would get the vote (thesis, 9.6)
-    handed: bool  # leadership is handed over to it: those who hear a leader need not refuse
+    last_log_index: int
+    last_log_term: int
+    pre_vote: bool  # only asks whether the vote would be granted
+    leadership_transfer: bool  # voters that hear a leader need not refuse (thesis, 4.2.3)
+
 
+class VoteResponse(NamedTuple):
+    """Answers RequestVote."""
 
-class Vote(NamedTuple):
     term: int
-    granted: bool
-    pre: bool
+    vote_granted: bool
+    pre_vote: bool
 
 
-class Append(NamedTuple):
+class AppendEntries(NamedTuple):
+    """A leader's entries, or its heartbeat where there are none."""
+
     term: int
-    at: int  # the entry before the first of these, and its term
-    at_term: int
+    prev_log_index: int
+    prev_log_term: int
     entries: tuple[Entry, ...]
-    commit: int
-    round: int  # of heartbeats: a read waits for a majority's answers to a round begun after it
+    leader_commit: int
+    heartbeat_round: int  # a read waits for a majority's answers to a round begun after it
+
 
+class AppendResponse(NamedTuple):
+    """Answers AppendEntries."""
 
-class Appended(NamedTuple):
     term: int
-    good: bool
-    at: int  # good: all up to there is the leader's; else: try again from there
-    round: int
+    success: bool
+    log_index: int  # success: the log matches the leader's up to it; else: try again after it
+    heartbeat_round: int
 
 
-class Install(NamedTuple):
-    """A piece of a snapshot: `at` and `at_term` are of the last entry in it."""
+class InstallSnapshot(NamedTuple):
+    """One chunk of a snapshot."""
 
     term: int
-    at: int
-    at_term: int
-    seats: Seats
+    last_included_index: int
+    last_included_term: int
+    membership: ClusterMembership  # as of the last included entry
     offset: int
-    piece: bytes
-    last: bool
-    round: int
+    data: bytes
+    done: bool  # this is the last chunk
+    heartbeat_round: int
+
 
+class InstallSnapshotResponse(NamedTuple):
+    """Answers InstallSnapshot."""
 
-class Installed(NamedTuple):
     term: int
-    at: int
-    offset: int  # how much of it is there
-    round: int
+    last_included_index: int
+    next_offset: int  # bytes received so far
+    heartbeat_round: int
 
 
-class StandNow(NamedTuple):
-    """Leadership is handed over (thesis, 3.10): the target stands for election at once."""
+class TimeoutNow(NamedTuple):
+    """Leadership transfer (thesis, 3.10): the target starts an election at once."""
 
     term: int
 
 
-Message = AskVote | Vote | Append | Appended | Install | Installed | StandNow
-KINDS: dict[str, type[Any]] = {
-    "ask-vote": AskVote,
-    "vote": Vote,
-    "append": Append,
-    "appended": Appended,
-    "install": Install,
-    "installed": Installed,
-    "stand-now": StandNow,
+class Discover(NamedTuple):
+    """Bootstrap: asks what the other process knows of a cluster."""
+
+    sender: VoterId
+
+
+class Uninitialized(NamedTuple):
+    """Bootstrap: the sender knows of no cluster, and has promised itself to that founder ("": to nobody)."""
+
+    sender: VoterId
+    promised_founder: VoterId
+
+
+class Initialized(NamedTuple):
+    """Bootstrap: the sender knows of a cluster."""
+
+    sender: VoterId
+
+
+class Bootstrapped(NamedTuple):
+    """Bootstrap: the founder has made a cluster of those voters."""
+
+    founder: VoterId
+    membership: ClusterMembership
+
+
+Message = (
+    RequestVote
+    | VoteResponse
+    | AppendEntries
+    | AppendResponse
+    | InstallSnapshot
+    | InstallSnapshotResponse
+    | TimeoutNow
+)
+BootstrapMessage = Discover | Uninitialized | Initialized | Bootstrapped
+
+# The words on the wire. The two methods name the notices that carry the messages under them.
+CONSENSUS_METHOD = "agree"
+CONSENSUS_MESSAGES: dict[str, type[Any]] = {
+    "ask-vote": RequestVote,
+    "vote": VoteResponse,
+    "append": AppendEntries,
+    "appended": AppendResponse,
+    "install": InstallSnapshot,
+    "installed": InstallSnapshotResponse,
+    "stand-now": TimeoutNow,
+}
+BOOTSTRAP_METHOD = "found"
+BOOTSTRAP_MESSAGES: dict[str, type[Any]] = {
+    "who": Discover,
+    "fresh": Uninitialized,
+    "known": Initialized,
+    "found": Bootstrapped,
+}
+WIRE_NAMES: dict[type[Any], str] = {
+    message_type: wire_name
+    for wire_name, message_type in (*CONSENSUS_MESSAGES.items(), *BOOTSTRAP_MESSAGES.items())
 }
-NAMES = {kind: name for name, kind in KINDS.items()}
 
 
-class BadMessage(ValueError):
-    """It is not of the form that voters send; the text says where."""
+class MessageDecodeError(PumicenotchError, ValueError):
+    """What was received is no message that voters send."""
 
+    code = "consensus-message-unreadable"
 
-def plain(message: Message) -> list[Any]:
-    """As lists, numbers, texts and bytes, for a codec."""
-    return [NAMES[type(message)], *message]
+    def __init__(self, place: str, problem: str) -> None:
+        super().__init__(place, problem, "run programs of compatible versions in one fleet")
 
 
-def message_of(told: Any) -> Message:
-    """The message that `plain` gave. Raises BadMessage on whatever a voter does not send."""
-    try:
-        kind = KINDS[told[0]]
-        values = kind._make(told[1:])
-        for name, value in zip(kind._fields, values, strict=True):
-            wanted = kind.__annotations__[name]
-            if wanted in (int, bool, bytes) and type(value) is not wanted:
-                raise BadMessage(
-                    f"{told[0]}.{name}: {wanted.__name__} is wanted, not {value!r:.40}"
-                )
-            if wanted is int and value < 0:
-                raise BadMessage(f"{told[0]}.{name}: {value} is below 0")
-        if kind is Append:
-            values = values._replace(entries=tuple(entry_of(each) for each in values.entries))
-        if kind is Install:
-            values = values._replace(seats=seats_of(values.seats))
-        made: Message = values
-        return made
-    except (KeyError, IndexError, TypeError, AttributeError) as error:
-        raise BadMessage(f"no message of voters: {type(error).__name__} {error}"[:200]) from None
-
-
-def entry_of(told: Any) -> Entry:
-    term, kind, data = told
-    if type(term) is not int or kind not in ("do", "seats", "noop"):
-        raise BadMessage(f"append.entries: no entry: {told!r:.60}")
-    return Entry(term, kind, seats_of(data) if kind == "seats" else data)
-
-
-def seats_of(told: Any) -> Seats:
-    voters, learners = told
-    for each in (*voters, *learners):
-        if not isinstance(each, str) or "/" not in each:
-            raise BadMessage(f"seats: {each!r:.60} is no NAME/LIFE")
-    return Seats(tuple(voters), tuple(learners))
-
-
-class Send(NamedTuple):
-    to: str
-    message: Message
-
-
-class Store(NamedTuple):
-    """To be kept before the input `stored` with this number. Nothing that rests on it is sent before."""
-
-    serial: int
-    term: int
-    voted: str
-    since: int  # entries from this index on are replaced by these
-    entries: tuple[Entry, ...]
+class UnknownVoterError(PumicenotchError, ValueError):
+    """A message among voters comes from a process that is none of this cluster's."""
 
+    code = "consensus-voter-unknown"
 
-class Commit(NamedTuple):
-    """Agreed: it comes once, in order, at every voter and learner."""
+    def __init__(self, place: str, name: str) -> None:
+        problem = f"{name} is no voter of this fleet"
+        super().__init__(place, problem, "name all voters in the file of each voter")
 
-    at: int
-    entry: Entry
 
+def encode_message(message: Message | BootstrapMessage) -> list[Any]:
+    """The message as its wire name and fields, for MessagePack."""
+    return [WIRE_NAMES[type(message)], *message]
 
-class Restore(NamedTuple):
-    """The state as of that index, in the place of every Commit up to it."""
 
-    at: int
-    state: bytes
+def decode_message(params: Any) -> Message:
+    """The message among voters that `encode_message` wrote.
 
+    Raises:
+        MessageDecodeError: It is none, or a field is of another type or below 0.
+    """
+    message: Message = _decode(params, CONSENSUS_MESSAGES)
+    match message:
+        case AppendEntries():
+            entries = tuple(_decode_entry(entry) for entry in _iterable(message.entries))
+            return message._replace(entries=entries)
+        case InstallSnapshot():
+            return message._replace(membership=decode_membership(message.membership))
+    return message
 
-class Readable(NamedTuple):
-    """What is applied up to the index is no older than the read that was asked for."""
 
-    key: Any
-    at: int
+def decode_bootstrap_message(params: Any) -> BootstrapMessage:
+    """The bootstrap message that `encode_message` wrote.
 
+    Raises:
+        MessageDecodeError: It is none.
+    """
+    message: BootstrapMessage = _decode(params, BOOTSTRAP_MESSAGES)
+    if isinstance(message, Bootstrapped):
+        return message._replace(membership=decode_membership(message.membership))
+    return message
 
-class Unreadable(NamedTuple):
-    key: Any
 
+def decode_membership(value: Any) -> ClusterMembership:
+    """The membership as a pair of lists of voter ids.
 
-class Led(NamedTuple):
-    """Who leads as far as this voter knows; "": nobody."""
+    Raises:
+        MessageDecodeError: It is no such pair.
+    """
+    try:
+        voters, learners = value
+        membership = ClusterMembership(tuple(voters), tuple(learners))
+    except (TypeError, ValueError):
+        raise MessageDecodeError("membership", f"{value!r:.60} is no pair of lists") from None
+    for voter_id in membership.members:
+        if not isinstance(voter_id, str) or "/" not in voter_id:
+            raise MessageDecodeError("membership", f"{voter_id!r:.60} is no NAME/INCARNATION")
+    return membership
+
+
+def _decode(params: Any, message_types: dict[str, type[Any]]) -> Any:
+    """The message with its own fields checked; values nested in them are still as on the wire."""
+    try:
+        wire_name, *values = params
+        message_type = message_types[wire_name]
+        message = message_type._make(values)
+    except (KeyError, TypeError, ValueError) as error:
+        problem = f"no message: {type(error).__name__} {error}"[:200]
+        raise MessageDecodeError("message among voters", problem) from None
+    for field, value in message._asdict().items():
+        _check_field(f"{wire_name}.{field}", message_type.__annotations__[field], value)
+    return message
 
-    leader: str
-    term: int
 
+def _check_field(place: str, field_type: Any, value: Any) -> None:
+    if field_type in (int, bool, bytes, str) and type(value) is not field_type:
+        problem = f"{field_type.__name__} is wanted, not {value!r:.40}"
+        raise MessageDecodeError(place, problem)
+    if field_type is int and value < 0:
+        raise MessageDecodeError(place, f"{value} is below 0")
 
-class Wake(NamedTuple):
-    at: float
 
+def _iterable(value: Any) -> Any:
+    if not isinstance(value, list | tuple):
+        raise MessageDecodeError("append.entries", f"{value!r:.60} is no list")
+    return value
 
-Effect = Send | Store | Commit | Restore | Readable | Unreadable | Led | Wake
+
+def _decode_entry(value: Any) -> Entry:
+    try:
+        term, kind, data = value
+        entry_kind = EntryKind(kind)
+    except (TypeError, ValueError):
+        raise MessageDecodeError("append.entries", f"no entry: {value!r:.60}") from None
+    if type(term) is not int:
+        raise MessageDecodeError("append.entries", f"no entry: {value!r:.60}")
+    is_membership = entry_kind is EntryKind.MEMBERSHIP
+    return Entry(term, entry_kind, decode_membership(data) if is_membership else data)
--- a/pumicenotch/fleet/replica_node.py
+++ b/pumicenotch/fleet/replica_node.py
@@ -6,20 +6,32 @@
 from collections.abc import Callable, Sequence
 from typing import Any, NamedTuple
 
-from pumicenotch.consensus import messages as agree
-from pumicenotch.consensus.bootstrap import Founding, Say
-from pumicenotch.consensus.messages import (
-    Commit,
-    Led,
-    Readable,
-    Restore,
-    Seats,
+from pumicenotch.consensus import messages
+from pumicenotch.consensus.bootstrap import Bootstrap, SendToName
+from pumicenotch.consensus.effects import (
+    ApplyEntry,
+    LeaderChanged,
+    Persist,
+    ReadFailed,
+    ReadReady,
+    RestoreSnapshot,
     Send,
-    Store,
-    Unreadable,
-    name_of,
 )
-from pumicenotch.consensus.voter import LEADER, Voter
+from pumicenotch.consensus.inputs import Input, MessageReceived, Persisted
+from pumicenotch.consensus.messages import (
+    ClusterMembership,
+    Discover,
+    Entry,
+    EntryKind,
+    UnknownVoterError,
+    VoterId,
+    decode_bootstrap_message,
+    decode_message,
+    encode_message,
+    voter_name,
+)
+from pumicenotch.consensus.state import Role
+from pumicenotch.consensus.voter import Voter
 from pumicenotch.fleet import release, snapshot
 from pumicenotch.fleet.book import Book
 from pumicenotch.fleet.effects import Exit
@@ -53,19 +65,19 @@
         super().__init__(voters=names.values(), **rest)
         self.names = names
         self.replica = f"{self.me.name}/{self.me.life}"
-        self.founding = Founding(self.replica, names)
-        self.voter = self.new_voter(Seats())
+        self.bootstrap = Bootstrap(self.replica, names)
+        self.voter = self.new_voter(ClusterMembership())
         self.joining_replicas: dict[str, str] = {}  # name -> replica of processes that want a vote
         self.books = books
         self.state = State(books())
         self.unreadable = False  # the fleet's state, by this program: it ends
 
-    def new_voter(self, seats: Seats) -> Voter:
-        return Voter(self.replica, self.now, seats, self.random.uniform)
+    def new_voter(self, membership: ClusterMembership) -> Voter:
+        return Voter(self.replica, self.now, membership, self.random.uniform)
 
     @property
     def leads(self) -> bool:
-        return self.voter.role == LEADER
+        return self.voter.role is Role.LEADER
 
     @property
     def level(self) -> int:
@@ -74,93 +86,102 @@
 
     def leader_address(self) -> str:
         """Of whoever leads; "": nobody, or nobody that this process knows."""
-        return self.names.get(name_of(self.voter.leader), "")
+        return self.names.get(voter_name(self.voter.leader_id), "")
 
     def leadership(self) -> Leadership:
         """For a carrier that hands it on to another reducer."""
         address = self.leader_address()
-        in_touch = (
-            self.voter.in_touch() if self.leads else bool(address) and self.voter.hears_leader()
-        )
+        if self.leads:
+            in_touch = self.voter.has_active_quorum()
+        else:
+            in_touch = bool(address) and self.voter.leader_is_alive()
         return Leadership(address, self.leads, in_touch)
 
     # Getting a vote
 
     def find_fleet(self) -> None:
         """Until its replica has a vote it asks for one; then it passes the founding on for a while."""
-        if self.voter.log.last > 0:
-            self.founding.over = True
-            if self.replica in self.voter.log.seats.all:
+        if self.voter.log.last_index > 0:
+            self.bootstrap.has_log = True
+            if self.replica in self.voter.log.membership.members:
                 return
-        self.send_founding(self.founding.time(self.now))
-        self.take_founded_seats()
+        self.send_bootstrap(self.bootstrap.on_tick(self.now))
+        self.take_bootstrapped_membership()
 
-    def take_founded_seats(self) -> None:
-        seats = self.founding.seats
-        if seats is not None and not self.voter.log.seats.voters and self.voter.log.last == 0:
-            self.voter = self.new_voter(seats)
-            self.log(f"the fleet is founded: {', '.join(seats.voters)}")
-            self.send_founding(self.founding.time(self.now))
+    def take_bootstrapped_membership(self) -> None:
+        membership = self.bootstrap.membership
+        log = self.voter.log
+        if membership is not None and not log.membership.voters and log.last_index == 0:
+            self.voter = self.new_voter(membership)
+            self.log(f"the fleet is founded: {', '.join(membership.voters)}")
+            self.send_bootstrap(self.bootstrap.on_tick(self.now))
 
-    def send_founding(self, messages: list[Say]) -> None:
-        for each in messages:
-            if each.to in self.names:
-                self.post(self.names[each.to], "found", *each.told)
+    def send_bootstrap(self, sends: list[SendToName]) -> None:
+        for name, message in sends:
+            if name in self.names:
+                self.post(self.names[name], messages.BOOTSTRAP_METHOD, *encode_message(message))
 
     def receive(self, sender: Sender, method: str, params: Any) -> None:
         name, life, _ = sender
         match method:
-            case "agree" | "found" if name not in self.names:
-                raise agree.BadMessage(f"{name} is no voter of this fleet")
-            case "agree":
-                self.step_voter("message", f"{name}/{life}", agree.message_of(params))
-            case "found":
-                self.receive_founding(name, f"{name}/{life}", params)
+            case messages.CONSENSUS_METHOD | messages.BOOTSTRAP_METHOD if name not in self.names:
+                raise UnknownVoterError(method, name)
+            case messages.CONSENSUS_METHOD:
+                message = decode_message(params)
+                self.step_voter(MessageReceived(f"{name}/{life}", message))
+            case messages.BOOTSTRAP_METHOD:
+                self.receive_bootstrap(name, f"{name}/{life}", params)
             case _:
                 super().receive(sender, method, params)
 
-    def receive_founding(self, name: str, replica: str, params: Any) -> None:
-        asks = bool(params) and params[0] == "who"
-        if asks and self.leads and replica not in self.voter.log.seats.voters:
+    def receive_bootstrap(self, name: str, replica: VoterId, params: Any) -> None:
+        message = decode_bootstrap_message(params)
+        is_discovery = isinstance(message, Discover)
+        if is_discovery and self.leads and replica not in self.voter.log.membership.voters:
             self.joining_replicas[name] = replica
-        self.send_founding(self.founding.said(replica, params))
-        self.take_founded_seats()
+        self.send_bootstrap(self.bootstrap.receive(replica, message))
+        self.take_bootstrapped_membership()
 
     # The replica
 
-    def step_voter(self, name: str, *details: Any) -> None:
-        todo = self.voter.step(self.now, name, *details)
+    def step_voter(self, event: Input) -> None:
+        todo = self.voter.step(self.now, event)
         while todo and not self.unreadable:
             effect = todo.pop(0)
             match effect:
-                case Store(serial):  # in memory: a process that ends comes back as another replica
-                    todo += self.voter.step(self.now, "stored", serial)
+                case Persist(
+                    serial
+                ):  # in memory: a process that ends comes back as another replica
+                    todo += self.voter.step(self.now, Persisted(serial))
                 case Send(to, message):
-                    if address := self.names.get(name_of(to)):
-                        self.post(address, "agree", *agree.plain(message))
-                case Commit(index, entry):
+                    if address := self.names.get(voter_name(to)):
+                        self.post(address, messages.CONSENSUS_METHOD, *encode_message(message))
+                case ApplyEntry(index, entry):
                     self.commit(index, entry)
-                case Restore(index, data):
+                case RestoreSnapshot(index, data):
                     self.restore(index, data)
-                case Readable(key, _):
+                case ReadReady(key, _):
                     self.answer_read(key)
-                case Unreadable(key):
+                case ReadFailed(key):
                     self.read_failed(key)
-                case Led(leader, term):
+                case LeaderChanged(leader, term):
                     self.log(f"{leader or 'nobody'} leads in term {term}")
                     self.leader_changed()
 
-    def commit(self, index: int, entry: agree.Entry) -> None:
+    def commit(self, index: int, entry: Entry) -> None:
         permits = set(self.state.permits)
         said = NOTHING_SAID
-        if entry.kind == "do":
+        if entry.kind is EntryKind.COMMAND:
             said = self.state.apply(index, entry.data)
             self.check_level()
         else:
             self.state.index = index
         self.applied(index, entry, said, permits)
         log = self.voter.log
-        if log.last - log.base > self.COMPACT_AT and self.voter.commit == index:
+        if (
+            log.last_index - log.snapshot_index > self.COMPACT_AT
+            and self.voter.commit_index == index
+        ):
             self.voter.compact(index, snapshot.dump(self.state))
 
     def restore(self, index: int, data: bytes) -> None:
@@ -193,7 +214,7 @@
         """Another leads, or nobody."""
 
     @abstractmethod
-    def applied(self, index: int, entry: agree.Entry, said: Said, permits: set[str]) -> None:
+    def applied(self, index: int, entry: Entry, said: Said, permits: set[str]) -> None:
         """The entry is agreed and in the state; `permits` are those that held one before it."""
 
     @abstractmethod
--- a/pumicenotch/fleet/voter_node.py
+++ b/pumicenotch/fleet/voter_node.py
@@ -5,8 +5,15 @@
 from collections.abc import Callable, Iterable, Sequence
 from typing import Any, NamedTuple
 
-from pumicenotch.consensus import messages as agree
-from pumicenotch.consensus.bootstrap import seated
+from pumicenotch.consensus.inputs import (
+    ChangeMembership,
+    Propose,
+    RequestRead,
+    Tick,
+    TransferLeadership,
+)
+from pumicenotch.consensus.membership_changes import next_membership
+from pumicenotch.consensus.messages import Entry, EntryKind, UnknownVoterError, voter_name
 from pumicenotch.fleet import verbs
 from pumicenotch.fleet.book import Book
 from pumicenotch.fleet.budgets import Budget, Member
@@ -84,14 +91,14 @@
         self.leave_at = float("inf")
 
     def due(self) -> float:
-        return min(super().due(), self.voter.due, self.check_at, self.leave_at)
+        return min(super().due(), self.voter.deadline_ms, self.check_at, self.leave_at)
 
     def time(self) -> None:
         # In service is a voter whose replica has a vote: until then a majority may be without it.
-        self.serve(self.replica in self.voter.log.seats.voters, False)
+        self.serve(self.replica in self.voter.log.membership.voters, False)
         super().time()
-        if self.now >= self.voter.due:
-            self.step_voter("time")
+        if self.now >= self.voter.deadline_ms:
+            self.step_voter(Tick())
         if self.now >= self.check_at:
             self.check_at = self.now + self.LEADER_CHECK_MS
             self.find_fleet()
@@ -106,7 +113,7 @@
         name, life, _ = sender
         match method:
             case "sees" if name not in self.names:
-                raise agree.BadMessage(f"{name} is no voter of this fleet")
+                raise UnknownVoterError(method, name)
             case "sees":
                 self.detector.observe(
                     self.now, name, [each for each in params if isinstance(each, str)]
@@ -122,7 +129,7 @@
     # The replica
 
     def leader_changed(self) -> None:
-        if self.voter.leader == self.replica:
+        if self.voter.leader_id == self.replica:
             self.joining_replicas = {}
             self.detector = FailureDetector(self.now, self.state.members)
             self.voter_levels, self.watch = VoterLevels(), Watch()
@@ -131,8 +138,8 @@
                 self.not_leader(pending.conn, pending.message)
             self.pending = {}
 
-    def applied(self, index: int, entry: agree.Entry, said: Said, permits: set[str]) -> None:
-        if entry.kind == "do":
+    def applied(self, index: int, entry: Entry, said: Said, permits: set[str]) -> None:
+        if entry.kind is EntryKind.COMMAND:
             self.drain_times.observe(self.now, permits, self.state.permits, self.state.waits)
             self.tell_holders(permits)
         pending = self.pending.pop(index, None)
@@ -173,7 +180,7 @@
         if verb in READ_VERBS:
             self.last_read += 1
             self.pending_reads[self.last_read] = PendingRead(conn, message, verb, args)
-            self.step_voter("read", self.last_read)
+            self.step_voter(RequestRead(self.last_read))
         elif verb == "mine":
             self.asked_heartbeat(conn, message, args)
         elif verb == "agent":
@@ -197,7 +204,7 @@
 
     def not_leader(self, conn: int, message: int) -> None:
         address = self.leader_address()
-        text = f"{agree.name_of(self.voter.leader)} leads" if address else "nobody leads just now"
+        text = f"{voter_name(self.voter.leader_id)} leads" if address else "nobody leads just now"
         self.refuse(conn, message, NOT_LEADER if address else NO_MAJORITY, text, address)
 
     def refuse(self, conn: int, message: int, code: str, text: str, more: Any = None) -> None:
@@ -207,8 +214,8 @@
     # Reads
 
     def reports(self) -> Reports:
-        seats = self.voter.log.seats
-        leading = Leading(self.me.name, self.voter.term, seats.voters, seats.learners)
+        membership = self.voter.log.membership
+        leading = Leading(self.me.name, self.voter.term, membership.voters, membership.learners)
         return Reports(self.now, self.state, leading, self.watch, self.drain_times)
 
     def answer_read(self, key: int) -> None:
@@ -272,12 +279,12 @@
             return
         if entry[0] == "halt":  # by this process at once, whenever it is agreed
             self.mark(*entry[1:])
-        index = self.voter.log.last + 1
+        index = self.voter.log.last_index + 1
         self.pending[index] = Pending(
             self.voter.term, conn, message, self.now + self.PROPOSAL_TIMEOUT_MS
         )
-        self.step_voter("propose", entry)
-        if self.voter.log.last < index and index in self.pending:  # it hands over just now
+        self.step_voter(Propose(entry))
+        if self.voter.log.last_index < index and index in self.pending:  # it hands over just now
             del self.pending[index]
             self.refuse(conn, message, NO_MAJORITY, "the leader hands over: ask again", "")
 
@@ -341,7 +348,7 @@
             self.post(address, "sees", *dead, self.level)
 
     def lead(self) -> None:
-        if not self.leads or not self.voter.settled():
+        if not self.leads or not self.voter.can_change_membership():
             return
         if not self.state.fleet:
             self.begin_fleet()
@@ -351,7 +358,7 @@
         self.raise_level()
         for entry in self.watch.look(self.now, self.state):
             self.propose_own(*entry)
-        self.change_seats()
+        self.change_membership()
 
     def begin_fleet(self) -> None:
         names, first = tuple(sorted(self.names)), self.initial_state
@@ -383,22 +390,22 @@
         if common > self.state.releases.level and not self.state.releases.active():
             self.propose_own("level", common)
 
-    def change_seats(self) -> None:
-        seats = seated(self.voter, self.joining_replicas, self.replica_heard)
-        if seats is None:
+    def change_membership(self) -> None:
+        membership = next_membership(self.voter, self.joining_replicas, self.replica_heard)
+        if membership is None:
             return
         self.log(
-            f"seats: {', '.join(seats.voters)}; learning: {', '.join(seats.learners) or 'none'}"
+            f"voters: {', '.join(membership.voters)}; learners: {', '.join(membership.learners) or 'none'}"
         )
-        self.step_voter("change", seats)
+        self.step_voter(ChangeMembership(membership))
         self.joining_replicas = {
             name: replica
             for name, replica in self.joining_replicas.items()
-            if replica not in seats.voters
+            if replica not in membership.voters
         }
 
     def replica_heard(self, replica: str) -> bool:
-        return self.now - self.voter.answered_at.get(replica, NEVER) < NAME_HELD_MS
+        return self.now - self.voter.responded_at_ms.get(replica, NEVER) < NAME_HELD_MS
 
     # Leaving
 
@@ -407,5 +414,5 @@
         if not self.ending:
             self.leave_at = self.now + self.HAND_OVER_MS
             if self.leads:
-                self.step_voter("hand_over", "")
+                self.step_voter(TransferLeadership(""))
         super().left()
--- a/pumicenotch/lab/agreeing.py
+++ b/pumicenotch/lab/consensus_model.py
@@ -9,26 +9,36 @@
 from collections.abc import Iterator
 from typing import Any, NamedTuple
 
+from pumicenotch.consensus.effects import ApplyEntry, Persist, ReadReady, Send
+from pumicenotch.consensus.inputs import (
+    ChangeMembership,
+    Input,
+    MessageReceived,
+    Persisted,
+    Propose,
+    RequestRead,
+    Tick,
+    TransferLeadership,
+)
 from pumicenotch.consensus.log import Log
 from pumicenotch.consensus.messages import (
-    Append,
-    AskVote,
-    Commit,
+    AppendEntries,
+    ClusterMembership,
     Entry,
+    EntryKind,
     Message,
-    Readable,
-    Seats,
-    Send,
-    Store,
-    Vote,
+    RequestVote,
+    VoteResponse,
+    encode_message,
 )
-from pumicenotch.consensus.voter import LEADER, Voter
+from pumicenotch.consensus.state import Role
+from pumicenotch.consensus.voter import Voter
 from pumicenotch.lab.explore import Explorer
 
 NEVER = float("-inf")
-KEPT = ("term", "voted")
-PLAIN = ("role", "commit", "round", "target", "pieces", "pieces_of")
-TABLES = ("next", "match", "answered_round", "offsets")
+PERSISTED_FIELDS = ("term", "voted_for")
+VOLATILE_FIELDS = ("role", "commit_index", "heartbeat_round", "transfer_target")
+LEADER_FIELDS = ("next_index", "match_index", "acknowledged_round", "snapshot_offset")
 
 
 class Letter(NamedTuple):
@@ -37,6 +47,11 @@
     message: Message
 
 
+def order_on_wire(letter: Letter) -> str:
+    """Letters are delivered in this order: walks by a seed depend on it."""
+    return repr((letter.sender, letter.to, encode_message(letter.message)))
+
+
 class State(NamedTuple):
     voters: tuple[tuple[Any, ...], ...]  # frozen, in the order of the model's names
     wire: frozenset[Letter]
@@ -63,14 +78,23 @@
 
 
 def frozen(voter: Voter) -> tuple[Any, ...]:
+    """What of a voter makes one state of the model differ from another."""
     log = voter.log
+    receiver = voter.snapshot_receiver
     return (
-        *(getattr(voter, name) for name in KEPT + PLAIN),
-        *(tuple(sorted(getattr(voter, name).items())) for name in TABLES),
-        (log.seats_at_base, log.base, log.base_term, log.state, tuple(log.entries)),
-        frozenset(voter.votes),
-        tuple(voter.reads),
-        voter.heard_at == 0.0,
+        *(getattr(voter, name) for name in PERSISTED_FIELDS + VOLATILE_FIELDS),
+        *(tuple(sorted(getattr(voter, name).items())) for name in LEADER_FIELDS),
+        (
+            log.snapshot_membership,
+            log.snapshot_index,
+            log.snapshot_term,
+            log.snapshot,
+            tuple(log.entries),
+        ),
+        (receiver.source, receiver.data),
+        frozenset(voter.votes_received),
+        tuple(voter.pending_reads),
+        voter.leader_heard_at_ms == 0.0,
     )
 
 
@@ -80,12 +104,12 @@
     def __init__(
         self,
         names: list[str],
-        seats: Seats,
+        seats: ClusterMembership,
         bounds: Bounds,
         *,
         voter: type[Voter] = Voter,
         cut: frozenset[tuple[str, str]] = frozenset(),
-        changes: tuple[Seats, ...] = (),
+        changes: tuple[ClusterMembership, ...] = (),
         patient: frozenset[str] = frozenset(),
         narrow: bool = False,
     ) -> None:
@@ -112,27 +136,31 @@
             for key, value in told.items():
                 setattr(voter, key, value)
             voters.append(voter)
-        most = max(voters, key=lambda voter: voter.commit)
-        agreed = tuple(most.log.entries[: most.commit])
-        led = frozenset((voter.term, voter.me) for voter in voters if voter.role == LEADER)
+        most = max(voters, key=lambda voter: voter.commit_index)
+        agreed = tuple(most.log.entries[: most.commit_index])
+        led = frozenset(
+            (voter.term, voter.voter_id) for voter in voters if voter.role is Role.LEADER
+        )
         return State(tuple(map(frozen, voters)), frozenset(), agreed, led, (), tuple(self.bounds))
 
     def thawed(self, state: State, at: int) -> Voter:
         voter, values = self.new(self.names[at]), state.voters[at]
-        for name, value in zip(KEPT + PLAIN, values, strict=False):
+        for name, value in zip(PERSISTED_FIELDS + VOLATILE_FIELDS, values, strict=False):
             setattr(voter, name, value)
-        many = len(KEPT + PLAIN)
-        for name, value in zip(TABLES, values[many:], strict=False):
+        many = len(PERSISTED_FIELDS + VOLATILE_FIELDS)
+        for name, value in zip(LEADER_FIELDS, values[many:], strict=False):
             setattr(voter, name, dict(value))
-        (seats, base, base_term, kept, entries), votes, reads, heard = values[many + len(TABLES) :]
-        voter.log = Log(seats, base, base_term, kept)
-        voter.log.entries = list(entries)
-        voter.log.find_seats()
-        voter.votes, voter.reads = set(votes), list(reads)
-        voter.heard_at = 0.0 if heard else NEVER
-        voter.answered_at = dict.fromkeys(voter.next, 0.0)
-        voter.stored_index = voter.log.last
-        voter.due = NEVER
+        log, received, votes, reads, heard = values[many + len(LEADER_FIELDS) :]
+        voter.log = Log(*log[:-1])
+        voter.log.entries = list(log[-1])
+        voter.log.find_membership()
+        voter.snapshot_receiver.source, voter.snapshot_receiver.data = received
+        voter.votes_received = set(votes)
+        voter.pending_reads = list(reads)
+        voter.leader_heard_at_ms = 0.0 if heard else NEVER
+        voter.responded_at_ms = dict.fromkeys(voter.next_index, 0.0)
+        voter.persistence.persisted_index = voter.log.last_index
+        voter.deadline_ms = NEVER
         return voter
 
     # What may happen next
@@ -141,63 +169,63 @@
         if state.bad:
             return
         left = Bounds(*state.left)
-        for letter in sorted(state.wire, key=repr):
+        for letter in sorted(state.wire, key=order_on_wire):
             at = self.names.index(letter.to)
             gone = state._replace(wire=state.wire - {letter})
             what = f"{letter.to} gets {self.told(letter)}"
-            forgets = isinstance(letter.message, AskVote) and state.voters[at][-1]
-            yield what, self.stepped(gone, at, "message", letter.sender, letter.message)
+            forgets = isinstance(letter.message, RequestVote) and state.voters[at][-1]
+            yield what, self.stepped(gone, at, MessageReceived(letter.sender, letter.message))
             if forgets:
                 yield (
                     f"{what}, long after it heard a leader",
                     self.stepped(
-                        gone, at, "message", letter.sender, letter.message, heard_at=NEVER
+                        gone, at, MessageReceived(letter.sender, letter.message), heard_at=NEVER
                     ),
                 )
             if left.copies:
                 kept = self.spent(state, left, "copies")
                 yield (
                     f"{what}, and a copy",
-                    self.stepped(kept, at, "message", letter.sender, letter.message),
+                    self.stepped(kept, at, MessageReceived(letter.sender, letter.message)),
                 )
         for at, name in enumerate(self.names):
             yield from self.moves(state, left, at, name)
 
     def moves(self, state: State, left: Bounds, at: int, name: str) -> Iterator[tuple[str, State]]:
-        role = state.voters[at][len(KEPT)]
-        if left.timeouts and (role == LEADER or name not in self.patient):
-            what = "beats" if role == LEADER else "hears no leader"
+        role = state.voters[at][len(PERSISTED_FIELDS)]
+        if left.timeouts and (role is Role.LEADER or name not in self.patient):
+            what = "beats" if role is Role.LEADER else "hears no leader"
             spent = self.spent(state, left, "timeouts")
-            yield f"{name} {what}", self.stepped(spent, at, "time", heard_at=NEVER)
+            yield f"{name} {what}", self.stepped(spent, at, Tick(), heard_at=NEVER)
         if left.restarts:
             yield f"{name} restarts", self.restarted(self.spent(state, left, "restarts"), at)
-        if role != LEADER:
+        if role is not Role.LEADER:
             return
         if left.proposals:
             data = f"{name}.{left.proposals}"
             spent = self.spent(state, left, "proposals")
-            yield f"{name} proposes {data}", self.stepped(spent, at, "propose", data)
+            yield f"{name} proposes {data}", self.stepped(spent, at, Propose(data))
         if left.reads:
             spent = self.spent(state, left, "reads")
             asked = spent._replace(asked=(*state.asked, (name, len(state.agreed))))
             yield (
                 f"{name} is asked for a read",
-                self.stepped(asked, at, "read", len(asked.asked) - 1),
+                self.stepped(asked, at, RequestRead(len(asked.asked) - 1)),
             )
         if left.hand_overs:
             spent = self.spent(state, left, "hand_overs")
-            yield f"{name} hands over", self.stepped(spent, at, "hand_over", "")
+            yield f"{name} hands over", self.stepped(spent, at, TransferLeadership(""))
         if left.changes:
             spent = self.spent(state, left, "changes")
             for seats in self.changes:
                 yield (
                     f"{name} wants the seats {seats.voters}",
-                    self.stepped(spent, at, "change", seats),
+                    self.stepped(spent, at, ChangeMembership(seats)),
                 )
         if left.snapshots:
             voter = self.thawed(state, at)
-            if voter.log.base < voter.commit:
-                voter.compact(voter.commit, b"state")
+            if voter.log.snapshot_index < voter.commit_index:
+                voter.compact(voter.commit_index, b"state")
                 spent = self.spent(state, left, "snapshots")
                 yield f"{name} makes a snapshot", self.put(spent, at, voter)
 
@@ -213,23 +241,21 @@
     def restarted(self, state: State, at: int) -> State:
         """What was stored is there again, and nothing else."""
         old, voter = self.thawed(state, at), self.new(self.names[at])
-        voter.term, voter.voted, voter.log, voter.commit = (
+        voter.term, voter.voted_for, voter.log, voter.commit_index = (
             old.term,
-            old.voted,
+            old.voted_for,
             old.log,
-            old.log.base,
+            old.log.snapshot_index,
         )
-        reads = tuple(read for read in state.asked if read[0] != voter.me)
+        reads = tuple(read for read in state.asked if read[0] != voter.voter_id)
         return self.put(state, at, voter)._replace(asked=reads if not state.asked else state.asked)
 
-    def stepped(
-        self, state: State, at: int, name: str, *details: Any, heard_at: float | None = None
-    ) -> State:
+    def stepped(self, state: State, at: int, event: Input, heard_at: float | None = None) -> State:
         voter = self.thawed(state, at)
         if heard_at is not None:
-            voter.heard_at = heard_at
+            voter.leader_heard_at_ms = heard_at
         todo, wire, agreed, bad = (
-            voter.step(0.0, name, *details),
+            voter.step(0.0, event),
             set(state.wire),
             list(state.agreed),
             "",
@@ -237,43 +263,43 @@
         while todo:
             effect = todo.pop(0)
             match effect:
-                case Store(serial):
-                    todo += voter.step(0.0, "stored", serial)
-                case Send(to, message) if to in self.names and (voter.me, to) not in self.cut:
+                case Persist(serial):
+                    todo += voter.step(0.0, Persisted(serial))
+                case Send(to, message) if to in self.names and (voter.voter_id, to) not in self.cut:
                     if self.narrow:
                         wire = {
                             each
                             for each in wire
                             if (each.sender, each.to, type(each.message))
-                            != (voter.me, to, type(message))
+                            != (voter.voter_id, to, type(message))
                         }
-                    wire.add(Letter(voter.me, to, message))
-                case Commit(index, entry):
+                    wire.add(Letter(voter.voter_id, to, message))
+                case ApplyEntry(index, entry):
                     if index <= len(agreed) and agreed[index - 1] != entry:
                         bad = f"two entries are agreed at {index}: {agreed[index - 1]} and {entry}"
                     elif index == len(agreed) + 1:
                         agreed.append(entry)
                     elif index > len(agreed):
-                        bad = f"{voter.me} skips to {index}"
-                case Readable(key, index) if index < state.asked[key][1]:
-                    bad = f"stale read: {voter.me} reads as of {index}, {state.asked[key][1]} was agreed before"
+                        bad = f"{voter.voter_id} skips to {index}"
+                case ReadReady(key, index) if index < state.asked[key][1]:
+                    bad = f"stale read: {voter.voter_id} reads as of {index}, {state.asked[key][1]} was agreed before"
         new = self.put(state, at, voter)._replace(
             wire=frozenset(wire), agreed=tuple(agreed), bad=bad
         )
-        if voter.role == LEADER and (voter.term, voter.me) not in state.led:
+        if voter.role is Role.LEADER and (voter.term, voter.voter_id) not in state.led:
             new = new._replace(
-                led=new.led | {(voter.term, voter.me)}, bad=bad or self.unfit(state, voter)
+                led=new.led | {(voter.term, voter.voter_id)}, bad=bad or self.unfit(state, voter)
             )
         return new
 
     @staticmethod
     def unfit(state: State, voter: Voter) -> str:
         for term, other in state.led:
-            if term == voter.term and other != voter.me:
-                return f"two leaders in term {term}: {other} and {voter.me}"
+            if term == voter.term and other != voter.voter_id:
+                return f"two leaders in term {term}: {other} and {voter.voter_id}"
         for index, entry in enumerate(state.agreed, 1):
-            if index > voter.log.base and voter.log.term(index) != entry.term:
-                return f"{voter.me} leads term {voter.term} without entry {index}, which is agreed"
+            if index > voter.log.snapshot_index and voter.log.term_at(index) != entry.term:
+                return f"{voter.voter_id} leads term {voter.term} without entry {index}, which is agreed"
         return ""
 
     @staticmethod
@@ -284,12 +310,12 @@
     def told(letter: Letter) -> str:
         message = letter.message
         more = ""
-        if isinstance(message, Append):
-            more = f" of {len(message.entries)} after {message.at}, agreed {message.commit}"
-        elif isinstance(message, AskVote):
-            more = " (only asks)" if message.pre else ""
-        elif isinstance(message, Vote):
-            more = " yes" if message.granted else " no"
+        if isinstance(message, AppendEntries):
+            more = f" of {len(message.entries)} after {message.prev_log_index}, committed {message.leader_commit}"
+        elif isinstance(message, RequestVote):
+            more = " (only asks)" if message.pre_vote else ""
+        elif isinstance(message, VoteResponse):
+            more = " yes" if message.vote_granted else " no"
         return f"{type(message).__name__}{more} of term {message.term} from {letter.sender}"
 
     def explore(self, first: State, most: int) -> Any:
@@ -297,8 +323,8 @@
 
 
 WALK_MOST = 120  # steps: some elections, each of a dozen letters
-SEATS = Seats(("a/1", "b/1", "c/1"))
-ROOT = Entry(1, "noop", None)
+SEATS = ClusterMembership(("a/1", "b/1", "c/1"))
+ROOT = Entry(1, EntryKind.NO_OP, None)
 LONG = (
     ("elections and the log", Bounds(timeouts=3, proposals=2, copies=1)),
     ("restarts", Bounds(timeouts=3, proposals=1, restarts=2)),
@@ -313,7 +339,7 @@
     them never runs for an election by itself, and of one kind only the latest letter is on its way.
     """
     names = list(SEATS.voters) + (["d/1"] if bounds.changes else [])
-    changes = (Seats((*SEATS.voters, "d/1")), Seats(("b/1", "c/1")))
+    changes = (ClusterMembership((*SEATS.voters, "d/1")), ClusterMembership(("b/1", "c/1")))
     patient = frozenset(SEATS.voters[-1:] if narrow else ())
     return Agreement(names, SEATS, bounds, changes=changes, narrow=narrow, patient=patient)
 
@@ -326,11 +352,15 @@
 def led(model: Agreement) -> State:
     """Its first voter leads in term 1, and the others have its first entry, agreed."""
     followers = {
-        name: {"term": 1, "voted": model.names[0], "entries": (ROOT,), "commit": 1}
+        name: {"term": 1, "voted_for": model.names[0], "entries": (ROOT,), "commit_index": 1}
         for name in model.seats.voters
     }
     numbers = dict.fromkeys(model.seats.voters, 1)
-    leads = {"role": LEADER, "next": dict.fromkeys(model.seats.voters, 2), "match": numbers}
+    leads = {
+        "role": Role.LEADER,
+        "next_index": dict.fromkeys(model.seats.voters, 2),
+        "match_index": numbers,
+    }
     followers[model.names[0]] |= leads
     return model.first(**followers)
 
--- a/pumicenotch/lab/draining.py
+++ b/pumicenotch/lab/draining.py
@@ -1,7 +1,7 @@
 """A model of drains for the checker: processes that ask, hear late or twice, crash, come back under their
 name as another life, and operators who halt, lower budgets and free permits. What is agreed is
 `fleet/state`; between the log and the processes everything may be late or come twice. Agreement itself is
-checked by `lab/agreeing`.
+checked by `lab/consensus_model`.
 """
 
 import argparse
--- a/pumicenotch/lab/fleets.py
+++ b/pumicenotch/lab/fleets.py
@@ -284,7 +284,7 @@
             if isinstance(process.core, VoterNode)
             and process.core.leads
             and not process.stopped
-            and process.core.voter.in_touch()
+            and process.core.voter.has_active_quorum()
             and process.core.state.fleet
         ]
         return max(found)[1] if found else ""
--- a/tests/compatibility/test_consensus.py
+++ b/tests/compatibility/test_consensus.py
@@ -6,59 +6,74 @@
 import msgpack
 import pytest
 
-from pumicenotch.consensus.bootstrap import Founding, Say
+from pumicenotch.consensus.bootstrap import Bootstrap, SendToName
+from pumicenotch.consensus.inputs import (
+    ChangeMembership,
+    Propose,
+    RequestRead,
+    TransferLeadership,
+)
 from pumicenotch.consensus.messages import (
-    KINDS,
-    Append,
-    Appended,
-    AskVote,
+    BOOTSTRAP_MESSAGES,
+    BOOTSTRAP_METHOD,
+    CONSENSUS_MESSAGES,
+    CONSENSUS_METHOD,
+    AppendEntries,
+    AppendResponse,
+    BootstrapMessage,
+    Bootstrapped,
+    ClusterMembership,
+    Discover,
     Entry,
-    Install,
-    Installed,
+    EntryKind,
+    Initialized,
+    InstallSnapshot,
+    InstallSnapshotResponse,
     Message,
-    Seats,
-    StandNow,
-    Vote,
-    message_of,
-    plain,
+    RequestVote,
+    TimeoutNow,
+    Uninitialized,
+    VoteResponse,
+    decode_bootstrap_message,
+    decode_message,
+    encode_message,
 )
 from pumicenotch.net.peers import FRAMES, Unpacker
 from tests.compatibility.golden_files import golden_bytes, golden_json
-from tests.test_agree import Cluster
+from tests.consensus.test_voter import Cluster
 
-METHOD, FOUNDING_METHOD = "agree", "found"
-VOTERS = Seats(("a/1", "b/1", "c/1"))
-WITH_LEARNER = Seats(("a/1", "b/1", "c/1"), ("d/0f3a9c",))
+VOTERS = ClusterMembership(("a/1", "b/1", "c/1"))
+WITH_LEARNER = ClusterMembership(("a/1", "b/1", "c/1"), ("d/0f3a9c",))
 ENTRIES = (
-    Entry(1, "noop", None),
-    Entry(2, "do", ("ask", "s1", "1f", 7, {"minutes": 5})),
-    Entry(2, "do", b"\x00\xff"),
-    Entry(2**40, "seats", WITH_LEARNER),
+    Entry(1, EntryKind.NO_OP, None),
+    Entry(2, EntryKind.COMMAND, ("ask", "s1", "1f", 7, {"minutes": 5})),
+    Entry(2, EntryKind.COMMAND, b"\x00\xff"),
+    Entry(2**40, EntryKind.MEMBERSHIP, WITH_LEARNER),
 )
 MESSAGES: dict[str, Message] = {
-    "ask-vote": AskVote(7, 12, 6, False, False),
-    "ask-vote-pre": AskVote(8, 300, 6, True, False),
-    "ask-vote-handed": AskVote(70000, 2**33, 69999, False, True),
-    "vote-granted": Vote(7, True, False),
-    "vote-refused": Vote(9, False, False),
-    "vote-pre-granted": Vote(8, True, True),
-    "append-heartbeat": Append(7, 12, 6, (), 11, 41),
-    "append-entries": Append(2**40, 3, 1, ENTRIES, 2, 0),
-    "append-seats": Append(3, 8, 3, (Entry(3, "seats", VOTERS),), 8, 2),
-    "append-learner": Append(3, 9, 3, (Entry(3, "seats", WITH_LEARNER),), 9, 3),
-    "appended-good": Appended(7, True, 12, 41),
-    "appended-bad": Appended(7, False, 3, 41),
-    "install-first": Install(9, 2048, 8, VOTERS, 0, b"\x81\xa5state\x01" * 4, False, 77),
-    "install-last": Install(9, 2048, 8, WITH_LEARNER, 16384, b"end", True, 78),
-    "installed": Installed(9, 2048, 16384, 77),
-    "stand-now": StandNow(9),
+    "ask-vote": RequestVote(7, 12, 6, False, False),
+    "ask-vote-pre": RequestVote(8, 300, 6, True, False),
+    "ask-vote-handed": RequestVote(70000, 2**33, 69999, False, True),
+    "vote-granted": VoteResponse(7, True, False),
+    "vote-refused": VoteResponse(9, False, False),
+    "vote-pre-granted": VoteResponse(8, True, True),
+    "append-heartbeat": AppendEntries(7, 12, 6, (), 11, 41),
+    "append-entries": AppendEntries(2**40, 3, 1, ENTRIES, 2, 0),
+    "append-seats": AppendEntries(3, 8, 3, (Entry(3, EntryKind.MEMBERSHIP, VOTERS),), 8, 2),
+    "append-learner": AppendEntries(3, 9, 3, (Entry(3, EntryKind.MEMBERSHIP, WITH_LEARNER),), 9, 3),
+    "appended-good": AppendResponse(7, True, 12, 41),
+    "appended-bad": AppendResponse(7, False, 3, 41),
+    "install-first": InstallSnapshot(9, 2048, 8, VOTERS, 0, b"\x81\xa5state\x01" * 4, False, 77),
+    "install-last": InstallSnapshot(9, 2048, 8, WITH_LEARNER, 16384, b"end", True, 78),
+    "installed": InstallSnapshotResponse(9, 2048, 16384, 77),
+    "stand-now": TimeoutNow(9),
 }
-FOUNDING: dict[str, tuple[Any, ...]] = {
-    "who": ("who", "a/1"),
-    "fresh": ("fresh", "b/1", "a/1"),
-    "fresh-unpromised": ("fresh", "b/1", ""),
-    "known": ("known", "b/1"),
-    "found": ("found", "a/1", VOTERS),
+BOOTSTRAP: dict[str, BootstrapMessage] = {
+    "who": Discover("a/1"),
+    "fresh": Uninitialized("b/1", "a/1"),
+    "fresh-unpromised": Uninitialized("b/1", ""),
+    "known": Initialized("b/1"),
+    "found": Bootstrapped("a/1", VOTERS),
 }
 
 
@@ -73,39 +88,46 @@
 def test_message_among_voters_is_read_and_written_as_before(name: str) -> None:
     data = golden_bytes("consensus/messages.json")[name]
     kind, method, params = only_frame(data)
-    message = message_of(params)
-    assert (kind, method, message) == (2, METHOD, MESSAGES[name])
-    assert FRAMES["notice"](METHOD, plain(message)) == data
+    message = decode_message(params)
+    assert (kind, method, message) == (2, CONSENSUS_METHOD, MESSAGES[name])
+    assert FRAMES["notice"](CONSENSUS_METHOD, encode_message(message)) == data
 
 
 def test_every_kind_of_message_has_a_golden_example() -> None:
     assert golden_bytes("consensus/messages.json").keys() == MESSAGES.keys()
-    assert {type(message) for message in MESSAGES.values()} == set(KINDS.values())
+    assert {type(message) for message in MESSAGES.values()} == set(CONSENSUS_MESSAGES.values())
 
 
-@pytest.mark.parametrize("name", FOUNDING)
-def test_founding_message_is_read_and_written_as_before(name: str) -> None:
+@pytest.mark.parametrize("name", BOOTSTRAP)
+def test_bootstrap_message_is_read_and_written_as_before(name: str) -> None:
     data = golden_bytes("consensus/founding.json")[name]
-    assert FRAMES["notice"](FOUNDING_METHOD, FOUNDING[name]) == data
     kind, method, params = only_frame(data)
-    assert (kind, method) == (2, FOUNDING_METHOD)
-    Founding("a/1", ["a", "b", "c"]).said("a/1" if name == "who" else "b/1", params)
+    assert (kind, method) == (2, BOOTSTRAP_METHOD)
+    assert decode_bootstrap_message(params) == BOOTSTRAP[name]
+    assert FRAMES["notice"](BOOTSTRAP_METHOD, encode_message(BOOTSTRAP[name])) == data
+
+
+def test_every_kind_of_bootstrap_message_has_a_golden_example() -> None:
+    assert golden_bytes("consensus/founding.json").keys() == BOOTSTRAP.keys()
+    assert {type(message) for message in BOOTSTRAP.values()} == set(BOOTSTRAP_MESSAGES.values())
 
 
-def test_founding_goes_on_as_before() -> None:
+def test_bootstrap_goes_on_as_before() -> None:
     """Each message of a bootstrap, in order, as bytes: three voters that find each other."""
     sent = []
-    foundings = {name: Founding(f"{name}/1", ["a", "b", "c"]) for name in "abc"}
+    bootstraps = {name: Bootstrap(f"{name}/1", ["a", "b", "c"]) for name in "abc"}
 
-    def deliver(sender: str, messages: list[Say]) -> None:
-        for to, told in messages:
-            frame = FRAMES["notice"](FOUNDING_METHOD, told)
-            sent.append(f"{sender} {to} {frame.hex()}")
-            deliver(foundings[to].me, foundings[to].said(sender, only_frame(frame)[2]))
+    def deliver(sender: str, sends: list[SendToName]) -> None:
+        for name, message in sends:
+            frame = FRAMES["notice"](BOOTSTRAP_METHOD, encode_message(message))
+            sent.append(f"{sender} {name} {frame.hex()}")
+            received = decode_bootstrap_message(only_frame(frame)[2])
+            deliver(bootstraps[name].voter_id, bootstraps[name].receive(sender, received))
 
     for round_ in range(4):
-        for founding in foundings.values():
-            deliver(founding.me, founding.time(round_ * Founding.ASK_MS))
+        for bootstrap in bootstraps.values():
+            now_ms = round_ * Bootstrap.DISCOVERY_INTERVAL_MS
+            deliver(bootstrap.voter_id, bootstrap.on_tick(now_ms))
     assert sent == golden_json("consensus/bootstrap.json")
 
 
@@ -118,7 +140,7 @@
 
     def post(self, sender: str, to: str, message: Any) -> None:
         self.messages += 1
-        data = msgpack.packb([self.now, sender, to, plain(message)])
+        data = msgpack.packb([self.now, sender, to, encode_message(message)])
         self.digest.update(data)
         super().post(sender, to, message)
 
@@ -138,17 +160,17 @@
                 cluster.cut.add((one, other))
             case 4:
                 cluster.cut.clear()
-            case 5 if (leader := cluster.leader()) and cluster.voters[leader].commit:
+            case 5 if (leader := cluster.leader()) and cluster.voters[leader].commit_index:
                 voter = cluster.voters[leader]
-                voter.compact(voter.commit, cluster.state(voter.commit))
+                voter.compact(voter.commit_index, cluster.state(voter.commit_index))
             case 6 if leader := cluster.leader():
-                cluster.put(leader, "hand_over", "")
+                cluster.put(leader, TransferLeadership(""))
             case 7 if leader := cluster.leader():
-                cluster.put(leader, "read", number)
-                cluster.put(leader, "change", cluster.seats)
+                cluster.put(leader, RequestRead(number))
+                cluster.put(leader, ChangeMembership(cluster.seats))
             case _:
                 if leader := cluster.leader():
-                    cluster.put(leader, "propose", f"{number}")
+                    cluster.put(leader, Propose(f"{number}"))
         cluster.run(random.uniform(10.0, 900.0))
     return {
         "messages": cluster.messages,
--- a/tests/test_agree.py
+++ b/tests/consensus/test_voter.py
@@ -11,30 +11,49 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from pumicenotch.consensus.bootstrap import Founding, seated
+from pumicenotch.consensus.bootstrap import Bootstrap
+from pumicenotch.consensus.effects import (
+    ApplyEntry,
+    LeaderChanged,
+    Persist,
+    ReadFailed,
+    ReadReady,
+    RestoreSnapshot,
+    Send,
+)
+from pumicenotch.consensus.inputs import (
+    ChangeMembership,
+    Input,
+    MessageReceived,
+    Persisted,
+    Propose,
+    RequestRead,
+    Tick,
+    TransferLeadership,
+)
+from pumicenotch.consensus.membership_changes import next_membership
 from pumicenotch.consensus.messages import (
-    Append,
-    AskVote,
-    BadMessage,
-    Commit,
+    AppendEntries,
+    Bootstrapped,
+    ClusterMembership,
+    Discover,
     Entry,
-    Install,
-    Led,
-    Readable,
-    Restore,
-    Seats,
-    Send,
-    Store,
-    Unreadable,
-    message_of,
-    plain,
+    EntryKind,
+    InstallSnapshot,
+    MessageDecodeError,
+    RequestVote,
+    VoterId,
+    decode_bootstrap_message,
+    decode_message,
+    encode_message,
 )
-from pumicenotch.consensus.voter import CANDIDATE, FOLLOWER, LEADER, Voter
-from pumicenotch.lab.agreeing import LONG, ROOT, Agreement, Bounds, led, long_form, three
+from pumicenotch.consensus.state import Role
+from pumicenotch.consensus.voter import Voter
+from pumicenotch.lab.consensus_model import LONG, ROOT, Agreement, Bounds, led, long_form, three
 from pumicenotch.lab.explore import Explorer
 
-ABC = Seats(("a/1", "b/1", "c/1"))
-SHORT = 6_000  # states in CI; `python -m pumicenotch.lab.agreeing` goes on to a million each
+ABC = ClusterMembership(("a/1", "b/1", "c/1"))
+SHORT = 6_000  # states in CI; `python -m pumicenotch.lab.consensus_model` goes on to a million each
 
 
 @pytest.mark.parametrize("narrow", [False, True], ids=["wide", "deep"])
@@ -55,38 +74,41 @@
 
 
 class VotesTwice(Voter):
-    def may_vote(self, sender: str, asked: AskVote) -> bool:
-        return asked.term == self.term or asked.pre
+    def may_grant_vote(self, sender: VoterId, request: RequestVote) -> bool:
+        return request.term == self.term or request.pre_vote
 
 
 class CountsOldTerms(Voter):
-    ENTRIES_MOST = 1
+    MAX_ENTRIES_PER_MESSAGE = 1
 
-    def advance(self) -> None:
-        for index in range(self.log.last, self.commit, -1):
-            if self.log.seats.majority(self.has(index)):
-                self.agreed(index)
+    def advance_commit_index(self) -> None:
+        for index in range(self.log.last_index, self.commit_index, -1):
+            if self.log.membership.has_majority(self.members_with_entry(index)):
+                self.commit_up_to(index)
                 return
 
 
 class Careful(Voter):
-    ENTRIES_MOST = 1
+    MAX_ENTRIES_PER_MESSAGE = 1
 
 
 class ReadsAtOnce(Voter):
-    def read(self, key: Any) -> None:
-        self.effects.append(Readable(key, self.commit))
+    def request_read(self, key: Any) -> None:
+        self.effects.append(ReadReady(key, self.commit_index))
 
 
 class ChangesAtOnce(Voter):
-    def settled(self) -> bool:
-        return self.log.seats_index <= self.commit
+    def can_change_membership(self) -> bool:
+        return self.log.membership_index <= self.commit_index
 
 
-ROOT_AND_A, ROOT_AND_B = (ROOT, Entry(2, "do", "a")), (ROOT, Entry(3, "do", "b"))
-FOUR = Seats(("a/1", "b/1", "c/1", "d/1"))
-FIVE = Seats((*FOUR.voters, "e/1"))
-WITHOUT_A = Seats(("b/1", "c/1", "d/1"))
+ROOT_AND_A, ROOT_AND_B = (
+    (ROOT, Entry(2, EntryKind.COMMAND, "a")),
+    (ROOT, Entry(3, EntryKind.COMMAND, "b")),
+)
+FOUR = ClusterMembership(("a/1", "b/1", "c/1", "d/1"))
+FIVE = ClusterMembership((*FOUR.voters, "e/1"))
+WITHOUT_A = ClusterMembership(("b/1", "c/1", "d/1"))
 
 
 def elections(voter: type[Voter]) -> tuple[Agreement, Any]:
@@ -105,17 +127,21 @@
         patient=frozenset({"b/1"}),
         cut=frozenset({("a/1", "c/1"), ("c/1", "a/1")}),
     )
-    same = {"term": 4, "commit": 1}
-    leads = {"role": LEADER, "next": {"a/1": 2, "b/1": 2, "c/1": 2}, "match": {"b/1": 1}}
+    same = {"term": 4, "commit_index": 1}
+    leads = {
+        "role": Role.LEADER,
+        "next_index": {"a/1": 2, "b/1": 2, "c/1": 2},
+        "match_index": {"b/1": 1},
+    }
     return model, model.first(
         **{
             "a/1": {
                 **same,
-                "entries": (*ROOT_AND_A, Entry(4, "noop", None)),
+                "entries": (*ROOT_AND_A, Entry(4, EntryKind.NO_OP, None)),
                 **leads,
-                "voted": "a/1",
+                "voted_for": "a/1",
             },
-            "b/1": {**same, "entries": (ROOT,), "voted": "a/1"},
+            "b/1": {**same, "entries": (ROOT,), "voted_for": "a/1"},
             "c/1": {**same, "entries": ROOT_AND_B},
         },
     )
@@ -157,12 +183,20 @@
         cut=frozenset(cut),
         patient=frozenset({"c/1", "d/1", "e/1"}),
     )
-    old = {"term": 2, "voted": "b/1", "entries": (ROOT,), "commit": 1}
-    leads = {"role": LEADER, "next": dict.fromkeys(FOUR.voters, 2), "match": {"c/1": 1, "d/1": 1}}
+    old = {"term": 2, "voted_for": "b/1", "entries": (ROOT,), "commit_index": 1}
+    leads = {
+        "role": Role.LEADER,
+        "next_index": dict.fromkeys(FOUR.voters, 2),
+        "match_index": {"c/1": 1, "d/1": 1},
+    }
     return model, model.first(
         **{
-            "a/1": {**old, "voted": "", "entries": (ROOT, Entry(1, "seats", FIVE))},
-            "b/1": {**old, "entries": (ROOT, Entry(2, "noop", None)), **leads},
+            "a/1": {
+                **old,
+                "voted_for": "",
+                "entries": (ROOT, Entry(1, EntryKind.MEMBERSHIP, FIVE)),
+            },
+            "b/1": {**old, "entries": (ROOT, Entry(2, EntryKind.NO_OP, None)), **leads},
             "c/1": old,
             "d/1": old,
         },
@@ -192,7 +226,7 @@
 
     def __init__(self, seed: int, many: int, loss: float = 0.0, voter: type[Voter] = Voter) -> None:
         self.random, self.loss, self.type = random.Random(seed), loss, voter
-        self.seats = Seats(tuple(f"{letter}/1" for letter in "abcdefg"[:many]))
+        self.seats = ClusterMembership(tuple(f"{letter}/1" for letter in "abcdefg"[:many]))
         self.now, self.voters = 0.0, {seat: self.made(seat) for seat in self.seats.voters}
         self.down: set[str] = set()
         self.cut: set[tuple[str, str]] = set()
@@ -207,25 +241,25 @@
     def made(self, seat: str) -> Voter:
         return self.type(seat, getattr(self, "now", 0.0), self.seats, self.random.uniform)
 
-    def put(self, seat: str, name: str, *details: Any) -> None:
+    def put(self, seat: VoterId, event: Input) -> None:
         voter = self.voters[seat]
-        todo = deque(voter.step(self.now, name, *details))
+        todo = deque(voter.step(self.now, event))
         while todo:
             match todo.popleft():
-                case Store(serial):
-                    todo += voter.step(self.now, "stored", serial)
+                case Persist(serial):
+                    todo += voter.step(self.now, Persisted(serial))
                 case Send(to, message):
                     self.post(seat, to, message)
-                case Commit(index, entry):
+                case ApplyEntry(index, entry):
                     assert self.agreed.setdefault(index, entry) == entry
                     assert index == self.applied.get(seat, 0) + 1
                     self.applied[seat] = index
-                case Restore(index, state):
+                case RestoreSnapshot(index, state):
                     assert state == self.state(index)
                     self.applied[seat] = index
-                case Readable() | Unreadable() as answer:
+                case ReadReady() | ReadFailed() as answer:
                     self.answers.append(answer)
-                case Led(leader, term) if leader == seat:
+                case LeaderChanged(leader, term) if leader == seat:
                     assert self.leaders.setdefault(term, seat) == seat
                     self.changed += 1
 
@@ -252,24 +286,26 @@
             self.wire = [each for each in self.wire if each[0] > self.now]
             for _, _, sender, to, message in due:
                 if to not in self.down:
-                    packed = msgpack.unpackb(msgpack.packb(plain(message)), use_list=False)
-                    self.put(to, "message", sender, message_of(packed))
+                    packed = msgpack.unpackb(msgpack.packb(encode_message(message)), use_list=False)
+                    self.put(to, MessageReceived(sender, decode_message(packed)))
             for seat in list(self.voters):
                 if seat not in self.down:
-                    self.put(seat, "time")
+                    self.put(seat, Tick())
 
     def leader(self) -> str:
         found = [
             seat
             for seat, voter in self.voters.items()
-            if voter.role == LEADER and seat not in self.down
+            if voter.role is Role.LEADER and seat not in self.down
         ]
         return max(found, key=lambda seat: self.voters[seat].term, default="")
 
     def await_leader(self, within_ms: float = 20_000.0) -> str:
         until = self.now + within_ms
         while not (
-            (seat := self.leader()) and self.voters[seat].in_touch() and self.voters[seat].commit
+            (seat := self.leader())
+            and self.voters[seat].has_active_quorum()
+            and self.voters[seat].commit_index
         ):
             assert self.now < until, "no leader"
             self.run(50.0)
@@ -277,9 +313,14 @@
 
     def restart(self, seat: str) -> None:
         old, new = self.voters[seat], self.made(seat)
-        new.term, new.voted, new.log, new.commit = old.term, old.voted, old.log, old.log.base
-        new.stored_index = old.log.last
-        self.voters[seat], self.applied[seat] = new, old.log.base
+        new.term, new.voted_for, new.log, new.commit_index = (
+            old.term,
+            old.voted_for,
+            old.log,
+            old.log.snapshot_index,
+        )
+        new.persistence.persisted_index = old.log.last_index
+        self.voters[seat], self.applied[seat] = new, old.log.snapshot_index
         self.down.discard(seat)
 
 
@@ -302,23 +343,23 @@
                 cluster.cut.add((one, other))  # one way
             case 4:
                 cluster.cut.clear()
-            case 5 if (leader := cluster.leader()) and cluster.voters[leader].commit:
+            case 5 if (leader := cluster.leader()) and cluster.voters[leader].commit_index:
                 voter = cluster.voters[leader]
-                voter.compact(voter.commit, cluster.state(voter.commit))
+                voter.compact(voter.commit_index, cluster.state(voter.commit_index))
             case 6 if leader := cluster.leader():
-                cluster.put(leader, "hand_over", "")
+                cluster.put(leader, TransferLeadership(""))
             case 7 if leader := cluster.leader():
-                cluster.put(leader, "read", number)
+                cluster.put(leader, RequestRead(number))
             case _:
                 for seat in seats:
-                    if cluster.voters[seat].role == LEADER:
-                        cluster.put(seat, "propose", f"{number} by {seat}")
+                    if cluster.voters[seat].role is Role.LEADER:
+                        cluster.put(seat, Propose(f"{number} by {seat}"))
         cluster.run(chance.uniform(10.0, 600.0))
     cluster.cut.clear()
     for seat in sorted(cluster.down):
         cluster.restart(seat)
     for _ in range(10):  # a leader may be about to hand over, or lose its place
-        cluster.put(cluster.await_leader(60_000.0), "propose", "last")
+        cluster.put(cluster.await_leader(60_000.0), Propose("last"))
         cluster.run(3000.0)
     assert any(entry.data == "last" for entry in cluster.agreed.values())
     assert len(set(cluster.applied.values())) == 1 or loss > 0.0
@@ -350,7 +391,7 @@
     others = [seat for seat in cluster.voters if seat != leader]
     cluster.cut = {(leader, seat) if way == "mute" else (seat, leader) for seat in others}
     cluster.run(8000.0)
-    assert cluster.voters[leader].role != LEADER
+    assert cluster.voters[leader].role is not Role.LEADER
     assert cluster.leader() in others
 
 
@@ -361,65 +402,68 @@
     cluster.run(10_000.0)
     second = cluster.leader()
     assert second and second != leader
-    cluster.put(second, "propose", "news")
+    cluster.put(second, Propose("news"))
     cluster.run(1000.0)
     cluster.down.clear()
-    cluster.put(leader, "read", "stale?")  # before it hears of anything
-    cluster.put(leader, "propose", "lost")
+    cluster.put(leader, RequestRead("stale?"))  # before it hears of anything
+    cluster.put(leader, Propose("lost"))
     cluster.run(3000.0)
-    assert [type(each) for each in cluster.answers] == [Unreadable]
+    assert [type(each) for each in cluster.answers] == [ReadFailed]
     assert "lost" not in [entry.data for entry in cluster.agreed.values()]
 
 
 def test_reads_see_what_was_agreed_before() -> None:
     cluster = Cluster(7, 5)
     leader = cluster.await_leader()
-    cluster.put(leader, "propose", "x")
+    cluster.put(leader, Propose("x"))
     cluster.run(500.0)
     agreed = max(cluster.agreed)
-    cluster.put(leader, "read", 1)
+    cluster.put(leader, RequestRead(1))
     cluster.run(500.0)
-    assert cluster.answers == [Readable(1, agreed)]
+    assert cluster.answers == [ReadReady(1, agreed)]
 
 
 def test_leadership_is_handed_over_faster_than_an_election() -> None:
     cluster = Cluster(8, 5)
     leader = cluster.await_leader()
-    cluster.put(leader, "hand_over", "")
+    cluster.put(leader, TransferLeadership(""))
     cluster.run(200.0)  # a fifth of the shortest silence that would bring an election
     assert cluster.leader() not in ("", leader)
 
 
 def test_nothing_is_sent_before_what_it_rests_on_is_stored() -> None:
     voter = Voter("a/1", 0.0, ABC, lambda low, high: low)
-    asked = AskVote(1, 0, 0, False, False)
-    effects = voter.step(5000.0, "message", "b/1", asked)
-    stores = [each for each in effects if isinstance(each, Store)]
-    assert len(stores) == 1 and stores[0].voted == "b/1"
+    request = RequestVote(1, 0, 0, False, False)
+    effects = voter.step(5000.0, MessageReceived("b/1", request))
+    stores = [each for each in effects if isinstance(each, Persist)]
+    assert len(stores) == 1 and stores[0].voted_for == "b/1"
     assert not [each for each in effects if isinstance(each, Send)]
     sent = [
-        each for each in voter.step(5001.0, "stored", stores[0].serial) if isinstance(each, Send)
+        each for each in voter.step(5001.0, Persisted(stores[0].serial)) if isinstance(each, Send)
     ]
-    assert [each.to for each in sent] == ["b/1"]
+    assert [each.recipient for each in sent] == ["b/1"]
 
 
 def test_a_replaced_entry_counts_only_once_stored_anew() -> None:
     voter = Voter("a/1", 0.0, ABC, lambda low, high: low)
-    first = (Entry(1, "noop", None), Entry(1, "do", "x"))
-    voter.step(1.0, "message", "b/1", Append(1, 0, 0, first, 0, 1))
-    voter.step(2.0, "message", "c/1", Append(2, 0, 0, (Entry(2, "noop", None),), 0, 1))
-    voter.step(3.0, "stored", 1)
-    assert voter.stored_index == 0
-    voter.step(4.0, "stored", voter.serial)
-    assert voter.stored_index == 1
+    first = (Entry(1, EntryKind.NO_OP, None), Entry(1, EntryKind.COMMAND, "x"))
+    voter.step(1.0, MessageReceived("b/1", AppendEntries(1, 0, 0, first, 0, 1)))
+    voter.step(
+        2.0,
+        MessageReceived("c/1", AppendEntries(2, 0, 0, (Entry(2, EntryKind.NO_OP, None),), 0, 1)),
+    )
+    voter.step(3.0, Persisted(1))
+    assert voter.persistence.persisted_index == 0
+    voter.step(4.0, Persisted(voter.persistence.serial))
+    assert voter.persistence.persisted_index == 1
 
 
 def test_a_snapshot_keeps_what_may_have_been_counted() -> None:
     voter = Voter("a/1", 0.0, ABC, lambda low, high: low)
-    entries = tuple(Entry(1, "do", number) for number in range(3))
-    voter.step(1.0, "message", "b/1", Append(1, 0, 0, entries, 0, 1))
-    voter.step(2.0, "message", "b/1", Install(1, 2, 1, ABC, 0, b"state", True, 2))
-    assert (voter.log.last, voter.commit) == (3, 2)
+    entries = tuple(Entry(1, EntryKind.COMMAND, number) for number in range(3))
+    voter.step(1.0, MessageReceived("b/1", AppendEntries(1, 0, 0, entries, 0, 1)))
+    voter.step(2.0, MessageReceived("b/1", InstallSnapshot(1, 2, 1, ABC, 0, b"state", True, 2)))
+    assert (voter.log.last_index, voter.commit_index) == (3, 2)
 
 
 # New lives
@@ -429,72 +473,76 @@
     cluster = Cluster(9, 5)
     leader = cluster.await_leader()
     for number in range(10):
-        cluster.put(leader, "propose", number)
+        cluster.put(leader, Propose(number))
     cluster.run(500.0)
     voter = cluster.voters[leader]
-    voter.compact(voter.commit, cluster.state(voter.commit))
+    voter.compact(voter.commit_index, cluster.state(voter.commit_index))
     old = next(seat for seat in cluster.voters if seat != leader)
     cluster.down.add(old)
     new = old.replace("/1", "/2")
-    cluster.voters[new] = Voter(new, cluster.now, Seats(), cluster.random.uniform)
+    cluster.voters[new] = Voter(new, cluster.now, ClusterMembership(), cluster.random.uniform)
     before = set(cluster.seats.voters)
     for _ in range(100):
-        made = seated(voter, {new.partition("/")[0]: new}, lambda seat: seat not in cluster.down)
+        made = next_membership(
+            voter, {new.partition("/")[0]: new}, lambda seat: seat not in cluster.down
+        )
         if made is not None:
             assert len(before ^ set(made.voters)) <= 1
             before = set(made.voters)
-            cluster.put(leader, "change", made)
+            cluster.put(leader, ChangeMembership(made))
         cluster.run(100.0)
-    assert set(voter.log.seats.voters) == set(cluster.seats.voters) - {old} | {new}
+    assert set(voter.log.membership.voters) == set(cluster.seats.voters) - {old} | {new}
     assert cluster.applied[new] == cluster.applied[leader]
 
 
 def test_the_same_name_twice_waits_while_the_first_is_alive() -> None:
     cluster = Cluster(10, 3)
     voter = cluster.voters[cluster.await_leader()]
-    other = next(seat for seat in cluster.voters if seat != voter.me)
-    assert seated(voter, {other[0]: f"{other[0]}/2"}, lambda seat: True) is None
-    assert seated(voter, {other[0]: f"{other[0]}/2"}, lambda seat: False) is not None
+    other = next(seat for seat in cluster.voters if seat != voter.voter_id)
+    assert next_membership(voter, {other[0]: f"{other[0]}/2"}, lambda seat: True) is None
+    assert next_membership(voter, {other[0]: f"{other[0]}/2"}, lambda seat: False) is not None
 
 
-def founded(foundings: dict[str, Founding], rounds: int, *lost: str) -> None:
-    """`foundings` by name, with everyone's seat."""
+def discover(bootstraps: dict[str, Bootstrap], rounds: int, lost: type[Any] | None = None) -> None:
+    """Rounds of discovery among `bootstraps`, which are by name; messages of a type may be lost."""
     for number in range(rounds):
         todo = deque(
-            (founding.me, say)
-            for founding in foundings.values()
-            for say in founding.time(number * Founding.ASK_MS)
+            (bootstrap.voter_id, send)
+            for bootstrap in bootstraps.values()
+            for send in bootstrap.on_tick(number * Bootstrap.DISCOVERY_INTERVAL_MS)
         )
         while todo:
-            sender, say = todo.popleft()
-            if say.to in foundings and say.told[0] not in lost:
-                to = foundings[say.to]
-                todo += [(to.me, each) for each in to.said(sender, say.told)]
+            sender, (name, message) = todo.popleft()
+            if name in bootstraps and type(message) is not lost:
+                recipient = bootstraps[name]
+                received = decode_bootstrap_message(encode_message(message))
+                todo += [(recipient.voter_id, send) for send in recipient.receive(sender, received)]
 
 
-def test_a_fleet_is_founded_once_all_are_there_and_know_nothing() -> None:
+def test_cluster_is_bootstrapped_once_all_are_there_and_know_of_none() -> None:
     names = ["a", "b", "c"]
-    some = {name: Founding(f"{name}/1", names) for name in "ab"}
-    founded(some, 5)
-    assert all(each.seats is None for each in some.values())
-    some["c"] = Founding("c/1", names)
-    founded(some, 9)
-    assert {each.seats for each in some.values()} == {ABC}
-    some["b"] = Founding("b/2", names)  # its memory is gone: it asks for a seat, and founds nothing
-    founded(some, 9)
-    assert some["b"].seats is None and some["b"].known
-
-
-def test_a_founder_that_starts_anew_cannot_found_beside_its_former_life() -> None:
+    some = {name: Bootstrap(f"{name}/1", names) for name in "ab"}
+    discover(some, 5)
+    assert all(bootstrap.membership is None for bootstrap in some.values())
+    some["c"] = Bootstrap("c/1", names)
+    discover(some, 9)
+    assert {bootstrap.membership for bootstrap in some.values()} == {ABC}
+    some["b"] = Bootstrap("b/2", names)  # its log is gone: it asks to join, and bootstraps nothing
+    discover(some, 9)
+    assert some["b"].membership is None and some["b"].cluster_exists
+
+
+def test_restarted_founder_cannot_bootstrap_beside_its_former_incarnation() -> None:
     names = ["a", "b", "c"]
-    some = {name: Founding(f"{name}/1", names) for name in names}
-    founded(some, 9, "found")  # nobody hears of it
-    assert some["a"].seats == ABC
-    some["a"] = Founding("a/2", names)
-    founded(some, 9)
-    assert {each.seats for each in some.values()} == {Seats(("a/2", "b/1", "c/1"))}
-    some["b"].said("a/1", ("found", "a/1", ABC))  # late
-    assert some["b"].seats == Seats(("a/2", "b/1", "c/1"))
+    some = {name: Bootstrap(f"{name}/1", names) for name in names}
+    discover(some, 9, Bootstrapped)  # nobody hears of it
+    assert some["a"].membership == ABC
+    some["a"] = Bootstrap("a/2", names)
+    discover(some, 9)
+    second = ClusterMembership(("a/2", "b/1", "c/1"))
+    assert {bootstrap.membership for bootstrap in some.values()} == {second}
+    some["b"].receive("a/1", Bootstrapped("a/1", ABC))  # late
+    assert some["b"].membership == second
 
 
 def test_what_is_no_message_is_refused_with_its_place() -> None:
@@ -504,14 +552,22 @@
         ["install", 1, 1, 1, [["a"], []], 0, b"", True, 0],
     ]
     for told in wrong:
-        with pytest.raises(BadMessage):
-            message_of(told)
-    with pytest.raises(BadMessage, match="no word of a founding"):
-        Founding("a/1", ["a"]).said("b/1", ("who", "c/1"))
+        with pytest.raises(MessageDecodeError):
+            decode_message(told)
+    with pytest.raises(MessageDecodeError, match="bootstrap"):
+        Bootstrap("a/1", ["a"]).receive("b/1", Discover("c/1"))
+    for told in ([], 7, ["who"], ["who", 7], ["fresh", "a/1"], ["vote", 1, True, False]):
+        with pytest.raises(MessageDecodeError):
+            decode_bootstrap_message(told)
 
 
 def test_roles_are_left_with_the_term() -> None:
     voter = Voter("a/1", 0.0, ABC, lambda low, high: low)
-    voter.role, voter.term, voter.voted = CANDIDATE, 3, "a/1"
-    voter.step(1.0, "message", "b/1", Append(4, 0, 0, (), 0, 1))
-    assert (voter.role, voter.term, voter.voted, voter.leader) == (FOLLOWER, 4, "", "b/1")
+    voter.role, voter.term, voter.voted_for = Role.CANDIDATE, 3, "a/1"
+    voter.step(1.0, MessageReceived("b/1", AppendEntries(4, 0, 0, (), 0, 1)))
+    assert (voter.role, voter.term, voter.voted_for, voter.leader_id) == (
+        Role.FOLLOWER,
+        4,
+        "",
+        "b/1",
+    )
--- a/tests/test_book.py
+++ b/tests/test_book.py
@@ -159,7 +159,9 @@
 
     def seated(self, voter: str) -> bool:
         replica = f"{voter}/{self.processes[voter].life:04d}"
-        return bool(self.leader()) and replica in self.node(self.leader()).voter.log.seats.voters
+        return (
+            bool(self.leader()) and replica in self.node(self.leader()).voter.log.membership.voters
+        )
 
     def write(self, many: int) -> None:
         for at in range(many):
--- a/tests/test_fleet_days.py
+++ b/tests/test_fleet_days.py
@@ -213,9 +213,9 @@
             core = day.processes[leader].core if leader else None
             return (
                 isinstance(core, VoterNode)
-                and len(core.voter.log.seats.voters) == 5
+                and len(core.voter.log.membership.voters) == 5
                 and all(
-                    f"{each}/{day.processes[each].life:04d}" in core.voter.log.seats.voters
+                    f"{each}/{day.processes[each].life:04d}" in core.voter.log.membership.voters
                     for each in day.voters
                 )
             )
@@ -322,7 +322,7 @@
     def seated(name: str) -> bool:
         core = day.processes[day.leader()].core if day.leader() else None
         seat = f"{name}/{day.processes[name].life:04d}"
-        return isinstance(core, VoterNode) and seat in core.voter.log.seats.voters
+        return isinstance(core, VoterNode) and seat in core.voter.log.membership.voters
 
     replaced = {"v1"}
     while replaced < {"v1", "v2", "v3"} or day.leader() != "v1":
@@ -353,4 +353,4 @@
                 and not day.state().voters_out()
             )
         )
-    assert len(day.processes[day.leader()].core.voter.log.seats.voters) == 3  # type: ignore[union-attr]
+    assert len(day.processes[day.leader()].core.voter.log.membership.voters) == 3  # type: ignore[union-attr]
--- a/tests/test_release.py
+++ b/tests/test_release.py
@@ -58,7 +58,7 @@
 
     def has() -> bool:
         core = day.processes[day.leader()].core if day.leader() else None
-        return core is not None and seat in core.voter.log.seats.voters  # type: ignore[attr-defined]
+        return core is not None and seat in core.voter.log.membership.voters  # type: ignore[attr-defined]
 
     day.until(has)
 
