--- a/pumicenotch/consensus/bootstrap.py
+++ b/pumicenotch/consensus/bootstrap.py
@@ -1,10 +1,10 @@
 """How the first membership of a cluster comes to be.
 
-A process that starts knows nothing: it is a new incarnation. Where all configured names are there and every
-one of them knows of no cluster, the first by name makes one: each has promised itself to that founder's
-incarnation, and takes a membership from nobody else. Where any process knows of a cluster, none is made ever
-again: a new process asks to join instead, and the leader replaces its former incarnation (see
-`membership_changes.next_membership`).
+A process that starts knows nothing: it is a new incarnation. Where all configured names are there
+and every one of them knows of no cluster, the first by name makes one: each has promised itself to
+that founder's incarnation, and takes a membership from nobody else. Where any process knows of a
+cluster, none is made ever again: a new process asks to join instead, and the leader replaces its
+former incarnation (see `membership_changes.next_membership`).
 """
 
 from collections.abc import Iterable
@@ -53,7 +53,7 @@
         return voter_name(self.voter_id) == self.names[0]
 
     def on_tick(self, now_ms: float) -> list[SendToName]:
-        """A round of discovery where one is due; after the bootstrap, its outcome for who missed it."""
+        """A round of discovery where one is due; after the bootstrap, its outcome instead."""
         if now_ms < self.next_discovery_ms:
             return []
         self.next_discovery_ms = now_ms + self.DISCOVERY_INTERVAL_MS
--- a/pumicenotch/consensus/effects.py
+++ b/pumicenotch/consensus/effects.py
@@ -13,7 +13,10 @@
 
 
 class Persist(NamedTuple):
-    """Write this durably, then give `Persisted` with the serial. Nothing that rests on it is sent before."""
+    """Write this durably, then give `Persisted` with the serial.
+
+    Nothing that rests on it is sent before.
+    """
 
     serial: int
     term: int
@@ -37,7 +40,7 @@
 
 
 class ReadReady(NamedTuple):
-    """A state that has applied the log up to the read index is no older than the read that was asked for."""
+    """A state with the log applied up to the read index is no older than the requested read."""
 
     key: Any
     read_index: int
--- a/pumicenotch/consensus/elections.py
+++ b/pumicenotch/consensus/elections.py
@@ -18,8 +18,8 @@
     def start_pre_vote(self) -> None:
         """Asks whether a majority would vote for it.
 
-        Until then its term stays, so that a voter that was cut off disturbs nobody when it is back, however
-        often its connection comes and goes.
+        Until then its term stays, so that a voter that was cut off disturbs nobody when it is back,
+        however often its connection comes and goes.
         """
         self.role = Role.PRE_CANDIDATE
         self.request_votes(self.term + 1, pre_vote=True)
@@ -47,7 +47,7 @@
         self.count_votes()
 
     def count_votes(self) -> None:
-        """Goes on with a majority's votes: from the pre-vote to the election, from there to leading."""
+        """Goes on with a majority's votes: from the pre-vote to the election, then to leading."""
         if not self.log.membership.has_majority(self.votes_received):
             return
         if self.role is Role.PRE_CANDIDATE:
@@ -73,7 +73,7 @@
     def on_request_vote(self, sender: VoterId, request: RequestVote) -> None:
         """Grants the vote, or refuses it and keeps its term where it hears a leader."""
         if not request.leadership_transfer and self.leader_is_alive():
-            # The sender may have missed heartbeats that others hear, or be out of the membership (4.2.3).
+            # The sender may have missed heartbeats, or be out of the membership (thesis, 4.2.3).
             if request.pre_vote:
                 self.send(sender, VoteResponse(self.term, False, True))
             return
@@ -121,7 +121,7 @@
             candidates, key=lambda voter: (self.match_index.get(voter, 0), voter)
         )
         self.transfer_deadline_ms = self.now_ms + self.ELECTION_TIMEOUT_MS
-        if self.has_whole_log(self.transfer_target):
+        if self.has_entire_log(self.transfer_target):
             self.send(self.transfer_target, TimeoutNow(self.term))
         else:
             self.send_entries(self.transfer_target, is_heartbeat=True)
--- a/pumicenotch/consensus/membership_changes.py
+++ b/pumicenotch/consensus/membership_changes.py
@@ -19,8 +19,8 @@
     def can_change_membership(self) -> bool:
         """Whether no change is uncommitted, and an entry of this term is committed.
 
-        Without the latter, changes by two leaders could have majorities with no voter in common (the
-        correction of 2015).
+        Without the latter, changes by two leaders could have majorities with no voter in common
+        (the correction of 2015).
         """
         is_committed = self.log.membership_index <= self.commit_index
         return is_committed and self.log.term_at(self.commit_index) == self.term
@@ -40,7 +40,7 @@
 
 
 def is_single_change(current: ClusterMembership, proposed: ClusterMembership) -> bool:
-    """Whether at most one voter is added or removed, some voter stays, and no member stands twice."""
+    """Whether at most one voter is added or removed, some stay, and no member is listed twice."""
     changed_voters = set(proposed.voters) ^ set(current.voters)
     has_duplicates = len(set(proposed.members)) < len(proposed.members)
     return bool(proposed.voters) and len(changed_voters) <= 1 and not has_duplicates
--- a/pumicenotch/consensus/messages.py
+++ b/pumicenotch/consensus/messages.py
@@ -1,7 +1,7 @@
 """The messages among voters, and the one table from their types to the words on the wire.
 
-A message travels as a list: its wire name, then its fields in order. Decoding raises `MessageDecodeError` for
-whatever a voter does not send.
+A message travels as a list: its wire name, then its fields in order. Decoding raises
+`MessageDecodeError` for whatever a voter does not send.
 """
 
 from collections.abc import Set as AbstractSet
@@ -11,8 +11,9 @@
 from pumicenotch.errors import PumicenotchError
 
 VoterId: TypeAlias = str
-"""One process that takes part, as NAME/INCARNATION. A process that has lost its log is another voter under the
-same name. The empty string stands for no voter.
+"""One process that takes part, as NAME/INCARNATION; the empty string stands for none.
+
+A process that has lost its log is another voter under the same name.
 """
 
 
@@ -126,7 +127,7 @@
 
 
 class Uninitialized(NamedTuple):
-    """Bootstrap: the sender knows of no cluster, and has promised itself to that founder ("": to nobody)."""
+    """Bootstrap: the sender knows of no cluster; it may have promised itself to a founder."""
 
     sender: VoterId
     promised_founder: VoterId
--- a/pumicenotch/consensus/persistence.py
+++ b/pumicenotch/consensus/persistence.py
@@ -1,4 +1,4 @@
-"""Which of a voter's term, vote and entries are durable, and what must not be sent before they are."""
+"""Which of a voter's term, vote and entries are durable, and what waits until they are."""
 
 from collections.abc import Iterable
 from typing import NamedTuple
@@ -16,7 +16,7 @@
     last_index: int
 
 
-class HeldMessage(NamedTuple):
+class DeferredMessage(NamedTuple):
     """A message that may leave once the write of that serial is durable."""
 
     serial: int
@@ -24,14 +24,14 @@
 
 
 class Persistence:
-    """Turns changes into writes, one at most for each input, and holds messages back until they are durable."""
+    """Turns changes into writes, and defers messages until the writes before them are durable."""
 
     def __init__(self) -> None:
         self.serial = 0  # of the last write
         self.persisted_serial = 0
         self.persisted_index = 0  # entries up to it are durable
         self.unfinished_writes: list[UnfinishedWrite] = []
-        self.held_messages: list[HeldMessage] = []
+        self.deferred_messages: list[DeferredMessage] = []
         self.is_changed = False  # since the last write
         self.first_changed_index = 0  # 0: no entry was changed
 
@@ -67,9 +67,9 @@
         self.first_changed_index = 0
         return Persist(self.serial, term, voted_for, first_index, log.entries_from(first_index))
 
-    def hold(self, sends: Iterable[Send]) -> None:
+    def defer(self, sends: Iterable[Send]) -> None:
         """Keeps the messages until the last write is durable."""
-        self.held_messages += [HeldMessage(self.serial, send) for send in sends]
+        self.deferred_messages += [DeferredMessage(self.serial, send) for send in sends]
 
     def finish_write(self, serial: int) -> list[Send]:
         """All writes up to the serial are durable; returns the messages that may leave now."""
@@ -79,6 +79,10 @@
         # An entry that was replaced since its write is durable only once the replacement is.
         for write in self.unfinished_writes:
             self.persisted_index = min(self.persisted_index, write.first_index - 1)
-        released = [held.send for held in self.held_messages if held.serial <= serial]
-        self.held_messages = [held for held in self.held_messages if held.serial > serial]
+        released = [
+            deferred.send for deferred in self.deferred_messages if deferred.serial <= serial
+        ]
+        self.deferred_messages = [
+            deferred for deferred in self.deferred_messages if deferred.serial > serial
+        ]
         return released
--- a/pumicenotch/consensus/reads.py
+++ b/pumicenotch/consensus/reads.py
@@ -1,7 +1,7 @@
 """Linearizable reads by a round of heartbeats (thesis, 6.4).
 
-A lease would save the round, but it trusts clocks to run alike, and a process not to be stopped between its
-look at the clock and its answer.
+A lease would save the round, but it trusts clocks to run alike, and a process not to be stopped
+between its look at the clock and its answer.
 """
 
 from collections.abc import Mapping
--- a/pumicenotch/consensus/replication.py
+++ b/pumicenotch/consensus/replication.py
@@ -1,4 +1,4 @@
-"""Log replication (thesis, 3.5 and 3.6): a leader's entries to its followers, and the commit index."""
+"""Log replication (thesis, 3.5 and 3.6): a leader's entries to followers, and the commit index."""
 
 from pumicenotch.consensus.effects import ApplyEntry, ReadReady
 from pumicenotch.consensus.messages import (
@@ -19,7 +19,7 @@
     # As the leader
 
     def append_to_log(self, entry: Entry) -> None:
-        """Appends an entry of this leader's own; it is sent by `replicate` or the next heartbeat."""
+        """Appends an entry of this leader; `replicate` or the next heartbeat sends it."""
         self.log.append(entry)
         self.persistence.entries_changed(self.log.last_index)
         for member in self.log.membership.members:
@@ -42,8 +42,8 @@
     def send_entries(self, member: VoterId, is_heartbeat: bool = False) -> None:
         """Sends the entries that the member lacks, or a chunk of the snapshot that holds them.
 
-        They are taken as received until the member says otherwise: a lost message shows when it refuses the
-        next heartbeat.
+        They are taken as received until the member says otherwise: a lost message shows when it
+        refuses the next heartbeat.
         """
         prev_log_index = self.next_index[member] - 1
         if prev_log_index < self.log.snapshot_index:
@@ -80,7 +80,7 @@
         self.send(member, chunk)
 
     def on_append_response(self, sender: VoterId, response: AppendResponse) -> None:
-        """Moves the member's indexes, commits what a majority has, and sends what it still lacks."""
+        """Moves the member's indexes, commits what a majority has, and sends what is missing."""
         if not self.is_response_of_member(sender, response.term):
             return
         self.record_response(sender, response.heartbeat_round)
@@ -92,7 +92,7 @@
             self.next_index[sender] = max(self.match_index.get(sender, 0), retry_after) + 1
         if self.next_index[sender] <= self.log.last_index:
             self.send_entries(sender)
-        if sender == self.transfer_target and self.has_whole_log(sender):
+        if sender == self.transfer_target and self.has_entire_log(sender):
             self.send(sender, TimeoutNow(self.term))
 
     def is_response_of_member(self, sender: VoterId, term: int) -> bool:
@@ -111,7 +111,7 @@
         self.match_index[member] = max(self.match_index.get(member, 0), log_index)
         self.next_index[member] = max(self.next_index[member], log_index + 1)
 
-    def has_whole_log(self, member: VoterId) -> bool:
+    def has_entire_log(self, member: VoterId) -> bool:
         """Whether the member has every entry of this leader."""
         return self.match_index.get(member, 0) == self.log.last_index
 
@@ -125,8 +125,8 @@
     def advance_commit_index(self) -> None:
         """Commits what a majority has.
 
-        Only an entry of the leader's own term is committed by counting, and those before it with it (thesis,
-        3.6.2).
+        Only an entry of the leader's own term is committed by counting, and those before it with it
+        (thesis, 3.6.2).
         """
         for index in range(self.log.last_index, self.commit_index, -1):
             if self.log.term_at(index) != self.term:
@@ -150,10 +150,10 @@
 
     # As a follower
 
-    def leader_heard(self, leader_id: VoterId) -> None:
+    def on_leader_contact(self, leader_id: VoterId) -> None:
         """A message of this term's leader has come."""
         self.become_follower(self.term, leader_id)
-        self.leader_heard_at_ms = self.now_ms
+        self.last_leader_contact_ms = self.now_ms
         self.reset_election_timer()
 
     def on_append_entries(self, sender: VoterId, request: AppendEntries) -> None:
@@ -205,7 +205,7 @@
     # As either
 
     def commit_up_to(self, index: int) -> None:
-        """Has the entries up to that index applied. A leader that is out of the membership steps down."""
+        """Has the entries up to that index applied; a leader that they remove steps down."""
         while self.commit_index < index:
             self.commit_index += 1
             entry = self.log.entry_at(self.commit_index)
--- a/pumicenotch/consensus/state.py
+++ b/pumicenotch/consensus/state.py
@@ -21,7 +21,7 @@
 
 
 class VoterState:
-    """The state of one voter, its role and its timers; times are milliseconds of a monotonic clock."""
+    """The state of one voter, its role and its timers, in milliseconds of a monotonic clock."""
 
     HEARTBEAT_INTERVAL_MS = 100.0  # some round trips between regions
     # The shortest; each is drawn up to twice as long. Ten lost heartbeats are no accident.
@@ -47,7 +47,7 @@
         self.commit_index = 0
         self.role = Role.FOLLOWER
         self.leader_id: VoterId = ""
-        self.leader_heard_at_ms = float("-inf")
+        self.last_leader_contact_ms = float("-inf")
         self.deadline_ms = 0.0  # of an election, or a leader's next heartbeat
         self.votes_received: set[VoterId] = set()
         self.snapshot_receiver = SnapshotReceiver()
@@ -87,10 +87,10 @@
             self.effects.append(LeaderChanged(leader_id, self.term))
 
     def leader_is_alive(self) -> bool:
-        """Whether this voter leads, or has heard of a leader within the shortest election timeout."""
+        """Whether this voter leads, or has heard of a leader within an election timeout."""
         if self.role is Role.LEADER:
             return True
-        return self.now_ms - self.leader_heard_at_ms < self.ELECTION_TIMEOUT_MS
+        return self.now_ms - self.last_leader_contact_ms < self.ELECTION_TIMEOUT_MS
 
     def has_active_quorum(self) -> bool:
         """Check-quorum (thesis, 6.2): whether a majority has answered this leader lately."""
--- a/pumicenotch/consensus/voter.py
+++ b/pumicenotch/consensus/voter.py
@@ -1,6 +1,7 @@
 """One voter: its inputs, and which part of the algorithm takes each.
 
-It is safe whatever clocks do: time only says when to try for a leader, never who leads or what is committed.
+It is safe whatever clocks do: time only says when to try for a leader, never who leads or what is
+committed.
 """
 
 from typing import Any
@@ -37,10 +38,10 @@
 
 
 class Voter(LeaderElection, SnapshotInstallation, MembershipChanges):
-    """A voter or learner. It begins without a log; one that had it may be given term, vote and log."""
+    """A voter or learner; one that has restarted may be given its term, vote and log."""
 
     def step(self, now_ms: float, event: Input) -> list[Effect]:
-        """Takes one input at that time, which never goes back, and returns what is to be done, in order."""
+        """Takes one input; returns what is to be done, in order. Time never goes back."""
         self.now_ms = max(self.now_ms, now_ms)
         match event:
             case Tick():
@@ -60,14 +61,14 @@
         return self.take_effects()
 
     def take_effects(self) -> list[Effect]:
-        """What the input has brought about; sends wait until all that was changed before is durable."""
+        """What the input has brought about; sends wait until all changes before are durable."""
         effects = self.effects
         self.effects = []
         write = self.persistence.take_write(self.term, self.voted_for, self.log)
         if write is not None:
             effects.insert(0, write)
         if not self.persistence.is_complete:
-            self.persistence.hold(effect for effect in effects if isinstance(effect, Send))
+            self.persistence.defer(effect for effect in effects if isinstance(effect, Send))
             effects = [effect for effect in effects if not isinstance(effect, Send)]
         return [*effects, WakeAt(self.deadline_ms)]
 
@@ -76,13 +77,13 @@
         if self.now_ms < self.deadline_ms:
             return
         if self.role is Role.LEADER:
-            self.on_heartbeat_due()
+            self.on_heartbeat_timeout()
         elif self.voter_id in self.log.membership.voters:
             self.start_pre_vote()
         else:
             self.reset_election_timer()
 
-    def on_heartbeat_due(self) -> None:
+    def on_heartbeat_timeout(self) -> None:
         """Sends heartbeats, or steps down where a majority answers no more."""
         if not self.has_active_quorum():
             self.become_follower(self.term, "")
@@ -107,10 +108,10 @@
             case AppendEntries() | InstallSnapshot() if message.term < self.term:
                 self.respond(sender, success=False, log_index=0, heartbeat_round=0)
             case AppendEntries():
-                self.leader_heard(sender)
+                self.on_leader_contact(sender)
                 self.on_append_entries(sender, message)
             case InstallSnapshot():
-                self.leader_heard(sender)
+                self.on_leader_contact(sender)
                 self.on_install_snapshot(sender, message)
             case AppendResponse():
                 self.on_append_response(sender, message)
@@ -126,7 +127,7 @@
             self.advance_commit_index()
 
     def propose(self, command: Any) -> None:
-        """Appends the command and sends it; without effect where this voter does not lead or hands over."""
+        """Appends the command and sends it; without effect where this voter cannot propose."""
         if self.role is not Role.LEADER or self.transfer_target:
             return
         self.append_to_log(Entry(self.term, EntryKind.COMMAND, command))
--- a/pumicenotch/lab/consensus_model.py
+++ b/pumicenotch/lab/consensus_model.py
@@ -94,7 +94,7 @@
         (receiver.source, receiver.data),
         frozenset(voter.votes_received),
         tuple(voter.pending_reads),
-        voter.leader_heard_at_ms == 0.0,
+        voter.last_leader_contact_ms == 0.0,
     )
 
 
@@ -157,7 +157,7 @@
         voter.snapshot_receiver.source, voter.snapshot_receiver.data = received
         voter.votes_received = set(votes)
         voter.pending_reads = list(reads)
-        voter.leader_heard_at_ms = 0.0 if heard else NEVER
+        voter.last_leader_contact_ms = 0.0 if heard else NEVER
         voter.responded_at_ms = dict.fromkeys(voter.next_index, 0.0)
         voter.persistence.persisted_index = voter.log.last_index
         voter.deadline_ms = NEVER
@@ -253,7 +253,7 @@
     def stepped(self, state: State, at: int, event: Input, heard_at: float | None = None) -> State:
         voter = self.thawed(state, at)
         if heard_at is not None:
-            voter.leader_heard_at_ms = heard_at
+            voter.last_leader_contact_ms = heard_at
         todo, wire, agreed, bad = (
             voter.step(0.0, event),
             set(state.wire),
