--- a/benchmarks/capacity/bad_hours.py
+++ b/benchmarks/capacity/bad_hours.py
@@ -16,7 +16,7 @@
 )
 from benchmarks.capacity.meter import frozen_heap
 from benchmarks.capacity.slope import Reading, Slope, readings
-from pumicenotch.membership.messages import Opinion
+from pumicenotch.membership.messages import MemberState
 
 LEADER, MEMBERSHIP = "voter.leader", "server.membership"
 SIZES = (40, 60, 90, 135, 200)
@@ -55,11 +55,11 @@
         zones = [zone_name(at) for at in range(self.zones - lost, self.zones)]
         return [name for name in self.names[:-1] if self.zone[name] in zones]
 
-    def opinions(self, some: Iterable[str], by: Iterable[str]) -> set[Opinion]:
+    def states(self, some: Iterable[str], by: Iterable[str]) -> set[MemberState]:
         cores: list[Any] = [self.day.processes[name].core for name in by]
         targets = list(some)
         return {
-            core.members.opinion(name) for core in cores if core is not None for name in targets
+            core.members.state_of(name) for core in cores if core is not None for name in targets
         }
 
     def others(self, gone: Iterable[str]) -> list[str]:
@@ -84,13 +84,13 @@
         return str(core.me.life) if core is not None else ""
 
     def opinions_well(self, everybody: list[str]) -> bool:
-        return self.opinions_of_others(everybody) == {Opinion.ALIVE}
+        return self.states_of_others(everybody) == {MemberState.ALIVE}
 
-    def opinions_of_others(self, everybody: list[str]) -> set[Opinion]:
+    def states_of_others(self, everybody: list[str]) -> set[MemberState]:
         return {
             opinion
             for name in everybody
-            for opinion in self.opinions([other for other in everybody if other != name], [name])
+            for opinion in self.states([other for other in everybody if other != name], [name])
         }
 
     def until(self, met: Callable[[], bool], gone: Iterable[str]) -> float:
@@ -103,10 +103,10 @@
             core: Any = process.core
             if core is None or name in gone:
                 continue
-            for other, news in core.members.news.items():
-                if news.opinion is not Opinion.DEAD or other in gone:
+            for other, update in core.members.table.updates.items():
+                if update.state is not MemberState.DEAD or other in gone:
                     continue
-                if news.who.life == self.life(other):  # of a former life it is true
+                if update.member.process_id == self.life(other):  # of a former life it is true
                     self.false.add((name, other))
         return False
 
@@ -120,8 +120,8 @@
 def detected(fleet: RealFleet, gone: list[str]) -> list[Reading]:
     """Until the first thinks one of them dead, until all think all dead, until the voters have agreed so."""
     left = fleet.others(gone)
-    first = fleet.until(lambda: Opinion.DEAD in fleet.opinions(gone, left), gone)
-    rest = fleet.until(lambda: fleet.opinions(gone, left) == {Opinion.DEAD}, gone)
+    first = fleet.until(lambda: MemberState.DEAD in fleet.states(gone, left), gone)
+    rest = fleet.until(lambda: fleet.states(gone, left) == {MemberState.DEAD}, gone)
     agreed = fleet.until(lambda: fleet.out(gone), gone)
     found = readings(MEMBERSHIP, detected_by_first=first, detected_by_all=first + rest)
     return found + readings(LEADER, agree=first + rest + agreed)
--- a/benchmarks/capacity/hollow.py
+++ b/benchmarks/capacity/hollow.py
@@ -20,14 +20,14 @@
 from pumicenotch.lab.fleets import Process, Spec
 from pumicenotch.membership import messages
 from pumicenotch.membership.messages import (
-    NEWS_MOST,
+    MAX_UPDATES_PER_MESSAGE,
     Ack,
-    News,
-    Opinion,
+    FullState,
+    MemberIdentity,
+    MemberPhase,
+    MemberState,
     Ping,
-    Standing,
-    Who,
-    Whole,
+    Update,
 )
 
 PERIOD_MS = 1000.0  # of probes: each member is probed once a period in the mean
@@ -56,7 +56,7 @@
 class HollowMember:
     """A member with its agent: both only ask the leader how they stand, at the pace that the leader names."""
 
-    def __init__(self, who: Who, due: float, pages: list[list[Any]]) -> None:
+    def __init__(self, who: MemberIdentity, due: float, pages: list[list[Any]]) -> None:
         """`pages` is what it answers who wants everything."""
         self.me, self.due, self.number = who, due, 0
         self.pages = pages
@@ -82,12 +82,12 @@
             return [effects.Post(sender[2], "members", tuple(page)) for page in self.pages]
         if params[0] != "ping":
             return []
-        mine = News(self.me, 1, Standing.SERVING, Opinion.ALIVE, self.me.name)
-        answer = messages.plain(Ack(params[1], (mine,), ()))
+        mine = Update(self.me, 1, MemberPhase.SERVING, MemberState.ALIVE, self.me.name)
+        answer = messages.encode(Ack(params[1], (mine,), ()))
         return [effects.Post(sender[2], "members", tuple(answer))]
 
     def questions(self) -> list[effects.Effect]:
-        name, life = self.me.name, self.me.life
+        name, life = self.me.name, self.me.process_id
         if self.asks:
             return [self.ask(*self.asks[0])]
         agent = (name, life, RUNS, HOLDS, "", "")
@@ -124,9 +124,10 @@
         self.names = [f"server-{at:07d}" for at in range(servers - 1)]
         self.members = [self.member(at, name) for at, name in enumerate(self.names)]
         self.news = [
-            News(self.who(at), 1, Standing.SERVING, Opinion.ALIVE, "") for at in range(servers - 1)
+            Update(self.who(at), 1, MemberPhase.SERVING, MemberState.ALIVE, "")
+            for at in range(servers - 1)
         ]
-        self.recent: deque[News] = deque(maxlen=GOSSIP_MOST)  # what is news at the moment
+        self.recent: deque[Update] = deque(maxlen=GOSSIP_MOST)  # what is news at the moment
         self.install_state()
         self.install_members()
         self.start_hollow()
@@ -141,9 +142,9 @@
     def region(self, at: int) -> str:
         return f"region-{at % self.zones % REGIONS}"
 
-    def who(self, at: int) -> Who:
+    def who(self, at: int) -> MemberIdentity:
         name = self.names[at]
-        return Who(name, name, LIFE, BEGAN, self.zone(at), self.region(at))
+        return MemberIdentity(name, name, LIFE, BEGAN, self.zone(at), self.region(at))
 
     def member(self, at: int, name: str) -> Member:
         return Member(
@@ -172,17 +173,16 @@
             table: Any = process.core
             members = table.members
             for each in self.news:
-                members.news[each.who.name] = each
-                members.since[each.who.name] = self.day.now
-            members.spread.clear()
-            members.order = []
-            members.pages_told = TABLE_READY + self.chance.randrange(3)
-            members.page_at = self.day.now + self.chance.uniform(0.0, PAGES_MS)
-            assert len(members.news) >= len(self.news), name
+                members.table.install(self.day.now, each)
+            members.gossip.clear()
+            members.prober.clear_round()
+            members.exchange.count = TABLE_READY + self.chance.randrange(3)
+            members.exchange.next_at = self.day.now + self.chance.uniform(0.0, PAGES_MS)
+            assert len(members.table) >= len(self.news), name
 
     def start_hollow(self) -> None:
         again_ms = max(HEARTBEAT_MS, 5.0 * self.servers)
-        pages = [messages.plain(page) for page in self.pages(False)]
+        pages = [messages.encode(page) for page in self.pages(False)]
         for at, name in enumerate(self.names):
             process = self.day.processes[name] = Process(Spec(name, self.zone(at), False, {}), name)
             process.life = 1
@@ -215,11 +215,12 @@
 
         self.day.at(self.day.now + self.chance.uniform(0.0, each_ms), one)
 
-    def pages(self, reply: bool) -> list[Whole]:
+    def pages(self, reply: bool) -> list[FullState]:
         parts = [
-            tuple(self.news[at : at + NEWS_MOST]) for at in range(0, len(self.news), NEWS_MOST)
+            tuple(self.news[at : at + MAX_UPDATES_PER_MESSAGE])
+            for at in range(0, len(self.news), MAX_UPDATES_PER_MESSAGE)
         ]
-        return [Whole(part, reply and at == len(parts) - 1) for at, part in enumerate(parts)]
+        return [FullState(part, reply and at == len(parts) - 1) for at, part in enumerate(parts)]
 
     def page(self, name: str, to: str) -> None:
         for page in self.pages(True):
@@ -230,7 +231,7 @@
 
     def tell(self, name: str, to: str, message: messages.Message) -> None:
         process = self.day.processes[name]
-        told = self.day.wire(process, messages.plain(message))
+        told = self.day.wire(process, messages.encode(message))
         self.day.send(process, to, "told", (name, LIFE, name), "members", told)
 
     def ordinary(self) -> None:
@@ -273,7 +274,7 @@
         """At first a process knows itself alone; it wants everything back."""
         if alone:
             mine = self.news[self.names.index(name)]
-            self.tell(name, to, Whole((mine,), True))
+            self.tell(name, to, FullState((mine,), True))
         else:
             self.page(name, to)
 
@@ -282,17 +283,19 @@
         if core.asks:
             return
         old = core.me
-        self.tell_news(News(old, 2, Standing.OUT, Opinion.ALIVE, old.name))
-        core.me = old._replace(life=f"{self.chance.getrandbits(48):012x}", began=old.began + 1)
-        member = self.members[at]._replace(life=core.me.life)
+        self.tell_news(Update(old, 2, MemberPhase.LEFT, MemberState.ALIVE, old.name))
+        core.me = old._replace(
+            process_id=f"{self.chance.getrandbits(48):012x}", started_at_ms=old.started_at_ms + 1
+        )
+        member = self.members[at]._replace(life=core.me.process_id)
         core.asks = [
-            ("gone", (old.name, old.life)),
+            ("gone", (old.name, old.process_id)),
             ("join", (member_fields(member),)),
-            ("serving", (old.name, core.me.life)),
+            ("serving", (old.name, core.me.process_id)),
         ]
         core.due = self.day.now
         self.day.alarm(self.day.processes[old.name], core.due)
-        self.news[at] = News(core.me, 1, Standing.SERVING, Opinion.ALIVE, old.name)
+        self.news[at] = Update(core.me, 1, MemberPhase.SERVING, MemberState.ALIVE, old.name)
         self.tell_news(self.news[at])
 
     def fail(self) -> None:
@@ -309,13 +312,13 @@
         meter.run("propose", leader.propose_own, *entry)
         self.day.put(self.leader, "time")  # carries out what the proposal asks for
 
-    def tell_news(self, news: News) -> None:
-        self.recent.append(news)
-        self.day.at(self.day.now + RECENT_MS, lambda: self.forget_news(news))
+    def tell_news(self, update: Update) -> None:
+        self.recent.append(update)
+        self.day.at(self.day.now + RECENT_MS, lambda: self.forget_news(update))
 
-    def forget_news(self, news: News) -> None:
-        if news in self.recent:
-            self.recent.remove(news)
+    def forget_news(self, update: Update) -> None:
+        if update in self.recent:
+            self.recent.remove(update)
 
     def measure(self, span_ms: float, windows: int, warm_ms: float) -> dict[str, Meter]:
         self.day.run(warm_ms)
--- a/benchmarks/capacity/mechanisms.py
+++ b/benchmarks/capacity/mechanisms.py
@@ -75,22 +75,25 @@
         "server.membership",
         "servers",
         "traffic",
-        f"{MISSING}: `membership/swim.py` `Members.exchange` sends and gets everything each 15 s",
+        f"{MISSING}: `membership/full_state.py` `FullStateExchange` sends and gets everything each 15 s",
     ),
     Mechanism(
         "server.membership",
         "servers",
         "longest_step",
-        f"{MISSING}: `membership/swim.py` `probe_next` and `exchange` sort and send all in one step",
+        f"{MISSING}: `membership/swim.py` `_begin_period` sorts and sends all in one step",
     ),
     Mechanism(
         "server.membership",
         "",
         "traffic",
-        f"{MISSING}: `membership/swim.py` `Members.exchange`, at 640 servers",
+        f"{MISSING}: `membership/full_state.py` `FullStateExchange`, at 640 servers",
     ),
     Mechanism(
-        "server.membership", "", "", "`membership/swim.py` `Members.gossip`: 12 news a message"
+        "server.membership",
+        "",
+        "",
+        "`membership/swim.py` `MAX_GOSSIP_UPDATES`: 12 updates a message",
     ),
     Mechanism(
         "server.agreement", "", "", "`fleet/voter_node.py` `VoterNode.heartbeat_interval_ms`"
@@ -99,10 +102,13 @@
         "voter.leader",
         "servers",
         "traffic",
-        "`membership/swim.py` `Members.exchange`: as n squared",
+        "`membership/full_state.py` `FullStateExchange`: as n squared",
     ),
     Mechanism(
-        "voter.follower", "servers", "", "`membership/swim.py` `Members.exchange`: as n squared"
+        "voter.follower",
+        "servers",
+        "",
+        "`membership/full_state.py` `FullStateExchange`: as n squared",
     ),
     Mechanism(
         "voter.leader", "", "", "`fleet/voter_node.py` `heartbeat_interval_ms`; `agree/voter.py`"
--- a/benchmarks/capacity/members.py
+++ b/benchmarks/capacity/members.py
@@ -15,7 +15,8 @@
 from benchmarks.capacity.slope import Reading, Slope, readings
 from pumicenotch.fleet import snapshot
 from pumicenotch.membership import messages
-from pumicenotch.membership.swim import Members
+from pumicenotch.membership.events import MessageReceived
+from pumicenotch.membership.swim import SwimMembership
 
 LEADER, FOLLOWER, MEMBERSHIP, AGREEMENT = (
     "voter.leader",
@@ -66,19 +67,19 @@
     return found + traffic(AGREEMENT, server, AGREEMENT_KINDS)
 
 
-def absorbed(fleet: HollowFleet, wired: list[bytes]) -> Members:
+def absorbed(fleet: HollowFleet, wired: list[bytes]) -> SwimMembership:
     """The table of a process that hears of everybody for the first time."""
     core: Any = fleet.day.processes[fleet.server].core
-    made = Members(core.me, 0.0, ["seed"], random.Random(1))
+    made = SwimMembership(core.me, 0.0, ["seed"], random.Random(1))
     for page in wired:
         told = msgpack.unpackb(page, use_list=False)
-        made.step(0.0, "message", "seed", messages.message_of(told))
+        made.step(0.0, MessageReceived("seed", messages.decode(told)))
     return made
 
 
 def built(fleet: HollowFleet) -> list[Reading]:
     """State and start: the table of members from whole pages, the agreed state from a snapshot."""
-    wired = [msgpack.packb(messages.plain(page)) for page in fleet.pages(False)]
+    wired = [msgpack.packb(messages.encode(page)) for page in fleet.pages(False)]
     leader: Any = fleet.day.processes[fleet.leader].core
     dumped = snapshot.dump(leader.state)
     table, table_ms = (
--- a/benchmarks/capacity/resident.py
+++ b/benchmarks/capacity/resident.py
@@ -27,16 +27,23 @@
     from benchmarks.capacity import configuration, connections, decisions
     from pumicenotch.cells.fence import Fence
     from pumicenotch.cells.map import dump, load
-    from pumicenotch.membership.messages import News, Opinion, Standing, Who
-    from pumicenotch.membership.swim import Members
+    from pumicenotch.membership.events import MessageReceived
+    from pumicenotch.membership.messages import (
+        FullState,
+        MemberIdentity,
+        MemberPhase,
+        MemberState,
+        Update,
+    )
+    from pumicenotch.membership.swim import SwimMembership
 
     control = decisions.build(decisions.Silent(), 1, tenants)
     driver = connections.Driver(callers, 1)
     text = dump(configuration.cell_map(tenants, servers))
     fence = Fence(0.0, configuration.WINDOW_MS, load(text))
-    members = Members(Who("me", "me", "life", 1, "z", "r"), 0.0, ["seed"], None)
+    members = SwimMembership(MemberIdentity("me", "me", "life", 1, "z", "r"), 0.0, ["seed"], None)  # type: ignore[arg-type]  # no choice is made
     for at in range(servers):
-        who = Who(
+        identity = MemberIdentity(
             f"server-{at:07d}",
             f"10.0.{at // 250}.{at % 250}:7200",
             f"{at:012x}",
@@ -44,7 +51,8 @@
             "zone",
             "region",
         )
-        members.heard(News(who, 1, Standing.SERVING, Opinion.ALIVE, who.name))
+        update = Update(identity, 1, MemberPhase.SERVING, MemberState.ALIVE, identity.name)
+        members.step(0.0, MessageReceived("", FullState((update,), False)))
     kept = (control, driver, fence, members)
     return resident_bytes() if kept else 0
 
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -10,7 +10,7 @@
 
 from pumicenotch.fleet.budgets import Budget
 from pumicenotch.lab.fleets import DRAIN_MS, RESTART_MS, Day, usual
-from pumicenotch.membership.messages import Opinion
+from pumicenotch.membership.messages import MemberState
 
 
 def drain_all(many: int, seed: int) -> dict[str, float]:
@@ -80,9 +80,9 @@
     }
 
 
-def opinions(day: Day, name: str) -> list[Opinion]:
+def states(day: Day, name: str) -> list[MemberState]:
     return [
-        process.core.members.opinion(name)
+        process.core.members.state_of(name)
         for other, process in day.processes.items()
         if process.core is not None and other != name
     ]
@@ -95,10 +95,10 @@
     """
     day = usual(seed, nodes=many)
     day.kill("n0")
-    first = day.until(lambda: Opinion.DEAD in opinions(day, "n0"), 600_000.0, 100.0)
-    rest = day.until(lambda: set(opinions(day, "n0")) == {Opinion.DEAD}, 600_000.0, 100.0)
+    first = day.until(lambda: MemberState.DEAD in states(day, "n0"), 600_000.0, 100.0)
+    rest = day.until(lambda: set(states(day, "n0")) == {MemberState.DEAD}, 600_000.0, 100.0)
     day.boot("n0")
-    day.until(lambda: set(opinions(day, "n0")) == {Opinion.ALIVE}, 600_000.0, 1000.0)
+    day.until(lambda: set(states(day, "n0")) == {MemberState.ALIVE}, 600_000.0, 1000.0)
     day.loss = 0.1
     for process in day.processes.values():
         process.slow_ms = 18.0
@@ -112,8 +112,8 @@
             for other, process in day.processes.items()
             if process.core is not None
             for name in names
-            if process.core.members.news.get(name) is not None
-            and process.core.members.news[name].opinion is Opinion.DEAD
+            if process.core.members.table.updates.get(name) is not None
+            and process.core.members.table.updates[name].state is MemberState.DEAD
         }
         false += len(now - held)
         held = now
--- a/pumicenotch/fleet/effects.py
+++ b/pumicenotch/fleet/effects.py
@@ -4,7 +4,7 @@
 
 from typing import Any, NamedTuple
 
-from pumicenotch.membership.messages import News
+from pumicenotch.membership.messages import Update
 
 
 class Post(NamedTuple):
@@ -42,7 +42,7 @@
 class MemberChanged(NamedTuple):
     """Membership has another opinion of that process than before."""
 
-    news: News
+    update: Update
 
 
 class Log(NamedTuple):
--- a/pumicenotch/fleet/failure_detector.py
+++ b/pumicenotch/fleet/failure_detector.py
@@ -8,8 +8,8 @@
 
 from pumicenotch.fleet.budgets import SERVING, Member
 from pumicenotch.fleet.state import SILENT
-from pumicenotch.membership.messages import Opinion
-from pumicenotch.membership.swim import Members
+from pumicenotch.membership.messages import MemberState
+from pumicenotch.membership.swim import SwimMembership
 
 OVERLOADED = "overloaded"
 NEVER = float("-inf")
@@ -56,7 +56,7 @@
         self.no_news_since: dict[str, float] = {}  # of counted members that no news has come of
 
     def dead(
-        self, now: float, me: str, counted: Mapping[str, Member], members: Members
+        self, now: float, me: str, counted: Mapping[str, Member], members: SwimMembership
     ) -> list[str]:
         """Of those that the fleet counts, without this voter and members by hand."""
         return sorted(
@@ -65,10 +65,10 @@
             if held.life and name != me and self.is_dead(now, name, members)
         )
 
-    def is_dead(self, now: float, name: str, members: Members) -> bool:
-        if name in members.news:
+    def is_dead(self, now: float, name: str, members: SwimMembership) -> bool:
+        if name in members.table:
             self.no_news_since.pop(name, None)
-            return members.opinion(name) is Opinion.DEAD
+            return members.state_of(name) is MemberState.DEAD
         return now - self.no_news_since.setdefault(name, now) > NO_NEWS_MS
 
 
--- a/pumicenotch/fleet/member_node.py
+++ b/pumicenotch/fleet/member_node.py
@@ -13,8 +13,22 @@
 from pumicenotch.fleet.records import member_fields
 from pumicenotch.fleet.voter_client import UNKNOWN, VoterClient
 from pumicenotch.membership import messages
-from pumicenotch.membership.messages import Changed, Opinion, Refused, Send, Standing, Who
-from pumicenotch.membership.swim import Members
+from pumicenotch.membership.events import (
+    Event,
+    MemberUpdated,
+    MessageReceived,
+    NameConflict,
+    Send,
+    SetPhase,
+    Tick,
+)
+from pumicenotch.membership.messages import (
+    PHASE_LABELS,
+    MemberIdentity,
+    MemberPhase,
+    MemberState,
+)
+from pumicenotch.membership.swim import SwimMembership
 from pumicenotch.sender import Sender
 
 HALT = "halt"  # the key under which members hand a halt on
@@ -57,7 +71,7 @@
         self,
         *,
         fleet: str,
-        me: Who,
+        me: MemberIdentity,
         member: Member,
         voters: Iterable[str],
         seeds: Iterable[str],
@@ -67,7 +81,7 @@
         """`voters` are the addresses of all voters; `member` is what the fleet counts of this process."""
         super().__init__(voters, now, seed)
         self.fleet, self.me, self.member = fleet, me, member
-        self.members = Members(me, now, seeds, self.random)
+        self.members = SwimMembership(me, now, seeds, self.random)
         self.heartbeat_at = now
         # What is agreed of this process, as far as it was told.
         self.joined = self.agreed_serving = self.gone_sent = self.leaving_sent = False
@@ -88,34 +102,36 @@
         self.name_taken_by = ""  # by whom the name is taken
 
     def due(self) -> float:
-        return min(self.members.due(), self.request_due())
+        return min(self.members.next_wake_at(), self.request_due())
 
     def start(self) -> None:
         self.time()
 
     def time(self) -> None:
-        self.of_members("time")
+        self.of_members(Tick())
         self.check_timeout()
 
     # Members
 
-    def of_members(self, name: str, *details: Any) -> None:
-        for effect in self.members.step(self.now, name, *details):
+    def of_members(self, event: Event) -> None:
+        for effect in self.members.step(self.now, event):
             match effect:
                 case Send(address, message):
-                    self.post(address, "members", *messages.plain(message))
-                case Changed(news):
-                    self.changed(news)
-                case Refused(other):
+                    self.post(address, "members", *messages.encode(message))
+                case MemberUpdated(update):
+                    self.changed(update)
+                case NameConflict(other):
                     self.counts["names_taken"] += 1
                     self.log(
-                        f"another process goes by the name {other.name}: {other.address} ({other.life})"
+                        f"another process goes by the name {other.name}: {other.address} ({other.process_id})"
                     )
 
-    def changed(self, news: messages.News) -> None:
-        self.effects.append(MemberChanged(news))
-        if news.opinion is not Opinion.ALIVE:
-            self.log(f"{news.who.name} is thought {news.opinion.name.lower()} by {news.by}")
+    def changed(self, update: messages.Update) -> None:
+        self.effects.append(MemberChanged(update))
+        if update.state is not MemberState.ALIVE:
+            self.log(
+                f"{update.member.name} is thought {update.state.name.lower()} by {update.reported_by}"
+            )
 
     def told(self, sender: Sender, method: str, params: Any) -> None:
         """A notification of another process of this fleet."""
@@ -130,7 +146,7 @@
         _, _, address = sender
         match method:
             case "members":
-                self.of_members("message", address, messages.message_of(params))
+                self.of_members(MessageReceived(address, messages.decode(params)))
             case "permitted" if params and type(params[0]) is int:
                 self.permit = max(self.permit, params[0])
                 self.request_at = min(
@@ -143,7 +159,7 @@
 
     def marker(self) -> HaltMarker:
         """The halt that members hand on."""
-        rank, key, by, why = self.members.extras.get(HALT, (0, "", "", ""))
+        rank, key, by, why = self.members.broadcasts.values.get(HALT, (0, "", "", ""))
         return HaltMarker(rank, key, by, why)
 
     def halted(self) -> str:
@@ -154,7 +170,7 @@
         return self.agreed_halt
 
     def mark(self, key: str, by: str, why: str) -> None:
-        self.members.hand(HALT, HaltMarker(self.marker().rank + 1, key, by, why))
+        self.members.broadcasts.put(HALT, HaltMarker(self.marker().rank + 1, key, by, why))
 
     # Requests of operators and of other processes
 
@@ -186,20 +202,20 @@
         rows = [
             {
                 "name": name,
-                "zone": news.who.zone,
-                "region": news.who.region,
-                "standing": news.standing.name.lower(),
-                "opinion": news.opinion.name.lower(),
-                "life": news.who.life,
-                "address": news.who.address,
+                "zone": update.member.zone,
+                "region": update.member.region,
+                "standing": PHASE_LABELS[update.phase],
+                "opinion": update.state.name.lower(),
+                "life": update.member.process_id,
+                "address": update.member.address,
             }
-            for name, news in sorted(self.members.table().items())
+            for name, update in sorted(self.members.members().items())
         ]
         many = Counter(row["opinion"] for row in rows)
         return {
             "fleet": self.fleet,
             "name": self.me.name,
-            "life": self.me.life,
+            "life": self.me.process_id,
             "halted": self.halted(),
             "permit": self.permit,
             "waits": self.waits,
@@ -221,7 +237,7 @@
     def next_request(self) -> None:
         if self.request is not None or self.now < self.request_at or not self.voters:
             return
-        name, life = self.me.name, self.me.life
+        name, life = self.me.name, self.me.process_id
         if self.ending:
             if not self.gone_sent and self.joined:
                 self.ask("gone", name, life)
@@ -305,7 +321,7 @@
             self.request_at = min(self.request_at, self.now)
             self.serves = good
             if not self.leaving:
-                self.stand(Standing.SERVING if good else Standing.JOINING)
+                self.set_phase(MemberPhase.SERVING if good else MemberPhase.JOINING)
 
     def counted(self, rows: Any, memory_mb: float) -> None:
         """How its tasks have gone, since its start: for whoever leads, while a release is on. Lost ones do
@@ -319,22 +335,22 @@
         """It drains from now on, whether anybody agreed or not."""
         if not self.leaving:
             self.leaving, self.why = True, why[:TEXT_MOST] or "asked to leave"
-            self.stand(Standing.DRAINING)
+            self.set_phase(MemberPhase.DRAINING)
             self.request_now()
 
     def left(self) -> None:
         """It is about to end."""
         if not self.ending:
             self.leaving = self.ending = True
-            self.stand(Standing.OUT)
+            self.set_phase(MemberPhase.LEFT)
             self.request_now()
 
     def request_now(self) -> None:
         """The next request goes out at once, whatever the last one came to."""
         self.request, self.request_at, self.failures = None, self.now, 0
 
-    def stand(self, standing: Standing) -> None:
-        self.of_members("stand", standing)
+    def set_phase(self, phase: MemberPhase) -> None:
+        self.of_members(SetPhase(phase))
 
     def post(self, address: str, method: str, *params: Any) -> None:
         self.effects.append(Post(address, method, params))
--- a/pumicenotch/fleet/replica_node.py
+++ b/pumicenotch/fleet/replica_node.py
@@ -52,7 +52,7 @@
         """
         super().__init__(voters=names.values(), **rest)
         self.names = names
-        self.replica = f"{self.me.name}/{self.me.life}"
+        self.replica = f"{self.me.name}/{self.me.process_id}"
         self.founding = Founding(self.replica, names)
         self.voter = self.new_voter(Seats())
         self.joining_replicas: dict[str, str] = {}  # name -> replica of processes that want a vote
--- a/pumicenotch/fleet/voter_node.py
+++ b/pumicenotch/fleet/voter_node.py
@@ -151,8 +151,8 @@
         if not self.leads:
             return
         for name in sorted(self.state.permits.keys() - before):
-            if name in self.members.news:
-                address = self.members.news[name].who.address
+            if name in self.members.table:
+                address = self.members.table.updates[name].member.address
                 self.post(address, "permitted", self.state.permits[name].epoch)
 
     # Requests
--- a/pumicenotch/lab/fleets.py
+++ b/pumicenotch/lab/fleets.py
@@ -16,7 +16,7 @@
 from pumicenotch.fleet.member_node import MemberNode
 from pumicenotch.fleet.voter_node import VoterNode
 from pumicenotch.lab.simulated_time import SimulatedTime
-from pumicenotch.membership.messages import Who
+from pumicenotch.membership.messages import MemberIdentity
 from pumicenotch.sender import Sender
 
 DRAIN_MS, RESTART_MS = (
@@ -94,7 +94,7 @@
         member = Member(name, life, spec.zone, voter=spec.voter, **spec.more)
         told: dict[str, Any] = {
             "fleet": "day",
-            "me": Who(name, name, life, int(self.now) + 1, spec.zone, ""),
+            "me": MemberIdentity(name, name, life, int(self.now) + 1, spec.zone, ""),
             "member": member,
             "seeds": list(self.voters),
             "now": self.now,
@@ -147,7 +147,7 @@
             case effects.Post(address, method, params):
                 core = process.core
                 assert core is not None
-                sender = Sender(name, core.me.life, process.address)
+                sender = Sender(name, core.me.process_id, process.address)
                 self.send(process, address, "told", sender, method, self.wire(process, params))
             case effects.Ask(address, number, verb, args):
                 self.count += 1
--- a/pumicenotch/lab/hollow_configuration.py
+++ b/pumicenotch/lab/hollow_configuration.py
@@ -11,7 +11,7 @@
 from pumicenotch.lab.hollow_messages import Spec
 from pumicenotch.lab.published import Dataset
 from pumicenotch.lab.world import Configuration
-from pumicenotch.membership.messages import News
+from pumicenotch.membership.messages import Update
 from pumicenotch.net.configuration import InstanceCarrier, self_of
 
 if TYPE_CHECKING:
@@ -57,7 +57,7 @@
         self.served, self.fetching = View(), True
         self.look_at = 0.0
 
-    def member_changed(self, news: News) -> None:
+    def member_changed(self, update: Update) -> None:
         """It knows of no relay: the voters are its only sources."""
 
     def put(self, event: Any) -> None:
--- a/pumicenotch/lab/hollow_instance.py
+++ b/pumicenotch/lab/hollow_instance.py
@@ -17,7 +17,9 @@
 from pumicenotch.lab.hollow_configuration import HollowConfiguration, configured
 from pumicenotch.lab.hollow_messages import FIRST_BEGAN_MS, Place, Report, Spec, life_of
 from pumicenotch.lab.hollow_meter import Meter
-from pumicenotch.membership.messages import News, Opinion, Standing, Who
+from pumicenotch.membership.full_state import MAX_EXCHANGE_PERIODS, SEED_EXCHANGES
+from pumicenotch.membership.messages import MemberIdentity, MemberPhase, MemberState, Update
+from pumicenotch.membership.swim import PERIOD_MS
 from pumicenotch.net.fleet import FRAME_MOST, LOOK_S, links
 from pumicenotch.net.peers import PeerHub, ResettableTimer, open_listener, run_hub
 
@@ -52,12 +54,12 @@
         self.meter = meter
         self.holds_dead: dict[str, str] = {}  # name -> life
 
-    def changed(self, news: News) -> None:
-        super().changed(news)
-        name, life = news.who.name, news.who.life
+    def changed(self, update: Update) -> None:
+        super().changed(update)
+        name, life = update.member.name, update.member.process_id
         if (before := self.holds_dead.pop(name, None)) is not None:
             self.meter.thought_dead(name, before, -1)
-        if news.opinion is Opinion.DEAD and news.standing is not Standing.OUT:
+        if update.state is MemberState.DEAD and update.phase is not MemberPhase.LEFT:
             self.holds_dead[name] = life
             self.meter.thought_dead(name, life, 1)
 
@@ -68,16 +70,20 @@
         """
         members = self.members
         for each in msgpack.unpackb(packed, use_list=False):
-            who = Who(*each)
-            if who.name != self.me.name:
-                members.news[who.name] = News(
-                    who, KNOWN_INCARNATION, Standing.SERVING, Opinion.ALIVE, who.name
+            identity = MemberIdentity(*each)
+            if identity.name != self.me.name:
+                update = Update(
+                    identity,
+                    KNOWN_INCARNATION,
+                    MemberPhase.SERVING,
+                    MemberState.ALIVE,
+                    identity.name,
                 )
-                members.since[who.name] = self.now
-        members.pages_told = members.SEEDED + 1 + chance.randrange(3)
-        members.page_at = self.now + after_ms
-        members.page_at += chance.uniform(0.0, members.PAGE_PERIODS * members.PERIOD_MS)
-        members.next_at = self.now + after_ms + chance.uniform(0.0, members.PERIOD_MS)
+                members.table.install(self.now, update)
+        members.exchange.count = SEED_EXCHANGES + 1 + chance.randrange(3)
+        members.exchange.next_at = self.now + after_ms
+        members.exchange.next_at += chance.uniform(0.0, MAX_EXCHANGE_PERIODS * PERIOD_MS)
+        members.next_probe_at = self.now + after_ms + chance.uniform(0.0, PERIOD_MS)
 
     def forget_all(self) -> None:
         """Its process ends: what it held is held no more."""
@@ -180,7 +186,7 @@
             fleet=self.spec.fleet,
             member=settings.member(life),
             voters=settings.voters,
-            me=Who(place.name, place.address, life, began, place.zone, place.region),
+            me=MemberIdentity(place.name, place.address, life, began, place.zone, place.region),
             seeds=settings.voters,
             now=timer.now(),
             seed=chance.getrandbits(32),
--- a/pumicenotch/membership/__init__.py
+++ b/pumicenotch/membership/__init__.py
@@ -1,3 +1,5 @@
-"""Who is up, as an opinion: SWIM (2002) with suspicion, incarnations and Lifeguard's self-awareness (2017).
-Nothing safe rests on it alone. No I/O, no clock.
+"""Group membership: which members are believed to be alive.
+
+SWIM (2002) with suspicion and incarnations, and Lifeguard's local health awareness (2017). What it
+says is an opinion: nothing that must be safe rests on it alone. No I/O and no clock.
 """
--- a/pumicenotch/membership/messages.py
+++ b/pumicenotch/membership/messages.py
@@ -1,148 +1,217 @@
-"""What members say to each other, and what the reducer asks of its carrier."""
+"""The messages of the membership protocol, and their form on the wire.
 
+On the wire a message is `[kind, *fields]`. Kinds and the order of fields are fixed: members of
+earlier versions read them. `MESSAGE_TYPES` is the one table from the wire's words to types.
+"""
+
+from collections.abc import Mapping
 from enum import IntEnum
 from typing import Any, NamedTuple
 
+from pumicenotch.errors import PumicenotchError
+
+MAX_UPDATES_PER_MESSAGE = 64
+MAX_TEXT_LENGTH = 64
+MAX_ERROR_LENGTH = 200
+
+ERROR_PLACE = "membership message"
+ERROR_REMEDY = "run programs that speak one version of this protocol"
+
 
-class Standing(IntEnum):
-    """What a member says of itself."""
+class MessageDecodeError(PumicenotchError, ValueError):
+    """A payload is not of the form that members send."""
+
+    code = "membership-message"
+
+
+class MemberPhase(IntEnum):
+    """What a member says of itself. The numbers are those on the wire."""
 
     JOINING = 0
     SERVING = 1
     DRAINING = 2
-    OUT = 3  # it has left, and will not answer
+    LEFT = 3  # it has shut down, and will not answer
+
 
+# The words of status answers.
+PHASE_LABELS: Mapping[MemberPhase, str] = {
+    MemberPhase.JOINING: "joining",
+    MemberPhase.SERVING: "serving",
+    MemberPhase.DRAINING: "draining",
+    MemberPhase.LEFT: "out",
+}
 
-class Opinion(IntEnum):
-    """What others think of it. Of two about one incarnation the higher counts."""
+
+class MemberState(IntEnum):
+    """What other members believe of a member. Within one incarnation the higher value prevails."""
 
     ALIVE = 0
     SUSPECT = 1
     DEAD = 2
 
 
-class Who(NamedTuple):
-    """A member: `life` is of its process, drawn at its start; a higher `began` is the later process."""
+class MemberIdentity(NamedTuple):
+    """One process of a member.
+
+    Attributes:
+        name: the member's name, which its later processes take over.
+        address: where it listens, HOST:PORT.
+        process_id: drawn at the start of the process, unique to it.
+        started_at_ms: Unix time at its start. It orders the processes of one name, nothing else.
+        zone: the zone that it runs in.
+        region: the region that it runs in.
+    """
 
     name: str
     address: str
-    life: str
-    began: int  # Unix ms at its start: orders the lives of one name, and decides nothing else
+    process_id: str
+    started_at_ms: int
     zone: str
     region: str
 
 
-class News(NamedTuple):
-    """One member as somebody knows it."""
+class Update(NamedTuple):
+    """What is known of one member: the unit of gossip.
 
-    who: Who
+    Attributes:
+        member: whom it is about.
+        incarnation: raised by the member itself, to refute a suspicion or to announce a phase.
+        phase: what the member last said of itself.
+        state: what is believed of it.
+        reported_by: who first believed that; a suspicion is confirmed by different reporters.
+    """
+
+    member: MemberIdentity
     incarnation: int
-    standing: Standing
-    opinion: Opinion
-    by: str  # who first had the opinion: suspicion counts its confirmations by different ones
+    phase: MemberPhase
+    state: MemberState
+    reported_by: str
+
+    @property
+    def is_dead_or_left(self) -> bool:
+        """Whether this process of the member is dead or has left."""
+        return self.state is MemberState.DEAD or self.phase is MemberPhase.LEFT
+
+    @property
+    def precedence(self) -> tuple[int, str, int, int, int]:
+        """Of two updates about one member the one of higher precedence replaces the other."""
+        member = self.member
+        return (member.started_at_ms, member.process_id, self.incarnation, self.state, self.phase)
 
 
 class Ping(NamedTuple):
-    number: int
-    news: tuple[News, ...]
-    extra: tuple[Any, ...]  # what other parts hand from member to member: small and bounded
+    """A probe, direct or on behalf of another member. Answered by an Ack."""
+
+    sequence_number: int
+    updates: tuple[Update, ...]  # the first is the sender's own
+    broadcasts: tuple[object, ...]  # (key, value) pairs; checked where they are taken in
 
 
 class Ack(NamedTuple):
-    number: int
-    news: tuple[News, ...]
-    extra: tuple[Any, ...]
+    """The answer to a Ping or, relayed, to a PingRequest."""
+
+    sequence_number: int
+    updates: tuple[Update, ...]
+    broadcasts: tuple[object, ...]
 
 
 class Nack(NamedTuple):
-    """The asked helper has no answer yet: its asker is itself in touch (Lifeguard)."""
+    """The member asked by a PingRequest has no answer yet, but is itself reachable (Lifeguard)."""
 
-    number: int
+    sequence_number: int
 
 
-class Help(NamedTuple):
-    """Please ping that member for me."""
+class PingRequest(NamedTuple):
+    """Asks the receiver to ping `target` and to relay the Ack (SWIM's ping-req)."""
 
-    number: int
+    sequence_number: int
     target: str
 
 
-class Whole(NamedTuple):
-    """A page of all that is known: on joining, and now and then."""
+class FullState(NamedTuple):
+    """A page of all that the sender knows: push-pull synchronization."""
 
-    news: tuple[News, ...]
-    reply: bool  # whether the other's pages are wanted
+    updates: tuple[Update, ...]
+    reply_wanted: bool  # whether the receiver is to send its own full state
 
 
-Message = Ping | Ack | Nack | Help | Whole
-KINDS: dict[str, type[Any]] = {"ping": Ping, "ack": Ack, "nack": Nack, "help": Help, "whole": Whole}
-NAMES = {kind: name for name, kind in KINDS.items()}
-NEWS_MOST = 64  # in one message
+Message = Ping | Ack | Nack | PingRequest | FullState
 
+MESSAGE_TYPES: Mapping[str, type[Any]] = {
+    "ping": Ping,
+    "ack": Ack,
+    "nack": Nack,
+    "help": PingRequest,
+    "whole": FullState,
+}
+_KINDS: Mapping[type[Any], str] = {type_: kind for kind, type_ in MESSAGE_TYPES.items()}
 
-class BadMessage(ValueError):
-    """It is not of the form that members send."""
 
+def encode(message: Message) -> list[object]:
+    """Return the message as plain values, as MessagePack carries them."""
+    return [_KINDS[type(message)], *message]
 
-def plain(message: Message) -> list[Any]:
-    return [NAMES[type(message)], *message]
 
+def decode(payload: Any) -> Message:
+    """Return the message that `encode` gave.
 
-def news_of(told: Any) -> tuple[News, ...]:
-    if len(told) > NEWS_MOST:
-        raise BadMessage(f"{len(told)} news in one message: {NEWS_MOST} are allowed")
-    found = []
-    for who, incarnation, standing, opinion, by in told:
-        made = Who._make(who)
-        texts = (made.name, made.address, made.life, made.zone, made.region, by)
-        if not all(isinstance(text, str) and len(text) <= 64 for text in texts) or not made.name:
-            raise BadMessage(f"news of {made!r:.80}: texts of up to 64 letters are wanted")
-        if type(incarnation) is not int or type(made.began) is not int or incarnation < 0:
-            raise BadMessage(f"news of {made.name}: whole numbers are wanted")
-        found.append(News(made, incarnation, Standing(standing), Opinion(opinion), by))
-    return tuple(found)
-
-
-def message_of(told: Any) -> Message:
-    """Raises BadMessage."""
+    Raises:
+        MessageDecodeError: the payload is no message that a member sends.
+    """
     try:
-        kind = KINDS[told[0]]
-        made = kind._make(told[1:])
-        if kind is not Whole and type(made.number) is not int:
-            raise BadMessage(f"{told[0]}.number: a whole number is wanted")
-        if kind is Help and not isinstance(made.target, str):
-            raise BadMessage("help.target: a name is wanted")
-        if "news" in kind._fields:
-            made = made._replace(news=news_of(made.news))
-        if "extra" in kind._fields:
-            made = made._replace(extra=tuple(made.extra))
-        message: Message = made
-        return message
+        return _decode(payload)
     except (KeyError, IndexError, TypeError, ValueError, AttributeError) as error:
-        if isinstance(error, BadMessage):
+        if isinstance(error, MessageDecodeError):
             raise
-        raise BadMessage(f"no message of members: {type(error).__name__} {error}"[:200]) from None
-
-
-class Send(NamedTuple):
-    address: str  # not a name: a seed's is not known before it has answered
-    message: Message
-
-
-class Changed(NamedTuple):
-    """What is thought of a member is another now."""
-
-    news: News
-
-
-class Refused(NamedTuple):
-    """A later process goes by this one's name."""
-
-    other: Who
-
-
-class Wake(NamedTuple):
-    at: float
-
-
-Effect = Send | Changed | Refused | Wake
+        raise _decode_error(f"{type(error).__name__} {error}") from None
+
+
+def _decode(payload: Any) -> Message:
+    kind = payload[0]
+    message = MESSAGE_TYPES[kind]._make(payload[1:])
+    if not isinstance(message, FullState) and type(message.sequence_number) is not int:
+        raise _decode_error(f"{kind}: its sequence number is no whole number")
+    match message:
+        case Ping() | Ack():
+            decoded: Message = message._replace(
+                updates=_decode_updates(message.updates), broadcasts=tuple(message.broadcasts)
+            )
+        case FullState():
+            decoded = message._replace(updates=_decode_updates(message.updates))
+        case PingRequest(_, target) if not isinstance(target, str):
+            raise _decode_error(f"{kind}: its target is no name")
+        case _:
+            decoded = message
+    return decoded
+
+
+def _decode_updates(rows: Any) -> tuple[Update, ...]:
+    if len(rows) > MAX_UPDATES_PER_MESSAGE:
+        raise _decode_error(f"{len(rows)} updates, {MAX_UPDATES_PER_MESSAGE} are allowed")
+    return tuple(map(_decode_update, rows))
+
+
+def _decode_update(row: Any) -> Update:
+    identity, incarnation, phase, state, reported_by = row
+    member = MemberIdentity._make(identity)
+    texts = (
+        member.name,
+        member.address,
+        member.process_id,
+        member.zone,
+        member.region,
+        reported_by,
+    )
+    if not all(isinstance(text, str) and len(text) <= MAX_TEXT_LENGTH for text in texts):
+        raise _decode_error(f"update of {member!r:.80}: a text is longer than {MAX_TEXT_LENGTH}")
+    if not member.name:
+        raise _decode_error(f"update of {member!r:.80}: the name is empty")
+    if type(incarnation) is not int or incarnation < 0 or type(member.started_at_ms) is not int:
+        raise _decode_error(f"update of {member.name}: incarnation or start is no whole number")
+    return Update(member, incarnation, MemberPhase(phase), MemberState(state), reported_by)
+
+
+def _decode_error(problem: str) -> MessageDecodeError:
+    return MessageDecodeError(
+        problem=problem[:MAX_ERROR_LENGTH], place=ERROR_PLACE, remedy=ERROR_REMEDY
+    )
--- a/pumicenotch/net/agent.py
+++ b/pumicenotch/net/agent.py
@@ -22,7 +22,7 @@
 from pumicenotch.config.hcl import BadFile
 from pumicenotch.fleet import effects
 from pumicenotch.fleet.agent import Agent
-from pumicenotch.membership.messages import Who
+from pumicenotch.membership.messages import MemberIdentity
 from pumicenotch.net import logs
 from pumicenotch.net.peers import PeerHub, ResettableTimer
 
@@ -52,7 +52,7 @@
         clock: ResettableTimer,
         group: TaskGroup,
     ) -> None:
-        core.me = Who("", "", core.life, 0, "", "")  # type: ignore[attr-defined]
+        core.me = MemberIdentity("", "", core.life, 0, "", "")  # type: ignore[attr-defined]
         super().__init__(cast(Any, core), clock, group, lambda why: None, FRAME_MOST, LINKS_MOST)
         self.told, self.agent, self.disk = told, core, disk
         self.home = Path(told.home)
--- a/pumicenotch/net/configuration.py
+++ b/pumicenotch/net/configuration.py
@@ -28,7 +28,7 @@
 from pumicenotch.distribution.view import View
 from pumicenotch.errors import PumicenotchError
 from pumicenotch.fleet.voter_client import NO_MAJORITY, NOT_LEADER, REFUSED
-from pumicenotch.membership.messages import News, Opinion, Standing, Who
+from pumicenotch.membership.messages import MemberIdentity, Update
 from pumicenotch.net.peers import PeerHub, ResettableTimer
 from pumicenotch.sender import Sender
 
@@ -37,14 +37,20 @@
 MEMBERSHIP_LINKS = 16  # of a server's links each way that its children never take
 
 
-def peer_of(news: News) -> events.Peer:
-    who = news.who
-    alive = news.opinion is not Opinion.DEAD and news.standing is not Standing.OUT
-    return events.Peer(who.name, who.zone, who.region, who.address, who.life, alive)
+def peer_of(update: Update) -> events.Peer:
+    member = update.member
+    return events.Peer(
+        member.name,
+        member.zone,
+        member.region,
+        member.address,
+        member.process_id,
+        not update.is_dead_or_left,
+    )
 
 
-def self_of(who: Who) -> events.Peer:
-    return events.Peer(who.name, who.zone, who.region, who.address, who.life)
+def self_of(member: MemberIdentity) -> events.Peer:
+    return events.Peer(member.name, member.zone, member.region, member.address, member.process_id)
 
 
 class StepTimes:
@@ -198,7 +204,7 @@
         """The hub has carried out what came of one of its own inputs."""
 
     @abstractmethod
-    def member_changed(self, news: News) -> None:
+    def member_changed(self, update: Update) -> None:
         """Membership has another opinion of that process."""
 
     @abstractmethod
@@ -272,8 +278,8 @@
         # large publication brings one about.
         gc.freeze()
         super().run()
-        for news in self.hub.node.members.news.values():
-            self.member_changed(news)
+        for update in self.hub.node.members.table.updates.values():
+            self.member_changed(update)
 
     def step(self, now_ms: float, event: events.NodeEvent) -> list[effects.Effect]:
         return self.node.step(now_ms, event)
@@ -281,9 +287,9 @@
     def after_put(self) -> None:
         """Nothing of the node matters here beside `member_changed`."""
 
-    def member_changed(self, news: News) -> None:
-        if news.who.address not in self.voters:
-            self.put(events.PeerChanged(peer_of(news)))
+    def member_changed(self, update: Update) -> None:
+        if update.member.address not in self.voters:
+            self.put(events.PeerChanged(peer_of(update)))
 
     def reload(self, settings: InstanceSettings) -> None:
         """The server's file says something else now: the subscription follows it, the rest at a restart."""
--- a/pumicenotch/net/fleet.py
+++ b/pumicenotch/net/fleet.py
@@ -20,7 +20,7 @@
 from pumicenotch.fleet.member_node import MemberNode
 from pumicenotch.fleet.settings import FleetSettings
 from pumicenotch.fleet.voter_node import VoterNode
-from pumicenotch.membership.messages import Who
+from pumicenotch.membership.messages import MemberIdentity
 from pumicenotch.net import logs
 from pumicenotch.net.hub import Hub
 from pumicenotch.net.peers import PeerHub, ResettableTimer, open_listener, run_hub
@@ -40,10 +40,10 @@
 FRAME_MOST = 128 * 1024  # to a server: a page of news has some 10 KB
 
 
-def who(settings: FleetSettings) -> tuple[Who, dict[str, Any]]:
+def who(settings: FleetSettings) -> tuple[MemberIdentity, dict[str, Any]]:
     """This process as others know it, with a life of its own, and what every node is made from."""
     life = secrets.token_hex(6)
-    me = Who(
+    me = MemberIdentity(
         settings.name,
         settings.address,
         life,
--- a/pumicenotch/net/peers.py
+++ b/pumicenotch/net/peers.py
@@ -18,7 +18,7 @@
 from pumicenotch import start
 from pumicenotch.fleet import effects
 from pumicenotch.fleet.member_node import MemberNode
-from pumicenotch.membership.messages import News
+from pumicenotch.membership.messages import Update
 from pumicenotch.net import gateways
 from pumicenotch.net.clock import Clock
 from pumicenotch.net.dial import Links, Put
@@ -192,7 +192,7 @@
     def request(self, conn: int, message: int, verb: str, args: Any) -> bool:
         """Whether it was one of its own, which it has answered then."""
 
-    def member_changed(self, news: News) -> None:
+    def member_changed(self, update: Update) -> None:
         """Membership has another opinion of that process."""
 
     def after_put(self) -> None:
@@ -216,7 +216,7 @@
         self.frame_most, self.unread = frame_most, UNREAD_FRAMES * frame_most
         self.links_most = max(2, links_most // 2)
         self.node, self.group, self.leave = core, group, leave
-        self.hello = Hello(core.fleet, core.me.name, core.me.life, core.me.address)
+        self.hello = Hello(core.fleet, core.me.name, core.me.process_id, core.me.address)
         self.peer_links: dict[str, PeerLink] = {}  # by link, which is "peer-ADDRESS"
         self.conns = 0
         self.idle_at = 0.0
@@ -400,9 +400,9 @@
                 self.write(conn, ("result", message, result))
             case effects.Reply(conn, message, error, _):
                 self.write(conn, ("error", message, error))
-            case effects.MemberChanged(news):
+            case effects.MemberChanged(update):
                 if self.extension is not None:
-                    self.extension.member_changed(news)
+                    self.extension.member_changed(update)
             case effects.Leave(why):
                 logger.info("leaves {}", why)
                 self.leave(why)
--- a/pumicenotch/net/voter_configuration.py
+++ b/pumicenotch/net/voter_configuration.py
@@ -13,7 +13,7 @@
 from pumicenotch.distribution.voter_source import VoterSource
 from pumicenotch.fleet.book import Book
 from pumicenotch.fleet.voter_node import VoterNode
-from pumicenotch.membership.messages import News
+from pumicenotch.membership.messages import Update
 from pumicenotch.net.configuration import STATUS, Carrier, NotLeading, self_of
 from pumicenotch.net.peers import PeerHub
 
@@ -59,7 +59,7 @@
             self.source.publications, self.version = publications, publications.version
             self.put(events.Published(self.version))
 
-    def member_changed(self, news: News) -> None:
+    def member_changed(self, update: Update) -> None:
         """A voter serves whoever subscribes."""
 
     def answer(self, verb: str, args: Any) -> dict[str, Any]:
--- a/tests/test_book.py
+++ b/tests/test_book.py
@@ -17,7 +17,7 @@
 from pumicenotch.fleet.voter_node import VoterNode
 from pumicenotch.lab.fleets import Day
 from pumicenotch.membership import messages
-from pumicenotch.membership.messages import News, Opinion, Standing, Who
+from pumicenotch.membership.messages import MemberIdentity, MemberPhase, MemberState, Update
 
 VOTERS = ("v1", "v2", "v3")
 
@@ -245,7 +245,11 @@
     day.run(3000.0)
     assert not day.node(other).leadership().in_touch
     day.heal()
-    news = News(Who("n9", "n9", "1", 1, "", ""), 1, Standing.SERVING, Opinion.ALIVE, "n9")
-    message = messages.plain(messages.Ping(1, (news,), ()))
+    update = Update(
+        MemberIdentity("n9", "n9", "1", 1, "", ""), 1, MemberPhase.SERVING, MemberState.ALIVE, "n9"
+    )
+    message = messages.encode(messages.Ping(1, (update,), ()))
     told = day.node(leader).step(day.now, "told", (other, "9", other), "members", message)
-    assert [effect.news.who.name for effect in told if isinstance(effect, MemberChanged)] == ["n9"]
+    assert [effect.update.member.name for effect in told if isinstance(effect, MemberChanged)] == [
+        "n9"
+    ]
--- a/tests/test_fleet_config.py
+++ b/tests/test_fleet_config.py
@@ -17,7 +17,7 @@
 from pumicenotch.fleet.effects import Ask
 from pumicenotch.fleet.member_node import MemberNode
 from pumicenotch.fleet.settings import settings_of
-from pumicenotch.membership.messages import Who
+from pumicenotch.membership.messages import MemberIdentity
 
 SERVER = """fleet "accra" {
   member = "n3"
@@ -119,7 +119,7 @@
     """Not at the next word that is due anyway: among 300 members that was 1.5 s later, and drains took 1.35
     times the shortest.
     """
-    me = Who("n0", "n0:1", "1", 1, "a", "")
+    me = MemberIdentity("n0", "n0:1", "1", 1, "a", "")
     mate = MemberNode(
         fleet="f",
         me=me,
