--- a/benchmarks/capacity/mechanisms.py
+++ b/benchmarks/capacity/mechanisms.py
@@ -111,10 +111,16 @@
         "`membership/full_state.py` `FullStateExchange`: as n squared",
     ),
     Mechanism(
-        "voter.leader", "", "", "`fleet/voter_node.py` `heartbeat_interval_ms`; `agree/voter.py`"
+        "voter.leader",
+        "",
+        "",
+        "`fleet/voter_node.py` `heartbeat_interval_ms`; `consensus/voter.py`",
     ),
     Mechanism(
-        "voter.follower", "", "", "`agree/voter.py` `Voter.take`; `fleet/state.py` `State.apply`"
+        "voter.follower",
+        "",
+        "",
+        "`consensus/voter.py` `Voter.take`; `fleet/state.py` `State.apply`",
     ),
     Mechanism("agent", "", "", "`fleet/agent.py` `Agent.hear`: at the pace that the leader names"),
     Mechanism(
