--- a/pumicenotch/pools/__init__.py
+++ b/pumicenotch/pools/__init__.py
@@ -2,7 +2,7 @@
 or clock. `pools.Pools` meets the decision module through the Protocol of that name in `interface.py`.
 """
 
+from pumicenotch.pools.class_pools import Pools
 from pumicenotch.pools.plan import Plan, Pool
-from pumicenotch.pools.pools import Pools
 
 __all__ = ["Plan", "Pool", "Pools"]
--- a/pumicenotch/pools/pools.py
+++ b/pumicenotch/pools/class_pools.py
@@ -9,12 +9,12 @@
 from collections.abc import Collection, Sequence
 
 from pumicenotch.interface import Stage
-from pumicenotch.pools.budget import Budgets
-from pumicenotch.pools.divide import divide
-from pumicenotch.pools.estimate import Demand, Typical
-from pumicenotch.pools.likeness import Likeness
+from pumicenotch.pools.allocation import divide
+from pumicenotch.pools.duplicates import Likeness
+from pumicenotch.pools.estimators import Demand, Typical
 from pumicenotch.pools.plan import Plan, Pool, lanes
-from pumicenotch.pools.reading import Reading
+from pumicenotch.pools.read_backlog import Reading
+from pumicenotch.pools.retry_budget import Budgets
 
 
 class Side:
--- a/pumicenotch/route/decide.py
+++ b/pumicenotch/route/decide.py
@@ -16,7 +16,7 @@
 from pumicenotch.cells.walk import SAYS, End, Said, Step, Walk, walk
 from pumicenotch.control import Agenda
 from pumicenotch.interface import Effect as Repeat
-from pumicenotch.pools.budget import Budget
+from pumicenotch.pools.retry_budget import Budget
 from pumicenotch.server.effects import Close, Dial, Exit, Fault, Log, Wake, Write
 from pumicenotch.server.front import Front
 from pumicenotch.server.tasks import BadTask, Held, Tasks
--- a/tests/test_pools_hard.py
+++ b/tests/pools/test_hard_cases.py
@@ -16,7 +16,7 @@
 from pumicenotch.lab.simulate import Simulation, pools_of
 from pumicenotch.pools import Plan, Pool
 
-PLAN = plan_of(Path(__file__).parents[1] / "deploy" / "pools.hcl")
+PLAN = plan_of(Path(__file__).parents[2] / "deploy" / "pools.hcl")
 SHORT = ("carrier=simulated", "length_s=30", "warm_s=6")
 
 
--- a/tests/test_pools.py
+++ b/tests/pools/test_pools.py
@@ -10,12 +10,12 @@
 
 from pumicenotch.interface import Effect, Stage
 from pumicenotch.pools import Plan, Pool, Pools
-from pumicenotch.pools.budget import Budget, Budgets
-from pumicenotch.pools.divide import LEAST, divide
-from pumicenotch.pools.estimate import Demand, Typical
-from pumicenotch.pools.likeness import Likeness
+from pumicenotch.pools.allocation import LEAST, divide
+from pumicenotch.pools.duplicates import Likeness
+from pumicenotch.pools.estimators import Demand, Typical
 from pumicenotch.pools.plan import BadPlan, lanes, unknown
-from pumicenotch.pools.reading import Reading
+from pumicenotch.pools.read_backlog import Reading
+from pumicenotch.pools.retry_budget import Budget, Budgets
 
 STAGE = Stage(2500.0, 0.0, 6300.0, Effect.RESTARTABLE, 0.0, 1.0, 0.0, 0.0)
 places = st.floats(0.0, 50.0)
