--- a/pumicenotch/membership/messages.py
+++ b/pumicenotch/membership/messages.py
@@ -8,7 +8,7 @@
 from enum import IntEnum
 from typing import Any, NamedTuple
 
-from pumicenotch.errors import PumicenotchError
+from pumicenotch.errors import InputError
 
 MAX_UPDATES_PER_MESSAGE = 64
 MAX_TEXT_LENGTH = 64
@@ -18,7 +18,7 @@
 ERROR_REMEDY = "run programs that speak one version of this protocol"
 
 
-class MessageDecodeError(PumicenotchError, ValueError):
+class MessageDecodeError(InputError):
     """A payload is not of the form that members send."""
 
     code = "membership-message"
@@ -212,6 +212,4 @@
 
 
 def _decode_error(problem: str) -> MessageDecodeError:
-    return MessageDecodeError(
-        problem=problem[:MAX_ERROR_LENGTH], place=ERROR_PLACE, remedy=ERROR_REMEDY
-    )
+    return MessageDecodeError(problem[:MAX_ERROR_LENGTH], place=ERROR_PLACE, remedy=ERROR_REMEDY)
