--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -24,7 +24,7 @@
 
 from pumicenotch.control import AdmissionController, ControllerSettings
 from pumicenotch.interface import IncomingRequest, Outcome, Tenant
-from pumicenotch.pools import Pools
+from pumicenotch.pools import ClassPools
 from tests.record import KINDS, PLAN, STAGES, World
 
 KNOWN = (300, 3_000, 15_000, 54_000)
@@ -66,7 +66,7 @@
     }
     world = World(seed, max(3, many), 1.2, stages, **KINDS[0])
     if pooled:
-        world.control.use_pools(0.0, Pools(0.0, PLAN, stages, numbers))
+        world.control.use_pools(0.0, ClassPools(0.0, PLAN, stages, numbers))
         world.marks = True
     world.quiet = True
     timed = Timed(world.control)
--- a/pumicenotch/__main__.py
+++ b/pumicenotch/__main__.py
@@ -170,13 +170,13 @@
     """Makes pools from the time that they begin at; nothing of them is loaded where there are none."""
     if plan is None:
         return None
-    from pumicenotch.pools import Pools
-    from pumicenotch.pools.plan import unknown
+    from pumicenotch.pools import ClassPools
+    from pumicenotch.pools.plan import unknown_classes
 
     stages, numbers = values["settings"].request_classes, values["stages"]
-    for name in unknown(plan, list(numbers)):
+    for name in unknown_classes(plan, list(numbers)):
         logger.warning("{}: no stage of this server is called {}", values["config"], name)
-    return lambda now: Pools(now, plan, stages, numbers)
+    return lambda now: ClassPools(now, plan, stages, numbers)
 
 
 async def join(hub: Hub, group: TaskGroup, ours: Any, seed: int, sockets: int) -> Any:
--- a/pumicenotch/config/compiled.py
+++ b/pumicenotch/config/compiled.py
@@ -6,7 +6,14 @@
 from typing import TYPE_CHECKING, Any, NamedTuple
 
 from pumicenotch.errors import InputError
-from pumicenotch.pools.plan import InvalidPoolsPlanError, Plan, Pool, check, unknown
+from pumicenotch.pools.plan import (
+    InvalidPoolsPlanError,
+    PoolsPlan,
+    decode_plan,
+    encode_plan,
+    encode_pool,
+    unknown_classes,
+)
 
 if TYPE_CHECKING:  # nothing of a fleet is loaded where there is none
     from pumicenotch.distribution.instance_settings import InstanceSettings
@@ -22,7 +29,7 @@
 class Ours(NamedTuple):
     """All that a file of ours says."""
 
-    plan: Plan | None = None
+    plan: PoolsPlan | None = None
     node: str = ""  # this node's name in the cell map
     map: str = ""  # the file of the cell map; "": the node knows of no cells
     fleet: "FleetSettings | None" = None  # its place in a fleet, if it is in one
@@ -32,12 +39,7 @@
 
 
 def dump(ours: Ours) -> str:
-    plan = ours.plan
-    told = (
-        {**plan._asdict(), "pools": [pool._asdict() for pool in plan.pools]}
-        if plan is not None
-        else None
-    )
+    plan = encode_plan(ours.plan) if ours.plan is not None else None
     fleet = ours.fleet._asdict() if ours.fleet is not None else None
     cells = {"node": ours.node, "map": ours.map}
     distribution = None
@@ -46,7 +48,7 @@
 
         distribution = plain(ours.distribution)
     return json.dumps(
-        {"form": FORM, "plan": told, "cells": cells, "fleet": fleet, "distribution": distribution}
+        {"form": FORM, "plan": plan, "cells": cells, "fleet": fleet, "distribution": distribution}
     )
 
 
@@ -73,11 +75,7 @@
             distribution = instance_settings_of(told["distribution"])
         if told["plan"] is None:
             return Ours(None, node, map_file, fleet, distribution)
-        pools = tuple(
-            Pool(**{**pool, "stages": tuple(pool["stages"])}) for pool in told["plan"]["pools"]
-        )
-        plan = Plan(**{**told["plan"], "pools": pools})
-        check(plan)
+        plan = decode_plan(told["plan"])
     except InvalidPoolsPlanError as error:
         raise InvalidConfigError(f"{name}:1: plan: {error}") from None
     except (ValueError, KeyError, TypeError) as error:
@@ -142,12 +140,12 @@
     return {
         "cells": cells,
         "fleet": fleet,
-        "pools": [pool._asdict() for pool in plan.pools],
-        "limits": "fixed parts" if plan.fixed else "follow demand and capacity",
+        "pools": [encode_pool(pool) for pool in plan.pools],
+        "limits": "fixed parts" if plan.fixed_limits else "follow demand and capacity",
         "repeats": f"{plan.retry_ratio:g} for a first try while places are short, up to {plan.retry_burst:g}",
-        "unmarked_repeats": f"same within {plan.likeness_ms:g} ms"
-        if plan.likeness_ms
+        "unmarked_repeats": f"same within {plan.duplicate_window_ms:g} ms"
+        if plan.duplicate_window_ms
         else "not seen",
-        "reading": f"{plan.reading:g} of what is read is kept for reserved pools while reading is behind",
-        "unknown_stages": unknown(plan, stages) if stages else [],
+        "reading": f"{plan.reading_reserve:g} of what is read is kept for reserved pools while reading is behind",
+        "unknown_stages": unknown_classes(plan, stages) if stages else [],
     }
--- a/pumicenotch/config/file.py
+++ b/pumicenotch/config/file.py
@@ -57,15 +57,15 @@
             plan.check(made)
         return self
 
-    def plan(self) -> plan.Plan | None:
+    def plan(self) -> plan.PoolsPlan | None:
         """None where the file names no pools: all classes are as one."""
         if not self.pool:
             return None
         pools = tuple(
-            plan.Pool(each.name, each.stages, each.reserve, each.weight, each.most, each.lends)
+            plan.PoolPlan(each.name, each.stages, each.reserve, each.weight, each.most, each.lends)
             for each in self.pool
         )
-        return plan.Plan(
+        return plan.PoolsPlan(
             pools,
             self.fixed_limits,
             self.retries.ratio,
@@ -76,7 +76,7 @@
         )
 
 
-def plan_of(path: str | Path) -> plan.Plan | None:
+def plan_of(path: str | Path) -> plan.PoolsPlan | None:
     """The plan in an HCL file. Raises InvalidFileError."""
     return read(path, File).plan()
 
--- a/pumicenotch/lab/simulate.py
+++ b/pumicenotch/lab/simulate.py
@@ -17,21 +17,21 @@
 from pumicenotch.lab.cores import Cores, Work
 from pumicenotch.lab.ledger import Ledger
 from pumicenotch.lab.world import World, arrivals
-from pumicenotch.pools import Plan, Pools
+from pumicenotch.pools import ClassPools, PoolsPlan
 from pumicenotch.server.core import Server
 from pumicenotch.server.effects import Dial, Exit, Fault, Reach, ReadOut, Wake, Write
 
 WIRE_MS = 0.3  # one way between any two parties
 MOST_OPEN = 32  # tasks on one connection
 
-MakePools = Callable[[list[Any], dict[str, int]], Callable[[float], Pools]]
+MakePools = Callable[[list[Any], dict[str, int]], Callable[[float], ClassPools]]
 
 
-def pools_of(plan: Plan | None) -> MakePools | None:
+def pools_of(plan: PoolsPlan | None) -> MakePools | None:
     """What makes a server's pools by that plan."""
     if plan is None:
         return None
-    return lambda stages, numbers: lambda now: Pools(now, plan, stages, numbers)
+    return lambda stages, numbers: lambda now: ClassPools(now, plan, stages, numbers)
 
 
 class Node:
--- a/pumicenotch/pools/__init__.py
+++ b/pumicenotch/pools/__init__.py
@@ -1,8 +1,9 @@
-"""Class pools, the reserve for the cheapest classes, and budgets for repeated attempts: decisions without I/O
-or clock. `pools.Pools` meets the decision module through the Protocol of that name in `interface.py`.
+"""Class pools: a reserve for the cheapest classes, and budgets for retries.
+
+Decisions without I/O or clock. `ClassPools` is what a controller sees as `interface.Pools`.
 """
 
-from pumicenotch.pools.class_pools import Pools
-from pumicenotch.pools.plan import Plan, Pool
+from pumicenotch.pools.class_pools import ClassPools
+from pumicenotch.pools.plan import PoolPlan, PoolsPlan
 
-__all__ = ["Plan", "Pool", "Pools"]
+__all__ = ["ClassPools", "PoolPlan", "PoolsPlan"]
--- a/pumicenotch/pools/allocation.py
+++ b/pumicenotch/pools/allocation.py
@@ -1,68 +1,100 @@
-"""How running places are divided between pools: a pure function of what each needs and may claim."""
+"""How the server's slots are allocated to pools: weighted max-min with floors and ceilings."""
 
 from collections.abc import Sequence
 
-LEAST = 0.05  # of a place: a pool that nobody sends to has a claim still, or its first task would wait for good
+# In slots. A pool without requests keeps a claim, or its first request would wait for ever.
+MIN_SLOTS = 0.05
 
 
-def divide(
-    total: float,
+def allocate(
+    total_slots: float,
     needs: Sequence[float],
-    own: Sequence[float],
+    reserves: Sequence[float],
     weights: Sequence[float],
-    most: Sequence[float] | None = None,
+    ceilings: Sequence[float] | None = None,
 ) -> list[float]:
-    """The limit of each pool, in places like all arguments but the weights. They sum to the total, less what
-    a pool's `most` keeps it from taking.
+    """Return the limit of each pool, in slots.
 
-    Weighted max-min with floors and ceilings: one level for all, at which a pool has its weight's part, but
-    never less than its reserve as far as it needs it and never more than it needs. A pool that its reserve
-    has raised above the level takes nothing else. What nobody needs then goes to all by weight, so that one
-    whose demand grows finds its limit ahead of it.
+    There is one level for all, at which a pool has slots by its weight, but never less than its
+    reserve as far as it needs it, and never more than it needs. A pool that its reserve has raised
+    above the level gets nothing else. What nobody needs goes to all by weight, so that a pool whose
+    demand grows finds its limit ahead of it.
+
+    Args:
+        total_slots: what there is to allocate.
+        needs: the slots that each pool's demand would hold.
+        reserves: the slots that each pool fills before all others.
+        weights: the claims of the pools on the rest.
+        ceilings: the most slots for each pool, if there are any.
+
+    Returns:
+        Limits that sum to the total, less what the ceilings keep from use.
     """
-    if most is not None:
-        needs = [min(pair) for pair in zip(needs, most, strict=True)]
-    left = total - sum(needs)
-    if left >= 0.0:
-        spare = left / sum(weights)
-        parts = [
-            max(LEAST, need + spare * weight) for need, weight in zip(needs, weights, strict=True)
+    if ceilings is not None:
+        needs = [min(pair) for pair in zip(needs, ceilings, strict=True)]
+    unneeded = total_slots - sum(needs)
+    if unneeded >= 0.0:
+        per_weight = unneeded / sum(weights)
+        limits = [
+            max(MIN_SLOTS, need + per_weight * weight)
+            for need, weight in zip(needs, weights, strict=True)
         ]
-        return parts if most is None else [min(pair) for pair in zip(parts, most, strict=True)]
-    floors = [claim if claim < need else need for claim, need in zip(own, needs, strict=True)]
+        if ceilings is None:
+            return limits
+        return [min(pair) for pair in zip(limits, ceilings, strict=True)]
+    return _ration(total_slots, needs, reserves, weights)
+
+
+def _ration(
+    total_slots: float,
+    needs: Sequence[float],
+    reserves: Sequence[float],
+    weights: Sequence[float],
+) -> list[float]:
+    """Return the limits where the pools need more than there is."""
+    floors = [
+        reserve if reserve < need else need for reserve, need in zip(reserves, needs, strict=True)
+    ]
     reserved = sum(floors)
-    if reserved > total:
-        return [max(LEAST, floor * total / reserved) for floor in floors]
-    return [max(LEAST, part) for part in level(total, floors, needs, weights)]
+    if reserved > total_slots:
+        return [max(MIN_SLOTS, floor * total_slots / reserved) for floor in floors]
+    return [max(MIN_SLOTS, limit) for limit in _fill(total_slots, floors, needs, weights)]
 
 
-def level(
-    total: float, floors: Sequence[float], ceilings: Sequence[float], weights: Sequence[float]
+def _fill(
+    total_slots: float,
+    floors: Sequence[float],
+    ceilings: Sequence[float],
+    weights: Sequence[float],
 ) -> list[float]:
-    """Parts by weight between floors and ceilings that sum to the total, as far as the ceilings allow. Each
-    round settles those on the side, below or above, that is out by more: what settles them stays true
-    after.
+    """Return limits by weight between floors and ceilings that sum to the total.
+
+    Each round settles those below their floors or those above their ceilings, whichever are out by
+    more in sum: what settles them remains true in the rounds after.
     """
-    given = list(ceilings)
-    free = list(range(len(floors)))
-    left = total
-    while free:
-        a_weight = left / sum([weights[at] for at in free])
-        low, high, under, over = [], [], 0.0, 0.0
-        for at in free:
-            part = given[at] = a_weight * weights[at]
-            if part < floors[at]:
-                low.append(at)
-                under += floors[at] - part
-            elif part > ceilings[at]:
-                high.append(at)
-                over += part - ceilings[at]
-        if not low and not high:
+    limits = list(ceilings)
+    open_pools = list(range(len(floors)))
+    remaining = total_slots
+    while open_pools:
+        per_weight = remaining / sum([weights[pool] for pool in open_pools])
+        too_low = []
+        too_high = []
+        deficit = 0.0
+        excess = 0.0
+        for pool in open_pools:
+            limits[pool] = per_weight * weights[pool]
+            if limits[pool] < floors[pool]:
+                too_low.append(pool)
+                deficit += floors[pool] - limits[pool]
+            elif limits[pool] > ceilings[pool]:
+                too_high.append(pool)
+                excess += limits[pool] - ceilings[pool]
+        if not too_low and not too_high:
             break
-        settled, bounds = (low, floors) if under >= over else (high, ceilings)
-        for at in settled:
-            given[at] = bounds[at]
-            left -= bounds[at]
-            free.remove(at)
-        left = max(0.0, left)
-    return given
+        settled, bounds = (too_low, floors) if deficit >= excess else (too_high, ceilings)
+        for pool in settled:
+            limits[pool] = bounds[pool]
+            remaining -= bounds[pool]
+            open_pools.remove(pool)
+        remaining = max(0.0, remaining)
+    return limits
--- a/pumicenotch/pools/class_pools.py
+++ b/pumicenotch/pools/class_pools.py
@@ -1,12 +1,12 @@
-"""The reducer of the pools: which class's work may start, and what a task may hope for on its arrival.
+"""Class pools as a reducer: which class's requests may start, and how long a new one may wait.
 
-The decision module tells it what happens (read, on the cores, off them, ended, tick) with the time, and asks
-it three questions: what hope a task has (`request_received`), where and before how many places it would
-wait (`reserve_slot`), and which pool's work starts next (`next_pool`). Whose work it is, HWCS says. The total is the decision module's
-own; pools divide it.
+A controller notifies it of what happens, with the time, and asks three questions: how long a
+request may wait (`request_received`), in which pool and for how many slots (`reserve_slot`), and
+which pool's request starts next (`next_pool`). Which tenant's request starts is for HWCS to say.
+The number of slots is the controller's; pools allocate them. No clock and no chance.
 """
 
-from collections.abc import Collection, Sequence
+from collections.abc import Collection, Mapping, Sequence
 
 from pumicenotch.interface import (
     IncomingRequest,
@@ -15,328 +15,354 @@
     SlotQuery,
     WaitAllowance,
 )
-from pumicenotch.pools.allocation import divide
-from pumicenotch.pools.duplicates import Likeness
-from pumicenotch.pools.estimators import Demand, Typical
-from pumicenotch.pools.plan import Plan, Pool, lanes
-from pumicenotch.pools.read_backlog import Reading
-from pumicenotch.pools.retry_budget import Budgets
-
-
-class Side:
-    """What is known of one pool."""
-
-    DEMAND_MS = 700.0  # over which demand is a mean: a shift of classes shows within a second, chance less so
-    FRESH_MS = 5000.0  # after its last task a pool is one that nobody sends to
-    CREDIT_MS = 400.0  # over which a place short of its limit counts as one missed
-    CREDIT = 1.5  # places at the most, either way: what was missed long ago is not made up for
-    SEEN = 3  # runs that have ended, from which on their typical time is one
-
-    def __init__(self, now: float, pool: Pool, utility: float) -> None:
-        self.pool, self.reserve, self.reserved = pool, pool.reserve, pool.reserve > 0.0
-        # what work earns for a place-ms weighs, if none is told
-        self.weight, self.utility = pool.weight, utility
-        self.demand = Demand(now, self.DEMAND_MS)
-        self.slot = Typical()  # time on the cores of one run, ms
-        self.limit = self.share = self.need = 0.0
-        self.first = 0.0  # places that it fills before all others, as a reserve
-        self.aim = 0.0  # places that it could use now: the lesser of limit and need
-        self.credit, self.settled_at = 0.0, now  # up to the last division
-        self.held_ms, self.held_at = 0.0, now  # place-ms since then
-        self.busy = 0
-        self.asked_at = float("-inf")
-        self.read = self.held_off = self.started = 0
-
-    def fresh(self, now: float) -> bool:
-        return now - self.asked_at < self.FRESH_MS
-
-    def settle(self, now: float) -> None:
-        """Brings its credit up to now: places missed lately, or had too many (below 0). Whole tasks in few
-        places can't keep to a broken limit at any moment; over time they do by this.
-        """
-        held = self.held_ms + self.busy * (now - self.held_at)
-        credit = self.credit + (self.aim * (now - self.settled_at) - held) / self.CREDIT_MS
-        self.credit = max(-self.CREDIT, min(self.CREDIT, credit))
-        self.settled_at = self.held_at = now
-        self.held_ms = 0.0
-
-
-class Pools:
-    """Pools by `plan` for stages that are numbered as in `numbers`. Times in ms; no clock and no chance."""
-
-    # A lent place must come back within a second: the mean time to the next end is this at most.
-    RETURN_MS = 600.0
-    BEYOND = 0.05  # of its weight for what is beyond a tenant's share: each server only guesses what that is
-    EVERY_MS = 300.0  # between two divisions: less than half of the demand's span
+from pumicenotch.pools.allocation import allocate
+from pumicenotch.pools.duplicates import DuplicateDetector
+from pumicenotch.pools.plan import PoolPlan, PoolsPlan, assign_classes
+from pumicenotch.pools.pool_state import PoolState
+from pumicenotch.pools.read_backlog import NEGLIGIBLE_WAIT_MS, ReadBacklog
+from pumicenotch.pools.retry_budget import RetryBudgets
+
+OVER_QUOTA = "beyond"  # the name in counters of the pool of what is over its tenant's quota
+# Of its weight: a server only guesses what is over a tenant's quota in the whole deployment.
+OVER_QUOTA_WEIGHT_FRACTION = 0.05
+# A lent slot must come back within a second: the mean time to the next end is at most this.
+MAX_RETURN_MS = 600.0
+# Between two allocations: less than half of the span of demand.
+ALLOCATION_PERIOD_MS = 300.0
+ALLOCATION_TIMER_SLACK_MS = 1.0
+# Slots are allocated at once where their number has changed by more than these ratios.
+MIN_TOTAL_RATIO = 0.8
+MAX_TOTAL_RATIO = 1.25
+# The mean time of a run, until any is known.
+INITIAL_SLOT_MS = 100.0
+MIN_OFFERED_SLOTS = 0.25
+# A need counts as this in a pool's weight where it is lower.
+MIN_WEIGHTED_NEED = 0.1
+MIN_FIXED_LIMIT = 1.0
+
+
+class ClassPools:
+    """Pools by a plan: the `interface.Pools` of a controller. Times are in ms."""
 
     def __init__(
-        self, now: float, plan: Plan, stages: Sequence[RequestClass], numbers: dict[str, int]
+        self,
+        now: float,
+        plan: PoolsPlan,
+        classes: Sequence[RequestClass],
+        class_indices: Mapping[str, int],
     ) -> None:
-        self.plan, self.of = plan, lanes(plan, numbers)
-        self.of += [len(plan.pools) - 1] * (len(stages) - len(self.of))
-        self.beyond = len(plan.pools)  # the pool of what is beyond its tenant's share
-        self.count = self.beyond + 1
-        self.sides: list[Side] = []
-        for at, pool in enumerate((*plan.pools, Pool("beyond", ()))):
-            inside = [
-                stage.priority_weight
-                for stage, lane in zip(stages, self.of, strict=False)
-                if lane == at
+        """Create pools without requests.
+
+        Args:
+            now: the present time.
+            plan: the pools.
+            classes: all classes of requests, by index.
+            class_indices: the indices of those that have a name.
+
+        Raises:
+            InvalidPoolsPlanError: the plan contradicts itself.
+        """
+        self.plan = plan
+        self.running = 0
+        self._pool_of_class = assign_classes(plan, class_indices)
+        unnamed_classes = len(classes) - len(self._pool_of_class)
+        self._pool_of_class += [len(plan.pools) - 1] * unnamed_classes
+        self._over_quota_pool = len(plan.pools)
+        self.count = self._over_quota_pool + 1
+        self.pools = self._initial_states(now, classes)
+        self.retry_budgets = RetryBudgets(plan.retry_ratio, plan.retry_burst, plan.max_callers)
+        self.duplicates = DuplicateDetector(now, plan.duplicate_window_ms)
+        self.read_backlog = ReadBacklog(now, plan.reading_reserve)
+        self._marked_retries = 0
+        self._duplicate_retries = 0
+        self.total_slots = 0
+        self._allocated_slots = 0
+        self._next_allocation_at = now
+        self._mean_slot_ms = INITIAL_SLOT_MS
+        self._longest_slot_ms = 0.0  # the longest of the pools' means
+        self._has_ceilings = any(pool.max_fraction < 1.0 for pool in plan.pools)
+        self._has_unlent_slots = any(not pool.lends_idle_slots for pool in plan.pools)
+        # Whether a pool may be kept from a slot though the server has one.
+        self._restricts_starts = plan.fixed_limits or self._has_ceilings or self._has_unlent_slots
+        self._set_limits(now, 1)
+
+    def _initial_states(self, now: float, classes: Sequence[RequestClass]) -> list[PoolState]:
+        states = []
+        for index, pool in enumerate((*self.plan.pools, PoolPlan(OVER_QUOTA, ()))):
+            weights = [
+                request_class.priority_weight
+                for request_class, own in zip(classes, self._pool_of_class, strict=False)
+                if own == index
             ]
-            self.sides.append(Side(now, pool, sum(inside) / len(inside) if inside else 1.0))
-        self.budgets = Budgets(plan.retry_ratio, plan.retry_burst, plan.callers_most)
-        self.likeness = Likeness(now, plan.likeness_ms)
-        self.reading = Reading(now, plan.reading)
-        self.divide_at = now
-        self.total = self.divided = self.running = 0
-        self.capped = any(pool.most < 1.0 for pool in plan.pools)
-        self.keeping = any(not pool.lends for pool in plan.pools)
-        self.usual_ms = 100.0  # typical time of a pool, until any is known; then their mean
-        self.longest_ms = 0.0  # of the typical times of all pools
-        # a pool may be barred though the total has room
-        self.strict = plan.fixed or self.capped or self.keeping
-        self.repeats_seen = self.repeats_marked = 0
-        self.redivide(now, 1)
+            mean_weight = sum(weights) / len(weights) if weights else 1.0
+            states.append(PoolState(now, pool, mean_weight))
+        return states
 
     def pool_of(self, class_index: int) -> int:
-        return self.of[class_index]
+        """Return the pool of a class of requests."""
+        return self._pool_of_class[class_index]
 
-    # What happens
+    # Notifications
 
     def request_received(self, now: float, pool: int, request: IncomingRequest) -> WaitAllowance:
-        """A task was read: its hope, as a part of the time that one like it may usually wait (0: it is let in
-        only where a place is free), and whether it is a repeat, marked or by its content.
-        """
-        side = self.sides[pool]
-        side.read += 1
-        side.asked_at = now
-        tenant = request.tenant_index
-        caller = request.caller_id
-        again = request.is_marked_retry
+        """Notify of a request that is no replay, and return how long it may wait."""
+        state = self.pools[pool]
+        state.received += 1
+        state.last_request_at = now
+        is_retry = self._is_retry(now, request)
+        is_admissible = True
+        if is_retry:
+            if not self.retry_budgets.allows(request.caller_id, request.tenant_index):
+                self.retry_budgets.exceeded += 1
+                is_admissible = False
+        elif not self.retry_budgets.is_full(request.caller_id, request.tenant_index):
+            self.retry_budgets.deposit(request.caller_id, request.tenant_index)
         waited_ms = request.waited_ms
-        likeness = self.likeness
-        repeat = again or (
-            bool(likeness.young or likeness.old) and likeness.seen(now, request.content_digest)
-        )
-        hope = 1.0
-        if not repeat:
-            budgets = self.budgets
-            if not budgets.full(caller, tenant):
-                budgets.first(caller, tenant)
-        else:
-            self.repeats_marked += again
-            self.repeats_seen += not again
-            if not self.budgets.holds(caller, tenant):
-                self.budgets.refused += 1
-                hope = 0.0
-        reading = self.reading
-        if (
-            waited_ms > reading.SOON_MS or reading.wait_ms > reading.SOON_MS
-        ) and not reading.passes(now, waited_ms, side.reserved):
-            hope = 0.0
-        return WaitAllowance(hope, repeat)
-
-    def reserve_slot(self, now: float, query: SlotQuery) -> SlotOffer:
-        """Where a task would wait: its lane, the places that lane comes to, the time that each is held, and
-        whether one is free now. Demand is what is asked for first: a caller that repeats makes no reserve
-        larger. What is beyond its tenant's share waits apart, so that a tenant that floods makes neither a
-        reserve its own nor takes the places that a reserve has filled.
-        """
-        lane = query.pool
-        if query.over_quota and not self.plan.fixed:
-            lane = self.beyond
-            self.sides[lane].asked_at = now
-        side = self.sides[lane]
-        if not query.is_retry:
-            side.demand.arrived += 1
-        slot = side.slot
-        slot_ms = slot.value if slot.samples >= side.SEEN else query.mean_slot_ms
-        return SlotOffer(
-            lane,
-            self.part(lane, side, query.waiting_pools),
-            slot_ms,
-            query.has_room and (not self.strict or self.takes(now, lane, side)),
-        )
+        backlog = self.read_backlog
+        has_waited = waited_ms > NEGLIGIBLE_WAIT_MS or backlog.mean_wait_ms > NEGLIGIBLE_WAIT_MS
+        if has_waited and not backlog.admits(now, waited_ms, state.is_reserved):
+            is_admissible = False
+        return WaitAllowance(1.0 if is_admissible else 0.0, is_retry)
+
+    def _is_retry(self, now: float, request: IncomingRequest) -> bool:
+        if request.is_marked_retry:
+            self._marked_retries += 1
+            return True
+        duplicates = self.duplicates
+        if not duplicates.recent and not duplicates.previous:
+            return False
+        if not duplicates.is_duplicate(now, request.content_digest):
+            return False
+        self._duplicate_retries += 1
+        return True
 
     def retry_admitted(self, tenant_index: int, caller_id: int) -> None:
-        """A repeat was let in though no place was free for it."""
-        self.budgets.spend(caller_id, tenant_index)
+        """Notify of a retry that was queued though no slot was free."""
+        self.retry_budgets.withdraw(caller_id, tenant_index)
 
     def request_rejected(self, now: float, pool: int, content_digest: int) -> None:
-        """A task was turned away for want of a place, and may be sent again."""
-        self.sides[pool].held_off += 1
-        self.likeness.turned_away(now, content_digest)
+        """Notify of a request that was rejected for want of a slot, and may be sent again."""
+        self.pools[pool].rejected += 1
+        self.duplicates.remember(now, content_digest)
 
     def slot_taken(self, now: float, pool: int, is_start: bool) -> None:
-        """A task of it came onto the cores, at its start or back from a call."""
-        side = self.sides[pool]
-        side.held_ms += side.busy * (now - side.held_at)
-        side.held_at = now
-        side.busy += 1
-        side.started += is_start
+        """Notify of a run that came onto the cores: at its start, or back from a call."""
+        state = self.pools[pool]
+        state.take_slot(now)
+        state.started += is_start
         self.running += 1
 
     def slot_released(self, now: float, pool: int) -> None:
-        side = self.sides[pool]
-        side.held_ms += side.busy * (now - side.held_at)
-        side.held_at = now
-        side.busy -= 1
+        """Notify of a run that left the cores: at its end, or for a call."""
+        self.pools[pool].release_slot(now)
         self.running -= 1
 
     def request_finished(self, now: float, pool: int, slot_ms: float) -> None:
-        """A run ended well or badly after so long on the cores, calls not counted."""
-        self.sides[pool].slot.add(slot_ms)
+        """Notify of a run that ended, well or not, and of its time on the cores without calls."""
+        self.pools[pool].slot_ms.add(slot_ms)
 
     def tick(self, now: float, total_slots: int) -> None:
-        self.total = total_slots
-        if now >= self.divide_at or not 0.8 * total_slots <= self.divided <= 1.25 * total_slots:
-            self.redivide(now, total_slots)
+        """Notify of the time and of the slots that there are to allocate."""
+        self.total_slots = total_slots
+        min_allocated = MIN_TOTAL_RATIO * total_slots
+        max_allocated = MAX_TOTAL_RATIO * total_slots
+        is_current = min_allocated <= self._allocated_slots <= max_allocated
+        if now >= self._next_allocation_at or not is_current:
+            self._set_limits(now, total_slots)
+
+    # Questions
+
+    def reserve_slot(self, now: float, query: SlotQuery) -> SlotOffer:
+        """Return where such a request would wait.
+
+        Only first attempts count as demand: a caller that retries makes no reserve larger. What is
+        over its tenant's quota waits in a pool of its own, so that a tenant that floods neither
+        gets a reserve to itself nor the slots that a reserve has filled.
+        """
+        pool = query.pool
+        if query.over_quota and not self.plan.fixed_limits:
+            pool = self._over_quota_pool
+            self.pools[pool].last_request_at = now
+        state = self.pools[pool]
+        if not query.is_retry:
+            state.arrivals.new_arrivals += 1
+        is_free = query.has_room and (not self._restricts_starts or self._may_start(now, pool))
+        return SlotOffer(
+            pool,
+            self._slots_of(pool, query.waiting_pools),
+            state.known_slot_ms(query.mean_slot_ms),
+            is_free,
+        )
 
-    # What it says
+    def _slots_of(self, pool: int, waiting_pools: Collection[int]) -> float:
+        """Return a pool's slots while those pools have requests queued.
 
-    def part(self, lane: int, side: Side, waiting: Collection[int]) -> float:
-        """Places that the pool comes to while those pools have tasks waiting: its own, and by its part of
-        what the pools without work leave idle.
+        They are its own, and of those that other pools leave idle a fraction.
         """
-        if self.plan.fixed:
-            return max(0.25, side.limit)
-        own = taken = side.limit
-        idle = self.total - taken - self.running + side.busy
-        for at in waiting:
-            if at != lane:
-                other = self.sides[at]
-                taken += other.share
-                idle += other.busy - other.share
-        return max(0.25, own * (1.0 + idle / taken) if idle > 0.0 else own)
-
-    def takes(self, now: float, lane: int, side: Side) -> bool:
-        """Whether a task of the pool may start, where the total has room for one more."""
-        then = side.busy + 1
-        if self.plan.fixed:
-            return then <= max(1, round(side.limit))
-        if self.capped and then > 1 and then > side.pool.most * self.total + 0.5:
-            return False
-        if then <= side.first or self.total <= 1:
+        state = self.pools[pool]
+        if self.plan.fixed_limits:
+            return max(MIN_OFFERED_SLOTS, state.limit)
+        claimed = state.limit
+        idle = self.total_slots - claimed - self.running + state.running
+        for waiting_pool in waiting_pools:
+            if waiting_pool != pool:
+                other = self.pools[waiting_pool]
+                claimed += other.fair_slots
+                idle += other.running - other.fair_slots
+        slots = state.limit * (1.0 + idle / claimed) if idle > 0.0 else state.limit
+        return max(MIN_OFFERED_SLOTS, slots)
+
+    def next_pool(self, now: float, waiting_pools: Collection[int]) -> int | None:
+        """Return the pool whose request starts next, of those that have one queued.
+
+        It is the one furthest below its limit; None if none of them may start one.
+        """
+        candidates = waiting_pools
+        if self._restricts_starts or self._returns_late():
+            candidates = [pool for pool in waiting_pools if self._may_start(now, pool)]
+            if not candidates:
+                return None
+        if len(candidates) == 1:
+            (only_pool,) = candidates
+            return only_pool
+        best_pool = None
+        best_fraction = float("inf")
+        for pool in candidates:
+            state = self.pools[pool]
+            # How far into its limit one more run would bring it, its credit counted in.
+            fraction = (state.running + 1.0 - state.credit(now)) / state.limit
+            fraction -= state.running < state.reserved_slots
+            if fraction < best_fraction:
+                best_pool = pool
+                best_fraction = fraction
+        return best_pool
+
+    # Whether a request may start
+
+    def _returns_late(self) -> bool:
+        """Whether one more run might hold a lent slot for too long."""
+        return (self.running + 1) * MAX_RETURN_MS < self._longest_slot_ms
+
+    def _may_start(self, now: float, pool: int) -> bool:
+        """Whether a request of the pool may start where the server has a slot."""
+        state = self.pools[pool]
+        running = state.running + 1
+        if self.plan.fixed_limits:
+            return running <= max(1, round(state.limit))
+        if self._has_ceilings and running > 1:
+            ceiling = state.plan.max_fraction * self.total_slots
+            if running > ceiling + 0.5:
+                return False
+        if running <= state.reserved_slots or self.total_slots <= 1:
             return True
-        if self.keeping and self.running + 1 + self.kept(lane) > self.total and then > side.share:
-            return False
-        if self.running + 2 <= self.total or (self.running + 1) * self.RETURN_MS >= self.longest_ms:
+        if self._has_unlent_slots and running > state.fair_slots:
+            needed = self.running + 1 + self._unlent_slots(pool)
+            if needed > self.total_slots:
+                return False
+        if self.running + 2 <= self.total_slots or not self._returns_late():
             return True
-        return not self.held_back(now, lane, side)
+        return not self._keeps_last_slot(now, pool)
 
-    def kept(self, lane: int) -> int:
-        """Places of pools that lend none, as far as they don't use them."""
+    def _unlent_slots(self, pool: int) -> int:
+        """Return the idle slots of other pools that lend none."""
         return sum(
-            max(0, int(side.limit) - side.busy)
-            for at, side in enumerate(self.sides)
-            if at != lane and not side.pool.lends
+            max(0, int(state.limit) - state.running)
+            for index, state in enumerate(self.pools)
+            if index != pool and not state.plan.lends_idle_slots
         )
 
-    def held_back(self, now: float, lane: int, side: Side) -> bool:
-        """Whether the last place stays empty for a reserve that may want it: what would run then ends too
-        seldom for the place to come back in time. It costs that place while long runs hold all others, and
-        only while the reserve's classes are sent at all.
+    def _keeps_last_slot(self, now: float, pool: int) -> bool:
+        """Whether the last slot stays idle for a reserve that may want it.
+
+        It does while runs would end too seldom for the slot to come back in time, and only while
+        the reserve's classes are sent at all.
         """
-        if not any(
-            at != lane and other.reserved and other.busy + 1 <= other.first and other.fresh(now)
-            for at, other in enumerate(self.sides)
-        ):
+        is_wanted = any(
+            index != pool
+            and state.is_reserved
+            and state.running + 1 <= state.reserved_slots
+            and state.is_active(now)
+            for index, state in enumerate(self.pools)
+        )
+        if not is_wanted:
             return False
-        slow = 2.0 * self.RETURN_MS  # what a run takes of which none has ended
-        ends = sum(other.busy / (other.slot.value or slow) for other in self.sides) + 1.0 / (
-            side.slot.value or slow
+        default_ms = 2.0 * MAX_RETURN_MS  # for a pool of which no run has ended
+        ends_per_ms = sum(
+            state.running / (state.slot_ms.value or default_ms) for state in self.pools
         )
-        return ends * self.RETURN_MS < 1.0
-
-    def next_pool(self, now: float, waiting_pools: Collection[int]) -> int | None:
-        """The pool whose task starts next, of those that have one waiting: the one furthest below its
-        limit.
-        """
-        sides = self.sides
-        waiting = waiting_pools
-        if self.strict or (self.running + 1) * self.RETURN_MS < self.longest_ms:
-            waiting = [lane for lane in waiting if self.takes(now, lane, sides[lane])]
-            if not waiting:
-                return None
-        if len(waiting) == 1:
-            (lane,) = waiting
-            return lane
-        best, least = None, float("inf")
-        for lane in waiting:
-            side = sides[lane]
-            # How far into its limit one more task would bring it, what it missed since the division counted
-            # in.
-            held = side.held_ms + side.busy * (now - side.held_at)
-            missed = side.credit + (side.aim * (now - side.settled_at) - held) / side.CREDIT_MS
-            far = (side.busy + 1.0 - missed) / side.limit - (side.busy < side.first)
-            if far < least:
-                best, least = lane, far
-        return best
+        ends_per_ms += 1.0 / (self.pools[pool].slot_ms.value or default_ms)
+        return ends_per_ms * MAX_RETURN_MS < 1.0
 
     # Limits
 
-    def redivide(self, now: float, total: int) -> None:
-        """Every limit from what is observed: demand as arrivals times the time that a place is held.
-
-        A pool's share is what it comes to on the mean; its limit, what it may hold before others that wait.
-        They differ for a reserve: arrivals come in clumps, and the first after a pause must not wait until a
-        mean has told of it. Others work in what a reserve does not ask for.
+    def _set_limits(self, now: float, total_slots: int) -> None:
+        self.total_slots = total_slots
+        self._allocated_slots = total_slots
+        self._next_allocation_at = now + ALLOCATION_PERIOD_MS - ALLOCATION_TIMER_SLACK_MS
+        for state in self.pools:
+            state.settle(now)
+        if self.plan.fixed_limits:
+            for state, limit in zip(self.pools, self._fixed_limits(total_slots), strict=True):
+                state.set_fixed_limit(limit)
+        else:
+            self._allocate(now, total_slots)
+
+    def _fixed_limits(self, total_slots: int) -> list[float]:
+        """Return the reserves, and of the rest fractions by weight."""
+        unreserved = 1.0 - sum(pool.reserve for pool in self.plan.pools)
+        total_weight = sum(pool.weight or 1.0 for pool in self.plan.pools)
+        fractions = [
+            pool.reserve + unreserved * (pool.weight or 1.0) / total_weight
+            for pool in self.plan.pools
+        ]
+        return [*(max(MIN_FIXED_LIMIT, total_slots * each) for each in fractions), MIN_FIXED_LIMIT]
+
+    def _allocate(self, now: float, total_slots: int) -> None:
+        """Set every limit from what is observed: arrivals times the time that a slot is held.
+
+        Arrivals come in clumps, and the first after a pause must not wait until a mean tells of it:
+        so a reserve may be filled whatever its need. Others run in what a reserve does not ask for.
         """
-        self.total = self.divided = total
-        self.divide_at = now + self.EVERY_MS - 1.0
-        if self.plan.fixed:
-            for side, limit in zip(self.sides, self.static(total), strict=True):
-                side.settle(now)
-                side.limit = side.share = side.need = side.aim = limit
-            return
-        usual = self.usual_ms
-        needs, own, weights = [], [], []
-        slots, seen = 0.0, 0
-        longest = 0.0
-        for side in self.sides:
-            side.settle(now)
-            slot, demand = side.slot.value, side.demand
-            longest = max(longest, slot)
-            slots, seen = slots + slot, seen + (slot > 0.0)
-            slot = slot or usual
-            side.need = need = demand.fold(now) * slot if demand.arrived or demand.weight else 0.0
-            side.first = side.reserve * total
-            needs.append(need)
-            own.append(side.first)
-            weights.append((side.weight or side.utility / slot) * (need if need > 0.1 else 0.1))
-        weights[self.beyond] *= self.BEYOND
-        most = [side.pool.most * total for side in self.sides] if self.capped else None
-        self.longest_ms = longest
-        self.usual_ms = slots / seen if seen else usual
-        for side, share in zip(self.sides, divide(total, needs, own, weights, most), strict=True):
-            side.share = share
-            side.limit = share if share > side.first else side.first
-            side.aim = share if share < side.need else side.need
-
-    def static(self, total: int) -> list[float]:
-        """Fixed parts: the reserve, and the rest by weight."""
-        rest = 1.0 - sum(side.pool.reserve for side in self.sides)
-        sides = self.sides[: self.beyond]
-        weights = sum(side.pool.weight or 1.0 for side in sides)
-        parts = [side.pool.reserve + rest * (side.pool.weight or 1.0) / weights for side in sides]
-        return [*(max(1.0, total * part) for part in parts), 1.0]
+        weights = []
+        known_slot_ms = 0.0
+        known_pools = 0
+        for state in self.pools:
+            slot_ms = state.update_need(now, self._mean_slot_ms)
+            known_slot_ms += state.slot_ms.value
+            known_pools += state.slot_ms.value > 0.0
+            state.reserved_slots = state.plan.reserve * total_slots
+            need = state.need if state.need > MIN_WEIGHTED_NEED else MIN_WEIGHTED_NEED
+            weights.append((state.plan.weight or state.priority_weight / slot_ms) * need)
+        weights[self._over_quota_pool] *= OVER_QUOTA_WEIGHT_FRACTION
+        if known_pools:
+            self._mean_slot_ms = known_slot_ms / known_pools
+        self._longest_slot_ms = max(state.slot_ms.value for state in self.pools)
+        needs = [state.need for state in self.pools]
+        reserves = [state.reserved_slots for state in self.pools]
+        ceilings = None
+        if self._has_ceilings:
+            ceilings = [state.plan.max_fraction * total_slots for state in self.pools]
+        allocated = allocate(total_slots, needs, reserves, weights, ceilings)
+        for state, fair_slots in zip(self.pools, allocated, strict=True):
+            state.set_limits(fair_slots)
+
+    # Status
 
     def counts(self) -> dict[str, float]:
-        """For the counters' line, by name; limits and needs in places."""
-        found: dict[str, float] = {}
-        for side in self.sides:
-            for name, value in (
-                ("limit", round(side.limit, 2)),
-                ("need", round(side.need, 2)),
-                ("busy", side.busy),
-                ("read", side.read),
-                ("turned_away", side.held_off),
-                ("started", side.started),
-            ):
-                found[f"pool_{side.pool.name}_{name}"] = value
-        found["repeats_marked"], found["repeats_alike"] = self.repeats_marked, self.repeats_seen
-        found["repeats_over_budget"] = self.budgets.refused
-        found["budgets_forgotten"] = self.budgets.forgotten
-        found["reading_turned_away"] = self.reading.turned_away
-        found["likeness_cut_short"] = self.likeness.cut_short
-        return found
+        """Return the counters of a status line by name; limits and needs are in slots."""
+        counts: dict[str, float] = {}
+        for state in self.pools:
+            prefix = f"pool_{state.plan.name}"
+            counts[f"{prefix}_limit"] = round(state.limit, 2)
+            counts[f"{prefix}_need"] = round(state.need, 2)
+            counts[f"{prefix}_busy"] = state.running
+            counts[f"{prefix}_read"] = state.received
+            counts[f"{prefix}_turned_away"] = state.rejected
+            counts[f"{prefix}_started"] = state.started
+        counts["repeats_marked"] = self._marked_retries
+        counts["repeats_alike"] = self._duplicate_retries
+        counts["repeats_over_budget"] = self.retry_budgets.exceeded
+        counts["budgets_forgotten"] = self.retry_budgets.dropped_keys
+        counts["reading_turned_away"] = self.read_backlog.rejected
+        counts["likeness_cut_short"] = self.duplicates.shortened_windows
+        return counts
--- a/pumicenotch/pools/estimators.py
+++ b/pumicenotch/pools/estimators.py
@@ -1,59 +1,76 @@
-"""Estimates that follow quickly and forget a single freak."""
+"""Estimators that follow a change quickly and forget a single outlier."""
 
 from math import exp
 
+# Below it the decayed count of arrivals is nothing.
+NEGLIGIBLE_ARRIVALS = 1e-9
+# After so many spans an arrival rate no longer corrects for its short past.
+WARM_UP_SPANS = 5.0
+MIN_AGE_MS = 50.0
 
-class Demand:
-    """Arrivals a millisecond, as a mean over about `span_ms`. Counted as they come, folded in when read: an
-    arrival costs an addition.
+# Of a sample, in the mean.
+SAMPLE_WEIGHT = 0.08
+# A sample counts as at most so many times the mean, and at least as this fraction of it.
+MAX_SAMPLE_RATIO = 4.0
+# The first samples count by their number, or the very first would be remembered for long.
+WARM_UP_SAMPLES = 12
+MIN_MEAN = 0.1
+
+
+class ArrivalRate:
+    """Arrivals per ms, as an exponentially weighted mean over about `span_ms`.
+
+    Arrivals are counted as they come and folded in when the rate is read.
     """
 
     def __init__(self, now: float, span_ms: float) -> None:
-        self.span_ms, self.at, self.since = span_ms, now, now
-        self.arrived = 0  # since the last fold
-        self.weight = 0.0  # of those before
+        self.new_arrivals = 0  # since the last fold
+        self.decayed_arrivals = 0.0  # those before
+        self._span_ms = span_ms
+        self._started_at = now
+        self._folded_at = now
 
     def fold(self, now: float) -> float:
-        """The rate up to now. Young, it is the mean over what there was: a cold start would else see a tenth
-        of its load for a second.
-        """
-        past = now - self.at
-        if past > 0.0:
-            half = exp(
-                -0.5 * past / self.span_ms
-            )  # what came since came half as long ago on the mean
-            self.weight = (self.weight * half + self.arrived) * half
-            self.at, self.arrived = now, 0
-            if self.weight < 1e-9:
-                self.weight = 0.0
-        age = now - self.since
-        if age > 5.0 * self.span_ms:
-            return self.weight / self.span_ms
-        return self.weight / (self.span_ms * (1.0 - exp(-max(age, 50.0) / self.span_ms)))
-
-
-class Typical:
-    """A typical time that a few freaks don't move: each sample pulls by its part, but counts as four times
-    the present value at the most and as a quarter at the least. After a change of ten times it is there
-    within some thirty samples, and after one hung run it is where it was.
-    """
+        """Return the rate up to now, at first as the mean over the time that has passed."""
+        elapsed_ms = now - self._folded_at
+        if elapsed_ms > 0.0:
+            # New arrivals came half as long ago on average.
+            half_decay = exp(-0.5 * elapsed_ms / self._span_ms)
+            self.decayed_arrivals = (
+                self.decayed_arrivals * half_decay + self.new_arrivals
+            ) * half_decay
+            self._folded_at = now
+            self.new_arrivals = 0
+            if self.decayed_arrivals < NEGLIGIBLE_ARRIVALS:
+                self.decayed_arrivals = 0.0
+        age_ms = now - self._started_at
+        if age_ms > WARM_UP_SPANS * self._span_ms:
+            return self.decayed_arrivals / self._span_ms
+        observed_fraction = 1.0 - exp(-max(age_ms, MIN_AGE_MS) / self._span_ms)
+        return self.decayed_arrivals / (self._span_ms * observed_fraction)
 
-    PULL, CLIP = 0.08, 4.0
+
+class ClippedMean:
+    """An exponentially weighted mean that a few outliers do not move.
+
+    Each sample is clipped to a ratio of the present mean. A tenfold change is followed within some
+    thirty samples.
+    """
 
     def __init__(self) -> None:
-        self.value = 0.0  # 0: nothing seen yet
+        self.value = 0.0  # 0 until there is a sample
         self.samples = 0
 
     def add(self, sample: float) -> None:
+        """Take in one sample, above 0."""
         self.samples += 1
-        value = self.value
-        if not value:
-            self.value = max(sample, 0.1)
+        mean = self.value
+        if not mean:
+            self.value = max(sample, MIN_MEAN)
             return
-        if sample > self.CLIP * value:
-            sample = self.CLIP * value
-        elif sample < value / self.CLIP:
-            sample = value / self.CLIP
-        # The first dozen count by number, or the first of all would be remembered for long.
-        pull = self.PULL if self.samples > 12 else 1.0 / self.samples
-        self.value = value + pull * (sample - value)
+        if sample > MAX_SAMPLE_RATIO * mean:
+            sample = MAX_SAMPLE_RATIO * mean
+        elif sample < mean / MAX_SAMPLE_RATIO:
+            sample = mean / MAX_SAMPLE_RATIO
+        weight = SAMPLE_WEIGHT if self.samples > WARM_UP_SAMPLES else 1.0 / self.samples
+        self.value = mean + weight * (sample - mean)
--- a/pumicenotch/pools/read_backlog.py
+++ b/pumicenotch/pools/read_backlog.py
@@ -1,39 +1,50 @@
-"""The reserve in reading: while tasks wait long to be read, part of what is read belongs to reserved
-pools.
-"""
+"""While requests wait long to be read, a fraction of what is read is kept for reserved pools."""
 
+# Mean wait from which reading is behind: some ticks. Where it keeps up, it is a few ms.
+BEHIND_MS = 40.0
+# A request that waited less is admitted without being noted, while the mean wait is as short.
+NEGLIGIBLE_WAIT_MS = 4.0
+# One held up for seconds by its own connection is no sign of a backlog: it counts as this.
+MAX_SAMPLE_MS = 10.0 * BEHIND_MS
+SAMPLE_WEIGHT = 0.05
+# After so long without a request nothing can be waiting to be read.
+IDLE_MS = 1000.0
 
-class Reading:
-    """A task can't be known before it is read, so reading itself can't be reserved; what follows can. While
-    reading is behind, a task of no reserved pool passes only as one of the part that is not kept; the others
-    are turned away before any more effort goes into them, which is what lets reading catch up.
+
+class ReadBacklog:
+    """Sheds requests of pools without a reserve while reading is behind.
+
+    The class of a request is not known before it is read, so reading itself cannot be reserved;
+    what follows can. Rejecting before any more work is done is what lets reading catch up.
     """
 
-    BEHIND_MS = 40.0  # to be read: some ticks; on a process that keeps up it is a few milliseconds
-    SOON_MS = 4.0  # a stamp's millisecond, and a read's share of others before it
-    PULL = 0.05  # of one task's wait in the mean
-    IDLE_MS = 1000.0  # without a task nothing waits to be read
+    def __init__(self, now: float, reserved_fraction: float) -> None:
+        self.mean_wait_ms = 0.0
+        self.rejected = 0
+        self._reserved_fraction = reserved_fraction
+        self._last_read_at = now
+        self._read = 0  # since reading fell behind
+        self._admitted = 0  # of those
 
-    def __init__(self, now: float, kept: float) -> None:
-        self.kept, self.wait_ms, self.at = kept, 0.0, now
-        self.seen = self.passed = 0  # since it fell behind
-        self.turned_away = 0
+    def admits(self, now: float, waited_ms: float, is_reserved: bool) -> bool:
+        """Whether a request is to be considered further.
 
-    def passes(self, now: float, waited_ms: float, reserved: bool) -> bool:
-        """Whether a task that waited so long to be read is looked at any further. Tasks read as soon as they
-        came need not be told while the mean wait is as short.
+        Args:
+            now: the present time, ms.
+            waited_ms: how long the request waited to be read.
+            is_reserved: whether its pool has a reserve.
         """
-        if now - self.at > self.IDLE_MS:
-            self.wait_ms = 0.0
-        self.at = now
-        # One task held up for seconds by its own connection is no sign of reading: it counts as ten times.
-        self.wait_ms += self.PULL * (min(waited_ms, 10.0 * self.BEHIND_MS) - self.wait_ms)
-        if self.wait_ms <= self.BEHIND_MS:
-            self.seen = self.passed = 0
+        if now - self._last_read_at > IDLE_MS:
+            self.mean_wait_ms = 0.0
+        self._last_read_at = now
+        self.mean_wait_ms += SAMPLE_WEIGHT * (min(waited_ms, MAX_SAMPLE_MS) - self.mean_wait_ms)
+        if self.mean_wait_ms <= BEHIND_MS:
+            self._read = 0
+            self._admitted = 0
             return True
-        self.seen += 1
-        if not reserved and self.passed >= (1.0 - self.kept) * self.seen:
-            self.turned_away += 1
+        self._read += 1
+        if not is_reserved and self._admitted >= (1.0 - self._reserved_fraction) * self._read:
+            self.rejected += 1
             return False
-        self.passed += not reserved
+        self._admitted += not is_reserved
         return True
--- a/pumicenotch/pools/retry_budget.py
+++ b/pumicenotch/pools/retry_budget.py
@@ -1,88 +1,104 @@
-"""Budgets of repeated attempts: for each first try a caller may send so many repeats while places are
-short.
-"""
+"""Retry budgets: each first attempt allows a fraction of a retry while slots are short."""
 
 from collections.abc import Hashable
 
+# A key that is not known may retry once.
+INITIAL_TOKENS = 1.0
+# All callers together may save up so many bursts: some of them may burst at once, not all.
+TOTAL_BURSTS = 4.0
 
-class Budget:
-    """Tokens by key: first tries add a part of one, repeats take one, the burst is the most that is saved.
-
-    Kept in two generations of a bounded size: a key that is seen goes to the young one, and when that is full
-    the old one is forgotten. A key not seen for so long starts anew with one token: who makes up a new name
-    for every try gains one repeat a name, and the budget over all bounds even that.
-    """
-
-    START = 1.0
-
-    def __init__(self, ratio: float, burst: float, most: int) -> None:
-        self.ratio, self.burst, self.most = ratio, burst, most
-        self.start = min(self.START, burst)
-        self.young: dict[Hashable, float] = {}
-        self.old: dict[Hashable, float] = {}
-        self.forgotten = 0
-
-    def get(self, key: Hashable) -> float:
-        tokens = self.young.get(key)
-        return self.old.get(key, self.start) if tokens is None else tokens
-
-    def put(self, key: Hashable, tokens: float) -> None:
-        if key not in self.young and len(self.young) >= self.most:
-            self.forgotten += sum(other not in self.young for other in self.old)
-            self.old, self.young = self.young, {}
-        self.young[key] = tokens
-
-    def first(self, key: Hashable) -> None:
-        tokens = self.young.get(key)
-        if tokens is None:
-            self.put(key, min(self.burst, self.get(key) + self.ratio))
-        elif tokens < self.burst:
-            self.young[key] = min(self.burst, tokens + self.ratio)
-
-    def spend(self, key: Hashable) -> None:
-        self.put(key, max(0.0, self.get(key) - 1.0))
 
+class RetryBudget:
+    """Tokens by key: a first attempt deposits a fraction of one, a retry withdraws one.
 
-class Budgets:
-    """By caller, by tenant, and over all: a repeat needs a token of each, and takes them only if all have
-    one.
+    Keys are kept in two generations of bounded size. A key that is used moves to the recent one;
+    when that is full, the previous one is dropped. A key that was dropped starts anew, so whoever
+    invents a new key for each attempt gains one retry a key; the budget over all keys bounds that.
     """
 
-    WHOLE = 4.0  # bursts that may be saved over all callers: some may burst at once, not all
-
-    def __init__(self, ratio: float, burst: float, most: int) -> None:
-        self.callers, self.tenants = Budget(ratio, burst, most), Budget(ratio, burst, most)
-        self.burst = burst
-        self.ratio, self.whole, self.whole_most = ratio, self.WHOLE * burst, self.WHOLE * burst
-        self.refused = 0
-
-    def full(self, caller: int, tenant: int) -> bool:
-        """Whether a first try adds nothing anywhere: nearly always where nobody repeats."""
-        burst = self.burst
+    def __init__(self, ratio: float, burst: float, max_keys: int) -> None:
+        """Create a budget without keys.
+
+        Args:
+            ratio: tokens that a first attempt deposits.
+            burst: the most tokens that a key can save up.
+            max_keys: how many keys a generation holds.
+        """
+        self.recent: dict[Hashable, float] = {}
+        self.previous: dict[Hashable, float] = {}
+        self.dropped_keys = 0
+        self._ratio = ratio
+        self._burst = burst
+        self._max_keys = max_keys
+        self._initial_tokens = min(INITIAL_TOKENS, burst)
+
+    def tokens_of(self, key: Hashable) -> float:
+        """Return how many tokens a key has."""
+        tokens = self.recent.get(key)
+        return self.previous.get(key, self._initial_tokens) if tokens is None else tokens
+
+    def _set_tokens(self, key: Hashable, tokens: float) -> None:
+        if key not in self.recent and len(self.recent) >= self._max_keys:
+            self.dropped_keys += sum(other not in self.recent for other in self.previous)
+            self.previous = self.recent
+            self.recent = {}
+        self.recent[key] = tokens
+
+    def deposit(self, key: Hashable) -> None:
+        """Count a first attempt."""
+        tokens = self.recent.get(key)
+        if tokens is None:
+            self._set_tokens(key, min(self._burst, self.tokens_of(key) + self._ratio))
+        elif tokens < self._burst:
+            self.recent[key] = min(self._burst, tokens + self._ratio)
+
+    def withdraw(self, key: Hashable) -> None:
+        """Count a retry."""
+        self._set_tokens(key, max(0.0, self.tokens_of(key) - 1.0))
+
+
+class RetryBudgets:
+    """Budgets by caller, by tenant and over all: a retry needs a token of each."""
+
+    def __init__(self, ratio: float, burst: float, max_keys: int) -> None:
+        """Create budgets, all of them with the same arguments as `RetryBudget`."""
+        self.callers = RetryBudget(ratio, burst, max_keys)
+        self.tenants = RetryBudget(ratio, burst, max_keys)
+        self.exceeded = 0  # retries beyond their budgets
+        self._ratio = ratio
+        self._burst = burst
+        self._max_total_tokens = TOTAL_BURSTS * burst
+        self._total_tokens = self._max_total_tokens
+
+    def is_full(self, caller_id: int, tenant_index: int) -> bool:
+        """Whether a first attempt adds nothing: nearly always so where nobody retries."""
         return (
-            self.callers.young.get(caller) == burst
-            and self.tenants.young.get(tenant) == burst
-            and self.whole >= self.whole_most
+            self.callers.recent.get(caller_id) == self._burst
+            and self.tenants.recent.get(tenant_index) == self._burst
+            and self._total_tokens >= self._max_total_tokens
         )
 
-    def first(self, caller: int, tenant: int) -> None:
-        self.callers.first(caller)
-        self.tenants.first(tenant)
-        self.whole = min(self.whole_most, self.whole + self.ratio)
+    def deposit(self, caller_id: int, tenant_index: int) -> None:
+        """Count a first attempt."""
+        self.callers.deposit(caller_id)
+        self.tenants.deposit(tenant_index)
+        self._total_tokens = min(self._max_total_tokens, self._total_tokens + self._ratio)
 
-    def holds(self, caller: int, tenant: int) -> bool:
-        """Whether one more repeat is within them; it is spent only by `spend`, once it takes a place."""
+    def allows(self, caller_id: int, tenant_index: int) -> bool:
+        """Whether one more retry is within the budgets. It is withdrawn once it takes a slot."""
         return (
-            self.whole >= 1.0
-            and self.callers.get(caller) >= 1.0
-            and self.tenants.get(tenant) >= 1.0
+            self._total_tokens >= 1.0
+            and self.callers.tokens_of(caller_id) >= 1.0
+            and self.tenants.tokens_of(tenant_index) >= 1.0
         )
 
-    def spend(self, caller: int, tenant: int) -> None:
-        self.callers.spend(caller)
-        self.tenants.spend(tenant)
-        self.whole = max(0.0, self.whole - 1.0)
+    def withdraw(self, caller_id: int, tenant_index: int) -> None:
+        """Count a retry that was admitted."""
+        self.callers.withdraw(caller_id)
+        self.tenants.withdraw(tenant_index)
+        self._total_tokens = max(0.0, self._total_tokens - 1.0)
 
     @property
-    def forgotten(self) -> int:
-        return self.callers.forgotten + self.tenants.forgotten
+    def dropped_keys(self) -> int:
+        """Callers and tenants for which there was no memory."""
+        return self.callers.dropped_keys + self.tenants.dropped_keys
--- a/pumicenotch/route/decide.py
+++ b/pumicenotch/route/decide.py
@@ -16,7 +16,7 @@
 from pumicenotch.cells.walk import SAYS, End, Said, Step, Walk, walk
 from pumicenotch.control import TimerQueue
 from pumicenotch.interface import Idempotency
-from pumicenotch.pools.retry_budget import Budget
+from pumicenotch.pools.retry_budget import RetryBudget
 from pumicenotch.server.effects import Close, Dial, Exit, Fault, Log, Wake, Write
 from pumicenotch.server.front import Front
 from pumicenotch.server.tasks import Held, InvalidRequestError, Tasks
@@ -77,7 +77,7 @@
         self.stop_ms, self.stop = stop_ms, float("inf")
         chance = random.Random(seed)
         self.views = Views(chance.random)
-        self.budget = Budget(self.RETRY, self.BURST, 4096)
+        self.budget = RetryBudget(self.RETRY, self.BURST, 4096)
         self.timers = TimerQueue()
         self.names = count(1)
         self.ways: dict[str, Way] = {}
@@ -199,7 +199,7 @@
         trip = self.trips[held.id] = Trip(held, fields, begun)
         self.timers.schedule(limit, self.too_late, trip)
         if not held.again:
-            self.budget.first(tenant)
+            self.budget.deposit(tenant)
         self.onward(trip, begun.start())
 
     def choices(self, held: Held, tenant: str) -> list[str]:
@@ -324,10 +324,10 @@
 
     def may_try_on(self, trip: Trip) -> bool:
         tenant = trip.fields.get("acct", "")
-        if self.budget.get(tenant) < 1.0:
+        if self.budget.tokens_of(tenant) < 1.0:
             self.counters.add("tries_over_budget")
             return False
-        self.budget.spend(tenant)
+        self.budget.withdraw(tenant)
         return True
 
     def drains(self, link: str) -> None:
--- a/tests/compatibility/test_pools.py
+++ b/tests/compatibility/test_pools.py
@@ -11,12 +11,12 @@
 from pumicenotch.config import compiled
 from pumicenotch.config.file import ours_of
 from pumicenotch.interface import Idempotency, IncomingRequest, RequestClass, SlotQuery
-from pumicenotch.pools import Plan, Pool, Pools
+from pumicenotch.pools import ClassPools, PoolPlan, PoolsPlan
 
 GOLDEN = Path(__file__).parent / "golden" / "pools"
 DEPLOYED = Path(__file__).parents[2] / "deploy" / "pools.hcl"
 FILES = {"full": GOLDEN / "full.hcl", "deploy": DEPLOYED}
-STAGE = RequestClass(2500.0, 0.0, 6300.0, Idempotency.IDEMPOTENT, 0.0, 1.0, 0.0, 0.0)
+REQUEST_CLASS = RequestClass(2500.0, 0.0, 6300.0, Idempotency.IDEMPOTENT, 0.0, 1.0, 0.0, 0.0)
 
 
 @pytest.mark.parametrize("name", FILES)
@@ -42,27 +42,32 @@
 def test_the_counters_of_a_status_answer_have_the_same_names() -> None:
     plan = ours_of(FILES["full"]).plan
     assert plan is not None
-    pools = Pools(0.0, plan, [STAGE] * 2, {"preview": 0, "bake": 1})
+    pools = ClassPools(0.0, plan, [REQUEST_CLASS] * 2, {"preview": 0, "bake": 1})
     assert list(pools.counts()) == json.loads((GOLDEN / "counter_names.json").read_text())
 
 
 PLANS = {
-    "lending": Plan((Pool("a", ("0",), 0.4), Pool("b", ("1",)), Pool("c", ("*",)))),
-    "capped": Plan(
+    "lending": PoolsPlan(
+        (PoolPlan("a", ("0",), 0.4), PoolPlan("b", ("1",)), PoolPlan("c", ("*",)))
+    ),
+    "capped": PoolsPlan(
         (
-            Pool("a", ("0",), 0.4, lends=False),
-            Pool("b", ("1",), most=0.6),
-            Pool("c", ("*",), 0.1, 3.0),
+            PoolPlan("a", ("0",), 0.4, lends_idle_slots=False),
+            PoolPlan("b", ("1",), max_fraction=0.6),
+            PoolPlan("c", ("*",), 0.1, 3.0),
         )
     ),
-    "fixed": Plan((Pool("a", ("0",), 0.4), Pool("b", ("1",)), Pool("c", ("*",))), fixed=True),
+    "fixed": PoolsPlan(
+        (PoolPlan("a", ("0",), 0.4), PoolPlan("b", ("1",)), PoolPlan("c", ("*",))),
+        fixed_limits=True,
+    ),
 }
 
 
-def decisions(plan: Plan, seed: int) -> dict[str, Any]:
+def decisions(plan: PoolsPlan, seed: int) -> dict[str, Any]:
     """All that the pools answer to a drawn stream of events, as a digest."""
     rng = random.Random(seed)
-    pools = Pools(0.0, plan, [STAGE] * 4, {str(number): number for number in range(4)})
+    pools = ClassPools(0.0, plan, [REQUEST_CLASS] * 4, {str(number): number for number in range(4)})
     digest = sha256()
     now = 0.0
     running: list[int] = []
@@ -80,11 +85,11 @@
             waited_ms = rng.expovariate(0.02)
             caller = rng.randrange(5)
             tenant = rng.randrange(3)
-            marked = rng.random() < 0.2
-            incoming = IncomingRequest(
-                0, 0, tenant, waited_ms, None, None, 1.0, None, caller, marked, mark
+            is_retry = rng.random() < 0.2
+            request = IncomingRequest(
+                0, 0, tenant, waited_ms, None, None, 0.0, None, caller, is_retry, mark
             )
-            answer = pools.request_received(now, lane, incoming)
+            answer = pools.request_received(now, lane, request)
         elif event == "place":
             repeat, beyond, room = (rng.random() < 0.3 for _ in range(3))
             query = SlotQuery(lane, repeat, beyond, waiting, 100.0, room)
--- a/tests/play.py
+++ b/tests/play.py
@@ -28,7 +28,8 @@
     RequestClass,
     Tenant,
 )
-from pumicenotch.pools import Plan, Pool, Pools
+from pumicenotch.pools import ClassPools, PoolPlan, PoolsPlan
+from pumicenotch.pools.plan import POOL_KEYS
 
 # The notation's words, and what they stand for.
 KINDS: dict[str, dict[str, Any]] = {
@@ -151,7 +152,7 @@
         self.seen = Seen()
         self.stages: dict[str, RequestClass] = {}
         self.tenants: dict[str, Tenant] = {}
-        self.pools: list[Pool] = []
+        self.pools: list[PoolPlan] = []
         self.budget = (0.1, 10.0)
         self.now = self.rings = 0.0
         self.gauges: dict[str, float] = {"on_cores": 0.0}
@@ -181,16 +182,17 @@
         self.tenants[plain[0]] = Tenant(pairs.get("share", 1.0), pairs.get("allowance"))
 
     def do_pool(self, plain: list[str], pairs: dict[str, Any]) -> None:
-        self.pools.append(Pool(plain[0], tuple(plain[1].split(",")), **pairs))
+        settings = {POOL_KEYS[key]: value for key, value in pairs.items()}
+        self.pools.append(PoolPlan(plain[0], tuple(plain[1].split(",")), **settings))
 
     def do_budget(self, plain: list[str], pairs: dict[str, Any]) -> None:
         self.budget = (float(plain[0]), float(plain[1]))
 
-    def pooled(self, names: list[str]) -> Pools | None:
+    def pooled(self, names: list[str]) -> ClassPools | None:
         pools = tuple(pool for pool in self.pools if pool.name in names)
-        plan = Plan(pools, retry_ratio=self.budget[0], retry_burst=self.budget[1])
+        plan = PoolsPlan(pools, retry_ratio=self.budget[0], retry_burst=self.budget[1])
         numbers = {name: at for at, name in enumerate(self.stages)}
-        return Pools(self.now, plan, list(self.stages.values()), numbers) if pools else None
+        return ClassPools(self.now, plan, list(self.stages.values()), numbers) if pools else None
 
     def do_repool(self, plain: list[str], pairs: dict[str, Any]) -> None:
         self.control.use_pools(self.now, self.pooled(plain))
--- a/tests/pools/test_hard_cases.py
+++ b/tests/pools/test_hard_cases.py
@@ -14,7 +14,7 @@
 from pumicenotch.lab.experiment_file import Experiment, read
 from pumicenotch.lab.measure import figures
 from pumicenotch.lab.simulate import Simulation, pools_of
-from pumicenotch.pools import Plan, Pool
+from pumicenotch.pools import PoolPlan, PoolsPlan
 
 PLAN = plan_of(Path(__file__).parents[2] / "deploy" / "pools.hcl")
 SHORT = ("carrier=simulated", "length_s=30", "warm_s=6")
@@ -26,7 +26,7 @@
 
 
 def play(
-    name: str, *sets: str, plan: Plan | None = PLAN, seed: int = 1
+    name: str, *sets: str, plan: PoolsPlan | None = PLAN, seed: int = 1
 ) -> tuple[dict[str, float], Simulation]:
     """One run's figures; that no rule is broken in any is part of every test here."""
     told = world(name, *sets)
@@ -100,29 +100,38 @@
 
 
 ODD = {
-    "a class nobody sends": ([Pool("none", ("never-sent",), 0.5), Pool("rest", ("*",))], ()),
-    "a class not in the file": ([Pool("cheap", ("preview",), 0.5), Pool("heavy", ("bake",))], ()),
-    "a single pool": ([Pool("all", ("*",), 0.9)], ()),
-    "one core": ([Pool("cheap", ("preview",), 0.5), Pool("rest", ("*",))], ("cores=1",)),
-    "a pool of one place": ([Pool("one", ("bake",), most=0.01), Pool("rest", ("*",))], ()),
+    "a class nobody sends": (
+        [PoolPlan("none", ("never-sent",), 0.5), PoolPlan("rest", ("*",))],
+        (),
+    ),
+    "a class not in the file": (
+        [PoolPlan("cheap", ("preview",), 0.5), PoolPlan("heavy", ("bake",))],
+        (),
+    ),
+    "a single pool": ([PoolPlan("all", ("*",), 0.9)], ()),
+    "one core": ([PoolPlan("cheap", ("preview",), 0.5), PoolPlan("rest", ("*",))], ("cores=1",)),
+    "a pool of one place": (
+        [PoolPlan("one", ("bake",), max_fraction=0.01), PoolPlan("rest", ("*",))],
+        (),
+    ),
     "a pool that lends none": (
-        [Pool("cheap", ("preview",), 0.5, lends=False), Pool("rest", ("*",))],
+        [PoolPlan("cheap", ("preview",), 0.5, lends_idle_slots=False), PoolPlan("rest", ("*",))],
         (),
     ),
 }
 
 
 @pytest.mark.parametrize(("pools", "sets"), ODD.values(), ids=ODD)
-def test_odd_plans_serve_too(pools: list[Pool], sets: tuple[str, ...]) -> None:
+def test_odd_plans_serve_too(pools: list[PoolPlan], sets: tuple[str, ...]) -> None:
     off, _ = play("pools", *sets, plan=None)
-    on, _ = play("pools", *sets, plan=Plan(tuple(pools)))
+    on, _ = play("pools", *sets, plan=PoolsPlan(tuple(pools)))
     assert on["utility"] >= off["utility"] - 0.08
     assert on["service_final_submit"] >= 0.5
 
 
 def test_an_idle_reserve_is_lent_whole() -> None:
-    nobody = Plan((Pool("none", ("never-sent",), 0.8), Pool("rest", ("*",))))
-    off, _ = play("pools", plan=Plan((Pool("rest", ("*",)),)))
+    nobody = PoolsPlan((PoolPlan("none", ("never-sent",), 0.8), PoolPlan("rest", ("*",))))
+    off, _ = play("pools", plan=PoolsPlan((PoolPlan("rest", ("*",)),)))
     on, _ = play("pools", plan=nobody)
     assert abs(on["utility"] - off["utility"]) < 0.03
 
@@ -142,6 +151,6 @@
 def test_limits_never_exceed_the_total_and_follow_it() -> None:
     _, carried = play("pools")
     pools: Any = carried.nodes[0].core.control.pools  # type: ignore[union-attr]
-    total = pools.total
-    assert all(side.limit <= total for side in pools.sides)
-    assert sum(side.share for side in pools.sides) <= total + 0.5
+    total = pools.total_slots
+    assert all(state.limit <= total for state in pools.pools)
+    assert sum(state.fair_slots for state in pools.pools) <= total + 0.5
--- a/tests/pools/test_pools.py
+++ b/tests/pools/test_pools.py
@@ -1,252 +1,268 @@
-"""The parts of the pools by themselves: division, estimates, budgets, likeness, reading, plans, the
-reducer.
-"""
-
-from typing import Any
+"""The parts of class pools by themselves, and the reducer on whatever events come."""
 
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
 
 from pumicenotch.interface import Idempotency, IncomingRequest, RequestClass, SlotQuery
-from pumicenotch.pools import Plan, Pool, Pools
-from pumicenotch.pools.allocation import LEAST, divide
-from pumicenotch.pools.duplicates import Likeness
-from pumicenotch.pools.estimators import Demand, Typical
-from pumicenotch.pools.plan import InvalidPoolsPlanError, lanes, unknown
-from pumicenotch.pools.read_backlog import Reading
-from pumicenotch.pools.retry_budget import Budget, Budgets
+from pumicenotch.pools import ClassPools, PoolPlan, PoolsPlan
+from pumicenotch.pools.allocation import MIN_SLOTS, allocate
+from pumicenotch.pools.duplicates import MAX_DIGESTS, DuplicateDetector
+from pumicenotch.pools.estimators import ArrivalRate, ClippedMean
+from pumicenotch.pools.plan import InvalidPoolsPlanError, assign_classes, unknown_classes
+from pumicenotch.pools.read_backlog import ReadBacklog
+from pumicenotch.pools.retry_budget import RetryBudget, RetryBudgets
 
-STAGE = RequestClass(2500.0, 0.0, 6300.0, Idempotency.IDEMPOTENT, 0.0, 1.0, 0.0, 0.0)
-places = st.floats(0.0, 50.0)
-side = st.tuples(places, places, st.floats(0.01, 10.0))
+REQUEST_CLASS = RequestClass(2500.0, 0.0, 6300.0, Idempotency.IDEMPOTENT, 0.0, 1.0, 0.0, 0.0)
+slots = st.floats(0.0, 50.0)
+pool = st.tuples(slots, slots, st.floats(0.01, 10.0))
 
 
-@given(st.floats(1.0, 40.0), st.lists(side, min_size=1, max_size=8))
+@given(st.floats(1.0, 40.0), st.lists(pool, min_size=1, max_size=8))
 def test_limits_sum_to_the_total_and_none_goes_beyond_its_need_while_another_is_short(
-    total: float, sides: list[tuple[float, float, float]]
+    total: float, pools: list[tuple[float, float, float]]
 ) -> None:
-    needs, own, weights = map(list, zip(*sides, strict=True))
-    limits = divide(total, needs, own, weights)
-    assert total - 1e-6 <= sum(limits) <= total + LEAST * len(sides) + 1e-6
+    needs, reserves, weights = map(list, zip(*pools, strict=True))
+    limits = allocate(total, needs, reserves, weights)
+    assert total - 1e-6 <= sum(limits) <= total + MIN_SLOTS * len(pools) + 1e-6
     short = [at for at, limit in enumerate(limits) if limit < needs[at] - 1e-6]
     if short:
-        assert all(limit <= need + LEAST + 1e-6 for limit, need in zip(limits, needs, strict=True))
+        assert all(
+            limit <= need + MIN_SLOTS + 1e-6 for limit, need in zip(limits, needs, strict=True)
+        )
 
 
-@given(st.floats(1.0, 40.0), st.lists(side, min_size=2, max_size=8))
-def test_a_reserve_is_given_before_all_others(
-    total: float, sides: list[tuple[float, float, float]]
+@given(st.floats(1.0, 40.0), st.lists(pool, min_size=2, max_size=8))
+def test_a_reserve_is_allocated_before_all_others(
+    total: float, pools: list[tuple[float, float, float]]
 ) -> None:
-    needs, _, weights = map(list, zip(*sides, strict=True))
-    own = [0.5 * total] + [0.0] * (len(sides) - 1)
-    assert divide(total, needs, own, weights)[0] >= min(needs[0], 0.5 * total) - 1e-6
+    needs, _, weights = map(list, zip(*pools, strict=True))
+    reserves = [0.5 * total] + [0.0] * (len(pools) - 1)
+    assert allocate(total, needs, reserves, weights)[0] >= min(needs[0], 0.5 * total) - 1e-6
 
 
-@given(st.floats(1.0, 40.0), st.lists(side, min_size=2, max_size=8))
+@given(st.floats(1.0, 40.0), st.lists(pool, min_size=2, max_size=8))
 def test_among_pools_that_are_short_weight_decides(
-    total: float, sides: list[tuple[float, float, float]]
+    total: float, pools: list[tuple[float, float, float]]
 ) -> None:
-    needs, _, weights = map(list, zip(*sides, strict=True))
-    limits = divide(total, needs, [0.0] * len(sides), weights)
+    needs, _, weights = map(list, zip(*pools, strict=True))
+    limits = allocate(total, needs, [0.0] * len(pools), weights)
     level = [
         limits[at] / weights[at]
-        for at in range(len(sides))
-        if LEAST < limits[at] < needs[at] - 1e-6
+        for at in range(len(pools))
+        if MIN_SLOTS < limits[at] < needs[at] - 1e-6
     ]
     assert not level or max(level) <= min(level) * (1.0 + 1e-6) + 1e-9
 
 
-@given(st.floats(1.0, 40.0), st.lists(side, min_size=1, max_size=8), st.floats(0.1, 1.0))
-def test_no_limit_is_over_its_most(
-    total: float, sides: list[tuple[float, float, float]], part: float
+@given(st.floats(1.0, 40.0), st.lists(pool, min_size=1, max_size=8), st.floats(0.1, 1.0))
+def test_no_limit_is_over_its_ceiling(
+    total: float, pools: list[tuple[float, float, float]], fraction: float
 ) -> None:
-    needs, own, weights = map(list, zip(*sides, strict=True))
-    most = [part * total] * len(sides)
-    capped = [min(claim, cap) for claim, cap in zip(own, most, strict=True)]
-    limits = divide(total, needs, capped, weights, most)
-    assert all(limit <= max(cap, LEAST) + 1e-6 for limit, cap in zip(limits, most, strict=True))
+    needs, reserves, weights = map(list, zip(*pools, strict=True))
+    ceilings = [fraction * total] * len(pools)
+    capped = [min(reserve, ceiling) for reserve, ceiling in zip(reserves, ceilings, strict=True)]
+    limits = allocate(total, needs, capped, weights, ceilings)
+    assert all(
+        limit <= max(ceiling, MIN_SLOTS) + 1e-6
+        for limit, ceiling in zip(limits, ceilings, strict=True)
+    )
 
 
-def test_demand_is_right_from_the_start_follows_a_jump_within_a_second_and_fades() -> None:
-    demand = Demand(0.0, 700.0)
+def test_an_arrival_rate_is_right_from_the_start_follows_a_jump_within_a_second_and_fades() -> None:
+    arrivals = ArrivalRate(0.0, 700.0)
     for at in range(0, 400, 20):
-        demand.arrived += 1
+        arrivals.new_arrivals += 1
         if at % 100 == 80:
-            rate = demand.fold(float(at))
+            rate = arrivals.fold(float(at))
     assert 0.04 < rate < 0.065  # 50 a second
     for at in range(400, 1900, 5):
-        demand.arrived += 1
+        arrivals.new_arrivals += 1
         if at % 100 == 95:
-            rate = demand.fold(float(at))
+            rate = arrivals.fold(float(at))
     assert 0.16 < rate < 0.22  # 200 a second
-    assert demand.fold(5000.0) < 0.01
-    assert demand.fold(60000.0) == 0.0
+    assert arrivals.fold(5000.0) < 0.01
+    assert arrivals.fold(60000.0) == 0.0
 
 
-def test_one_hung_run_does_not_move_a_typical_time_and_a_real_change_does() -> None:
-    slot = Typical()
+def test_one_hung_run_does_not_move_a_clipped_mean_and_a_real_change_does() -> None:
+    mean = ClippedMean()
     for _ in range(50):
-        slot.add(100.0)
-    slot.add(60_000.0)
-    assert slot.value < 130.0
+        mean.add(100.0)
+    mean.add(60_000.0)
+    assert mean.value < 130.0
     for _ in range(60):
-        slot.add(1000.0)
-    assert 850.0 < slot.value <= 1000.0
+        mean.add(1000.0)
+    assert 850.0 < mean.value <= 1000.0
     for _ in range(60):
-        slot.add(100.0)
-    assert slot.value < 150.0
+        mean.add(100.0)
+    assert mean.value < 150.0
 
 
-def test_a_budget_is_a_share_of_first_tries() -> None:
-    budgets = Budgets(0.25, 2.0, 100)
+def test_a_retry_budget_is_a_fraction_of_first_attempts() -> None:
+    budgets = RetryBudgets(0.25, 2.0, 100)
     for _ in range(2):  # the first token is there, the burst saved up
-        assert budgets.holds(1, 1)
-        budgets.spend(1, 1)
+        assert budgets.allows(1, 1)
+        budgets.withdraw(1, 1)
         for _ in range(4):
-            budgets.first(1, 1)
-    budgets.spend(1, 1)
-    assert not budgets.holds(1, 1)
-    assert budgets.holds(2, 2)
-    assert not budgets.holds(2, 1), "the tenant's are spent, whoever sends"
+            budgets.deposit(1, 1)
+    budgets.withdraw(1, 1)
+    assert not budgets.allows(1, 1)
+    assert budgets.allows(2, 2)
+    assert not budgets.allows(2, 1), "the tenant's are spent, whoever sends"
     for _ in range(4):
-        budgets.first(1, 1)
-    assert budgets.holds(1, 1)
+        budgets.deposit(1, 1)
+    assert budgets.allows(1, 1)
 
 
-def test_made_up_callers_gain_little_and_take_no_memory() -> None:
-    budgets = Budgets(0.1, 10.0, 64)
-    let_in = 0
+def test_invented_callers_gain_little_and_take_no_memory() -> None:
+    budgets = RetryBudgets(0.1, 10.0, 64)
+    admitted = 0
     for caller in range(100_000):
-        if budgets.holds(caller, caller % 7):
-            budgets.spend(caller, caller % 7)
-            let_in += 1
+        if budgets.allows(caller, caller % 7):
+            budgets.withdraw(caller, caller % 7)
+            admitted += 1
         elif caller % 10 == 0:
-            budgets.callers.first(caller)
-    assert let_in <= 40, "the budget over all bounds them"
-    assert len(budgets.callers.young) + len(budgets.callers.old) <= 128
-    assert budgets.forgotten > 0
+            budgets.callers.deposit(caller)
+    assert admitted <= 40, "the budget over all bounds them"
+    assert len(budgets.callers.recent) + len(budgets.callers.previous) <= 128
+    assert budgets.dropped_keys > 0
 
 
 @given(st.lists(st.tuples(st.booleans(), st.integers(0, 30)), max_size=300))
 def test_tokens_stay_within_the_burst(events: list[tuple[bool, int]]) -> None:
-    budget = Budget(0.3, 4.0, 8)
-    for first, key in events:
-        (budget.first if first else budget.spend)(key)
-        assert 0.0 <= budget.get(key) <= 4.0
-        assert len(budget.young) <= 8
-
-
-def test_what_was_turned_away_within_the_window_is_a_repeat_and_memory_is_bounded() -> None:
-    likeness = Likeness(0.0, 1000.0)
-    assert not likeness.seen(0.0, 7)
-    assert not likeness.seen(1.0, 7), "served twice it is two tasks"
-    likeness.turned_away(2.0, 7)
-    assert likeness.seen(900.0, 7)
-    assert likeness.seen(1100.0, 7), "of the generation before"
-    assert not likeness.seen(9000.0, 7)
-    likeness.turned_away(9000.0, 0)
-    assert not likeness.seen(9000.0, 0), "no content is never the same"
-    for mark in range(100, 101 + 3 * Likeness.MOST):
-        likeness.turned_away(9100.0, mark)
-        assert len(likeness.young) + len(likeness.old) <= 2 * Likeness.MOST
-    assert likeness.cut_short == 3
-
-
-def test_a_window_of_nothing_knows_marked_repeats_alone() -> None:
-    likeness = Likeness(0.0, 0.0)
-    likeness.turned_away(0.0, 7)
-    assert not likeness.seen(0.0, 7)
-
-
-def test_while_reading_is_behind_a_part_of_it_is_kept_for_reserved_pools() -> None:
-    reading = Reading(0.0, 0.5)
-    assert all(reading.passes(float(at), 5.0, False) for at in range(100))
+    budget = RetryBudget(0.3, 4.0, 8)
+    for is_first, key in events:
+        (budget.deposit if is_first else budget.withdraw)(key)
+        assert 0.0 <= budget.tokens_of(key) <= 4.0
+        assert len(budget.recent) <= 8
+
+
+def test_the_content_of_a_rejected_request_is_a_duplicate_within_the_window_and_memory_is_bounded() -> (
+    None
+):
+    detector = DuplicateDetector(0.0, 1000.0)
+    assert not detector.is_duplicate(0.0, 7)
+    assert not detector.is_duplicate(1.0, 7), "served twice it is two tasks"
+    detector.remember(2.0, 7)
+    assert detector.is_duplicate(900.0, 7)
+    assert detector.is_duplicate(1100.0, 7), "of the generation before"
+    assert not detector.is_duplicate(9000.0, 7)
+    detector.remember(9000.0, 0)
+    assert not detector.is_duplicate(9000.0, 0), "no content is never the same"
+    for digest in range(100, 101 + 3 * MAX_DIGESTS):
+        detector.remember(9100.0, digest)
+        assert len(detector.recent) + len(detector.previous) <= 2 * MAX_DIGESTS
+    assert detector.shortened_windows == 3
+
+
+def test_a_window_of_zero_finds_no_duplicates() -> None:
+    detector = DuplicateDetector(0.0, 0.0)
+    detector.remember(0.0, 7)
+    assert not detector.is_duplicate(0.0, 7)
+
+
+def test_while_reading_is_behind_a_fraction_of_it_is_kept_for_reserved_pools() -> None:
+    backlog = ReadBacklog(0.0, 0.5)
+    assert all(backlog.admits(float(at), 5.0, False) for at in range(100))
     for at in range(100, 120):
-        reading.passes(float(at), 300.0, True)
-    passed = [reading.passes(200.0 + at, 300.0, at % 4 == 0) for at in range(200)]
+        backlog.admits(float(at), 300.0, True)
+    passed = [backlog.admits(200.0 + at, 300.0, at % 4 == 0) for at in range(200)]
     assert all(passed[::4]), "reserved ones always"
     others = sum(passed) - 50
     assert 95 <= others <= 110, "half of what was read"
-    assert reading.turned_away == 150 - others
+    assert backlog.rejected == 150 - others
     for at in range(400, 600):
-        reading.passes(float(at), 1.0, False)
-    assert all(reading.passes(600.0 + at, 1.0, False) for at in range(50)), "caught up"
+        backlog.admits(float(at), 1.0, False)
+    assert all(backlog.admits(600.0 + at, 1.0, False) for at in range(50)), "caught up"
 
 
-def test_a_reader_that_stood_still_is_not_behind_for_good() -> None:
-    reading = Reading(0.0, 0.5)
+def test_a_reader_that_was_idle_is_no_longer_behind() -> None:
+    backlog = ReadBacklog(0.0, 0.5)
     for at in range(100):
-        reading.passes(float(at), 400.0, False)
-    assert reading.passes(5000.0, 1.0, False)
+        backlog.admits(float(at), 400.0, False)
+    assert backlog.admits(5000.0, 1.0, False)
 
 
 @pytest.mark.parametrize(
     ("pools", "words"),
     [
         ([], "name one at the least"),
-        ([Pool("a", ())], "no stages"),
-        ([Pool("a", ("x",)), Pool("b", ("x",))], "also of 'a'"),
-        ([Pool("a", ("x",)), Pool("a", ("y",))], "named twice: a"),
-        ([Pool("a", ("x",), reserve=0.6), Pool("b", ("y",), reserve=0.6)], "reserves sum to 1.2"),
-        ([Pool("a", ("x",), reserve=0.6, most=0.5)], "reserve 0.6 is over most 0.5"),
+        ([PoolPlan("a", ())], "no stages"),
+        ([PoolPlan("a", ("x",)), PoolPlan("b", ("x",))], "also of 'a'"),
+        ([PoolPlan("a", ("x",)), PoolPlan("a", ("y",))], "named twice: a"),
+        (
+            [PoolPlan("a", ("x",), reserve=0.6), PoolPlan("b", ("y",), reserve=0.6)],
+            "reserves sum to 1.2",
+        ),
+        ([PoolPlan("a", ("x",), reserve=0.6, max_fraction=0.5)], "reserve 0.6 is over most 0.5"),
     ],
 )
-def test_plans_that_contradict_themselves_are_refused(pools: list[Pool], words: str) -> None:
+def test_plans_that_contradict_themselves_are_refused(pools: list[PoolPlan], words: str) -> None:
     with pytest.raises(InvalidPoolsPlanError, match=words):
-        lanes(Plan(tuple(pools)), {"x": 0, "y": 1})
+        assign_classes(PoolsPlan(tuple(pools)), {"x": 0, "y": 1})
 
 
-def test_stages_go_to_the_pool_that_names_them_else_to_the_rest() -> None:
-    plan = Plan((Pool("a", ("x",)), Pool("rest", ("*",)), Pool("b", ("y", "gone"))))
-    assert lanes(plan, {"x": 0, "y": 1, "z": 2}) == [0, 2, 1]
-    assert unknown(plan, ["x", "y", "z"]) == ["gone"]
-    assert lanes(Plan((Pool("a", ("x",)), Pool("b", ("y",)))), {"z": 0}) == [1], (
-        "without a rest, to the last"
+def test_classes_are_assigned_to_the_pool_that_names_them_else_to_the_default() -> None:
+    plan = PoolsPlan(
+        (PoolPlan("a", ("x",)), PoolPlan("rest", ("*",)), PoolPlan("b", ("y", "gone")))
     )
+    assert assign_classes(plan, {"x": 0, "y": 1, "z": 2}) == [0, 2, 1]
+    assert unknown_classes(plan, ["x", "y", "z"]) == ["gone"]
+    assert assign_classes(PoolsPlan((PoolPlan("a", ("x",)), PoolPlan("b", ("y",)))), {"z": 0}) == [
+        1
+    ], "without a rest, to the last"
 
 
-kinds = st.sampled_from(["read", "on", "off", "ended", "tick", "next"])
+kinds = st.sampled_from(["received", "taken", "released", "finished", "tick", "next"])
 events = st.lists(st.tuples(kinds, st.integers(0, 3), st.floats(0.0, 400.0)), max_size=120)
 
 
+def three_pools(fixed: bool, lends: bool) -> PoolsPlan:
+    return PoolsPlan(
+        (
+            PoolPlan("a", ("0",), 0.4, lends_idle_slots=lends),
+            PoolPlan("b", ("1",), max_fraction=0.7),
+            PoolPlan("c", ("*",)),
+        ),
+        fixed_limits=fixed,
+    )
+
+
 @given(events, st.integers(1, 12), st.booleans(), st.booleans())
-def test_whatever_happens_one_of_those_waiting_may_start_or_a_place_is_kept_for_another(
+def test_whatever_happens_a_waiting_pool_may_start_or_a_slot_is_kept_for_another(
     stream: list[tuple[str, int, float]], total: int, fixed: bool, lends: bool
 ) -> None:
-    plan = Plan(
-        (Pool("a", ("0",), 0.4, lends=lends), Pool("b", ("1",), most=0.7), Pool("c", ("*",))),
-        fixed=fixed,
-    )
-    pools = Pools(0.0, plan, [STAGE] * 4, {str(at): at for at in range(4)})
-    now, busy = 0.0, [0] * pools.count
-    for name, lane, value in stream:
+    plan = three_pools(fixed, lends)
+    pools = ClassPools(0.0, plan, [REQUEST_CLASS] * 4, {str(index): index for index in range(4)})
+    now = 0.0
+    running = [0] * pools.count
+    for name, pool, value in stream:
         now += value
-        if name == "read":
+        if name == "received":
             incoming = IncomingRequest(0, 0, 0, value, None, None, 1.0, None)
-            pools.request_received(now, lane % 3, incoming)
+            pools.request_received(now, pool % 3, incoming)
             offer = pools.reserve_slot(
-                now, SlotQuery(lane % 3, False, lane == 3, {lane % 3: 0}, 100.0, True)
+                now, SlotQuery(pool % 3, False, pool == 3, {pool % 3: 0}, 100.0, True)
             )
             assert offer.slots > 0.0 and offer.slot_ms > 0.0
-        elif name == "on" and sum(busy) < total:
-            busy[lane] += 1
-            pools.slot_taken(now, lane, True)
-        elif name == "off" and busy[lane]:
-            busy[lane] -= 1
-            pools.slot_released(now, lane)
-        elif name == "ended":
-            pools.request_finished(now, lane, value)
+        elif name == "taken" and sum(running) < total:
+            running[pool] += 1
+            pools.slot_taken(now, pool, True)
+        elif name == "released" and running[pool]:
+            running[pool] -= 1
+            pools.slot_released(now, pool)
+        elif name == "finished":
+            pools.request_finished(now, pool, value)
         elif name == "tick":
             pools.tick(now, total)
-            sides: Any = pools.sides
-            assert all(0.0 < each.limit <= max(total, 1) + LEAST * 4 for each in sides)
+            assert all(0.0 < state.limit <= max(total, 1) + MIN_SLOTS * 4 for state in pools.pools)
         elif name == "next":
             every = list(range(pools.count))
             chosen = pools.next_pool(now, every)
             assert chosen in (None, *every)
-            if not fixed and not sum(busy):
+            if not fixed and not sum(running):
                 assert chosen is not None, "on empty cores something always starts"
             assert pools.next_pool(now, []) is None
-    assert [each.busy for each in pools.sides] == busy
-    assert pools.running == sum(busy)
+    assert [state.running for state in pools.pools] == running
+    assert pools.running == sum(running)
--- a/tests/record.py
+++ b/tests/record.py
@@ -25,7 +25,7 @@
     RequestClass,
     Tenant,
 )
-from pumicenotch.pools import Plan, Pool, Pools
+from pumicenotch.pools import ClassPools, PoolPlan, PoolsPlan
 
 STAGES = [
     RequestClass(2500.0, 0.0, 6300.0, Idempotency.IDEMPOTENT, 0.0, 1.0, 0.0, 0.5),
@@ -65,7 +65,9 @@
         "key_memory_kb": 20.0,
     },
 ]
-PLAN = Plan((Pool("cheap", ("0",), reserve=0.4), Pool("heavy", ("1",)), Pool("rest", ("*",))))
+PLAN = PoolsPlan(
+    (PoolPlan("cheap", ("0",), reserve=0.4), PoolPlan("heavy", ("1",)), PoolPlan("rest", ("*",)))
+)
 
 
 # The names of actions, and of their keywords, that the kept digests were made with.
@@ -254,7 +256,7 @@
         super().__init__(seed, tenants, load, **keywords)
         self.active = active
         numbers = {str(at): at for at in range(len(self.stages))}
-        self.at(20_000.0, "use_pools", Pools(0.0, PLAN, self.stages, numbers))
+        self.at(20_000.0, "use_pools", ClassPools(0.0, PLAN, self.stages, numbers))
         self.at(40_000.0, "use_pools", None)
 
     def tenant(self) -> int:
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -10,7 +10,7 @@
 from pumicenotch.config.file import File, plan_of
 from pumicenotch.config.hcl import InvalidFileError, parse
 from pumicenotch.config.schema import load
-from pumicenotch.pools import Plan, Pool
+from pumicenotch.pools import PoolPlan, PoolsPlan
 
 GOOD = 'pool "cheap" {\n  stages  = ["preview"]\n  reserve = 0.5\n}\npool "rest" {\n  stages = ["*"]\n}\n'
 
@@ -70,8 +70,10 @@
     path = tmp_path / "p.hcl"
     path.write_text(GOOD + "retries {\n  ratio = 0.2\n}\nreading {\n  reserve = 0.25\n}\n")
     plan = plan_of(path)
-    assert plan == Plan(
-        (Pool("cheap", ("preview",), 0.5), Pool("rest", ("*",))), retry_ratio=0.2, reading=0.25
+    assert plan == PoolsPlan(
+        (PoolPlan("cheap", ("preview",), 0.5), PoolPlan("rest", ("*",))),
+        retry_ratio=0.2,
+        reading_reserve=0.25,
     )
     path.write_text("# nothing\n")
     assert plan_of(path) is None
@@ -84,7 +86,7 @@
 
 names = st.text("abcdefghij-", min_size=1, max_size=8)
 pools = st.builds(
-    Pool,
+    PoolPlan,
     names,
     st.tuples(names),
     st.floats(0.0, 0.1),
@@ -96,11 +98,11 @@
 
 @given(
     st.lists(
-        pools, min_size=1, max_size=5, unique_by=(lambda pool: pool.name, lambda pool: pool.stages)
+        pools, min_size=1, max_size=5, unique_by=(lambda pool: pool.name, lambda pool: pool.classes)
     )
 )
-def test_a_compiled_plan_comes_back_as_it_was(some: list[Pool]) -> None:
-    plan = Plan(tuple(some), fixed=True, retry_ratio=0.25)
+def test_a_compiled_plan_comes_back_as_it_was(some: list[PoolPlan]) -> None:
+    plan = PoolsPlan(tuple(some), fixed_limits=True, retry_ratio=0.25)
     ours = compiled.Ours(plan, "n1", "/map.json")
     assert compiled.load(compiled.dump(ours), "F") == ours
     assert compiled.load(compiled.dump(compiled.Ours()), "F") == compiled.Ours()
@@ -117,7 +119,7 @@
 
 
 def test_compiled_forms_that_are_newer_or_torn_are_refused() -> None:
-    line = compiled.dump(compiled.Ours(Plan((Pool("a", ("x",)),))))
+    line = compiled.dump(compiled.Ours(PoolsPlan((PoolPlan("a", ("x",)),))))
     with pytest.raises(compiled.InvalidConfigError, match="form: 9 is unknown, 1 is allowed"):
         compiled.load(line.replace('"form": 1', '"form": 9'), "F")
     with pytest.raises(compiled.InvalidConfigError, match="no compiled plan"):
