--- a/pumicenotch/regions/__init__.py
+++ b/pumicenotch/regions/__init__.py
@@ -1,1 +1,4 @@
-"""Zones and regions: which share of whose traffic goes where, decided in common. No I/O, no clock."""
+"""Failover between zones and regions: which fraction of whose traffic goes where.
+
+The modules decide only: they have neither I/O nor a clock.
+"""
