--- a/benchmarks/capacity/decisions.py
+++ b/benchmarks/capacity/decisions.py
@@ -10,11 +10,12 @@
 from benchmarks.capacity.meter import StepMeter, frozen_heap, least_ms, state_bytes
 from benchmarks.capacity.slope import Reading, Slope, readings
 from pumicenotch.control import AdmissionController, ControllerSettings
+from pumicenotch.control.gauges import CORE_UTILIZATION, OPEN_CONNECTIONS, RUNNABLE
 from pumicenotch.interface import Idempotency, IncomingRequest, Outcome, RequestClass, Tenant
 
 ROLE = "server.decisions"
 STAGES = [RequestClass(1000.0, 0.0, 3000.0, Idempotency.IDEMPOTENT, 0.0, 1.0, 0.0, 0.0)]
-GAUGES = ["core_use", "on_cores", "heap", "links"]
+GAUGES = [CORE_UTILIZATION, RUNNABLE, "heap", OPEN_CONNECTIONS]
 SPAN_MS = 4000.0
 REPEATS = 3
 REQUESTS_MOST = 256.0  # a second, at the busiest server
--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -138,7 +138,7 @@
         control.on_request(began, IncomingRequest(-1 - at, 0, at, 0.0, None, None, 1.0, None))
         control.on_run_finished(began + (100.0 if at % 2 else 400.0), -1 - at, Outcome.OK)
     control.on_tick(began + 1_000.0, (0.0, 0.0, 0.0, 0.0))
-    control.timers.items.clear()  # all tasks have ended
+    control.timers.clear()  # all tasks have ended
 
 
 def cost_of_tenants(seed: int, known: int, active: int, past: str) -> Cost:
--- /dev/null
+++ b/pumicenotch/control/controller.py
@@ -0,0 +1,423 @@
+"""The admission controller: what each event does to a request.
+
+A request passes the answer deadlines, the idempotency keys, the limits and its tenant's queue; each
+of them passes it on, holds it or ends it. docs/design.md has the diagram.
+"""
+
+import random
+
+from pumicenotch.control.answer_deadlines import AnswerDeadlines
+from pumicenotch.control.concurrency_limit import ConcurrencyLimit
+from pumicenotch.control.core_occupancy import CoreOccupancy
+from pumicenotch.control.dependency_calls import DependencyCalls
+from pumicenotch.control.fair_scheduler import FairScheduler
+from pumicenotch.control.gauges import Gauges, read_gauges
+from pumicenotch.control.idempotency_keys import IdempotencyKeys
+from pumicenotch.control.load_reporter import LoadReporter
+from pumicenotch.control.priority_shedder import PriorityShedder
+from pumicenotch.control.queue_admission import QueueAdmission, QueuePlace
+from pumicenotch.control.request import Request
+from pumicenotch.control.run_estimates import RunEstimates
+from pumicenotch.control.settings import ControllerSettings
+from pumicenotch.control.single_pool import SinglePool
+from pumicenotch.control.timers import SAMPLE_INTERVAL_MS, TICK_INTERVAL_MS, TimerQueue
+from pumicenotch.interface import (
+    Actions,
+    CancelMode,
+    Idempotency,
+    IncomingRequest,
+    Outcome,
+    Pools,
+    RequestState,
+)
+
+# Outcomes which prove that a call did not take effect.
+WITHOUT_EFFECT = (Outcome.REJECTED, Outcome.UNREACHABLE, Outcome.NOT_STARTED)
+
+
+class AdmissionController:
+    """One server's decisions. Every method that takes `now` is an event; time never goes back."""
+
+    MIN_START_FRACTION = 0.8  # of a run's estimate that must fit before the deadline to start it
+    REMAINING_RUN_FRACTION = 0.5  # of a run's estimate that follows its call, on the mean
+    MAX_BACKOFF_TO_RETRY = 0.1  # the backoff that one rejection in twenty makes: fewer are chance
+
+    def __init__(
+        self,
+        actions: Actions,
+        now: float,
+        settings: ControllerSettings,
+        seed: int,
+        pools: Pools | None = None,
+    ) -> None:
+        rng = random.Random(seed)
+        speed = settings.initial_speed if settings.starts_cold else 1.0
+        self.actions = actions
+        self.settings = settings
+        self.can_cancel_runs = settings.cancel_mode is not CancelMode.NONE
+        self.max_retry_after_ms = 0.0
+        if settings.retry_after_supported:
+            self.max_retry_after_ms = settings.max_retry_after_ms
+        self.timers = TimerQueue()
+        self.deadlines = AnswerDeadlines(
+            self.timers, settings.drain_grace_ms, self._on_answer_deadline
+        )
+        self.keys = IdempotencyKeys(self.timers, actions, settings.key_memory_kb)
+        self.limit = ConcurrencyLimit(now, settings, speed)
+        self.scheduler = FairScheduler(settings, self.limit.slots(now))
+        self.calls = DependencyCalls(self.timers, actions, rng, settings)
+        self.estimates = RunEstimates(now, settings.request_classes, self.limit, self.calls)
+        self.admission = QueueAdmission(self.scheduler, self.estimates, self.limit)
+        self.pools: Pools = SinglePool(self.scheduler.shares)
+        self.occupancy = CoreOccupancy(self.limit, self.estimates, self.pools)
+        self.use_pools(now, pools)
+        self.shedder = PriorityShedder(rng.random, settings.request_classes)
+        self.reporter = LoadReporter(actions, settings, speed)
+        self.sampled_at = now
+        actions.schedule_tick(TICK_INTERVAL_MS)
+
+    # Events
+
+    def on_request(self, now: float, incoming: IncomingRequest) -> None:
+        """Take a request that was read."""
+        if incoming.tenant_index >= self.scheduler.shares.tenant_count:
+            incoming = incoming._replace(tenant_index=0)
+        request_class = self.settings.request_classes[incoming.class_index]
+        request = Request(now, incoming, request_class)
+        waited_ms = now - request.arrived_at
+        time_ms = max(1.0, request.deadline - request.arrived_at)
+        self.reporter.received += 1
+        self.shedder.on_request(waited_ms / time_ms, request_class.priority_weight)
+        self.limit.used_memory_kb += request.memory_kb
+        self.deadlines.add(request)
+        request.pool = self.pools.pool_of(request.class_index)
+        original_id = incoming.original_id
+        if original_id and request_class.idempotency is Idempotency.KEYED:
+            self._await_original(request, original_id, now)
+        else:
+            allowance = self.pools.request_received(now, request.pool, incoming)
+            request.wait_fraction = allowance.fraction
+            request.is_retry = allowance.is_retry
+            self._admit(request, now)
+        self.start_runs(now)
+
+    def on_run_finished(self, now: float, request_id: int, outcome: Outcome) -> None:
+        """Take the end of a run, or of a replay."""
+        request = self.deadlines.requests.get(request_id)
+        if request is None:
+            return
+        self.calls.finish(request, now, Outcome.CANCELLED)
+        if request.state is RequestState.RUNNING and outcome in (Outcome.OK, Outcome.ERROR):
+            self._learn(request, now)
+        request.is_answered = True
+        self._finish(request, now)
+        self._use_free_capacity(now)
+
+    def on_dependency_needed(self, now: float, request_id: int) -> None:
+        """Take a run off the cores until its call to the dependency is over."""
+        request = self.deadlines.requests.get(request_id)
+        if request is None or request.state is not RequestState.RUNNING:
+            return
+        self.estimates.on_dependency_needed(request)
+        self.occupancy.leave_for_call(request, now)
+        request.dependency_attempts = 0
+        self.calls.enqueue(now, request)
+        if request.request_class.degraded_weight > 0.0:
+            remaining_ms = self.REMAINING_RUN_FRACTION * self.estimates.run_ms(request, now)
+            self.timers.schedule(request.deadline - remaining_ms, self._skip_waiting_call, request)
+        self._use_free_capacity(now)
+
+    def on_dependency_finished(self, now: float, request_id: int, outcome: Outcome) -> None:
+        """Take the end of a call: the run goes on, or calls again, or fails."""
+        request = self.deadlines.requests.get(request_id)
+        if request is None or request.state is not RequestState.AWAITING_DEPENDENCY:
+            return
+        self.calls.finish(request, now, outcome)
+        if outcome is Outcome.OK:
+            self.occupancy.return_from_call(request, now)
+        elif not request.is_answered:
+            if self._may_retry_call(request, outcome) and self.calls.can_retry(request, now):
+                self.calls.retry_later(request, now)
+            elif request.request_class.degraded_weight > 0.0:
+                self._skip_dependency(request, now)
+            else:
+                self.fail(request, now)
+        self._use_free_capacity(now)
+
+    def on_cancel(self, now: float, request_id: int) -> None:
+        """Release a request whose caller waits no more."""
+        request = self.deadlines.requests.get(request_id)
+        if request is not None and not request.is_answered:
+            self._release(request, now)
+            self._use_free_capacity(now)
+
+    def start_draining(self, now: float, stops_at: float) -> None:
+        """Answer everything, and send callers elsewhere, before the process stops."""
+        self.deadlines.start_draining(now, stops_at)
+        self.reporter.start_draining()
+        self.actions.log(
+            f"leaving in {stops_at - now:.0f} ms with {len(self.deadlines.requests)} tasks in hand"
+        )
+
+    def on_tick(self, now: float, gauge_values: tuple[float, ...]) -> None:
+        """Run what is scheduled, and close the control loops once a sample."""
+        self.actions.schedule_tick(TICK_INTERVAL_MS)
+        self.timers.run_expired(now)
+        gauges = read_gauges(self.settings.gauges, gauge_values)
+        self.limit.on_tick(now, bool(self.scheduler.waiting), gauges)
+        self.pools.tick(now, self.limit.slots(now))
+        if now - self.sampled_at >= SAMPLE_INTERVAL_MS:
+            self.sampled_at = now
+            self._on_sample(now, gauges)
+        self._use_free_capacity(now)
+
+    def use_pools(self, now: float, pools: Pools | None) -> None:
+        """Use these class pools, or none, for all that is queued and runs from now on."""
+        self.pools = pools or SinglePool(self.scheduler.shares)
+        self.occupancy.pools = self.pools
+        for request in self.deadlines.requests.values():
+            request.pool = self.pools.pool_of(request.class_index)
+            if request.state is RequestState.RUNNING:
+                self.pools.slot_taken(now, request.pool, True)
+        self.scheduler.use_pools(self.pools)
+
+    # Admission
+
+    def _await_original(self, request: Request, original_id: int, now: float) -> None:
+        """Serve a retry by key from its original, which it waits for while that is queued."""
+        original = self.deadlines.requests.get(original_id)
+        if original is not None and original.original is not None:
+            original = original.original
+        if (
+            original is not None
+            and original.state is RequestState.QUEUED
+            and self.limit.fits_memory(self.keys.memory_kb)
+        ):
+            request.state = RequestState.AWAITING_ORIGINAL
+            request.original = original
+            original.waiting_retries.append(request)
+        else:
+            self._replay(request, now)
+
+    def _replay(self, request: Request, now: float) -> None:
+        """Answer with the original's result; its memory may be needed as soon as that has one."""
+        if self.limit.reserve_run_memory(request, self.keys.memory_kb):
+            request.state = RequestState.REPLAYING
+            self.actions.replay_result(request.request_id)
+        else:
+            self.fail(request, now)
+
+    def _admit(self, request: Request, now: float) -> None:
+        """Queue a request that is no replay, once what must be retained of it has memory."""
+        is_keyed = request.request_class.idempotency is Idempotency.KEYED
+        key_memory_kb = self.keys.key_memory_kb if is_keyed else 0.0
+        fits = self.limit.fits_memory(self.keys.memory_kb + key_memory_kb)
+        if not fits or request.arrived_at > self.deadlines.last_arrival_at:
+            self.reject(request, now)
+        elif self.shedder.sheds(request.request_class.priority_weight):
+            self.reporter.shed += 1
+            self.reject(request, now, self.max_retry_after_ms)
+        else:
+            if is_keyed:
+                self.keys.retain(request, now)
+            self.enqueue(request, now)
+
+    def enqueue(self, request: Request, now: float) -> None:
+        """Queue a request, or reject it where its wait and run would take too long."""
+        place = self.admission.find_place(request, now, self.pools)
+        if not place.is_admitted:
+            self._reject_for_load(request, place, now)
+            return
+        self.scheduler.enqueue(request)
+        if request.is_retry and not place.has_free_slot:
+            self.pools.retry_admitted(request.tenant_index, request.caller_id)
+        self.timers.schedule(request.deadline, self.on_objective_missed, request)
+
+    def _reject_for_load(self, request: Request, place: QueuePlace, now: float) -> None:
+        self.pools.request_rejected(now, request.pool, request.content_digest)
+        unread_ms = now - request.arrived_at
+        max_unread_ms = PriorityShedder.MAX_UNREAD_FRACTION * (
+            request.deadline - request.arrived_at
+        )
+        if place.wait_ms > 0.0 or unread_ms > max_unread_ms:
+            self.reporter.shed += 1
+        self.reject(request, now, place.wait_ms)
+
+    # Runs
+
+    def start_runs(self, now: float) -> None:
+        """Start queued requests while there is capacity."""
+        while self.scheduler.waiting and self.limit.has_capacity(now):
+            request = self.scheduler.next_request(now)
+            if request is None:
+                return
+            ends_by = min(request.deadline, self.deadlines.stops_at)
+            run_ms = self.estimates.run_ms(request, now)
+            if now + self.MIN_START_FRACTION * run_ms > ends_by:
+                self.reject(request, now)
+            elif self.limit.reserve_run_memory(request, self.keys.memory_kb):
+                self.start_run(request, now)
+            else:
+                return
+
+    def start_run(self, request: Request, now: float) -> None:
+        """Start a request whose memory is reserved, and replay it to the retries that wait."""
+        self.scheduler.remove(request)
+        self.scheduler.queues[request.tenant_index].running += 1
+        self.occupancy.start(request, now)
+        self.actions.start(request.request_id)
+        retries = request.waiting_retries
+        request.waiting_retries = []
+        for retry in retries:
+            retry.original = None
+            self._replay(retry, now)
+
+    def _learn(self, request: Request, now: float) -> None:
+        """Learn from a run that ended by itself."""
+        slot_ms = self.estimates.on_run_finished(request, now)
+        self.limit.responses += 1
+        self.limit.late_responses += now > request.deadline
+        self.pools.request_finished(now, request.pool, slot_ms)
+        response_ms = now - request.arrived_at
+        self.scheduler.response_ms.setdefault(request.tenant_index, []).append(response_ms)
+
+    def _use_free_capacity(self, now: float) -> None:
+        """Send the calls whose turn it is, then start runs."""
+        while (request := self.calls.next_ready(now)) is not None:
+            is_optional = request.request_class.degraded_weight > 0.0
+            if is_optional and self.calls.is_too_late(request, now):
+                self._skip_dependency(request, now)
+            else:
+                self.calls.send(request, now)
+        self.start_runs(now)
+
+    def _on_sample(self, now: float, gauges: Gauges) -> None:
+        objective_ms = self.estimates.objective_ms
+        self.limit.on_sample()
+        self.shedder.on_sample(self.reporter.received)
+        slots = self.limit.slots(now)
+        slot_ms = self.estimates.mean_slot_ms(now)
+        self.scheduler.on_sample(slots, slot_ms, objective_ms)
+        self.reporter.on_sample(
+            self.limit.speed(now),
+            gauges.open_connections,
+            slots + self.scheduler.max_queue_length(slots, slot_ms, objective_ms),
+            self.shedder.unread_fraction,
+        )
+
+    # Calls to the dependency
+
+    def _may_retry_call(self, request: Request, outcome: Outcome) -> bool:
+        """Return whether a call may be made again after that outcome."""
+        if outcome in WITHOUT_EFFECT:
+            return True
+        if request.request_class.idempotency is not Idempotency.IDEMPOTENT:
+            return False
+        # A reset connection says nothing of the dependency; anything else does.
+        can_skip = request.request_class.degraded_weight > 0.0 and outcome is not Outcome.RESET
+        return not can_skip and request.dependency_attempts < DependencyCalls.MAX_ATTEMPTS
+
+    def _skip_dependency(self, request: Request, now: float) -> None:
+        self.actions.skip_dependency(request.request_id)
+        self.occupancy.return_from_call(request, now)
+
+    def _skip_waiting_call(self, now: float, request: Request) -> None:
+        """Skip a call that still waits for its turn when the run could hardly end in time."""
+        if self.calls.withdraw(request):
+            self._skip_dependency(request, now)
+
+    # Answers
+
+    def _on_answer_deadline(self, now: float, request: Request) -> None:
+        """Answer at the last possible time, whatever the request is doing."""
+        if request.is_answered:
+            return
+        if request.state is RequestState.QUEUED:
+            self.reject(request, now)
+        else:
+            self.fail(request, now)
+
+    def on_objective_missed(self, now: float, request: Request) -> None:
+        """Answer a request that is worth nothing late, unless its run goes on anyway."""
+        if request.request_class.late_weight > 0.0:
+            return
+        is_waiting = request.state is RequestState.QUEUED or self.calls.is_waiting(request)
+        if is_waiting or self._can_cancel(request):
+            self._on_answer_deadline(now, request)
+
+    def _can_cancel(self, request: Request) -> bool:
+        return (
+            self.can_cancel_runs
+            and request.state is RequestState.RUNNING
+            and request.request_class.idempotency is Idempotency.IDEMPOTENT
+        )
+
+    def reject(self, request: Request, now: float, retry_after_ms: float = 0.0) -> None:
+        """Answer a request that has not run.
+
+        While many are rejected, callers are asked not to retry: other servers are hardly better
+        off. A server that drains or warms up does not ask it, nor is it asked of high priority.
+        """
+        weight = request.request_class.priority_weight
+        do_not_retry = False
+        if self.reporter.is_draining:
+            retry_after_ms = self.max_retry_after_ms
+        else:
+            retry_after_ms = min(retry_after_ms, self.max_retry_after_ms)
+            do_not_retry = (
+                weight < self.shedder.high_priority
+                and self.reporter.backoff > self.MAX_BACKOFF_TO_RETRY
+                and self.limit.speed(now) >= 1.0
+            )
+        self.actions.reject(request.request_id, do_not_retry, retry_after_ms)
+        self.shedder.on_unserved(weight)
+        self._release(request, now)
+
+    def fail(self, request: Request, now: float) -> None:
+        """Answer a request as failed."""
+        self.actions.fail(request.request_id)
+        self.shedder.on_unserved(request.request_class.priority_weight)
+        self._release(request, now)
+
+    def _release(self, request: Request, now: float) -> None:
+        """Owe no answer any more: what has not started is over, what runs ends with its result."""
+        request.is_answered = True
+        if request.state in (
+            RequestState.QUEUED,
+            RequestState.AWAITING_ORIGINAL,
+            RequestState.REPLAYING,
+        ):
+            self._finish(request, now)
+        elif not self.calls.withdraw(request) and self._can_cancel(request):
+            self.actions.cancel_run(request.request_id)
+
+    def _finish(self, request: Request, now: float) -> None:
+        """Free all that the request holds; the first retry that waits for it takes its place."""
+        state = request.state
+        request.state = RequestState.FINISHED
+        if state is RequestState.QUEUED:
+            self.scheduler.remove(request)
+            if request.request_class.idempotency is Idempotency.KEYED:
+                self.keys.drop(request, now)
+        elif state is RequestState.AWAITING_ORIGINAL and request.original is not None:
+            request.original.waiting_retries.remove(request)
+        elif state in (RequestState.RUNNING, RequestState.AWAITING_DEPENDENCY):
+            self.scheduler.queues[request.tenant_index].running -= 1
+            self.occupancy.finish(request, state, now)
+        if state in (RequestState.QUEUED, RequestState.AWAITING_ORIGINAL):
+            self.limit.used_memory_kb -= request.memory_kb * 1.0
+        else:
+            self.limit.used_memory_kb -= request.memory_kb * self.limit.run_memory_factor
+        del self.deadlines.requests[request.request_id]
+        if request.waiting_retries:
+            self._promote_retry(request.waiting_retries, now)
+
+    def _promote_retry(self, retries: list[Request], now: float) -> None:
+        """Make the oldest of those retries the original of the others: none of them has run."""
+        original, *others = retries
+        original.state = RequestState.QUEUED
+        original.original = None
+        original.waiting_retries = others
+        for retry in others:
+            retry.original = original
+        self._admit(original, now)
--- /dev/null
+++ b/pumicenotch/control/request.py
@@ -0,0 +1,83 @@
+"""A request on its way through the controller."""
+
+from pumicenotch.interface import IncomingRequest, RequestClass, RequestState
+
+
+class Request:
+    """One attempt of a caller, as it was read, and how far it is.
+
+    Attributes:
+        deadline: when its latency objective ends.
+        expires_at: when its caller gives up.
+        estimated_work: its caller's estimate, if there is one.
+        original: the queued request that this retry waits for.
+        waiting_retries: the retries that wait for this request, the oldest first.
+        sort_key: its place in its queue; the lowest starts first.
+        off_cores_ms: the time that its run has spent in calls; while one is open, less its start.
+        dependency_attempts: how often its open call was sent.
+        pool: the pool in which it waits or runs.
+        wait_fraction: how much of the usual wait its pool allows it.
+    """
+
+    __slots__ = (
+        "arrived_at",
+        "caller_id",
+        "class_index",
+        "content_digest",
+        "deadline",
+        "dependency_attempts",
+        "dependency_called_at",
+        "estimated_work",
+        "expires_at",
+        "is_answered",
+        "is_retry",
+        "memory_kb",
+        "off_cores_ms",
+        "original",
+        "pool",
+        "request_class",
+        "request_id",
+        "sort_key",
+        "started_at",
+        "state",
+        "tenant_index",
+        "wait_fraction",
+        "waiting_retries",
+    )
+
+    def __init__(self, now: float, incoming: IncomingRequest, request_class: RequestClass) -> None:
+        self.request_id = incoming.request_id
+        self.class_index = incoming.class_index
+        self.request_class = request_class
+        self.tenant_index = incoming.tenant_index
+        self.caller_id = incoming.caller_id
+        self.content_digest = incoming.content_digest
+        self.memory_kb = incoming.memory_kb
+        self.estimated_work = incoming.estimated_work
+        self.arrived_at = arrived_at = now - incoming.waited_ms
+        expires_at = incoming.expires_at
+        if expires_at is None:
+            expires_at = arrived_at + request_class.timeout_ms
+        self.expires_at = expires_at if expires_at > now else now
+        self.deadline = min(
+            self.expires_at,
+            arrived_at
+            + request_class.latency_objective_ms
+            + request_class.objective_per_work * (incoming.estimated_work or 0.0),
+        )
+        self.state = RequestState.QUEUED
+        self.is_answered = False
+        self.original: Request | None = None
+        self.waiting_retries: list[Request] = []
+        self.sort_key = 0.0
+        self.started_at = 0.0
+        self.off_cores_ms = 0.0
+        self.dependency_called_at = 0.0
+        self.dependency_attempts = 0
+        self.pool = 0
+        self.wait_fraction = 1.0
+        self.is_retry = False
+
+    def __lt__(self, other: "Request") -> bool:
+        """Order by sort key, and by arrival where those are the same."""
+        return (self.sort_key, self.request_id) < (other.sort_key, other.request_id)
--- a/pumicenotch/interface.py
+++ b/pumicenotch/interface.py
@@ -193,7 +193,7 @@
         over_quota: whether it is beyond its tenant's rate limit.
         waiting_pools: the pools that have requests queued.
         mean_slot_ms: how long a slot is held on the mean over all pools.
-        has_room: whether the server may start one more run.
+        has_capacity: whether the server may start one more run.
     """
 
     pool: int
@@ -201,7 +201,7 @@
     over_quota: bool
     waiting_pools: Collection[int]
     mean_slot_ms: float
-    has_room: bool
+    has_capacity: bool
 
 
 class SlotOffer(NamedTuple):
--- a/pumicenotch/lab/plain.py
+++ b/pumicenotch/lab/plain.py
@@ -6,27 +6,32 @@
 
 
 class Plain(AdmissionController):
-    PLACES_A_CORE, HELD_A_CORE = 1, 2
-
-    def queue(self, task: Request, now: float) -> None:
-        task.key = task.arrived
-        waiting = sum(len(queue) for lanes in self.lanes() for queue in lanes.values())
-        if waiting >= self.HELD_A_CORE * self.limit.cores:
-            self.reject(task, now)
+    RUNS_PER_CORE = 1
+    MAX_QUEUED_PER_CORE = 2
+
+    def enqueue(self, request: Request, now: float) -> None:
+        """Queue the request behind all others, unless the queue is full."""
+        request.sort_key = request.arrived_at
+        queued = sum(map(len, self.queues()))
+        if queued >= self.MAX_QUEUED_PER_CORE * self.limit.cores:
+            self.reject(request, now)
         else:
-            self.queues.put(task)
-            self.timers.schedule(task.due, self.too_late, task)
-
-    def start(self, now: float) -> None:
-        while self.limit.on_cores < self.PLACES_A_CORE * self.limit.cores and self.queues.waiting:
-            task = min(queue[0] for lanes in self.lanes() for queue in lanes.values())
-            if not self.limit.takes(task, self.repeats.kb):
+            self.scheduler.enqueue(request)
+            self.timers.schedule(request.deadline, self.on_objective_missed, request)
+
+    def start_runs(self, now: float) -> None:
+        """Start the first of all queued requests while there is a slot."""
+        max_runs = self.RUNS_PER_CORE * self.limit.cores
+        while self.limit.on_cores < max_runs and self.scheduler.waiting:
+            request = min(queue[0] for queue in self.queues())
+            if not self.limit.reserve_run_memory(request, self.keys.memory_kb):
                 return
-            self.go(task, now)
+            self.start_run(request, now)
 
-    def lanes(self) -> list[dict[int, list[Request]]]:
-        """The queues by lane of each tenant that has tasks waiting."""
-        return [self.queues.lines[tenant].lanes for tenant in self.queues.held()]
+    def queues(self) -> list[list[Request]]:
+        """Return every queue that has requests, of all tenants and pools."""
+        tenants = [self.scheduler.queues[index] for index in self.scheduler.waiting_tenants()]
+        return [queue for tenant in tenants for queue in tenant.by_pool.values()]
 
 
 if __name__ == "__main__":
--- a/pumicenotch/pools/pools.py
+++ b/pumicenotch/pools/pools.py
@@ -155,7 +155,7 @@
             lane,
             self.part(lane, side, query.waiting_pools),
             slot_ms,
-            query.has_room and (not self.strict or self.takes(now, lane, side)),
+            query.has_capacity and (not self.strict or self.takes(now, lane, side)),
         )
 
     def retry_admitted(self, tenant_index: int, caller_id: int) -> None:
--- a/pumicenotch/route/decide.py
+++ b/pumicenotch/route/decide.py
@@ -91,7 +91,7 @@
         self.effects.append(Wake(self.TICK_MS))
 
     def time(self) -> None:
-        self.timers.run_due(self.now)
+        self.timers.run_expired(self.now)
         self.callers.close_idle(self.now)
         for link, way in list(self.ways.items()):
             if way.up and not way.open and self.now - way.used_at > self.IDLE_MS:
--- a/pumicenotch/server/core.py
+++ b/pumicenotch/server/core.py
@@ -105,7 +105,7 @@
 
     def time(self) -> None:
         self.rang_at = self.now
-        self.timers.run_due(self.now)
+        self.timers.run_expired(self.now)
         if self.control is not None and self.runs.hangs(self.now):
             self.met("links_hung", "pool: no answer on a link that is up")
             self.runs.renew()
--- a/pumicenotch/start.py
+++ b/pumicenotch/start.py
@@ -7,6 +7,7 @@
 from typing import Any
 
 from pumicenotch.control import ControllerSettings
+from pumicenotch.control.gauges import CORE_UTILIZATION, OPEN_CONNECTIONS, RUNNABLE
 from pumicenotch.errors import InputError
 from pumicenotch.interface import (
     CancelMode,
@@ -34,6 +35,7 @@
     "common": DependencyKind.SHARED,
     "next_hop": DependencyKind.NEXT_TIER,
 }
+GAUGES = {"core_use": CORE_UTILIZATION, "on_cores": RUNNABLE, "links": OPEN_CONNECTIONS}
 TRUTHS = {"true": True, "false": False}
 
 
@@ -240,7 +242,8 @@
     ]
     found["tenants"] = [tenant(pairs, at) for at in range(read("tenants.count", pairs, int, 0))]
     meters = pairs.get("family-info.meters", "")
-    found["gauges"] = meters.split(",") if meters else []
+    words = meters.split(",") if meters else []
+    found["gauges"] = [GAUGES.get(word, word) for word in words]
     return ControllerSettings(**found)
 
 
--- a/tests/compatibility/test_adapter.py
+++ b/tests/compatibility/test_adapter.py
@@ -32,7 +32,8 @@
         [on_the_wire(value) for value in stage] for stage in found.request_classes
     ]
     by_path["tenants"] = [list(tenant) for tenant in found.tenants]
-    by_path["family-info.meters"] = found.gauges
+    words = {name: word for word, name in start.GAUGES.items()}
+    by_path["family-info.meters"] = [words.get(name, name) for name in found.gauges]
     return by_path
 
 
--- a/tests/fleet/test_releases.py
+++ b/tests/fleet/test_releases.py
@@ -110,7 +110,7 @@
     async def script(run: Releasing) -> None:
         made = await asyncio.to_thread(version, run.folder, "good")
         run.versions["good"] = made
-        spoilt = run.folder / "source" / made / "pumicenotch" / "control.py"
+        spoilt = run.folder / "source" / made / "pumicenotch" / "control" / "controller.py"
         text = spoilt.read_text()
         spoilt.write_text(text[: len(text) // 2])
         await run.plan("r1", "good")
--- a/tests/play.py
+++ b/tests/play.py
@@ -18,6 +18,7 @@
 from typing import Any
 
 from pumicenotch.control import AdmissionController, ControllerSettings
+from pumicenotch.control.gauges import CORE_UTILIZATION, OPEN_CONNECTIONS, RUNNABLE
 from pumicenotch.interface import (
     CancelMode,
     DependencyKind,
@@ -77,6 +78,11 @@
     "linger_ms": "dependency_linger_ms",
     "idle_ms": "idle_timeout_ms",
 }
+GAUGES = {
+    "core_use": CORE_UTILIZATION,
+    "on_cores": RUNNABLE,
+    "links": OPEN_CONNECTIONS,
+}
 ACTIONS = {
     "start": "run",
     "reject": "reject",
@@ -199,7 +205,7 @@
         return ControllerSettings(
             request_classes=list(self.stages.values()),
             tenants=list(self.tenants.values()),
-            gauges=list(self.gauges),
+            gauges=[GAUGES.get(word, word) for word in self.gauges],
             **{SETTINGS.get(word, word): value for word, value in pairs.items()},
         )
 
@@ -286,7 +292,7 @@
         assert float(plain[0]) <= self.seen.patience_ms <= float(plain[1]), self.seen.patience_ms
 
     def do_cap(self, plain: list[str], pairs: dict[str, Any]) -> None:
-        caps = [self.control.queues.caps[at] for at in range(len(self.tenants))]
+        caps = [self.control.scheduler.shares[at] for at in range(len(self.tenants))]
         cap = caps[list(self.tenants).index(plain[0])]
         assert float(plain[1]) <= cap <= float(plain[2]), f"cap {cap} of {caps}"
 
--- a/tests/record.py
+++ b/tests/record.py
@@ -15,6 +15,7 @@
 from typing import Any
 
 from pumicenotch.control import AdmissionController, ControllerSettings
+from pumicenotch.control.gauges import CORE_UTILIZATION, OPEN_CONNECTIONS, RUNNABLE
 from pumicenotch.interface import (
     CancelMode,
     DependencyKind,
@@ -108,7 +109,7 @@
         self.running: set[int] = set()
         self.cores, self.tenants, self.stages = keywords["cores"], tenants, stages
         self.keyed: list[int] = []
-        names = ["core_use", "on_cores", "heap", "links"]
+        names = [CORE_UTILIZATION, RUNNABLE, "heap", OPEN_CONNECTIONS]
         people = [Tenant(1.0 / tenants, 20.0 if at % 2 else None) for at in range(tenants)]
         self.control = AdmissionController(
             self,
--- a/tests/test_caps.py
+++ b/tests/test_caps.py
@@ -6,7 +6,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from pumicenotch.control import Caps, Queues
+from pumicenotch.control import ControllerSettings
+from pumicenotch.control.fair_scheduler import FairScheduler
+from pumicenotch.control.slot_shares import SlotShares
 from pumicenotch.interface import Tenant
 
 V_MOST = 6
@@ -44,7 +46,7 @@
     known: int, steps: list[tuple[str, int, float]]
 ) -> None:
     total, vs = 4, [0.0] * known
-    caps = Caps(known, total)
+    caps = SlotShares(known, total)
     for kind, number, v in steps:
         if kind == "total":
             total = number
@@ -55,33 +57,33 @@
             moved = range(1, known, number) if kind == "all" else [number] if number < known else []
             for tenant in moved:
                 vs[tenant] = v
-                caps.set_v(tenant, v)
+                caps.set_control_output(tenant, v)
     assert all(map(same, [caps[tenant] for tenant in range(known)], chain(total, vs)))
 
 
 def test_weights_beyond_the_largest_float_are_as_in_the_whole_chain() -> None:
     vs = [6.0] * 2000
-    caps = Caps(len(vs), 3)
+    caps = SlotShares(len(vs), 3)
     for tenant in range(1, len(vs)):
-        caps.set_v(tenant, 6.0)
+        caps.set_control_output(tenant, 6.0)
     assert all(map(same, [caps[tenant] for tenant in range(len(vs))], chain(3, vs)))
 
 
 def test_a_sample_looks_at_no_tenant_that_has_not_sent() -> None:
-    queues = Queues([Tenant(1.0, None)] * 1000, 1, 4)
-    queues.times = {6: [100.0], 7: [300.0, 500.0], 9: [100.0]}
-    queues.sample(4, 100.0, 1000.0)
-    assert sorted(queues.lines) == [6, 7]  # the one pair
-    assert queues.lines[7].v > 0.0 == queues.lines[6].v
-    assert queues.caps[999] == queues.caps[7] > queues.caps[6] == queues.caps[0]
+    scheduler = FairScheduler(ControllerSettings([], [Tenant(1.0, None)] * 1000, []), 4)
+    scheduler.response_ms = {6: [100.0], 7: [300.0, 500.0], 9: [100.0]}
+    scheduler.on_sample(4, 100.0, 1000.0)
+    assert sorted(scheduler.queues) == [6, 7]  # the one pair
+    assert scheduler.queues[7].control_output > 0.0 == scheduler.queues[6].control_output
+    assert scheduler.shares[999] == scheduler.shares[7] > scheduler.shares[6] == scheduler.shares[0]
 
 
 def test_a_pair_that_lacks_completions_keeps_its_v() -> None:
-    queues = Queues([Tenant(1.0, None)] * 10, 1, 4)
-    queues.times = {6: [100.0], 7: [130.0]}
-    queues.sample(4, 100.0, 1000.0)
-    v, error = queues.lines[7].v, queues.lines[7].error
+    scheduler = FairScheduler(ControllerSettings([], [Tenant(1.0, None)] * 10, []), 4)
+    scheduler.response_ms = {6: [100.0], 7: [130.0]}
+    scheduler.on_sample(4, 100.0, 1000.0)
+    v, error = scheduler.queues[7].control_output, scheduler.queues[7].control_error
     for times in ({}, {6: [100.0]}, {7: [100.0], 8: [100.0]}):
-        queues.times = dict(times)
-        queues.sample(5, 100.0, 1000.0)
-        assert (queues.lines[7].v, queues.lines[7].error) == (v, error)
+        scheduler.response_ms = dict(times)
+        scheduler.on_sample(5, 100.0, 1000.0)
+        assert (scheduler.queues[7].control_output, scheduler.queues[7].control_error) == (v, error)
--- a/tests/test_letter8.py
+++ b/tests/test_letter8.py
@@ -3,7 +3,7 @@
 from itertools import pairwise
 
 from pumicenotch import start
-from pumicenotch.control import TICK_MS
+from pumicenotch.control import TICK_INTERVAL_MS
 from pumicenotch.interface import Idempotency, IncomingRequest, LoadFeedback, RequestClass
 from tests.controls import IgnoredActions, control
 
@@ -28,7 +28,7 @@
         heard, STAGE, memory_kb=1e6, load_feedback=LoadFeedback.WEIGHT, listed_by_health=listed
     )
     while heard.now < 1000.0 * (until_s + then_s):
-        heard.now += TICK_MS
+        heard.now += TICK_INTERVAL_MS
         for _ in range(3):
             ident += 1
             waited = 900.0 if heard.now < 1000.0 * until_s else 0.0
@@ -47,7 +47,9 @@
     assert [good for _, good in health[:3]] == [True, False, True]
     bad = [end - begin for (begin, good), (end, _) in pairwise(health) if not good]
     good = [end - begin for (begin, good), (end, _) in pairwise(health[1:]) if good]
-    assert bad and max(bad) <= 4000.0 + TICK_MS  # never out for longer, however late it reads
+    assert (
+        bad and max(bad) <= 4000.0 + TICK_INTERVAL_MS
+    )  # never out for longer, however late it reads
     assert good and min(good) >= 4000.0  # and then in the list for as long, whatever happens
     assert health[-1][1]  # reading keeps up: it stays
     assert health[-1][0] < 26_000.0
@@ -62,7 +64,7 @@
     server = control(heard, STAGE, memory_kb=1e6, listed_by_health=True)
     server.start_draining(0.0, 60_000.0)
     while heard.now < 20_000.0:
-        heard.now += TICK_MS
+        heard.now += TICK_INTERVAL_MS
         server.on_tick(heard.now, ())
     assert [good for _, good in heard.answers] == [True, False]
 
--- a/tests/test_move.py
+++ b/tests/test_move.py
@@ -3,8 +3,8 @@
 from pathlib import Path
 from typing import Any, cast
 
-from pumicenotch.control import SAMPLE_MS, TICK_MS
-from pumicenotch.interface import Idempotency, LoadFeedback, RequestClass
+from pumicenotch.control import SAMPLE_INTERVAL_MS, TICK_INTERVAL_MS
+from pumicenotch.interface import DependencyKind, Idempotency, LoadFeedback, RequestClass
 from tests.controls import IgnoredActions, control
 
 STAGE = RequestClass(1600.0, 0.0, 5400.0, Idempotency.IDEMPOTENT, 0.0, 1.0, 0.2, 0.0)
@@ -29,8 +29,8 @@
     told = Told()
     server = control(told, STAGE, callers=180, load_feedback=LoadFeedback.TOKENS)
     now = 0.0
-    while now <= SAMPLE_MS:
-        now += TICK_MS
+    while now <= SAMPLE_INTERVAL_MS:
+        now += TICK_INTERVAL_MS
         server.on_tick(now, ())
     assert told.said[0] == 2.0 * 2 / 180
     assert told.said[-1] > 2.0 * (2.0 * 2 / 180)
@@ -42,17 +42,31 @@
     """
     from random import Random
 
-    from pumicenotch.control import Calls, TimerQueue
-
-    scarce = Calls(TimerQueue(), Told(), Random(1), most=0.56, window_ms=5000.0, linger_ms=200.0)
-    scarce.recent_ms, scarce.free_at = 100.0, 0.0
-    assert scarce.turn_ms(0.0) == 0.0
-    scarce.in_hand.add(7)
-    assert abs(scarce.turn_ms(0.0) - 100.0 / (0.9 * 0.56)) < 1e-9
-    plenty = Calls(TimerQueue(), Told(), Random(1), most=32.0, window_ms=0.0, linger_ms=0.0)
-    plenty.recent_ms, plenty.free_at = 100.0, 0.0
-    plenty.in_hand.update({1, 2, 3})
-    assert plenty.turn_ms(0.0) == 0.0
+    from pumicenotch.control import ControllerSettings, TimerQueue
+    from pumicenotch.control.dependency_calls import DependencyCalls
+
+    def calls(quota: float, window_ms: float, linger_ms: float) -> DependencyCalls:
+        settings = ControllerSettings(
+            request_classes=[],
+            tenants=[],
+            gauges=[],
+            dependency_kind=DependencyKind.SHARED,
+            dependency_quota=quota,
+            dependency_window_ms=window_ms,
+            dependency_linger_ms=linger_ms,
+        )
+        made = DependencyCalls(TimerQueue(), Told(), Random(1), settings)
+        made.recent_ms = 100.0
+        made.blocked_until = 0.0
+        return made
+
+    scarce = calls(0.56, 5000.0, 200.0)
+    assert scarce.expected_wait_ms(0.0) == 0.0
+    scarce.open.add(7)
+    assert abs(scarce.expected_wait_ms(0.0) - 100.0 / (0.9 * 0.56)) < 1e-9
+    plenty = calls(32.0, 0.0, 0.0)
+    plenty.open.update({1, 2, 3})
+    assert plenty.expected_wait_ms(0.0) == 0.0
 
 
 def test_the_shape_follows_from_the_settings_and_a_mix_is_refused_by_its_key() -> None:
