--- a/pumicenotch/control/concurrency_limit.py
+++ b/pumicenotch/control/concurrency_limit.py
@@ -71,9 +71,9 @@
         Runs in calls come back on their own, so they count against what the server survives,
         though not against the limit.
         """
-        return self.on_cores < self.slots(
-            now
-        ) and self.on_cores + self.awaiting_dependency + 1 <= self.max_runs(now)
+        max_runs = self.max_runs(now)
+        slots = max(1, int(min(self.limit, max_runs)))
+        return self.on_cores < slots and self.on_cores + self.awaiting_dependency + 1 <= max_runs
 
     def fits_memory(self, extra_kb: float) -> bool:
         """Return whether there is memory for so much more."""
