--- a/tests/compatibility/test_consensus.py
+++ b/tests/compatibility/test_consensus.py
@@ -40,7 +40,7 @@
 )
 from pumicenotch.net.peers import FRAMES, Unpacker
 from tests.compatibility.golden_files import golden_bytes, golden_json
-from tests.consensus.test_voter import Cluster
+from tests.consensus.cluster import Cluster
 
 VOTERS = ClusterMembership(("a/1", "b/1", "c/1"))
 WITH_LEARNER = ClusterMembership(("a/1", "b/1", "c/1"), ("d/0f3a9c",))
