--- a/pumicenotch/consensus/messages.py
+++ b/pumicenotch/consensus/messages.py
@@ -8,7 +8,7 @@
 from enum import StrEnum
 from typing import Any, NamedTuple, TypeAlias
 
-from pumicenotch.errors import PumicenotchError
+from pumicenotch.errors import InputError
 
 VoterId: TypeAlias = str
 """One process that takes part, as NAME/INCARNATION; the empty string stands for none.
@@ -181,23 +181,20 @@
 }
 
 
-class MessageDecodeError(PumicenotchError, ValueError):
+class MessageDecodeError(InputError):
     """What was received is no message that voters send."""
 
-    code = "consensus-message-unreadable"
-
     def __init__(self, place: str, problem: str) -> None:
-        super().__init__(place, problem, "run programs of compatible versions in one fleet")
+        remedy = "run programs of compatible versions in one fleet"
+        super().__init__(problem, place=place, remedy=remedy)
 
 
-class UnknownVoterError(PumicenotchError, ValueError):
+class UnknownVoterError(InputError):
     """A message among voters comes from a process that is none of this cluster's."""
 
-    code = "consensus-voter-unknown"
-
     def __init__(self, place: str, name: str) -> None:
-        problem = f"{name} is no voter of this fleet"
-        super().__init__(place, problem, "name all voters in the file of each voter")
+        remedy = "name all voters in the file of each voter"
+        super().__init__(f"{name} is no voter of this fleet", place=place, remedy=remedy)
 
 
 def encode_message(message: Message | BootstrapMessage) -> list[Any]:
