--- a/benchmarks/capacity/distribution.py
+++ b/benchmarks/capacity/distribution.py
@@ -11,7 +11,7 @@
 from benchmarks.capacity.meter import frozen_heap, least_ms, state_bytes
 from benchmarks.capacity.slope import Reading, Slope, readings
 from benchmarks.capacity.spread import RELAY, REPLICA, VOTER, Load, Spread, book_dump
-from pumicenotch.distribution.publications import Publications
+from pumicenotch.distribution.publications.book import Publications
 
 SPAN_MS, WINDOWS = 60_000.0, 3
 CHILDREN_USUAL, ZONES_USUAL = 32, 4
--- a/benchmarks/capacity/mechanisms.py
+++ b/benchmarks/capacity/mechanisms.py
@@ -59,16 +59,22 @@
         "`distribution/node.py` `Node` in its place, with a block `distribution`; whole files else",
     ),
     Mechanism(
-        "distribution.replica", "", "", "`distribution/replica.py` `Replica`, by its subscription"
+        "distribution.replica",
+        "",
+        "",
+        "`distribution/replica/replica.py` `Replica`, by its subscription",
     ),
     Mechanism(
-        "distribution.relay", "", "", "`distribution/source.py` `Source`, three relays a zone"
+        "distribution.relay",
+        "",
+        "",
+        "`distribution/source/source.py` `Source`, three relays a zone",
     ),
     Mechanism(
         "distribution.voter",
         "",
         "",
-        "`distribution/voter_source.py`, `distribution/publications.py`",
+        "`distribution/source/voter_source.py`, `distribution/publications/book.py`",
     ),
     Mechanism("server.process", "", "", "the parts below, held together"),
     Mechanism(
--- a/benchmarks/capacity/spread.py
+++ b/benchmarks/capacity/spread.py
@@ -15,16 +15,16 @@
 from benchmarks.capacity.measured_day import VOTERS, Meter
 from benchmarks.capacity.meter import cpu_ns, frozen_heap
 from pumicenotch.distribution import effects, events
-from pumicenotch.distribution.codec import message_of, plain
+from pumicenotch.distribution.data.records import Change
+from pumicenotch.distribution.data.subscription import Subscription
+from pumicenotch.distribution.data.tables import canonical
 from pumicenotch.distribution.events import Peer
 from pumicenotch.distribution.node import Node
-from pumicenotch.distribution.publications import Publications
-from pumicenotch.distribution.records import Change
+from pumicenotch.distribution.protocol.codec import message_of, plain
+from pumicenotch.distribution.publications.book import Publications
+from pumicenotch.distribution.publications.uploads import entries_of
 from pumicenotch.distribution.settings import DEFAULTS
-from pumicenotch.distribution.subscription import Subscription
-from pumicenotch.distribution.tables import canonical
-from pumicenotch.distribution.uploads import entries_of
-from pumicenotch.distribution.voter_source import VoterSource
+from pumicenotch.distribution.source.voter_source import VoterSource
 from pumicenotch.lab.simulated_time import SimulatedTime
 
 RELAYS = DEFAULTS.relays
--- a/pumicenotch/cli/configuration.py
+++ b/pumicenotch/cli/configuration.py
@@ -12,7 +12,7 @@
     PublicationFile,
     read_publication,
 )
-from pumicenotch.distribution.uploads import entries_of
+from pumicenotch.distribution.publications.uploads import entries_of
 
 
 @fleet.command
--- a/pumicenotch/config/distribution.py
+++ b/pumicenotch/config/distribution.py
@@ -5,11 +5,11 @@
 from pydantic import Field, field_validator, model_validator
 
 from pumicenotch.config.schema import Schema
+from pumicenotch.distribution.data.records import KEY_PART_MOST
+from pumicenotch.distribution.data.subscription import SCOPES_MOST
+from pumicenotch.distribution.data.tables import TABLES
 from pumicenotch.distribution.instance_settings import InstanceSettings, NewestForm, ScopesOfTable
-from pumicenotch.distribution.records import KEY_PART_MOST
 from pumicenotch.distribution.settings import DEFAULTS, Settings
-from pumicenotch.distribution.subscription import SCOPES_MOST
-from pumicenotch.distribution.tables import TABLES
 
 SERVICE_TABLES = ("routes", "policies")  # keyed by service
 CELL_TABLES = ("homes", "tenants")  # keyed by cell
--- a/pumicenotch/config/publication.py
+++ b/pumicenotch/config/publication.py
@@ -6,9 +6,9 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
+from pumicenotch.distribution.data.records import Change
+from pumicenotch.distribution.data.tables import TABLES, Table, canonical, check_change
 from pumicenotch.distribution.errors import DistributionError, InvalidRecordError
-from pumicenotch.distribution.records import Change
-from pumicenotch.distribution.tables import TABLES, Table, canonical, check_change
 from pumicenotch.errors import InputError
 
 FILE_BYTES_MOST = 64 * 1024 * 1024
--- a/pumicenotch/distribution/changelog.py
+++ b/pumicenotch/distribution/data/changelog.py
@@ -4,15 +4,15 @@
 from collections.abc import Iterable, Mapping
 from typing import NamedTuple
 
-from pumicenotch.distribution.messages import (
+from pumicenotch.distribution.data.records import Change, ScopeId, scope_of
+from pumicenotch.distribution.data.subscription import Subscription
+from pumicenotch.distribution.protocol.messages import (
     PAGE_BYTES_MOST,
     PAGE_CHANGES_MOST,
     START,
     Cursor,
     ScopeDigest,
 )
-from pumicenotch.distribution.records import Change, ScopeId, scope_of
-from pumicenotch.distribution.subscription import Subscription
 
 ENTRIES_MOST = 4096
 BYTES_MOST = 8 * 1024 * 1024
--- a/pumicenotch/distribution/subscription.py
+++ b/pumicenotch/distribution/data/subscription.py
@@ -4,8 +4,8 @@
 from collections.abc import Iterable, Mapping
 from typing import Any
 
+from pumicenotch.distribution.data.records import KEY_PART, ScopeId
 from pumicenotch.distribution.errors import InvalidSubscriptionError
-from pumicenotch.distribution.records import KEY_PART, ScopeId
 
 SCOPES_MOST = 1024  # named in one subscription: beyond that, a whole table is asked for
 TABLES_MOST = 16
--- a/pumicenotch/distribution/tables.py
+++ b/pumicenotch/distribution/data/tables.py
@@ -4,13 +4,13 @@
 from collections.abc import Mapping
 from typing import Any, NamedTuple
 
+from pumicenotch.distribution.data.records import VALUE_BYTES_MOST, Change, split_key
 from pumicenotch.distribution.errors import (
     InvalidRecordError,
     OversizedRecordError,
     UnknownTableError,
     UnreadableFormError,
 )
-from pumicenotch.distribution.records import VALUE_BYTES_MOST, Change, split_key
 
 
 class Field(NamedTuple):
--- a/pumicenotch/distribution/view.py
+++ b/pumicenotch/distribution/data/view.py
@@ -6,8 +6,7 @@
 from collections.abc import Iterator, Mapping
 from types import MappingProxyType
 
-from pumicenotch.distribution.errors import OversizedScopeError
-from pumicenotch.distribution.records import (
+from pumicenotch.distribution.data.records import (
     DIGEST_MODULUS,
     SCOPE_RECORDS_MOST,
     TABLE_SCOPES_MOST,
@@ -15,7 +14,8 @@
     ScopeId,
     record_digest,
 )
-from pumicenotch.distribution.subscription import Subscription
+from pumicenotch.distribution.data.subscription import Subscription
+from pumicenotch.distribution.errors import OversizedScopeError
 
 COPIED_RECORDS_A_CHANGE = 32  # copying so many records of a scope counts as one change in a slice
 
--- a/pumicenotch/distribution/effects.py
+++ b/pumicenotch/distribution/effects.py
@@ -2,7 +2,7 @@
 
 from typing import NamedTuple
 
-from pumicenotch.distribution.messages import Message
+from pumicenotch.distribution.protocol.messages import Message
 
 
 class SendTo(NamedTuple):
--- a/pumicenotch/distribution/events.py
+++ b/pumicenotch/distribution/events.py
@@ -2,8 +2,8 @@
 
 from typing import NamedTuple
 
-from pumicenotch.distribution.messages import Message
-from pumicenotch.distribution.subscription import Subscription
+from pumicenotch.distribution.data.subscription import Subscription
+from pumicenotch.distribution.protocol.messages import Message
 from pumicenotch.sender import Sender as Sender
 
 
--- a/pumicenotch/distribution/instance_settings.py
+++ b/pumicenotch/distribution/instance_settings.py
@@ -3,9 +3,9 @@
 from collections.abc import Mapping
 from typing import Any, NamedTuple
 
+from pumicenotch.distribution.data.subscription import Subscription
+from pumicenotch.distribution.data.tables import TABLES, Table
 from pumicenotch.distribution.settings import DEFAULTS, Settings
-from pumicenotch.distribution.subscription import Subscription
-from pumicenotch.distribution.tables import TABLES, Table
 from pumicenotch.errors import InputError
 
 
--- a/pumicenotch/distribution/node.py
+++ b/pumicenotch/distribution/node.py
@@ -6,9 +6,10 @@
 from collections.abc import Mapping, Sequence
 from typing import Any
 
-from pumicenotch.distribution import messages as m
-from pumicenotch.distribution.acknowledging import Acknowledger
-from pumicenotch.distribution.changelog import LogEntry
+from pumicenotch.distribution.data.changelog import LogEntry
+from pumicenotch.distribution.data.subscription import Subscription
+from pumicenotch.distribution.data.tables import TABLES, Table
+from pumicenotch.distribution.data.view import View
 from pumicenotch.distribution.effects import Effect, WakeAt
 from pumicenotch.distribution.errors import DistributionError, SourceBehindError, SourceRefusedError
 from pumicenotch.distribution.events import (
@@ -22,15 +23,14 @@
     Ticked,
 )
 from pumicenotch.distribution.outbox import Outbox
-from pumicenotch.distribution.placement import Placement
-from pumicenotch.distribution.replica import Replica
-from pumicenotch.distribution.reports import BEHIND, Report, merged, own_report
+from pumicenotch.distribution.protocol import messages as m
+from pumicenotch.distribution.protocol.reports import BEHIND, Report, merged, own_report
+from pumicenotch.distribution.replica.acknowledgements import Acknowledger
+from pumicenotch.distribution.replica.placement import Placement
+from pumicenotch.distribution.replica.replica import Replica
+from pumicenotch.distribution.replica.upstreams import Upstreams
 from pumicenotch.distribution.settings import DEFAULTS, NEVER, Settings
-from pumicenotch.distribution.source import Source
-from pumicenotch.distribution.subscription import Subscription
-from pumicenotch.distribution.tables import TABLES, Table
-from pumicenotch.distribution.upstreams import Upstreams
-from pumicenotch.distribution.view import View
+from pumicenotch.distribution.source.source import Source
 
 FROM_CHILDREN = (
     m.Subscribe,
--- a/pumicenotch/distribution/outbox.py
+++ b/pumicenotch/distribution/outbox.py
@@ -1,7 +1,7 @@
 """Where the parts of a node put what they ask of the carrier in one step."""
 
 from pumicenotch.distribution.effects import Effect, InForce, Log, SendTo
-from pumicenotch.distribution.messages import Message
+from pumicenotch.distribution.protocol.messages import Message
 
 
 class Outbox:
--- /dev/null
+++ b/pumicenotch/distribution/protocol/__init__.py
@@ -0,0 +1,1 @@
+"""What sources, relays and replicas send each other."""
--- a/pumicenotch/distribution/codec.py
+++ b/pumicenotch/distribution/protocol/codec.py
@@ -3,17 +3,17 @@
 from collections.abc import Callable
 from typing import Any
 
-from pumicenotch.distribution import messages as m
-from pumicenotch.distribution.errors import DistributionError, MalformedMessageError
-from pumicenotch.distribution.records import (
+from pumicenotch.distribution.data.records import (
     DIGEST_BYTES,
     VALUE_BYTES_MOST,
     Change,
     ScopeId,
     digest_bytes,
 )
-from pumicenotch.distribution.reports import TROUBLES_MOST, Report, Trouble
-from pumicenotch.distribution.subscription import Subscription, subscription_of
+from pumicenotch.distribution.data.subscription import Subscription, subscription_of
+from pumicenotch.distribution.errors import DistributionError, MalformedMessageError
+from pumicenotch.distribution.protocol import messages as m
+from pumicenotch.distribution.protocol.reports import TROUBLES_MOST, Report, Trouble
 
 TEXT_MOST = 128
 PLACE = "configuration message"
--- a/pumicenotch/distribution/messages.py
+++ b/pumicenotch/distribution/protocol/messages.py
@@ -4,9 +4,9 @@
 
 from typing import Any, NamedTuple
 
-from pumicenotch.distribution.records import Change, ScopeId
-from pumicenotch.distribution.reports import Report
-from pumicenotch.distribution.subscription import Subscription
+from pumicenotch.distribution.data.records import Change, ScopeId
+from pumicenotch.distribution.data.subscription import Subscription
+from pumicenotch.distribution.protocol.reports import Report
 
 METHOD = "configuration"  # of the notices that carry these messages
 PAGE_BYTES_MOST = 32 * 1024  # of records in one message
--- a/pumicenotch/distribution/publications.py
+++ b/pumicenotch/distribution/publications/book.py
@@ -5,18 +5,18 @@
 from collections.abc import Mapping, Sequence
 from typing import Any, ClassVar, NamedTuple
 
-from pumicenotch.distribution import dumping
-from pumicenotch.distribution.changelog import ChangeLog
-from pumicenotch.distribution.entries import VERBS, Reader
+from pumicenotch.distribution.data.changelog import ChangeLog
+from pumicenotch.distribution.data.records import Change
+from pumicenotch.distribution.data.tables import TABLES, Table, check_change
+from pumicenotch.distribution.data.view import View
 from pumicenotch.distribution.errors import (
     ConflictError,
     DistributionError,
     InvalidPublicationError,
 )
-from pumicenotch.distribution.records import Change
-from pumicenotch.distribution.tables import TABLES, Table, check_change
-from pumicenotch.distribution.uploads import UPLOADS_MOST, Upload, changes_digest
-from pumicenotch.distribution.view import View
+from pumicenotch.distribution.publications import snapshot as dumping
+from pumicenotch.distribution.publications.entries import VERBS, Reader
+from pumicenotch.distribution.publications.uploads import UPLOADS_MOST, Upload, changes_digest
 
 LEVEL = 3  # of the fleet's entries, from which on voters read these
 REQUESTS_MOST = 1000  # answered requests remembered, so that a repeat changes nothing
--- a/pumicenotch/distribution/entries.py
+++ b/pumicenotch/distribution/publications/entries.py
@@ -5,19 +5,19 @@
 from collections.abc import Callable, Mapping
 from typing import Any
 
-from pumicenotch.distribution.errors import (
-    InvalidPublicationError,
-    InvalidRecordError,
-    OversizedPublicationError,
-)
-from pumicenotch.distribution.records import (
+from pumicenotch.distribution.data.records import (
     KEY_PART,
     KEY_PART_MOST,
     VALUE_BYTES_MOST,
     Change,
     split_key,
 )
-from pumicenotch.distribution.uploads import ADVICE, PART_BYTES_MOST, PART_CHANGES_MOST
+from pumicenotch.distribution.errors import (
+    InvalidPublicationError,
+    InvalidRecordError,
+    OversizedPublicationError,
+)
+from pumicenotch.distribution.publications.uploads import ADVICE, PART_BYTES_MOST, PART_CHANGES_MOST
 
 Reader = Callable[[Any], Any]
 WHY_MOST = 200
--- a/pumicenotch/distribution/dumping.py
+++ b/pumicenotch/distribution/publications/snapshot.py
@@ -6,11 +6,11 @@
 from collections.abc import Iterable, Mapping, Sequence
 from typing import Any, NamedTuple
 
-from pumicenotch.distribution.changelog import ChangeLog, ChangeSet, LogEntry
+from pumicenotch.distribution.data.changelog import ChangeLog, ChangeSet, LogEntry
+from pumicenotch.distribution.data.records import Change, ScopeId
+from pumicenotch.distribution.data.view import Builder, Scope, View
 from pumicenotch.distribution.errors import DistributionError, InvalidPublicationError
-from pumicenotch.distribution.records import Change, ScopeId
-from pumicenotch.distribution.uploads import Upload
-from pumicenotch.distribution.view import Builder, Scope, View
+from pumicenotch.distribution.publications.uploads import Upload
 
 FORM = 1  # of a dump
 
--- a/pumicenotch/distribution/uploads.py
+++ b/pumicenotch/distribution/publications/uploads.py
@@ -3,15 +3,15 @@
 from collections.abc import Sequence
 from typing import Any
 
-from pumicenotch.distribution.changelog import ChangeSet, LogEntry
-from pumicenotch.distribution.errors import InvalidPublicationError, OversizedPublicationError
-from pumicenotch.distribution.records import (
+from pumicenotch.distribution.data.changelog import ChangeSet, LogEntry
+from pumicenotch.distribution.data.records import (
     DIGEST_MODULUS,
     Change,
     record_digest,
     scope_of,
 )
-from pumicenotch.distribution.view import Builder, View
+from pumicenotch.distribution.data.view import Builder, View
+from pumicenotch.distribution.errors import InvalidPublicationError, OversizedPublicationError
 
 PART_CHANGES_MOST = 200
 PART_BYTES_MOST = 32 * 1024
--- a/pumicenotch/distribution/acknowledging.py
+++ b/pumicenotch/distribution/replica/acknowledgements.py
@@ -4,11 +4,11 @@
 
 from collections.abc import Sequence
 
-from pumicenotch.distribution.messages import Acknowledge, Roster
 from pumicenotch.distribution.outbox import Outbox
-from pumicenotch.distribution.reports import EMPTY, Report
+from pumicenotch.distribution.protocol.messages import Acknowledge, Roster
+from pumicenotch.distribution.protocol.reports import EMPTY, Report
+from pumicenotch.distribution.replica.upstreams import Upstream
 from pumicenotch.distribution.settings import NEVER, Settings
-from pumicenotch.distribution.upstreams import Upstream
 
 
 class Acknowledger:
--- a/pumicenotch/distribution/audit.py
+++ b/pumicenotch/distribution/replica/audit.py
@@ -4,10 +4,10 @@
 
 from collections.abc import Iterator
 
-from pumicenotch.distribution.messages import FIRST_SCOPE
-from pumicenotch.distribution.records import DIGEST_MODULUS, ScopeId, record_digest
+from pumicenotch.distribution.data.records import DIGEST_MODULUS, ScopeId, record_digest
+from pumicenotch.distribution.data.view import Scope, View
+from pumicenotch.distribution.protocol.messages import FIRST_SCOPE
 from pumicenotch.distribution.settings import Settings
-from pumicenotch.distribution.view import Scope, View
 
 
 class Audit:
--- a/pumicenotch/distribution/copy.py
+++ b/pumicenotch/distribution/replica/copy.py
@@ -5,17 +5,17 @@
 from collections import Counter
 from collections.abc import Callable, Iterable, Mapping
 
-from pumicenotch.distribution import messages as m
-from pumicenotch.distribution.changelog import LogEntry
-from pumicenotch.distribution.children import page_bytes
+from pumicenotch.distribution.data.changelog import LogEntry
+from pumicenotch.distribution.data.records import ScopeId
+from pumicenotch.distribution.data.subscription import NOTHING, Subscription
+from pumicenotch.distribution.data.tables import Table
+from pumicenotch.distribution.data.view import Builder, View
 from pumicenotch.distribution.errors import DigestMismatchError, DistributionError
 from pumicenotch.distribution.outbox import Outbox
-from pumicenotch.distribution.records import ScopeId
+from pumicenotch.distribution.protocol import messages as m
+from pumicenotch.distribution.replica.staging import Staging
 from pumicenotch.distribution.settings import Settings
-from pumicenotch.distribution.staging import Staging
-from pumicenotch.distribution.subscription import NOTHING, Subscription
-from pumicenotch.distribution.tables import Table
-from pumicenotch.distribution.view import Builder, View
+from pumicenotch.distribution.source.children import page_bytes
 
 NONE_BLOCKED = -1
 DIGEST_REMEDY = "none: they are fetched again; if this persists, look at this machine's memory"
--- a/pumicenotch/distribution/fetching.py
+++ b/pumicenotch/distribution/replica/fetching.py
@@ -5,12 +5,18 @@
 from collections import deque
 from collections.abc import Iterable, Mapping
 
+from pumicenotch.distribution.data.records import DIGEST_MODULUS, ScopeId, record_digest
+from pumicenotch.distribution.data.subscription import Subscription
+from pumicenotch.distribution.data.tables import Table, read_value, table_of
+from pumicenotch.distribution.data.view import Builder, Scope, View
 from pumicenotch.distribution.errors import DigestMismatchError
-from pumicenotch.distribution.messages import FIRST_SCOPE, WANTS_MOST, ScopePart, Scopes, Want
-from pumicenotch.distribution.records import DIGEST_MODULUS, ScopeId, record_digest
-from pumicenotch.distribution.subscription import Subscription
-from pumicenotch.distribution.tables import Table, read_value, table_of
-from pumicenotch.distribution.view import Builder, Scope, View
+from pumicenotch.distribution.protocol.messages import (
+    FIRST_SCOPE,
+    WANTS_MOST,
+    ScopePart,
+    Scopes,
+    Want,
+)
 
 
 class Transfer:
--- a/pumicenotch/distribution/placement.py
+++ b/pumicenotch/distribution/replica/placement.py
@@ -4,14 +4,14 @@
 
 from collections.abc import Sequence
 
-from pumicenotch.distribution import messages as m
 from pumicenotch.distribution.events import Peer
 from pumicenotch.distribution.outbox import Outbox
-from pumicenotch.distribution.rendezvous import ranked
+from pumicenotch.distribution.protocol import messages as m
+from pumicenotch.distribution.replica.rendezvous import ranked
+from pumicenotch.distribution.replica.upstreams import Upstreams
+from pumicenotch.distribution.replica.zone import Zone
 from pumicenotch.distribution.settings import NEVER, Settings
-from pumicenotch.distribution.source import Source
-from pumicenotch.distribution.upstreams import Upstreams
-from pumicenotch.distribution.zone import Zone
+from pumicenotch.distribution.source.source import Source
 
 
 class Placement:
--- a/pumicenotch/distribution/replica.py
+++ b/pumicenotch/distribution/replica/replica.py
@@ -7,19 +7,19 @@
 from collections.abc import Callable, Iterator, Mapping
 from typing import Protocol
 
-from pumicenotch.distribution import messages as m
-from pumicenotch.distribution.audit import Auditor
-from pumicenotch.distribution.changelog import LogEntry
-from pumicenotch.distribution.copy import Copy
+from pumicenotch.distribution.data.changelog import LogEntry
+from pumicenotch.distribution.data.records import ScopeId
+from pumicenotch.distribution.data.subscription import Subscription
+from pumicenotch.distribution.data.tables import Table
+from pumicenotch.distribution.data.view import Scope
 from pumicenotch.distribution.errors import DigestMismatchError, DistributionError
-from pumicenotch.distribution.fetching import Transfer
 from pumicenotch.distribution.outbox import Outbox
-from pumicenotch.distribution.records import ScopeId
-from pumicenotch.distribution.requests import Requests
+from pumicenotch.distribution.protocol import messages as m
+from pumicenotch.distribution.replica.audit import Auditor
+from pumicenotch.distribution.replica.copy import Copy
+from pumicenotch.distribution.replica.fetching import Transfer
+from pumicenotch.distribution.replica.requests import Requests
 from pumicenotch.distribution.settings import Settings
-from pumicenotch.distribution.subscription import Subscription
-from pumicenotch.distribution.tables import Table
-from pumicenotch.distribution.view import Scope
 
 
 class Sources(Protocol):
--- a/pumicenotch/distribution/requests.py
+++ b/pumicenotch/distribution/replica/requests.py
@@ -6,8 +6,8 @@
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass
 
-from pumicenotch.distribution.messages import Message
 from pumicenotch.distribution.outbox import Outbox
+from pumicenotch.distribution.protocol.messages import Message
 from pumicenotch.distribution.settings import NEVER, Settings
 
 
--- a/pumicenotch/distribution/staging.py
+++ b/pumicenotch/distribution/replica/staging.py
@@ -5,12 +5,12 @@
 from collections import deque
 from collections.abc import Mapping
 
-from pumicenotch.distribution.changelog import ChangeSet, LogEntry
-from pumicenotch.distribution.messages import START, Cursor, Delta
-from pumicenotch.distribution.records import Change, ScopeId, scope_of
-from pumicenotch.distribution.subscription import Subscription
-from pumicenotch.distribution.tables import Table, read_value, table_of
-from pumicenotch.distribution.view import Builder, View
+from pumicenotch.distribution.data.changelog import ChangeSet, LogEntry
+from pumicenotch.distribution.data.records import Change, ScopeId, scope_of
+from pumicenotch.distribution.data.subscription import Subscription
+from pumicenotch.distribution.data.tables import Table, read_value, table_of
+from pumicenotch.distribution.data.view import Builder, View
+from pumicenotch.distribution.protocol.messages import START, Cursor, Delta
 
 
 class Staging:
--- a/pumicenotch/distribution/upstreams.py
+++ b/pumicenotch/distribution/replica/upstreams.py
@@ -7,10 +7,10 @@
 from collections.abc import Container, Iterator, Sequence
 from dataclasses import dataclass
 
-from pumicenotch.distribution import messages as m
+from pumicenotch.distribution.data.subscription import Subscription
 from pumicenotch.distribution.outbox import Outbox
+from pumicenotch.distribution.protocol import messages as m
 from pumicenotch.distribution.settings import NEVER, Settings
-from pumicenotch.distribution.subscription import Subscription
 
 SOURCES = 2  # the primary one pushes, the secondary one announces
 
--- a/pumicenotch/distribution/zone.py
+++ b/pumicenotch/distribution/replica/zone.py
@@ -3,7 +3,7 @@
 """
 
 from pumicenotch.distribution.events import Peer
-from pumicenotch.distribution.rendezvous import ranked
+from pumicenotch.distribution.replica.rendezvous import ranked
 
 
 class Zone:
--- a/pumicenotch/distribution/settings.py
+++ b/pumicenotch/distribution/settings.py
@@ -2,8 +2,8 @@
 
 from typing import NamedTuple
 
-from pumicenotch.distribution.changelog import BYTES_MOST, ENTRIES_MOST
-from pumicenotch.distribution.messages import PAGE_BYTES_MOST, PAGE_SCOPES_MOST
+from pumicenotch.distribution.data.changelog import BYTES_MOST, ENTRIES_MOST
+from pumicenotch.distribution.protocol.messages import PAGE_BYTES_MOST, PAGE_SCOPES_MOST
 
 NEVER = float("inf")  # a time that does not come
 
--- /dev/null
+++ b/pumicenotch/distribution/source/__init__.py
@@ -0,0 +1,1 @@
+"""What serves replicas: children, pushes, transfers, and a voter's part."""
--- a/pumicenotch/distribution/children.py
+++ b/pumicenotch/distribution/source/children.py
@@ -2,12 +2,12 @@
 
 from dataclasses import dataclass
 
-from pumicenotch.distribution.changelog import Page
+from pumicenotch.distribution.data.changelog import Page
+from pumicenotch.distribution.data.subscription import Subscription
 from pumicenotch.distribution.events import Sender
-from pumicenotch.distribution.messages import Delta, Subscribe
-from pumicenotch.distribution.reports import EMPTY, Report
+from pumicenotch.distribution.protocol.messages import Delta, Subscribe
+from pumicenotch.distribution.protocol.reports import EMPTY, Report
 from pumicenotch.distribution.settings import Settings
-from pumicenotch.distribution.subscription import Subscription
 
 
 @dataclass(slots=True)
--- a/pumicenotch/distribution/source.py
+++ b/pumicenotch/distribution/source/source.py
@@ -6,17 +6,17 @@
 from collections import Counter
 from collections.abc import Callable
 
-from pumicenotch.distribution import messages as m
-from pumicenotch.distribution.admission import TokenBucket
-from pumicenotch.distribution.changelog import ChangeLog, Page
-from pumicenotch.distribution.children import Child, page_bytes
+from pumicenotch.distribution.data.changelog import ChangeLog, Page
+from pumicenotch.distribution.data.subscription import NOTHING, Subscription, union_of
+from pumicenotch.distribution.data.view import View
 from pumicenotch.distribution.events import Sender
 from pumicenotch.distribution.outbox import Outbox
-from pumicenotch.distribution.reports import Report, merged
+from pumicenotch.distribution.protocol import messages as m
+from pumicenotch.distribution.protocol.reports import Report, merged
 from pumicenotch.distribution.settings import NEVER, Settings
-from pumicenotch.distribution.subscription import NOTHING, Subscription, union_of
-from pumicenotch.distribution.transfers import KeptTransfer, digest_page, record_page
-from pumicenotch.distribution.view import View
+from pumicenotch.distribution.source.admission import TokenBucket
+from pumicenotch.distribution.source.children import Child, page_bytes
+from pumicenotch.distribution.source.transfers import KeptTransfer, digest_page, record_page
 
 SCOPE_DIGEST_BYTES = 48  # about, on the wire
 
--- a/pumicenotch/distribution/transfers.py
+++ b/pumicenotch/distribution/source/transfers.py
@@ -6,15 +6,15 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from pumicenotch.distribution.messages import (
+from pumicenotch.distribution.data.records import RECORD_OVERHEAD_BYTES, ScopeId
+from pumicenotch.distribution.data.subscription import Subscription
+from pumicenotch.distribution.data.view import View
+from pumicenotch.distribution.protocol.messages import (
     PAGE_CHANGES_MOST,
     ScopeDigest,
     ScopePart,
     Want,
 )
-from pumicenotch.distribution.records import RECORD_OVERHEAD_BYTES, ScopeId
-from pumicenotch.distribution.subscription import Subscription
-from pumicenotch.distribution.view import View
 
 
 @dataclass(slots=True)
--- a/pumicenotch/distribution/voter_source.py
+++ b/pumicenotch/distribution/source/voter_source.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 from typing import Any, NamedTuple
 
-from pumicenotch.distribution import messages as m
+from pumicenotch.distribution.data.subscription import EVERYTHING
 from pumicenotch.distribution.effects import Effect, WakeAt
 from pumicenotch.distribution.events import (
     LeaderChanged,
@@ -17,11 +17,11 @@
     VoterEvent,
 )
 from pumicenotch.distribution.outbox import Outbox
-from pumicenotch.distribution.publications import Publications
-from pumicenotch.distribution.reports import Report, merged
+from pumicenotch.distribution.protocol import messages as m
+from pumicenotch.distribution.protocol.reports import Report, merged
+from pumicenotch.distribution.publications.book import Publications
 from pumicenotch.distribution.settings import DEFAULTS, NEVER, Settings
-from pumicenotch.distribution.source import Source
-from pumicenotch.distribution.subscription import EVERYTHING
+from pumicenotch.distribution.source.source import Source
 
 MISSING_MOST = 64  # named in a status
 
--- a/pumicenotch/lab/hollow_configuration.py
+++ b/pumicenotch/lab/hollow_configuration.py
@@ -3,10 +3,10 @@
 import random
 from typing import TYPE_CHECKING, Any
 
+from pumicenotch.distribution.data.view import View
 from pumicenotch.distribution.events import Started, Ticked
 from pumicenotch.distribution.instance_settings import InstanceSettings, ScopesOfTable
 from pumicenotch.distribution.node import Node
-from pumicenotch.distribution.view import View
 from pumicenotch.lab.configuration_observer import Watched
 from pumicenotch.lab.hollow_messages import Spec
 from pumicenotch.lab.published import Dataset
--- a/pumicenotch/lab/published.py
+++ b/pumicenotch/lab/published.py
@@ -11,8 +11,8 @@
 from pathlib import Path
 from typing import NamedTuple
 
-from pumicenotch.distribution.records import Change
-from pumicenotch.distribution.tables import canonical
+from pumicenotch.distribution.data.records import Change
+from pumicenotch.distribution.data.tables import canonical
 from pumicenotch.lab.world import Configuration
 
 CLASSES = ("gold", "silver", "bronze")
--- a/pumicenotch/lab/publisher.py
+++ b/pumicenotch/lab/publisher.py
@@ -10,9 +10,9 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
-from pumicenotch.distribution.publications import Publications
-from pumicenotch.distribution.records import Change
-from pumicenotch.distribution.uploads import entries_of
+from pumicenotch.distribution.data.records import Change
+from pumicenotch.distribution.publications.book import Publications
+from pumicenotch.distribution.publications.uploads import entries_of
 from pumicenotch.lab.crew import Crew
 from pumicenotch.lab.guard import RunFailedError
 from pumicenotch.lab.published import Dataset, Writer
--- a/pumicenotch/lab/spreading.py
+++ b/pumicenotch/lab/spreading.py
@@ -10,8 +10,8 @@
 from collections.abc import Iterator
 from typing import Any, NamedTuple
 
-from pumicenotch.distribution import messages as m
-from pumicenotch.distribution.records import Change
+from pumicenotch.distribution.data.records import Change
+from pumicenotch.distribution.protocol import messages as m
 from pumicenotch.lab.explore import Explorer, Found
 from pumicenotch.lab.spreading_model import REPLICA, SCRIPT, Bounds, Letter, World, spoilt
 
--- a/pumicenotch/lab/spreading_model.py
+++ b/pumicenotch/lab/spreading_model.py
@@ -7,17 +7,17 @@
 from typing import Any, NamedTuple
 
 from pumicenotch.distribution import effects, events
-from pumicenotch.distribution import messages as m
-from pumicenotch.distribution.changelog import ChangeLog
+from pumicenotch.distribution.data.changelog import ChangeLog
+from pumicenotch.distribution.data.records import Change
+from pumicenotch.distribution.data.subscription import Subscription
+from pumicenotch.distribution.data.tables import Field, Table, canonical
+from pumicenotch.distribution.data.view import View
 from pumicenotch.distribution.node import Node
-from pumicenotch.distribution.publications import Publications
-from pumicenotch.distribution.records import Change
+from pumicenotch.distribution.protocol import messages as m
+from pumicenotch.distribution.publications.book import Publications
+from pumicenotch.distribution.publications.uploads import changes_digest
 from pumicenotch.distribution.settings import Settings
-from pumicenotch.distribution.subscription import Subscription
-from pumicenotch.distribution.tables import Field, Table, canonical
-from pumicenotch.distribution.uploads import changes_digest
-from pumicenotch.distribution.view import View
-from pumicenotch.distribution.voter_source import VoterSource
+from pumicenotch.distribution.source.voter_source import VoterSource
 
 Contents = dict[str, str]  # values by key
 TABLE = "t"
--- a/pumicenotch/net/configuration.py
+++ b/pumicenotch/net/configuration.py
@@ -18,14 +18,14 @@
 from loguru import logger
 
 from pumicenotch.distribution import effects, events
-from pumicenotch.distribution.codec import message_of, plain
+from pumicenotch.distribution.data.records import split_key
+from pumicenotch.distribution.data.tables import TABLES, table_of
+from pumicenotch.distribution.data.view import View
 from pumicenotch.distribution.errors import MalformedMessageError
 from pumicenotch.distribution.instance_settings import InstanceSettings
-from pumicenotch.distribution.messages import METHOD
 from pumicenotch.distribution.node import Node
-from pumicenotch.distribution.records import split_key
-from pumicenotch.distribution.tables import TABLES, table_of
-from pumicenotch.distribution.view import View
+from pumicenotch.distribution.protocol.codec import message_of, plain
+from pumicenotch.distribution.protocol.messages import METHOD
 from pumicenotch.errors import PumicenotchError
 from pumicenotch.fleet.voter_client import NO_MAJORITY, NOT_LEADER, REFUSED
 from pumicenotch.membership.messages import MemberIdentity, Update
--- a/pumicenotch/net/voter_configuration.py
+++ b/pumicenotch/net/voter_configuration.py
@@ -6,11 +6,11 @@
 from typing import Any, cast
 
 from pumicenotch.distribution import effects, events
+from pumicenotch.distribution.data.view import View
 from pumicenotch.distribution.instance_settings import InstanceSettings
-from pumicenotch.distribution.publications import Publications
-from pumicenotch.distribution.source import log_of
-from pumicenotch.distribution.view import View
-from pumicenotch.distribution.voter_source import VoterSource
+from pumicenotch.distribution.publications.book import Publications
+from pumicenotch.distribution.source.source import log_of
+from pumicenotch.distribution.source.voter_source import VoterSource
 from pumicenotch.fleet.book import Book
 from pumicenotch.fleet.voter_node import VoterNode
 from pumicenotch.membership.messages import Update
--- a/tests/compatibility/test_distribution.py
+++ b/tests/compatibility/test_distribution.py
@@ -9,13 +9,13 @@
 import pytest
 
 from pumicenotch.distribution import instance_settings
-from pumicenotch.distribution.changelog import ChangeLog
-from pumicenotch.distribution.codec import message_of, plain
-from pumicenotch.distribution.messages import KINDS
-from pumicenotch.distribution.publications import Publications
-from pumicenotch.distribution.records import Change
-from pumicenotch.distribution.subscription import Subscription
-from pumicenotch.distribution.uploads import entries_of
+from pumicenotch.distribution.data.changelog import ChangeLog
+from pumicenotch.distribution.data.records import Change
+from pumicenotch.distribution.data.subscription import Subscription
+from pumicenotch.distribution.protocol.codec import message_of, plain
+from pumicenotch.distribution.protocol.messages import KINDS
+from pumicenotch.distribution.publications.book import Publications
+from pumicenotch.distribution.publications.uploads import entries_of
 from tests.distribution.network import Network, Weather, tenant
 
 GOLDEN = Path(__file__).parent / "golden" / "distribution"
--- a/tests/distribution/network.py
+++ b/tests/distribution/network.py
@@ -12,17 +12,17 @@
 
 from pumicenotch.distribution import effects as fx
 from pumicenotch.distribution import events as ev
-from pumicenotch.distribution.changelog import ChangeLog
-from pumicenotch.distribution.codec import message_of, plain
+from pumicenotch.distribution.data.changelog import ChangeLog
+from pumicenotch.distribution.data.records import Change
+from pumicenotch.distribution.data.subscription import Subscription
+from pumicenotch.distribution.data.tables import TABLES, Table, canonical
+from pumicenotch.distribution.data.view import View
 from pumicenotch.distribution.node import Node
-from pumicenotch.distribution.publications import Outcome, Publications
-from pumicenotch.distribution.records import Change
+from pumicenotch.distribution.protocol.codec import message_of, plain
+from pumicenotch.distribution.publications.book import Outcome, Publications
+from pumicenotch.distribution.publications.uploads import entries_of
 from pumicenotch.distribution.settings import DEFAULTS, Settings
-from pumicenotch.distribution.subscription import Subscription
-from pumicenotch.distribution.tables import TABLES, Table, canonical
-from pumicenotch.distribution.uploads import entries_of
-from pumicenotch.distribution.view import View
-from pumicenotch.distribution.voter_source import VoterSource
+from pumicenotch.distribution.source.voter_source import VoterSource
 
 Reducer = Node | VoterSource
 Contents = dict[tuple[str, str], str]
--- a/tests/distribution/test_eligibility.py
+++ b/tests/distribution/test_eligibility.py
@@ -1,7 +1,7 @@
 """Which instances of a zone may be its relays."""
 
 from pumicenotch.distribution.events import Peer
-from pumicenotch.distribution.zone import Zone
+from pumicenotch.distribution.replica.zone import Zone
 
 
 def peer(name: str) -> Peer:
--- a/tests/distribution/test_explorer.py
+++ b/tests/distribution/test_explorer.py
@@ -6,15 +6,15 @@
 
 import pytest
 
-from pumicenotch.distribution import messages as m
-from pumicenotch.distribution.changelog import ChangeLog, Page
-from pumicenotch.distribution.copy import Copy
-from pumicenotch.distribution.fetching import Transfer
-from pumicenotch.distribution.records import ScopeId
-from pumicenotch.distribution.replica import Replica
-from pumicenotch.distribution.staging import Staging
-from pumicenotch.distribution.subscription import Subscription
-from pumicenotch.distribution.view import Builder, Scope, View
+from pumicenotch.distribution.data.changelog import ChangeLog, Page
+from pumicenotch.distribution.data.records import ScopeId
+from pumicenotch.distribution.data.subscription import Subscription
+from pumicenotch.distribution.data.view import Builder, Scope, View
+from pumicenotch.distribution.protocol import messages as m
+from pumicenotch.distribution.replica.copy import Copy
+from pumicenotch.distribution.replica.fetching import Transfer
+from pumicenotch.distribution.replica.replica import Replica
+from pumicenotch.distribution.replica.staging import Staging
 from pumicenotch.lab.spreading import Spreading
 from pumicenotch.lab.spreading_model import Bounds
 
--- a/tests/distribution/test_faults.py
+++ b/tests/distribution/test_faults.py
@@ -6,16 +6,17 @@
 
 import pytest
 
-from pumicenotch.distribution import errors, events, fetching, staging
-from pumicenotch.distribution import messages as m
+from pumicenotch.distribution import errors, events
+from pumicenotch.distribution.data.records import Change, ScopeId
+from pumicenotch.distribution.data.subscription import Subscription
+from pumicenotch.distribution.data.tables import TABLES, Table, canonical, read_value
 from pumicenotch.distribution.effects import SendTo
 from pumicenotch.distribution.node import Node
-from pumicenotch.distribution.records import Change, ScopeId
-from pumicenotch.distribution.reports import own_report
+from pumicenotch.distribution.protocol import messages as m
+from pumicenotch.distribution.protocol.reports import own_report
+from pumicenotch.distribution.replica import fetching, staging
 from pumicenotch.distribution.settings import DEFAULTS
-from pumicenotch.distribution.subscription import Subscription
-from pumicenotch.distribution.tables import TABLES, Table, canonical, read_value
-from pumicenotch.distribution.voter_source import VoterSource
+from pumicenotch.distribution.source.voter_source import VoterSource
 from tests.distribution.network import Network, tenant
 
 NEWER = {**TABLES, "tenants": TABLES["tenants"]._replace(form=2)}
--- a/tests/distribution/test_messages.py
+++ b/tests/distribution/test_messages.py
@@ -8,19 +8,25 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from pumicenotch.distribution import messages as m
-from pumicenotch.distribution.admission import TokenBucket
-from pumicenotch.distribution.codec import FIELDS, message_of, plain
-from pumicenotch.distribution.errors import InvalidSubscriptionError, MalformedMessageError
-from pumicenotch.distribution.records import Change, ScopeId
-from pumicenotch.distribution.rendezvous import ranked
-from pumicenotch.distribution.reports import BEHIND, TROUBLES_MOST, Report, merged, own_report
-from pumicenotch.distribution.subscription import (
+from pumicenotch.distribution.data.records import Change, ScopeId
+from pumicenotch.distribution.data.subscription import (
     NOTHING,
     SCOPES_MOST,
     Subscription,
     subscription_of,
 )
+from pumicenotch.distribution.errors import InvalidSubscriptionError, MalformedMessageError
+from pumicenotch.distribution.protocol import messages as m
+from pumicenotch.distribution.protocol.codec import FIELDS, message_of, plain
+from pumicenotch.distribution.protocol.reports import (
+    BEHIND,
+    TROUBLES_MOST,
+    Report,
+    merged,
+    own_report,
+)
+from pumicenotch.distribution.replica.rendezvous import ranked
+from pumicenotch.distribution.source.admission import TokenBucket
 
 REPORT = own_report("i1", 3, 4, "unreadable-form")
 DIGEST = m.ScopeDigest("tenants", "c", (1 << 128) - 1)
--- a/tests/distribution/test_network.py
+++ b/tests/distribution/test_network.py
@@ -5,10 +5,10 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
-from pumicenotch.distribution.changelog import ChangeLog
+from pumicenotch.distribution.data.changelog import ChangeLog
+from pumicenotch.distribution.data.records import Change
+from pumicenotch.distribution.data.subscription import Subscription
 from pumicenotch.distribution.events import SubscriptionChanged
-from pumicenotch.distribution.records import Change
-from pumicenotch.distribution.subscription import Subscription
 from tests.distribution.network import Network, Weather, tenant
 
 STORM = Weather(delay_ms=(0.5, 60.0), loss=0.2, doubled=0.1)
--- a/tests/distribution/test_publications.py
+++ b/tests/distribution/test_publications.py
@@ -5,13 +5,17 @@
 import pytest
 
 from pumicenotch.distribution import errors
-from pumicenotch.distribution.changelog import ChangeLog
-from pumicenotch.distribution.messages import START
-from pumicenotch.distribution.publications import Outcome, Publications
-from pumicenotch.distribution.records import SCOPE_RECORDS_MOST, Change
-from pumicenotch.distribution.subscription import EVERYTHING, Subscription
-from pumicenotch.distribution.tables import canonical
-from pumicenotch.distribution.uploads import PART_CHANGES_MOST, changes_digest, entries_of
+from pumicenotch.distribution.data.changelog import ChangeLog
+from pumicenotch.distribution.data.records import SCOPE_RECORDS_MOST, Change
+from pumicenotch.distribution.data.subscription import EVERYTHING, Subscription
+from pumicenotch.distribution.data.tables import canonical
+from pumicenotch.distribution.protocol.messages import START
+from pumicenotch.distribution.publications.book import Outcome, Publications
+from pumicenotch.distribution.publications.uploads import (
+    PART_CHANGES_MOST,
+    changes_digest,
+    entries_of,
+)
 from tests.distribution.network import publish, tenant
 
 
--- a/tests/fleet/configured.py
+++ b/tests/fleet/configured.py
@@ -11,10 +11,10 @@
 from typing import Any
 
 from pumicenotch.cli.session import RequestRefusedError, Session
-from pumicenotch.distribution.publications import LEVEL
-from pumicenotch.distribution.records import Change
-from pumicenotch.distribution.tables import canonical
-from pumicenotch.distribution.uploads import entries_of
+from pumicenotch.distribution.data.records import Change
+from pumicenotch.distribution.data.tables import canonical
+from pumicenotch.distribution.publications.book import LEVEL
+from pumicenotch.distribution.publications.uploads import entries_of
 from pumicenotch.lab.crew import FLEET
 from pumicenotch.lab.server_process import Launch, Node
 from pumicenotch.lab.world import World
--- a/tests/fleet/test_config_spread.py
+++ b/tests/fleet/test_config_spread.py
@@ -12,9 +12,9 @@
 import pytest
 
 from pumicenotch.config.hcl import InvalidFileError
-from pumicenotch.distribution.records import Change
-from pumicenotch.distribution.tables import TABLES, check_change
-from pumicenotch.distribution.view import Builder, View
+from pumicenotch.distribution.data.records import Change
+from pumicenotch.distribution.data.tables import TABLES, check_change
+from pumicenotch.distribution.data.view import Builder, View
 from pumicenotch.lab.configuration_judge import SETTLED_S, WINDOW_S, ConfigurationJudge, newest
 from pumicenotch.lab.configuration_observer import Observer, Watched
 from pumicenotch.lab.experiment_file import FOLDER, read
--- a/tests/fleet/test_distribution.py
+++ b/tests/fleet/test_distribution.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 from typing import Any
 
-from pumicenotch.distribution.publications import LEVEL
+from pumicenotch.distribution.publications.book import LEVEL
 from pumicenotch.lab.relay import Way
 from pumicenotch.lab.world import World
 from tests.fleet.configured import (
--- a/tests/test_distribution_config.py
+++ b/tests/test_distribution_config.py
@@ -12,6 +12,7 @@
 from pumicenotch.config.file import ours_of
 from pumicenotch.config.fleet import voter_of
 from pumicenotch.config.hcl import InvalidFileError
+from pumicenotch.distribution.data.subscription import Subscription
 from pumicenotch.distribution.instance_settings import (
     InstanceSettings,
     InvalidInstanceSettingsError,
@@ -21,7 +22,6 @@
     plain,
 )
 from pumicenotch.distribution.settings import DEFAULTS
-from pumicenotch.distribution.subscription import Subscription
 
 SERVER = """fleet "accra" {
   member = "n3"
--- a/tests/test_publication_file.py
+++ b/tests/test_publication_file.py
@@ -9,7 +9,7 @@
     InvalidPublicationFileError,
     read_publication,
 )
-from pumicenotch.distribution.records import Change
+from pumicenotch.distribution.data.records import Change
 
 GOOD = '{"table": "homes", "key": "c1/t1", "value": {"cell": "c1"}}\n'
 
