--- a/benchmarks/capacity/connections.py
+++ b/benchmarks/capacity/connections.py
@@ -10,9 +10,12 @@
 from benchmarks.capacity.decisions import GAUGES, STAGES
 from benchmarks.capacity.meter import least_ms, state_bytes
 from benchmarks.capacity.slope import Reading, Slope, readings
-from pumicenotch.interface import Tenant
+from pumicenotch.interface import Outcome, Tenant
+from pumicenotch.server import events
 from pumicenotch.server.core import Server
 from pumicenotch.server.effects import Write
+from pumicenotch.server.messages import PollPool, StartRun
+from pumicenotch.server.settings import ServerSettings
 
 ROLE = "server.connections"
 STAGE, TENANT = "read", "t0"
@@ -35,29 +38,32 @@
             "run_factor": 2.0,
             "crowd_multiple": 8.0,
         }
-        core = Server(
-            keywords=keywords,
-            stages={STAGE: 0},
-            tenants={TENANT: 0},
+        settings = ServerSettings(
+            controller=keywords,
+            class_indexes={STAGE: 0},
+            tenant_indexes={TENANT: 0},
             seed=seed,
-            stop_ms=5000.0,
-            below=False,
+            shutdown_ms=5000.0,
+            has_database=False,
             memory_mb=512.0,
-            sockets=int(SOCKETS.value),
+            max_descriptors=int(SOCKETS.value),
         )
+        core = Server(settings)
         super().__init__(core, callers)
         self.serials = count(1)
-        self.put("start")
-        self.put("linked", "pool")
-        self.put("bound", "ready", 60_000.0)
+        self.put(events.Started())
+        self.put(events.ConnectionUp("pool"))
+        self.put(events.PoolBound(False, 60_000.0))
         self.connect_callers()
 
     def react(self, effect: Any) -> None:
         match effect:
-            case Write("pool", ("poll", cookie)):
-                self.waiting.append(("polled", (cookie, (0.5, 4.0, 0.3, float(self.callers)))))
-            case Write("pool", ("spawn", name, *_)):
-                self.waiting.append(("finished", (next(self.serials), name, "fine", b"x")))
+            case Write("pool", PollPool(cookie)):
+                gauges = (0.5, 4.0, 0.3, float(self.callers))
+                self.waiting.append(events.GaugesReported(cookie, gauges))
+            case Write("pool", StartRun(name)):
+                finished = events.RunFinished(next(self.serials), name, Outcome.OK, b"x")
+                self.waiting.append(finished)
 
     def play(self, requests_per_s: float) -> "Driver":
         """Checks and requests spread evenly over the callers and the time."""
@@ -69,11 +75,13 @@
             requests += requests_per_s * TICK_MS / 1000.0
             while checks >= 1.0:
                 checks -= 1.0
-                self.put("alive", 1 + next(asked) % self.callers, next(self.messages))
+                self.put(
+                    events.HealthCheckReceived(1 + next(asked) % self.callers, next(self.messages))
+                )
             while requests >= 1.0:
                 requests -= 1.0
                 self.request(1 + next(sent) * 7 % self.callers)
-            self.put("time")
+            self.put(events.TimerFired())
         return self
 
     def request(self, conn: int) -> None:
@@ -86,7 +94,7 @@
             "peer": str(conn),
             "acct": TENANT,
         }
-        self.put("task", conn, message, 0.0, STAGE, fields, CODEC_BODY)
+        self.put(events.RequestReceived(conn, message, 0.0, STAGE, fields, CODEC_BODY))
 
 
 def measured(callers: int, requests_per_s: float, seed: int) -> list[Reading]:
--- a/benchmarks/capacity/core_driver.py
+++ b/benchmarks/capacity/core_driver.py
@@ -7,12 +7,13 @@
 
 from benchmarks.capacity.meter import StepMeter
 from benchmarks.capacity.slope import Reading, readings
+from pumicenotch.server.events import ConnectionOpened, HealthCheckReceived
 
 
 class Core(Protocol):
     """A reducer: inputs with the time go in, effects come out."""
 
-    def step(self, now: float, name: str, *details: Any) -> list[Any]: ...
+    def step(self, now: float, event: Any) -> list[Any]: ...
 
 
 class CoreDriver(ABC):
@@ -24,24 +25,25 @@
         self.core, self.callers = core, callers
         self.meter, self.now = StepMeter(), 0.0
         self.messages = count(1)
-        self.waiting: list[tuple[str, tuple[Any, ...]]] = []
+        self.waiting: list[object] = []
 
     @abstractmethod
     def react(self, effect: Any) -> None:
         """Appends to `waiting` what the effect brings about."""
 
-    def put(self, name: str, *details: Any) -> None:
-        self.waiting.append((name, details))
+    def put(self, event: object) -> None:
+        self.waiting.append(event)
         while self.waiting:
-            kind, more = self.waiting.pop(0)
-            for effect in self.meter.run(kind, self.core.step, self.now, kind, *more):
+            event = self.waiting.pop(0)
+            kind = type(event).__name__
+            for effect in self.meter.run(kind, self.core.step, self.now, event):
                 self.react(effect)
 
     def connect_callers(self) -> None:
         """Each asks once whether the server is alive; the meter begins anew after that."""
         for conn in range(1, self.callers + 1):
-            self.put("opened", conn)
-            self.put("alive", conn, next(self.messages))
+            self.put(ConnectionOpened(conn))
+            self.put(HealthCheckReceived(conn, next(self.messages)))
         self.meter = StepMeter()
 
 
--- a/benchmarks/capacity/mechanisms.py
+++ b/benchmarks/capacity/mechanisms.py
@@ -43,7 +43,7 @@
         "server.connections",
         "",
         "",
-        "`server/callers.py` `Callers.close_idle`, four times a second",
+        "`server/gateway_connections.py` `GatewayConnections.sweep`, four times a second",
     ),
     Mechanism(
         "server.configuration", "", "start", "`cells/map.py` `load`, before the server serves"
--- a/benchmarks/capacity/router.py
+++ b/benchmarks/capacity/router.py
@@ -12,8 +12,9 @@
 from benchmarks.capacity.meter import least_ms, state_bytes
 from benchmarks.capacity.slope import Reading, Slope, readings
 from pumicenotch.cells.map import CellMap, dump, load
-from pumicenotch.route.decide import Router
+from pumicenotch.route.decide import ForwardedRequest, NodeAnswered, Router
 from pumicenotch.server.effects import Dial, Write
+from pumicenotch.server.events import ConnectionUp, RequestReceived, Started, TimerFired
 
 ROLE = "router"
 MAP = (
@@ -46,15 +47,16 @@
         super().__init__(core, callers)
         self.tenants = list(cells.tenants)
         self.asked = count()
-        self.put("start")
+        self.put(Started())
         self.connect_callers()
 
     def react(self, effect: Any) -> None:
         match effect:
             case Dial(link, _):
-                self.waiting.append(("linked", (link,)))
-            case Write(str(link), ("task", message, *_)):
-                self.waiting.append(("returned", (link, message, "served", b"x", {"hint": "0.5"})))
+                self.waiting.append(ConnectionUp(link))
+            case Write(str(link), ForwardedRequest(message)):
+                answer = NodeAnswered(link, message, "served", b"x", {"hint": "0.5"})
+                self.waiting.append(answer)
 
     def play(self, requests_per_s: float) -> "Driver":
         owed = 0.0
@@ -64,7 +66,7 @@
             while owed >= 1.0:
                 owed -= 1.0
                 self.request(next(self.asked))
-            self.put("time")
+            self.put(TimerFired())
         return self
 
     def request(self, at: int) -> None:
@@ -77,7 +79,8 @@
             "peer": "1",
             "acct": self.tenants[at * 31 % len(self.tenants)],
         }
-        self.put("task", 1 + at % self.callers, message, UNIX_MS, STAGE, fields, BODY)
+        conn = 1 + at % self.callers
+        self.put(RequestReceived(conn, message, UNIX_MS, STAGE, fields, BODY))
 
 
 def measured(cells: CellMap, callers: int, requests_per_s: float, seed: int) -> list[Reading]:
--- a/pumicenotch/__main__.py
+++ b/pumicenotch/__main__.py
@@ -23,17 +23,28 @@
 
 from pumicenotch import start
 from pumicenotch.control import Control
-from pumicenotch.net import database, gateways, logs, pool
+from pumicenotch.net import database, gateway_listener, logs, pool
 from pumicenotch.net.clock import Clock
-from pumicenotch.net.dial import Links
+from pumicenotch.net.dialer import Dialer
 from pumicenotch.net.hub import Hub
 from pumicenotch.net.registry import Registry
-from pumicenotch.net.signals import received
-from pumicenotch.server import calls, runs
-from pumicenotch.server.core import LISTENER, REGISTRY, Server
+from pumicenotch.net.signals import receive_signals
+from pumicenotch.server import database_client, registry_reporter, worker_pool_client
+from pumicenotch.server.core import Server
+from pumicenotch.server.events import (
+    AddressesChanged,
+    CellMapReplaced,
+    CountersRequested,
+    PoolsReplaced,
+    ProblemFound,
+    ShutdownRequested,
+    Started,
+    TimerFired,
+)
+from pumicenotch.server.lifecycle import LISTENER
+from pumicenotch.server.settings import ServerSettings
 
 UNREAD_PART = 0.125  # of the memory, for what the pool leaves unread while it hangs
-CALL_MOST = 64 * 1024  # a link below carries one call, of some KB
 AGAIN_S = 0.1  # between tries to listen at an address still in use
 FLUSH_S = 0.05  # for the last words among instances to leave
 READER_S = 30.0  # for a file of ours to be read: a second on a quiet machine
@@ -41,13 +52,15 @@
 MOVABLE = ("pool", "db", "registry")  # whose addresses a reload changes
 
 
-async def signals(hub: Hub, reloads: "Reloads") -> None:
-    with received(SIGNALS) as coming:
+async def signals(hub: Hub[Server], reloads: "Reloads") -> None:
+    with receive_signals(SIGNALS) as coming:
         async for number in coming:
             if number == signal.SIGHUP:
                 reloads.wanted.set()
             else:
-                hub.put("show_counters" if number == signal.SIGUSR1 else "leave")
+                hub.deliver(
+                    CountersRequested() if number == signal.SIGUSR1 else ShutdownRequested()
+                )
 
 
 class Reloads:
@@ -58,49 +71,48 @@
     def __init__(self) -> None:
         self.wanted = anyio.Event()
 
-    async def run(self, hub: Hub, values: dict[str, Any]) -> None:
+    async def run(self, hub: Hub[Server], values: dict[str, Any]) -> None:
         while True:
             await self.wanted.wait()
             self.wanted = anyio.Event()
             try:
                 await reload(hub, values)
             except Exception as error:
-                hub.fault("reload", error)
-                hub.put(
-                    "met", "reloads_failed", f"reload: {error!r}; the running values stay in force"
-                )
+                hub.on_fault("reload", error)
+                text = f"reload: {error!r}; the running values stay in force"
+                hub.deliver(ProblemFound("reloads_failed", text))
 
 
-async def reload(hub: Hub, values: dict[str, Any]) -> None:
+async def reload(hub: Hub[Server], values: dict[str, Any]) -> None:
     """A file that cannot be read whole leaves the running values in force, those of the other file too."""
     try:
         new = read()
         ours = await replanned(values["config"])
         cells = map_of(ours)
     except ValueError as error:
-        hub.put("met", "reloads_failed", f"reload: {error}; the running values stay in force")
+        text = f"reload: {error}; the running values stay in force"
+        hub.deliver(ProblemFound("reloads_failed", text))
         return
     moved = {name: new[name] for name in MOVABLE if None not in (new[name], values[name])}
     moved = {name: address for name, address in moved.items() if address != values[name]}
     values |= moved
     old, pairs = values["pairs"], new["pairs"]
     others = sorted(path for path in old.keys() | pairs.keys() if old.get(path) != pairs.get(path))
-    hub.put("reload", moved, " ".join(path for path in others if path not in moved) or "nothing")
+    unapplied = " ".join(path for path in others if path not in moved) or "nothing"
+    hub.deliver(AddressesChanged(moved, unapplied))
     values["pairs"] |= {name: pairs[name] for name in moved}
-    if cells is not None and hub.core.fence is not None:
-        held = hub.core.fence.cells
+    if cells is not None and hub.core.cells is not None:
+        held = hub.core.cells.fence.cells
         if held is None or cells.epoch > held.epoch:
-            hub.put("remap", cells, f"the cell map of epoch {cells.epoch} is in force")
+            text = f"the cell map of epoch {cells.epoch} is in force"
+            hub.deliver(CellMapReplaced(cells, text))
     if ours is not None and ours.distribution != values["ours"].distribution:
         resubscribe(values, ours.distribution)
         values["ours"] = values["ours"]._replace(distribution=ours.distribution)
     if ours is not None and ours.plan != values["ours"].plan:
         values["ours"], plan = ours, ours.plan
-        hub.put(
-            "repool",
-            maker(plan, values),
-            "class pools of the file are in force" if plan else "pools are off",
-        )
+        text = "class pools of the file are in force" if plan else "pools are off"
+        hub.deliver(PoolsReplaced(maker(plan, values), text))
 
 
 def resubscribe(values: dict[str, Any], settings: Any) -> None:
@@ -179,7 +191,7 @@
     return lambda now: Pools(now, plan, stages, numbers)
 
 
-async def join(hub: Hub, group: TaskGroup, ours: Any, seed: int, sockets: int) -> Any:
+async def join(hub: Hub[Server], group: TaskGroup, ours: Any, seed: int, sockets: int) -> Any:
     """This server's place in its fleet. Its work never waits for any of it; nothing of it is loaded where
     the file of ours names none. Returns what is told when the server leaves and ends.
     """
@@ -196,7 +208,7 @@
     while True:
         try:
             many = await anyio.create_tcp_listener(
-                local_host=host, local_port=port, backlog=gateways.BACKLOG
+                local_host=host, local_port=port, backlog=gateway_listener.BACKLOG
             )
             return cast(SocketListener, many.listeners[0])
         except OSError as error:
@@ -218,24 +230,28 @@
         reloads = Reloads()
         group.start_soon(reloads.run, hub, values)
         group.start_soon(signals, hub, reloads)
-        pool_links = Links(hub, group, values["pool"], pool.FRAMES, pool.Reader, unread)
-        hub.diallers[runs.LINK], hub.movers[runs.LINK] = pool_links.dial, pool_links.move
+        pool_dialer = Dialer(hub, group, values["pool"], pool.protocol(unread))
+        hub.dialers[worker_pool_client.CONNECTION] = pool_dialer.dial
+        hub.address_changers[worker_pool_client.CONNECTION] = pool_dialer.change_address
         if values["db"] is not None:
-            db_links = Links(hub, group, values["db"], database.FRAMES, database.Reader, CALL_MOST)
-            hub.diallers[calls.PARTY], hub.movers[calls.PARTY] = db_links.dial, db_links.move
-        callers = gateways.Gateways(hub, gateways.unread(unread, core.callers.most))
+            database_dialer = Dialer(hub, group, values["db"], database.PROTOCOL)
+            hub.dialers[database_client.PARTY] = database_dialer.dial
+            hub.address_changers[database_client.PARTY] = database_dialer.change_address
+        callers = gateway_listener.GatewayListener(
+            hub, gateway_listener.unread_bytes_per_gateway(unread, core.connections.limit)
+        )
         hub.closers[LISTENER] = callers.closing.cancel
         group.start_soon(callers.accept, listener, group)
         if values["registry"] is not None:
             registry = Registry(hub, values["registry"], values["name"])
-            hub.movers[REGISTRY] = registry.move
+            hub.address_changers[registry_reporter.CONNECTION] = registry.change_address
             group.start_soon(registry.run)
         await anyio.sleep(0)  # the registry's outbox stands before the first report
-        hub.put("start")
+        hub.deliver(Started())
         bound = listener.extra(SocketAttribute.local_address)
         logger.info("listening on {}:{}", *bound[:2])
         logger.info("callers are told a {}: the settings are of that shape", values["shape"])
-        group.start_soon(clock.run, lambda: hub.put("time"))
+        group.start_soon(clock.run, lambda: hub.deliver(TimerFired()))
         if getattr(values["ours"], "fleet", None) is not None:
             values["peers"] = await join(
                 hub, group, values["ours"], values["seed"], values["sockets"]
@@ -245,7 +261,7 @@
         if peers is not None:
             peers.put("left")
             await peers.flush(FLUSH_S)
-        await callers.finish(hub.left_s)
+        await callers.finish(hub.exit_timeout_s)
         group.cancel_scope.cancel()
 
 
@@ -299,16 +315,22 @@
     given, _ = resource.getrlimit(resource.RLIMIT_NOFILE)  # which may be less than what was named
     if given != resource.RLIM_INFINITY:
         told["sockets"] = min(told["sockets"], given)
+    settings = ServerSettings(
+        controller=told["keywords"],
+        class_indexes=told["stages"],
+        tenant_indexes=told["tenants"],
+        seed=told["seed"],
+        shutdown_ms=told["stop_ms"],
+        has_database=values["db"] is not None,
+        memory_mb=told["memory_mb"],
+        max_descriptors=told["sockets"],
+    )
     return Server(
-        below=values["db"] is not None,
-        decides=decides,
-        pools=maker(getattr(values["ours"], "plan", None), values),
+        settings,
+        controller_type=decides,
+        make_pools=maker(getattr(values["ours"], "plan", None), values),
         fence=fence_of(values),
         node=getattr(values["ours"], "node", ""),
-        **{
-            name: told[name]
-            for name in ("keywords", "stages", "tenants", "seed", "stop_ms", "memory_mb", "sockets")
-        },
     )
 
 
--- a/pumicenotch/lab/releaserun.py
+++ b/pumicenotch/lab/releaserun.py
@@ -39,11 +39,11 @@
     import random
     from pumicenotch.interface import Outcome
     from pumicenotch.server.core import Server
-    chance, ended = random.Random(os.getpid()), Server.run_ended
-    def run_ended(self, held, outcome, result):
-        bad = held.stage_name == KIND and outcome is Outcome.OK and chance.random() < 0.2
-        ended(self, held, Outcome.ERROR if bad else outcome, b"" if bad else result)
-    Server.run_ended = run_ended
+    rng, finish_run = random.Random(os.getpid()), Server.finish_run
+    def finish_run_badly(self, request, outcome, result):
+        bad = request.class_name == KIND and outcome is Outcome.OK and rng.random() < 0.2
+        finish_run(self, request, Outcome.ERROR if bad else outcome, b"" if bad else result)
+    Server.finish_run = finish_run_badly
 """,
     "crash-loop": """\
     import threading
--- a/pumicenotch/lab/simulate.py
+++ b/pumicenotch/lab/simulate.py
@@ -11,15 +11,19 @@
 from pumicenotch import start
 from pumicenotch.config.file import plan_of
 from pumicenotch.control import Control
+from pumicenotch.interface import Outcome
 from pumicenotch.lab import world as world_
 from pumicenotch.lab.attempt import Attempt
 from pumicenotch.lab.clients import Clients, fields
 from pumicenotch.lab.cores import Cores, Work
 from pumicenotch.lab.ledger import Ledger
 from pumicenotch.lab.world import World, arrivals
+from pumicenotch.net.pool import RUN_OUTCOMES
 from pumicenotch.pools import Plan, Pools
+from pumicenotch.server import events, messages
 from pumicenotch.server.core import Server
-from pumicenotch.server.effects import Dial, Exit, Fault, Reach, ReadOut, Wake, Write
+from pumicenotch.server.effects import Dial, Exit, FinishReading, Wake, Write
+from pumicenotch.server.settings import ServerSettings
 
 WIRE_MS = 0.3  # one way between any two parties
 MOST_OPEN = 32  # tasks on one connection
@@ -76,21 +80,20 @@
         for at in range(world.servers):
             keywords = start.keywords(pairs)
             made = pools(keywords["stages"], self.stages) if pools is not None else None
-            core = Server(
-                keywords=keywords,
-                stages=self.stages,
-                tenants=start.names(pairs, "tenants"),
+            settings = ServerSettings(
+                controller=keywords,
+                class_indexes=self.stages,
+                tenant_indexes=start.names(pairs, "tenants"),
                 seed=seed + at,
-                stop_ms=world.stop_ms,
-                below=True,
+                shutdown_ms=world.stop_ms,
+                has_database=True,
                 memory_mb=world.memory_mb,
-                sockets=1024,
-                pools=made,
-                decides=decides,
+                max_descriptors=1024,
             )
+            core = Server(settings, make_pools=made, controller_type=decides)
             node = Node(core, Work(Cores(world.cores, world.speed, world.thrash, world.thrash_at)))
             self.nodes.append(node)
-            self.put(node, "start")
+            self.put(node, events.Started())
         self.tasks = arrivals(world, seed)
         for task in self.tasks:
             self.at(task.at, self.clients.wanted, task)
@@ -129,34 +132,35 @@
             conn = next(self.numbers)
             node.by_conn[conn] = {}
             mine.append((conn, node.by_conn[conn]))
-            self.put(node, "opened", conn)
+            self.put(node, events.ConnectionOpened(conn))
         message = next(self.messages)
         node.by_conn[conn][message] = sent
         stage = self.world.stage[sent.task.stage].name
         told = fields(self.world, sent, sent.sent + WIRE_MS)
-        self.put(node, "task", conn, message, 0.0, stage, told, sent.task.body)
+        request = events.RequestReceived(conn, message, 0.0, stage, told, sent.task.body)
+        self.put(node, request)
 
     def cancel(self, now: float, attempt: Attempt) -> None:
         node = self.nodes[attempt.server]
         for conn, open_ in node.by_conn.items():
             for message, sent in list(open_.items()):
                 if sent is attempt:
-                    self.later(WIRE_MS, node, "cancel", conn, message)
+                    self.later(WIRE_MS, node, events.RequestCancelled(conn, message))
                     return
 
     # The servers
 
-    def later(self, after_ms: float, node: Node, name: str, *details: Any) -> None:
-        self.at(self.now + after_ms, lambda _: self.put(node, name, *details))
+    def later(self, after_ms: float, node: Node, event: object) -> None:
+        self.at(self.now + after_ms, lambda _: self.put(node, event))
 
-    def put(self, node: Node, name: str, *details: Any) -> None:
+    def put(self, node: Node, event: object) -> None:
         if node.over:
             return
         if self.now < node.frozen_until:
-            self.later(node.frozen_until - self.now, node, name, *details)
+            self.later(node.frozen_until - self.now, node, event)
             return
         began = time.perf_counter()
-        effects = node.core.step(self.now, name, *details)
+        effects = node.core.step(self.now, event)
         node.cpu_ms += (time.perf_counter() - began) * 1000.0
         node.steps += 1
         for effect in effects:
@@ -169,18 +173,17 @@
             case Write("pool", message):
                 self.at(self.now + WIRE_MS, self.command, node, message)
             case Write("registry", _):
-                self.later(WIRE_MS, node, "reported", None)
-            case Write(str(link), ("call", name, _, _)):
-                self.later(
-                    self.database_ms + 2.0 * WIRE_MS, node, "replied", link, name, "ROWS", b"rows"
-                )
+                self.later(WIRE_MS, node, events.ReportFinished(None))
+            case Write(str(link), messages.DependencyCall(name, _, _)):
+                reply = events.DependencyReplied(link, name, Outcome.OK, b"rows")
+                self.later(self.database_ms + 2.0 * WIRE_MS, node, reply)
             case Dial(link, after_ms):
-                self.later(after_ms + WIRE_MS, node, "linked", link)
+                self.later(after_ms + WIRE_MS, node, events.ConnectionUp(link))
             case Wake(after_ms):
                 node.woken += 1
                 self.at(self.now + after_ms, self.ring, node, node.woken)
-            case ReadOut(conn):
-                self.later(0.0, node, "read_out", conn)
+            case FinishReading(conn):
+                self.later(0.0, node, events.ReadingFinished(conn))
             case Exit():
                 node.over = True
                 for open_ in node.by_conn.values():
@@ -192,58 +195,60 @@
 
     def ring(self, now: float, node: Node, mark: int) -> None:
         if node.woken == mark:
-            self.put(node, "time")
+            self.put(node, events.TimerFired())
 
-    def answer(self, node: Node, conn: int, message: tuple[Any, ...]) -> None:
-        if message[0] not in ("served", "rejected", "failed"):
-            return
-        sent = node.by_conn[conn].pop(message[1], None)
+    def answer(self, node: Node, conn: int, message: object) -> None:
+        more: dict[str, Any] = {}
+        match message:
+            case messages.RequestServed():
+                kind, more = "served", {"body": message.result}
+            case messages.RequestRejected():
+                kind = "rejected"
+                more = {"stay_away_ms": message.retry_after_ms, "last": message.do_not_retry}
+            case messages.RequestFailed():
+                kind = "failed"
+            case _:
+                return
+        sent = node.by_conn[conn].pop(message.message_id, None)
         if sent is None:
             return
-        kind, rest = message[0], message[3:]
-        more = {"body": rest[0]} if kind == "served" else {}
-        if kind == "rejected":
-            more = {"stay_away_ms": rest[0], "last": rest[1]}
         self.at(self.now + WIRE_MS, lambda now: self.clients.answered(now, sent, kind, **more))
 
     # The worker pools
 
-    def command(self, now: float, node: Node, message: tuple[Any, ...]) -> None:
+    def command(self, now: float, node: Node, message: object) -> None:
         if not node.linked:
             return
         self.work(now, node)
         match message:
-            case ("bind", serial):
-                self.tell(node, "bound", "running", 60000.0)
+            case messages.BindPool(serial):
+                self.tell(node, events.PoolBound(False, 60000.0))
                 for notice in [each for each in node.work.notices if each[0] > serial]:
                     self.notice(node, notice)
-            case ("poll", cookie):
-                self.tell(
-                    node,
-                    "polled",
-                    cookie,
-                    node.work.cores.gauges(sum(map(len, node.conns.values()))),
-                )
-            case ("spawn", name, _, _):
+            case messages.PollPool(cookie):
+                gauges = node.work.cores.gauges(sum(map(len, node.conns.values())))
+                self.tell(node, events.GaugesReported(cookie, gauges))
+            case messages.StartRun(name, _, _):
                 task = self.ledger.spawn(now, self.nodes.index(node), name)
                 if task is not None:
                     node.work.spawn(now, name, task, self.world.stage[task.stage])
-            case ("supply", name, _) | ("pass", name, _):
+            case messages.SupplyReply(name, _) | messages.SkipDependency(name, _):
                 node.work.supply(now, name)
-            case ("suspend", name) | ("proceed", name):
-                node.work.pause(name, message[0] == "suspend")
+            case messages.SuspendRun(name) | messages.ResumeRun(name):
+                node.work.pause(name, isinstance(message, messages.SuspendRun))
         self.look(node)
 
-    def tell(self, node: Node, name: str, *details: Any) -> None:
+    def tell(self, node: Node, event: object) -> None:
         if node.linked:
-            self.later(WIRE_MS, node, name, *details)
+            self.later(WIRE_MS, node, event)
 
     def notice(self, node: Node, notice: tuple[int, str, str, dict[str, Any]]) -> None:
         serial, msg, name, more = notice
         if msg == "blocked":
-            self.tell(node, "blocked", serial, name, more["body"])
+            self.tell(node, events.RunBlocked(serial, name, more["body"]))
         else:
-            self.tell(node, "finished", serial, name, more["how"], more["body"])
+            outcome = RUN_OUTCOMES.get(more["how"])
+            self.tell(node, events.RunFinished(serial, name, outcome, more["body"]))
 
     def work(self, now: float, node: Node) -> None:
         for notice in node.work.advance(now):
@@ -270,7 +275,10 @@
                 node.work.cores.factor = fault.factor if fault.kind == "slow_cores" else 0.0
                 self.at(until, self.mend, node)
             case "cut_pool":
-                self.put(node, "unlinked", "pool", Fault(Reach.BROKEN, "cut by the experiment"))
+                failure = events.ConnectionFailure(
+                    events.FailureReach.BROKEN, "cut by the experiment"
+                )
+                self.put(node, events.ConnectionDown("pool", failure))
             case "stall":
                 node.frozen_until = until
             case "slow_database":
@@ -278,16 +286,12 @@
                 self.at(until, self.hasten)
             case "drain":
                 self.ledger.leave(now, fault.server)
-                self.put(node, "leave")
+                self.put(node, events.ShutdownRequested())
             case "reload":
                 made = pools_of(plan_of(fault.pools) if fault.pools else None)
-                stages = node.core.keywords["stages"]
-                self.put(
-                    node,
-                    "repool",
-                    made(stages, self.stages) if made else None,
-                    f"pools {fault.pools}",
-                )
+                stages = node.core.settings.controller["stages"]
+                make_pools = made(stages, self.stages) if made else None
+                self.put(node, events.PoolsReplaced(make_pools, f"pools {fault.pools}"))
         self.look(node)
 
     def hasten(self, now: float) -> None:
--- a/pumicenotch/net/clock.py
+++ b/pumicenotch/net/clock.py
@@ -1,37 +1,44 @@
-"""The time, and the one periodic timer."""
+"""The time, and the one timer."""
 
 import time
 from collections.abc import Callable
 
 import anyio
+import anyio.lowlevel
+
+MAX_TIMER_MS = 1000.0  # until the timer fires again where firing has not set it
 
 
 class Clock:
+    """Monotonic time for all that is timed here, and a timer that calls back when it is due."""
+
     def __init__(self) -> None:
-        self.due = 0.0
+        self.wake_at = 0.0
 
     def now(self) -> float:
-        """For all that is timed here: it neither jumps nor stands when the system's clock is set."""
+        """Returns the time in ms, which neither jumps nor stops when the system's clock is set."""
         return time.monotonic() * 1000.0
 
     def unix(self) -> float:
-        """For what others have stamped."""
+        """Returns the Unix time in ms, for what others have stamped."""
         return time.time() * 1000.0
 
-    def ahead(self) -> float:
-        """What the Unix clock is ahead of `now`. A stall in between makes it more, never less."""
+    def unix_offset(self) -> float:
+        """Returns what the Unix clock is ahead of `now`; a stall makes it more, never less."""
         now = self.now()
         return self.unix() - now
 
-    def wake(self, after_ms: float) -> None:
-        self.due = self.now() + after_ms
+    def wake(self, delay_ms: float) -> None:
+        """Sets the timer."""
+        self.wake_at = self.now() + delay_ms
 
-    async def run(self, ring: Callable[[], None]) -> None:
+    async def run(self, on_timer: Callable[[], None]) -> None:
+        """Calls back whenever the timer is due, until it is cancelled."""
         while True:
-            left = self.due - self.now()
-            if left > 0.0:
-                await anyio.sleep(left / 1000.0)
+            remaining_ms = self.wake_at - self.now()
+            if remaining_ms > 0.0:
+                await anyio.sleep(remaining_ms / 1000.0)
             else:
-                self.wake(1000.0)  # the ring sets the next time; should it fail, this one holds
-                ring()
-                await anyio.sleep(0)
+                self.wake(MAX_TIMER_MS)
+                on_timer()
+                await anyio.lowlevel.checkpoint()
--- a/pumicenotch/net/configuration.py
+++ b/pumicenotch/net/configuration.py
@@ -104,13 +104,13 @@
         try:
             found = self.step(self.timer.now(), event)
         except Exception as error:
-            self.hub.fault(f"configuration {type(event).__name__}", error)
+            self.hub.on_fault(f"configuration {type(event).__name__}", error)
             return
         for effect in found:
             try:
                 self.carry_out(effect)
             except Exception as error:
-                self.hub.fault(f"configuration {type(effect).__name__}", error)
+                self.hub.on_fault(f"configuration {type(effect).__name__}", error)
 
     def notice(self, sender: Sender, method: str, params: Any) -> bool:
         """Whether the notice was one of the distribution's."""
--- a/pumicenotch/net/database.py
+++ b/pumicenotch/net/database.py
@@ -1,47 +1,93 @@
-"""The database's protocol: lines that end in CR LF, bodies of a told length."""
+"""The database's protocol: lines that end in CR LF, and bodies after their length."""
 
 import re
 
-from pumicenotch.net.dial import Put
-from pumicenotch.net.link import Frame
+from pumicenotch.interface import Outcome
+from pumicenotch.net.dialer import Deliver, DialedProtocol
+from pumicenotch.net.outbox import Encoders
+from pumicenotch.server.events import DependencyReplied
+from pumicenotch.server.messages import DependencyCall
 
 HEAD = re.compile(
-    rb"(?P<name>[0-9a-f]{16}) (ROWS (?P<length>[0-9]{1,9})|(?P<how>FULL|FAIL|TIMEOUT|NONE))"
+    rb"(?P<name>[0-9a-f]{16}) (ROWS (?P<length>[0-9]{1,9})|(?P<kind>FULL|FAIL|TIMEOUT|NONE))"
 )
-HEAD_MOST = 64  # an id, a word and a length, and some more
-BODY_MOST = 64 * 1024  # far above any reply
-FRAMES: dict[str, Frame] = {  # a call is given up with its link, so there is no X
-    "call": lambda name, ms, body: b"Q %b %d %d\r\n%b\r\n" % (name.encode(), ms, len(body), body),
+MAX_HEAD_BYTES = 64  # an id, a word and a length, and some more
+MAX_BODY_BYTES = 64 * 1024  # far above any reply
+MAX_UNREAD_BYTES = 64 * 1024  # a connection carries one call, of some KB
+MAX_LOGGED_BYTES = 80
+# Replies without a body, as the database says them.
+OUTCOMES = {
+    b"FULL": Outcome.FULL,
+    b"FAIL": Outcome.ERROR,
+    b"TIMEOUT": Outcome.TIMEOUT,
+    b"NONE": Outcome.MOOT,
 }
 
 
-class Reader:
-    def __init__(self, put: Put, link: str) -> None:
-        self.put, self.link = put, link
+def encode_call(message: DependencyCall) -> bytes:
+    """Encodes a call."""
+    name = message.name.encode()
+    head = b"Q %b %d %d\r\n" % (name, message.timeout_ms, len(message.body))
+    return head + message.body + b"\r\n"
+
+
+# A call is abandoned with its connection, so the protocol's X is not used.
+ENCODERS: Encoders = {DependencyCall: encode_call}
+
+
+class DatabaseReader:
+    """Makes events of the replies on one connection.
+
+    Args:
+        deliver: Where the events go.
+        connection: The connection's name.
+    """
+
+    def __init__(self, deliver: Deliver, connection: str) -> None:
+        self.deliver = deliver
+        self.connection = connection
         self.data = b""
 
     def feed(self, data: bytes) -> None:
-        """What cannot be read, has no end or does not fit its length is known as soon as may be: the call on
-        this link has nothing else to wait for.
+        """Takes what has arrived.
+
+        Raises:
+            ValueError: It cannot be read, has no end, or does not fit its length. Raised as soon as
+            this is
+                known: the call on this connection has nothing else to wait for.
         """
         self.data += data
-        at = 0
-        while (end := self.data.find(b"\r\n", at)) >= 0:
-            if (head := HEAD.fullmatch(self.data, at, end)) is None:
-                raise ValueError(f"no reply: {self.data[at:end][:80]!r}")
-            name, how, length = head["name"].decode(), (head["how"] or b"ROWS").decode(), 0
-            body, end = b"", end + 2
-            if how == "ROWS":
-                length = int(head["length"])
-                if length > BODY_MOST:
-                    raise ValueError(f"a reply of {length} bytes")
-                if len(self.data) < end + length + 2:
-                    break
-                body, end = self.data[end : end + length], end + length + 2
-                if self.data[end - 2 : end] != b"\r\n":
-                    raise ValueError("no CR LF after a reply")
-            self.put("replied", self.link, name, how, body)
-            at = end
-        self.data = self.data[at:]
-        if len(self.data) > HEAD_MOST and b"\r\n" not in self.data[:HEAD_MOST]:
+        replies_end = 0
+        while (line_end := self.data.find(b"\r\n", replies_end)) >= 0:
+            reply_end = self._read_reply(replies_end, line_end)
+            if reply_end is None:
+                break
+            replies_end = reply_end
+        self.data = self.data[replies_end:]
+        if len(self.data) > MAX_HEAD_BYTES and b"\r\n" not in self.data[:MAX_HEAD_BYTES]:
             raise ValueError("a line too long")
+
+    def _read_reply(self, start: int, line_end: int) -> int | None:
+        """Delivers a reply whose head is complete; returns its end, None if its body is not."""
+        head = HEAD.fullmatch(self.data, start, line_end)
+        if head is None:
+            raise ValueError(f"no reply: {self.data[start:line_end][:MAX_LOGGED_BYTES]!r}")
+        name = head["name"].decode()
+        body_start = line_end + 2
+        if head["kind"] is not None:
+            self.deliver(DependencyReplied(self.connection, name, OUTCOMES[head["kind"]], b""))
+            return body_start
+        length = int(head["length"])
+        if length > MAX_BODY_BYTES:
+            raise ValueError(f"a reply of {length} bytes")
+        body_end = body_start + length
+        if len(self.data) < body_end + 2:
+            return None
+        if self.data[body_end : body_end + 2] != b"\r\n":
+            raise ValueError("no CR LF after a reply")
+        body = self.data[body_start:body_end]
+        self.deliver(DependencyReplied(self.connection, name, Outcome.OK, body))
+        return body_end + 2
+
+
+PROTOCOL = DialedProtocol(ENCODERS, DatabaseReader, MAX_UNREAD_BYTES)
--- a/pumicenotch/net/fleet.py
+++ b/pumicenotch/net/fleet.py
@@ -24,7 +24,9 @@
 from pumicenotch.net import logs
 from pumicenotch.net.hub import Hub
 from pumicenotch.net.peers import PeerHub, ResettableTimer, open_listener, run_hub
-from pumicenotch.server.seen import Seen
+from pumicenotch.server.core import Server
+from pumicenotch.server.events import ShutdownRequested
+from pumicenotch.server.request_counters import RequestCounters
 
 if TYPE_CHECKING:  # nothing of the distribution is loaded where it is off
     from pumicenotch.distribution.instance_settings import InstanceSettings
@@ -64,7 +66,7 @@
 
 
 async def member(
-    hub: Hub,
+    hub: Hub[Server],
     group: TaskGroup,
     settings: FleetSettings,
     distribution: "InstanceSettings | None",
@@ -76,7 +78,9 @@
     _, told = who(settings)
     node = MemberNode(voters=settings.voters, now=timer.now(), seed=seed, **told)
     most = links(sockets, distribution)
-    peers = PeerHub(node, timer, group, lambda why: hub.put("leave"), FRAME_MOST, most)
+    peers = PeerHub(
+        node, timer, group, lambda why: hub.deliver(ShutdownRequested()), FRAME_MOST, most
+    )
     try:
         listener = await open_listener(start.address(settings.listen))
     except OSError as error:
@@ -86,7 +90,7 @@
             error,
         )
         return None
-    hub.core.seen = Seen()
+    hub.core.request_counters = RequestCounters()
     run_hub(peers, listener)
     if distribution is not None:
         from pumicenotch.net.configuration import InstanceCarrier
@@ -96,7 +100,7 @@
     return peers
 
 
-async def watch(hub: Hub, peers: PeerHub) -> None:
+async def watch(hub: Hub[Server], peers: PeerHub) -> None:
     """Tells the fleet what the server does: that it is bound, that it leaves, that it is past use."""
     core, before = hub.core, [(0, 0)]
     while True:
@@ -107,12 +111,12 @@
             (counts["tasks"], counts["answered_rejected"] + counts["answered_failed"]),
         ]
         tasks, turned = (last - first for first, last in zip(before[0], before[-1], strict=True))
-        if core.leaving:
+        if core.lifecycle.draining:
             peers.put("leave", "its platform asks" if not peers.node.began else "by permit")
-        if core.seen is not None:
-            peers.put("counted", core.seen.rows(), memory_mb())
+        if core.request_counters is not None:
+            peers.put("counted", core.request_counters.rows(), memory_mb())
         peers.put(
-            "serve", core.control is not None, tasks >= TASKS_LEAST and turned > PAST_USE * tasks
+            "serve", core.controller is not None, tasks >= TASKS_LEAST and turned > PAST_USE * tasks
         )
 
 
--- a/pumicenotch/net/hub.py
+++ b/pumicenotch/net/hub.py
@@ -1,109 +1,139 @@
-"""Between the core and the sockets: inputs go in with the time, each effect goes to the link it names."""
+"""Between a core and its sockets: events go in, each effect goes to its connection."""
 
 from collections.abc import Callable
-from typing import Any
+from typing import Generic, TypeVar
 
 import anyio
 from loguru import logger
 
 from pumicenotch.net.clock import Clock
-from pumicenotch.net.link import Outbox
-from pumicenotch.server.core import Server
+from pumicenotch.net.outbox import Outbox
 from pumicenotch.server.effects import (
+    ChangeAddress,
     Close,
+    ConnectionKey,
     Dial,
     Effect,
     Exit,
-    Link,
+    FinishReading,
     Log,
-    Move,
-    ReadOut,
     Wake,
     Write,
 )
+from pumicenotch.server.events import DescriptorsExhausted
+from pumicenotch.server.gateway_side import GatewaySide
 
+MAX_LOGGED_FAULTS = 10  # a fault that comes with every request must not fill the log
+FLUSH_INTERVAL_S = 0.002
 
-class Hub:
-    def __init__(self, core: Server, clock: Clock) -> None:
-        self.core, self.clock = core, clock
-        self.outboxes: dict[Link, Outbox] = {}  # by the link that writes to them
-        self.live: set[Outbox] = set()  # those as well that are closed but not yet all written
-        self.diallers: dict[str, Callable[[str, float], None]] = {}  # by party
-        self.movers: dict[str, Callable[[tuple[str, int]], None]] = {}
-        self.closers: dict[Link, Callable[[], None]] = {}  # of what is no connection, or none yet
-        self.relief: list[
-            Callable[[], None]
-        ] = []  # asked for descriptors that nothing needs any more
+Core = TypeVar("Core", bound=GatewaySide)
+
+
+class Hub(Generic[Core]):
+    """Carries a core.
+
+    Args:
+        core: What handles the events.
+        clock: Its time and its timer.
+    """
+
+    def __init__(self, core: Core, clock: Clock) -> None:
+        self.core = core
+        self.clock = clock
+        self.outboxes: dict[ConnectionKey, Outbox] = {}  # by the connection that each writes to
+        self.unflushed: set[Outbox] = set()  # those as well that are closed but not all written
+        self.dialers: dict[str, Callable[[str, float], None]] = {}  # by party
+        self.address_changers: dict[str, Callable[[tuple[str, int]], None]] = {}  # by party
+        # Of what is no connection, or none yet: the listener and dials under way.
+        self.closers: dict[ConnectionKey, Callable[[], None]] = {}
+        # Called to free descriptors that nothing needs any more.
+        self.descriptor_releasers: list[Callable[[], None]] = []
         self.exit = anyio.Event()
-        self.left_s = 0.0  # from then on, for the last to be written
+        self.exit_timeout_s = 0.0  # from the exit on, for the last answers to be written
 
-    def put(self, name: str, *details: Any) -> None:
-        """One input. A fault in it is logged and counted, and ends neither the connection nor the process."""
+    def deliver(self, event: object) -> None:
+        """Has the core handle an event; a fault ends neither the connection nor the process."""
         try:
-            effects = self.core.step(self.clock.now(), name, *details)
-        except Exception as error:
-            effects = self.fault(name, error)
+            effects = self.core.step(self.clock.now(), event)
+        except Exception as error:  # noqa: BLE001 - one event must not end the process
+            effects = self.on_fault(type(event).__name__, error)
         for effect in effects:
             try:
                 self.carry_out(effect)
-            except Exception as error:
-                self.fault(type(effect).__name__, error)
+            except Exception as error:  # noqa: BLE001 - nor one effect the others
+                self.on_fault(type(effect).__name__, error)
 
-    def scarce(self) -> None:
-        """Descriptors have run out: what only lingers goes first, then the core gives way."""
-        for relieve in self.relief:
-            relieve()
-        self.put("scarce")
+    def on_descriptors_exhausted(self) -> None:
+        """Frees descriptors: first of what only lingers, then the core gives up connections."""
+        for release in self.descriptor_releasers:
+            release()
+        self.deliver(DescriptorsExhausted())
 
-    def fault(self, where: str, error: Exception) -> list[Effect]:
-        """Logged whole the first times: one that comes with every task must not fill the log."""
-        if self.core.counters.counts["faults"] < 10:
-            logger.opt(exception=error).error("fault in {}", where)
-        return self.core.fault()
+    def on_fault(self, place: str, error: Exception) -> list[Effect]:
+        """Logs and counts a fault, and returns the effects that were asked for before it."""
+        if self.core.counters.counts["faults"] < MAX_LOGGED_FAULTS:
+            logger.opt(exception=error).error("fault in {}", place)
+        return self.core.on_fault()
 
     def carry_out(self, effect: Effect) -> None:
+        """Carries out one effect."""
         match effect:
-            case Write(link, message):
-                outbox = self.outboxes.get(link)
-                if outbox is not None and not outbox.put(message):
-                    self.core.counters.add("connections_slow")
-                    logger.warning("{} leaves {} bytes unread and is cut", link, outbox.size)
-                    outbox.scope.cancel()
-            case ReadOut(link):
-                if (outbox := self.outboxes.get(link)) is not None:
-                    outbox.look()
-            case Close(link) if link in self.closers:
-                self.closers.pop(link)()
-            case Close(link):
-                outbox = self.outboxes.pop(link, None)
-                if outbox is not None:
-                    outbox.close()
-            case Dial(link, after_ms):
-                self.diallers[link.partition("-")[0]](link, after_ms)
-            case Move(party, address):
-                self.movers[party](address)
-            case Wake(after_ms):
-                self.clock.wake(after_ms)
+            case Write(connection, message):
+                self._write(connection, message)
+            case FinishReading(connection):
+                self._finish_reading(connection)
+            case Close(connection):
+                self._close(connection)
+            case Dial(connection, delay_ms):
+                party = connection.partition("-")[0]
+                self.dialers[party](connection, delay_ms)
+            case ChangeAddress(party, address):
+                self.address_changers[party](address)
+            case Wake(delay_ms):
+                self.clock.wake(delay_ms)
             case Log(text):
                 logger.info(text)
-            case Exit(left_ms):
-                self.left_s = left_ms / 1000.0
+            case Exit(remaining_ms):
+                self.exit_timeout_s = remaining_ms / 1000.0
                 self.exit.set()
 
-    def add(self, link: Link, outbox: Outbox) -> None:
-        self.outboxes[link] = outbox
-        self.live.add(outbox)
+    def _write(self, connection: ConnectionKey, message: object) -> None:
+        outbox = self.outboxes.get(connection)
+        if outbox is not None and not outbox.put(message):
+            self.core.counters.add("connections_slow")
+            logger.warning(
+                "{} leaves {} bytes unread and is cut", connection, outbox.unwritten_bytes
+            )
+            outbox.scope.cancel()
+
+    def _finish_reading(self, connection: int) -> None:
+        outbox = self.outboxes.get(connection)
+        if outbox is not None:
+            outbox.check_input()
+
+    def _close(self, connection: ConnectionKey) -> None:
+        if connection in self.closers:
+            self.closers.pop(connection)()
+            return
+        outbox = self.outboxes.pop(connection, None)
+        if outbox is not None:
+            outbox.close()
+
+    def add(self, connection: ConnectionKey, outbox: Outbox) -> None:
+        """From now on messages of that connection go to this outbox."""
+        self.outboxes[connection] = outbox
+        self.unflushed.add(outbox)
 
-    def remove(self, link: Link, outbox: Outbox) -> bool:
-        """Whether it was still the link's own, not closed or replaced by the core."""
-        self.live.discard(outbox)
-        if self.outboxes.get(link) is not outbox:
+    def remove(self, connection: ConnectionKey, outbox: Outbox) -> bool:
+        """Removes an outbox; returns whether it was still in use, not closed or replaced."""
+        self.unflushed.discard(outbox)
+        if self.outboxes.get(connection) is not outbox:
             return False
-        del self.outboxes[link]
+        del self.outboxes[connection]
         return True
 
-    async def flush(self, most_s: float) -> None:
-        """Waits until all is written that can be."""
-        with anyio.move_on_after(most_s):
-            while any(outbox.size for outbox in self.live):
-                await anyio.sleep(0.002)
+    async def flush(self, timeout_s: float) -> None:
+        """Waits until all is written, or for that time."""
+        with anyio.move_on_after(timeout_s):
+            while any(outbox.unwritten_bytes for outbox in self.unflushed):  # noqa: ASYNC110
+                await anyio.sleep(FLUSH_INTERVAL_S)
--- a/pumicenotch/net/logs.py
+++ b/pumicenotch/net/logs.py
@@ -1,4 +1,4 @@
-"""Logs to standard error, for a person or, where PUMICENOTCH_LOG is `json`, an object a line."""
+"""Logs on standard error: as text or, where PUMICENOTCH_LOG is `json`, an object a line."""
 
 import json
 import os
@@ -7,23 +7,26 @@
 
 from loguru import logger
 
+TEXT_FORMAT = "{time:HH:mm:ss.SSS} {level} {message}"
+
 
 def to_stderr() -> None:
+    """Sends all logs to standard error."""
     logger.remove()
     if os.environ.get("PUMICENOTCH_LOG") == "json":
-        logger.add(as_json)
+        logger.add(write_json)
     else:
-        form = "{time:HH:mm:ss.SSS} {level} {message}"
-        logger.add(sys.stderr, format=form, backtrace=False, diagnose=False)
+        logger.add(sys.stderr, format=TEXT_FORMAT, backtrace=False, diagnose=False)
 
 
-def as_json(message: Any) -> None:
+def write_json(message: Any) -> None:
+    """Writes one of loguru's messages as a JSON object."""
     record = message.record
-    told = {
+    fields = {
         "time": record["time"].isoformat(),
         "level": record["level"].name,
         "message": record["message"],
     }
     if record["exception"] is not None:
-        told["exception"] = repr(record["exception"].value)
-    sys.stderr.write(json.dumps(told) + "\n")
+        fields["exception"] = repr(record["exception"].value)
+    sys.stderr.write(json.dumps(fields) + "\n")
--- a/pumicenotch/net/peers.py
+++ b/pumicenotch/net/peers.py
@@ -19,12 +19,22 @@
 from pumicenotch.fleet import effects
 from pumicenotch.fleet.member_node import MemberNode
 from pumicenotch.members.messages import News
-from pumicenotch.net import gateways
+from pumicenotch.net import gateway_listener
 from pumicenotch.net.clock import Clock
-from pumicenotch.net.dial import Links, Put
+from pumicenotch.net.dialer import Deliver, DialedProtocol, Dialer
+from pumicenotch.net.gateway_listener import AcceptedProtocol, GatewayListener
 from pumicenotch.net.hub import Hub
-from pumicenotch.net.link import Frame
+from pumicenotch.net.outbox import Encoders
 from pumicenotch.sender import Sender
+from pumicenotch.server.events import (
+    ConnectionDown,
+    ConnectionEnded,
+    ConnectionOpened,
+    ConnectionReset,
+    ConnectionUp,
+    ProblemFound,
+    ProtocolViolated,
+)
 
 PARTY = "peer"
 FRAME_MOST = (
@@ -45,7 +55,7 @@
 )
 
 pack: Callable[[Any], bytes] = msgpack.Packer(autoreset=True).pack
-FRAMES: dict[str, Frame] = {
+FRAMES: dict[str, Callable[..., bytes]] = {
     "hello": lambda fleet, name, life, address: pack([2, "hello", [fleet, name, life, address]]),
     "notice": lambda method, params: pack([2, method, params]),
     "request": lambda number, verb, args: pack([0, number, verb, args]),
@@ -53,6 +63,8 @@
     "error": lambda message, error: pack([1, message, error, None]),
     "refused": lambda why: pack([2, "refused", [why]]),
 }
+# A message is a tuple: the frame's kind, then its fields.
+ENCODERS: Encoders = {tuple: lambda message: FRAMES[message[0]](*message[1:])}
 
 
 class Hello(NamedTuple):
@@ -129,7 +141,7 @@
 class OutboundPeer:
     """What comes back on a link that this side has dialled."""
 
-    def __init__(self, hub: "PeerHub", _: Put, link: str) -> None:
+    def __init__(self, hub: "PeerHub", _: Deliver, link: str) -> None:
         self.hub, self.link, self.unpacker = hub, link, Unpacker(hub.frame_most)
 
     def feed(self, data: bytes) -> None:
@@ -164,22 +176,22 @@
         super().__init__()
         self.rescheduled = anyio.Event()
 
-    def wake(self, after_ms: float) -> None:
-        before = self.due
-        super().wake(after_ms)
-        if self.due < before:
+    def wake(self, delay_ms: float) -> None:
+        before = self.wake_at
+        super().wake(delay_ms)
+        if self.wake_at < before:
             self.rescheduled.set()
 
-    async def run(self, ring: Callable[[], None]) -> None:
+    async def run(self, on_timer: Callable[[], None]) -> None:
         while True:
-            left = self.due - self.now()
+            left = self.wake_at - self.now()
             if left > 0.0:
                 self.rescheduled = anyio.Event()
                 with anyio.move_on_after(left / 1000.0):
                     await self.rescheduled.wait()
             else:
                 self.wake(1000.0)  # the ring sets the next time; should it fail, this one holds
-                ring()
+                on_timer()
                 await anyio.sleep(0)
 
 
@@ -199,7 +211,7 @@
         """The node has taken an input, and what came of it is carried out."""
 
 
-class PeerHub(Hub):
+class PeerHub(Hub[Any]):
     """Carries a node: inputs with the time go in, effects come out. `leave` is called when it is to drain."""
 
     def __init__(
@@ -222,41 +234,44 @@
         self.idle_at = 0.0
         self.extension: Extension | None = None
 
-    def put(self, name: str, *details: Any) -> None:
-        match name:
-            case "opened":
+    def deliver(self, event: object) -> None:
+        """Handles what happens to connections; of the node's inputs it is one that a peer is gone."""
+        match event:
+            case ConnectionOpened(conn):
                 self.conns += 1
                 if self.conns > self.links_most:
                     self.count_trouble(
                         "mates_crowded", f"over {self.links_most} connections among instances"
                     )
-                    self.close(details[0])
-                return
-            case "condemn":
-                conn, trouble, text = details
+                    self.close(conn)
+            case ProtocolViolated(conn, trouble, text):
                 self.count_trouble(trouble, f"connection {conn} among instances: {text}")
                 self.close(conn)
-                return
-            case "eof":
-                self.close(details[0])
-                return
-            case "read_out" | "scarce":  # links among instances are never asked for the first
-                return
-            case "reset":
+            case ConnectionEnded(conn):
+                self.close(conn)
+            case ConnectionReset(conn):
                 self.conns -= 1
-                name = "closed"
-            case "linked":
-                self.linked(details[0])
-                return
-            case "unlinked":
-                self.unlinked(details[0], details[1].text)
-                return
-            case "met":
-                self.count_trouble(*details)
-                return
+                self.put("closed", conn)
+            case ConnectionUp(link):
+                self.linked(link)
+            case ConnectionDown(link, failure):
+                self.unlinked(link, failure.text)
+            case ProblemFound(trouble, text):
+                self.count_trouble(trouble, text)
+
+    def put(self, name: str, *details: Any) -> None:
+        """Has the node handle an input."""
         if self.taken_by_extension(name, details):
             return
-        super().put(name, *details)
+        try:
+            effects = self.node.step(self.clock.now(), name, *details)
+        except Exception as error:
+            effects = self.on_fault(name, error)
+        for effect in effects:
+            try:
+                self.carry_out(effect)
+            except Exception as error:
+                self.on_fault(type(effect).__name__, error)
         if name == "time":
             self.close_idle_links()
         if self.extension is not None:
@@ -269,10 +284,10 @@
             return self.extension.notice(*details)
         return name == "asked" and self.extension.request(*details)
 
-    def fault(self, where: str, error: Exception) -> list[Any]:
+    def on_fault(self, place: str, error: Exception) -> list[Any]:
         self.node.counts["faults"] += 1
         if self.node.counts["faults"] <= 10:
-            logger.opt(exception=error).error("fault in {}", where)
+            logger.opt(exception=error).error("fault in {}", place)
         effects, self.node.effects = self.node.effects, []
         return cast(list[Any], effects)
 
@@ -300,7 +315,9 @@
     def write(self, link: int | str, message: tuple[Any, ...]) -> None:
         outbox = self.outboxes.get(link)
         if outbox is not None and not outbox.put(message):
-            self.count_trouble("mates_slow", f"{link} leaves {outbox.size} bytes unread and is cut")
+            self.count_trouble(
+                "mates_slow", f"{link} leaves {outbox.unwritten_bytes} bytes unread and is cut"
+            )
             outbox.scope.cancel()
 
     def close(self, link: int | str) -> None:
@@ -340,7 +357,8 @@
             self.unlinked(link, f"{address!r} is no address")
             return
         reader = partial(OutboundPeer, self)
-        Links(self, self.group, to, FRAMES, reader, self.unread).dial(link, 0.0)
+        protocol = DialedProtocol(ENCODERS, reader, self.unread)
+        Dialer(self, self.group, to, protocol).dial(link, 0.0)
 
     def linked(self, link: str) -> None:
         peer = self.peer_links[link]
@@ -417,14 +435,14 @@
 async def open_listener(address: tuple[str, int]) -> SocketListener:
     """Raises OSError."""
     listeners = await anyio.create_tcp_listener(
-        local_host=address[0], local_port=address[1], backlog=gateways.BACKLOG
+        local_host=address[0], local_port=address[1], backlog=gateway_listener.BACKLOG
     )
     return cast(SocketListener, listeners.listeners[0])
 
 
 def run_hub(hub: PeerHub, listener: SocketListener) -> None:
     """The listener, the timer and the first input, in the hub' task group."""
-    callers = gateways.Gateways(hub, hub.unread, FRAMES, cast(Any, InboundPeer))
+    callers = GatewayListener(hub, hub.unread, AcceptedProtocol(ENCODERS, InboundPeer))
     hub.group.start_soon(callers.accept, listener, hub.group)
     hub.put("start")
     hub.group.start_soon(hub.clock.run, lambda: hub.put("time"))
--- a/pumicenotch/net/pool.py
+++ b/pumicenotch/net/pool.py
@@ -2,75 +2,162 @@
 
 import json
 from base64 import b64decode, b64encode
+from collections.abc import Callable
 from typing import Any
 
-from pumicenotch.net.dial import Put
-from pumicenotch.net.link import Frame
+from pumicenotch.interface import Outcome
+from pumicenotch.net.dialer import Deliver, DialedProtocol
+from pumicenotch.net.outbox import Encoders
+from pumicenotch.server.events import (
+    CommandUnknown,
+    GaugesReported,
+    NoticeSkipped,
+    PoolBound,
+    ProblemFound,
+    RunBlocked,
+    RunFinished,
+)
+from pumicenotch.server.messages import (
+    BindPool,
+    PollPool,
+    ResumeRun,
+    SkipDependency,
+    StartRun,
+    SupplyReply,
+    SuspendRun,
+)
 
-LINE_MOST = 64 * 1024  # results have 4 KiB at the most, 6 KiB in base64
+JsonObject = dict[str, Any]
+MAX_LINE_BYTES = 64 * 1024  # results have 4 KiB at the most, 6 KiB in base64
+MAX_LOGGED_BYTES = 200
+# How a run ended, as the pool says it.
+RUN_OUTCOMES = {
+    "fine": Outcome.OK,
+    "fault": Outcome.ERROR,
+    "broken_off": Outcome.CANCELLED,
+    "late": Outcome.MOOT,
+}
 
 
-def line(msg: str, **fields: Any) -> bytes:
-    return json.dumps({"msg": msg, **fields}, separators=(",", ":")).encode() + b"\n"
+def encode_line(kind: str, **fields: Any) -> bytes:
+    """Writes one message."""
+    return json.dumps({"msg": kind, **fields}, separators=(",", ":")).encode() + b"\n"
 
 
-def text(body: bytes) -> str:
+def to_base64(body: bytes) -> str:
+    """Writes a body as it stands in a line."""
     return b64encode(body).decode()
 
 
-def string(value: Any) -> str:
+def encode_start(message: StartRun) -> bytes:
+    """Encodes the command that starts a run."""
+    body = to_base64(message.body)
+    return encode_line("spawn", call=message.name, service=message.class_name, blob=body)
+
+
+def encode_supply(message: SupplyReply) -> bytes:
+    """Encodes the command that hands over a dependency's reply."""
+    return encode_line("supply", call=message.name, blob=to_base64(message.reply))
+
+
+ENCODERS: Encoders = {
+    BindPool: lambda message: encode_line("bind", serial=message.last_serial),
+    PollPool: lambda message: encode_line("poll", cookie=message.cookie),
+    StartRun: encode_start,
+    SuspendRun: lambda message: encode_line("suspend", call=message.name),
+    ResumeRun: lambda message: encode_line("proceed", call=message.name),
+    SupplyReply: encode_supply,
+    SkipDependency: lambda message: encode_line("pass", call=message.name, serial=message.serial),
+}
+
+
+def text_of(value: Any) -> str:
+    """Returns a string as it is; raises TypeError for anything else."""
     if not isinstance(value, str):
         raise TypeError(f"{value!r} is no string")
     return value
 
 
-FRAMES: dict[str, Frame] = {
-    "bind": lambda serial: line("bind", serial=serial),
-    "spawn": lambda call, stage, body: line("spawn", call=call, service=stage, blob=text(body)),
-    "suspend": lambda call: line("suspend", call=call),
-    "proceed": lambda call: line("proceed", call=call),
-    "supply": lambda call, body: line("supply", call=call, blob=text(body)),
-    "pass": lambda call, serial: line("pass", call=call, serial=serial),
-    "poll": lambda cookie: line("poll", cookie=cookie),
+def body_of(notice: JsonObject) -> bytes:
+    """Returns the body that a notice carries, or none; raises ValueError for no base64."""
+    return b64decode(notice.get("blob") or "", validate=True)
+
+
+def decode_finished(notice: JsonObject) -> RunFinished:
+    """Decodes the notice that a run has ended."""
+    body = body_of(notice)
+    name = text_of(notice["call"])
+    outcome = RUN_OUTCOMES.get(text_of(notice["how"]))
+    return RunFinished(int(notice["serial"]), name, outcome, body)
+
+
+def decode_blocked(notice: JsonObject) -> RunBlocked:
+    """Decodes the notice that a run waits for its dependency."""
+    body = body_of(notice)
+    return RunBlocked(int(notice["serial"]), text_of(notice["call"]), body)
+
+
+def decode_polled(notice: JsonObject) -> GaugesReported:
+    """Decodes the answer to a poll."""
+    return GaugesReported(text_of(notice["cookie"]), tuple(map(float, notice["stats"])))
+
+
+def decode_bound(notice: JsonObject) -> PoolBound:
+    """Decodes the answer to the first message."""
+    return PoolBound(text_of(notice["how"]) == "starting", float(notice["duration"]))
+
+
+def decode_unknown(notice: JsonObject) -> CommandUnknown:
+    """Decodes the answer to a command about a run that the pool does not know."""
+    command = str(notice.get("how"))
+    return CommandUnknown(command, str(notice.get("call")), command == "spawn")
+
+
+DECODERS: dict[str, Callable[[JsonObject], object]] = {
+    "finished": decode_finished,
+    "blocked": decode_blocked,
+    "polled": decode_polled,
+    "bound": decode_bound,
+    "unknown": decode_unknown,
 }
 
 
-class Reader:
-    def __init__(self, put: Put, _: str) -> None:
-        self.put = put
-        self.rest = b""  # of a line that has not come whole
+class PoolReader:
+    """Makes events of the pool's lines.
+
+    Args:
+        deliver: Where the events go.
+    """
+
+    def __init__(self, deliver: Deliver, _: str) -> None:
+        self.deliver = deliver
+        self.incomplete = b""  # of a line whose end has not arrived
 
     def feed(self, data: bytes) -> None:
-        *lines, self.rest = (self.rest + data).split(b"\n")
-        for each in lines:
-            if each.strip():
-                self.notice(each)
-        if len(self.rest) > LINE_MOST:
-            raise ValueError(f"a line of over {LINE_MOST} bytes")
-
-    def notice(self, text: bytes) -> None:
-        """Decoded fields go straight into the call. What is no notice is skipped; that its number is missing
-        shows by the next.
-        """
+        """Takes what has arrived; raises ValueError for a line without end."""
+        *lines, self.incomplete = (self.incomplete + data).split(b"\n")
+        for line in lines:
+            if line.strip():
+                self._read_line(line)
+        if len(self.incomplete) > MAX_LINE_BYTES:
+            raise ValueError(f"a line of over {MAX_LINE_BYTES} bytes")
+
+    def _read_line(self, line: bytes) -> None:
+        """Delivers a notice; what is none is skipped, and the next serial shows the gap."""
         try:
-            notice = json.loads(text)
-            match notice["msg"]:
-                case "finished":
-                    body = b64decode(notice.get("blob") or "", validate=True)
-                    call, how = string(notice["call"]), string(notice["how"])
-                    self.put("finished", int(notice["serial"]), call, how, body)
-                case "blocked":
-                    body = b64decode(notice.get("blob") or "", validate=True)
-                    self.put("blocked", int(notice["serial"]), string(notice["call"]), body)
-                case "polled":
-                    self.put("polled", string(notice["cookie"]), tuple(map(float, notice["stats"])))
-                case "bound":
-                    self.put("bound", string(notice["how"]), float(notice["duration"]))
-                case "unknown":
-                    self.put("unknown", str(notice.get("how")), str(notice.get("call")))
-                case _:
-                    if "serial" in notice:
-                        self.put("chatter", int(notice["serial"]))
+            notice = json.loads(line)
+            kind = notice["msg"]
+            decode = DECODERS.get(kind) if isinstance(kind, str) else None
+            if decode is not None:
+                self.deliver(decode(notice))
+            elif "serial" in notice:
+                self.deliver(NoticeSkipped(int(notice["serial"])))
         except (ValueError, KeyError, TypeError, AttributeError) as error:
-            what = f"pool: no notice ({type(error).__name__} {error}): {text[:200]!r}"
-            self.put("met", "notices_unreadable", what)
+            reason = f"{type(error).__name__} {error}"
+            text = f"pool: no notice ({reason}): {line[:MAX_LOGGED_BYTES]!r}"
+            self.deliver(ProblemFound("notices_unreadable", text))
+
+
+def protocol(max_unread_bytes: int) -> DialedProtocol:
+    """Returns what is spoken with the pool."""
+    return DialedProtocol(ENCODERS, PoolReader, max_unread_bytes)
--- a/pumicenotch/net/signals.py
+++ b/pumicenotch/net/signals.py
@@ -1,4 +1,4 @@
-"""Signals that a process takes itself, from the first line to the last."""
+"""Signals that a process handles itself, from its first line to its last."""
 
 import signal
 from collections.abc import AsyncIterator, Iterator
@@ -8,13 +8,17 @@
 
 
 @contextmanager
-def received(numbers: tuple[signal.Signals, ...]) -> Iterator[AsyncIterator[signal.Signals]]:
-    """Those that come, and that have come while they were blocked: whoever asks blocks them as it starts.
-    Afterwards they are blocked again: their own effect would end the process in the middle of its end.
+def receive_signals(
+    numbers: tuple[signal.Signals, ...],
+) -> Iterator[AsyncIterator[signal.Signals]]:
+    """Yields the signals that arrive, and that have arrived while they were blocked.
+
+    The caller blocks them as the process starts. Afterwards they are blocked again: their default
+    action would end the process in the middle of its exit.
     """
-    with anyio.open_signal_receiver(*numbers) as coming:
+    with anyio.open_signal_receiver(*numbers) as received:
         signal.pthread_sigmask(signal.SIG_UNBLOCK, numbers)
         try:
-            yield coming
+            yield received
         finally:
             signal.pthread_sigmask(signal.SIG_BLOCK, numbers)
--- a/pumicenotch/route/__main__.py
+++ b/pumicenotch/route/__main__.py
@@ -7,7 +7,7 @@
 import signal
 import sys
 from functools import partial
-from typing import Any, cast
+from typing import cast
 
 import anyio
 from anyio.abc import SocketAttribute, SocketListener
@@ -18,12 +18,19 @@
 from pumicenotch.config.files import cell_map
 from pumicenotch.config.hcl import BadFile
 from pumicenotch.config.router import RouterFile, router_of
-from pumicenotch.net import gateways, logs
+from pumicenotch.net import gateway_listener, logs
 from pumicenotch.net.clock import Clock
 from pumicenotch.net.hub import Hub
-from pumicenotch.net.signals import received
-from pumicenotch.route.decide import LISTENER, PARTY, Router
+from pumicenotch.net.signals import receive_signals
+from pumicenotch.route.decide import LISTENER, PARTY, MapRead, Router
 from pumicenotch.route.nodes import NodeLinks
+from pumicenotch.server.events import (
+    CountersRequested,
+    ProblemFound,
+    ShutdownRequested,
+    Started,
+    TimerFired,
+)
 
 LOOK_S = 0.25  # between looks at the map's file: a move is with a router that soon
 SIGNALS = (signal.SIGTERM, signal.SIGINT, signal.SIGUSR1)
@@ -50,13 +57,13 @@
     )
 
 
-async def signals(hub: Hub) -> None:
-    with received(SIGNALS) as coming:
+async def signals(hub: Hub[Router]) -> None:
+    with receive_signals(SIGNALS) as coming:
         async for number in coming:
-            hub.put("show_counters" if number == signal.SIGUSR1 else "leave")
+            hub.deliver(CountersRequested() if number == signal.SIGUSR1 else ShutdownRequested())
 
 
-async def maps(hub: Hub, core: Router, path: str) -> None:
+async def maps(hub: Hub[Router], core: Router, path: str) -> None:
     """Takes newer maps, and notes when the one that is held is confirmed. One that cannot be taken changes
     nothing.
     """
@@ -70,26 +77,23 @@
             cells, confirmed = cell_map(path)
             seen = when
             if newer(core.cells, cells):
-                hub.put(
-                    "remap", cells, confirmed, f"the cell map of epoch {cells.epoch} is in force"
-                )
+                text = f"the cell map of epoch {cells.epoch} is in force"
+                hub.deliver(MapRead(cells, confirmed, text))
             elif cells.epoch == core.cells.epoch:
-                hub.put("remap", core.cells, confirmed, "")
+                hub.deliver(MapRead(core.cells, confirmed, ""))
             else:
-                hub.put(
-                    "met",
-                    "maps_old",
-                    f"{path}: epoch {cells.epoch} is older than {core.cells.epoch}",
-                )
+                text = f"{path}: epoch {cells.epoch} is older than {core.cells.epoch}"
+                hub.deliver(ProblemFound("maps_old", text))
         except (BadMap, OSError) as error:
-            hub.put("met", "maps_unreadable", f"{error}; epoch {core.cells.epoch} stays in force")
+            text = f"{error}; epoch {core.cells.epoch} stays in force"
+            hub.deliver(ProblemFound("maps_unreadable", text))
 
 
 async def serve(told: RouterFile, core: Router, clock: Clock) -> None:
-    hub = Hub(cast(Any, core), clock)
+    hub = Hub(core, clock)
     host, port = start.address(told.listen)
     listeners = await anyio.create_tcp_listener(
-        local_host=host, local_port=port, backlog=gateways.BACKLOG
+        local_host=host, local_port=port, backlog=gateway_listener.BACKLOG
     )
     listener = cast(SocketListener, listeners.listeners[0])
 
@@ -98,16 +102,17 @@
 
     async with anyio.create_task_group() as group:
         group.start_soon(signals, hub)
-        hub.diallers[PARTY] = NodeLinks(hub, group, address_of).dial
-        callers = gateways.Gateways(hub, 2 * gateways.UNREAD_LEAST)
+        hub.dialers[PARTY] = NodeLinks(hub, group, address_of).dial
+        max_unread_bytes = 2 * gateway_listener.MIN_UNREAD_BYTES
+        callers = gateway_listener.GatewayListener(hub, max_unread_bytes)
         hub.closers[LISTENER] = callers.closing.cancel
         group.start_soon(callers.accept, listener, group)
         group.start_soon(maps, hub, core, told.map)
-        hub.put("start")
+        hub.deliver(Started())
         logger.info("listening on {}:{}", *listener.extra(SocketAttribute.local_address)[:2])
-        group.start_soon(partial(clock.run, lambda: hub.put("time")))
+        group.start_soon(partial(clock.run, lambda: hub.deliver(TimerFired())))
         await hub.exit.wait()
-        await callers.finish(hub.left_s)
+        await callers.finish(hub.exit_timeout_s)
         group.cancel_scope.cancel()
 
 
--- a/pumicenotch/route/decide.py
+++ b/pumicenotch/route/decide.py
@@ -8,7 +8,7 @@
 import random
 from collections.abc import Mapping
 from itertools import count
-from typing import Any
+from typing import Any, NamedTuple
 
 from pumicenotch.cells.fence import WORDS, Role
 from pumicenotch.cells.map import CellMap
@@ -17,15 +17,57 @@
 from pumicenotch.control import Agenda
 from pumicenotch.interface import Effect as Repeat
 from pumicenotch.pools.budget import Budget
-from pumicenotch.server.effects import Close, Dial, Exit, Fault, Log, Wake, Write
-from pumicenotch.server.front import Front
-from pumicenotch.server.tasks import BadTask, Held, Tasks
+from pumicenotch.server import events
+from pumicenotch.server.effects import Close, Dial, Exit, Log, Wake, Write
+from pumicenotch.server.gateway_side import GatewaySide
+from pumicenotch.server.messages import HealthReply
+from pumicenotch.server.pending_request import PendingRequest
+from pumicenotch.server.request_decoder import InvalidRequestError, RequestDecoder
 
 PARTY = "node"
 LISTENER = "listener"
 CELLS = {word: SAYS[verdict] for verdict, word in WORDS.items()}  # what a node says on the wire
 
 
+class ForwardedRequest(NamedTuple):
+    """A request as it goes on to a node."""
+
+    message_id: int
+    class_name: str
+    fields: dict[str, str]
+    body: bytes
+
+
+class ForwardedCancel(NamedTuple):
+    """The answer of a node is no longer wanted."""
+
+    message_id: int
+
+
+class MapRead(NamedTuple):
+    """The cell map of the file as it is now; `text` describes a change of it."""
+
+    cells: CellMap
+    confirmed: float
+    text: str
+
+
+class NodeDraining(NamedTuple):
+    """The node wants nothing more on this connection."""
+
+    connection: str
+
+
+class NodeAnswered(NamedTuple):
+    """A node's answer; `kind` is served, rejected or failed."""
+
+    connection: str
+    message_id: int
+    kind: str
+    body: bytes
+    fields: Mapping[str, str]
+
+
 class Way:
     """One connection to a node, and what is open on it."""
 
@@ -40,7 +82,7 @@
 class Trip:
     """A task on its way through nodes."""
 
-    def __init__(self, held: Held, fields: Mapping[str, str], path: Walk) -> None:
+    def __init__(self, held: PendingRequest, fields: Mapping[str, str], path: Walk) -> None:
         self.held, self.fields, self.path = held, dict(fields), path
         self.way: Way | None = None
         self.message = 0
@@ -48,7 +90,7 @@
         self.written = False  # of this send: it may have arrived
 
 
-class Router(Front):
+class Router(GatewaySide):
     MOST_OPEN = 32  # the protocol's, on one connection
     WAYS = 8  # connections to one node: as many tasks as a node takes from one caller
     IDLE_MS = 5000.0  # a connection to a node that nothing used is closed
@@ -71,7 +113,8 @@
         sockets: int,
     ) -> None:
         half = sockets // 2 - self.SPARE // 2  # for callers, and as many for nodes
-        super().__init__(Tasks(stages, numbers, {}), sockets // 2, max(8, half))
+        super().__init__(sockets // 2, max(8, half))
+        self.decoder = RequestDecoder(stages, numbers, {}, self.requests)
         self.most_ways = max(4, half)
         self.cells, self.confirmed = cells, confirmed
         self.stop_ms, self.stop = stop_ms, float("inf")
@@ -87,25 +130,25 @@
 
     # Its own life
 
-    def start(self) -> None:
+    def on_started(self, _: events.Started) -> None:
         self.effects.append(Wake(self.TICK_MS))
 
-    def time(self) -> None:
+    def on_timer(self, _: events.TimerFired) -> None:
         self.agenda.run(self.now)
-        self.callers.close_idle(self.now)
+        self.connections.sweep(self.now)
         for link, way in list(self.ways.items()):
             if way.up and not way.open and self.now - way.used_at > self.IDLE_MS:
                 self.close(link)
-        if self.quiet and not self.callers.connections:
+        if self.quiet and not self.connections.by_id:
             self.exit(self.now, None)
         self.effects.append(Wake(self.TICK_MS))
 
-    def leave(self) -> None:
+    def on_shutdown_requested(self, _: events.ShutdownRequested) -> None:
         if self.leaving:
             return
         self.leaving = True
         stop = self.stop = self.now + max(0.0, self.stop_ms - self.STOP_MARGIN_MS)
-        self.callers.tell_all(self.now)
+        self.connections.notify_all(self.now)
         self.agenda.at(max(self.now, stop - self.UNHEARD_MS), self.close_door, None)
         self.agenda.at(stop - self.MARGIN_MS, self.give_all_up, None)
         self.agenda.at(stop, self.exit, None)
@@ -115,7 +158,7 @@
 
     def close_door(self, now: float, _: None) -> None:
         self.quiet = True
-        self.callers.tell_all(now)
+        self.connections.notify_all(now)
         self.effects.append(Close(LISTENER))
 
     def give_all_up(self, now: float, _: None) -> None:
@@ -127,19 +170,23 @@
             self.over = True
             self.give_all_up(now, None)
             self.effects += [] if self.quiet else [Close(LISTENER)]
-            for conn in list(self.callers.connections):
-                self.callers.end(conn)
-            self.show_counters()
+            for conn in list(self.connections.by_id):
+                self.connections.finish(conn)
+            self.log_counters()
             left = self.stop + self.STOP_MARGIN_MS - self.END_MS - self.now
             self.effects.append(Exit(max(self.END_MS, left)))
 
-    def show_counters(self) -> None:
+    def on_counters_requested(self, _: events.CountersRequested) -> None:
+        self.log_counters()
+
+    def log_counters(self) -> None:
         self.effects.append(
             Log(f"counters: open={len(self.trips)} epoch={self.cells.epoch} {self.counters.text()}")
         )
 
-    def remap(self, cells: CellMap, confirmed: float, text: str) -> None:
-        """The map of the file as it is now; what is on its way goes on as it began."""
+    def on_map_read(self, event: MapRead) -> None:
+        """What is on its way goes on as it began."""
+        cells, confirmed, text = event
         self.counters.add("remaps" if cells is not self.cells else "confirms")
         self.cells, self.confirmed = cells, max(self.confirmed, confirmed)
         self.views.keep(node.name for cell in cells.cells.values() for node in cell.nodes)
@@ -148,39 +195,33 @@
 
     # Gateways
 
-    def opened(self, conn: int) -> None:
+    def on_connection_opened(self, event: events.ConnectionOpened) -> None:
         self.counters.add("connections")
-        self.callers.opened(self.now, conn, told=self.leaving)
+        self.connections.opened(self.now, event.connection_id, notify=self.leaving)
         if self.over:
-            self.callers.end(conn)
+            self.connections.finish(event.connection_id)
 
-    def alive(self, conn: int, message: int) -> None:
-        if conn in self.callers.connections:
-            self.callers.heard(self.now, conn, message)
-            self.effects.append(Write(conn, ("alive", message, None, not self.leaving)))
+    def on_health_check(self, event: events.HealthCheckReceived) -> None:
+        if event.connection_id in self.connections.by_id:
+            self.connections.received(self.now, event.connection_id, event.message_id)
+            reply = HealthReply(event.message_id, None, not self.leaving)
+            self.effects.append(Write(event.connection_id, reply))
 
-    def task(
-        self,
-        conn: int,
-        message: int,
-        ahead_ms: float,
-        stage: str,
-        fields: Mapping[str, str],
-        body: Any,
-    ) -> None:
-        if not self.received(conn, message):
+    def on_request(self, event: events.RequestReceived) -> None:
+        if not self.accept_message(event):
             return
-        unix = self.now + ahead_ms
+        unix = self.now + event.clock_offset_ms
+        fields = event.fields
         try:
-            held = self.tasks.read(conn, message, unix, stage, fields, body)
-        except BadTask as error:
-            self.malformed(conn, message, error)
+            held = self.decoder.decode(event, unix)
+        except InvalidRequestError as error:
+            self.answer_invalid(event, error)
             return
-        self.callers.taken(conn, message, held)
-        self.tasks.add(held)
+        self.connections.add_request(held)
+        self.requests.add(held)
         if self.over:
-            self.answer(held, "failed")  # it may have run on a node, which can't be asked any more
-            self.tasks.remove(held)
+            self.fail_request(held)  # it may have run on a node, which can't be asked any more
+            self.requests.remove(held)
             return
         tenant = fields.get("acct", "")
         begun = walk(
@@ -188,56 +229,66 @@
             self.confirmed,
             unix,
             tenant,
-            held.stage.effect,
-            held.token,
+            held.request_class.effect,
+            held.idempotency_key,
             self.choices(held, tenant),
         )
         if isinstance(begun, End):
             self.ended(held, begun)
             return
-        limit = self.now - max(0.0, unix - held.t0) + held.stage.limit_ms - self.MARGIN_MS
-        trip = self.trips[held.id] = Trip(held, fields, begun)
+        limit = (
+            self.now
+            - max(0.0, unix - held.stamped_at_ms)
+            + held.request_class.limit_ms
+            - self.MARGIN_MS
+        )
+        trip = self.trips[held.request_id] = Trip(held, fields, begun)
         self.agenda.at(limit, self.too_late, trip)
-        if not held.again:
+        if not held.is_retry:
             self.budget.first(tenant)
         self.onward(trip, begun.start())
 
-    def choices(self, held: Held, tenant: str) -> list[str]:
+    def choices(self, held: PendingRequest, tenant: str) -> list[str]:
         """The nodes of its tenant by preference; a task that must not run twice is no probe of a node that
         may be dead.
         """
-        if held.token:
+        if held.idempotency_key:
             return []
         nodes = [(node.name, node.weight) for node in self.cells.nodes(tenant)]
-        probes = held.stage.effect is Repeat.RESTARTABLE
+        probes = held.request_class.effect is Repeat.RESTARTABLE
         return [choice.node for choice in self.views.choose(self.now, nodes, probes)]
 
-    def let_go(self, held: Held) -> None:
+    def release(self, held: PendingRequest) -> None:
         """Nobody waits for it. The node is told, and an answer that comes all the same finds nobody."""
-        trip = self.trips.pop(held.id, None)
-        self.tasks.remove(held)
+        trip = self.trips.pop(held.request_id, None)
+        self.requests.remove(held)
         if trip is not None and trip.way is not None:
             way = trip.way
             if way.open.pop(trip.message, None) is not None and way.up:
-                self.effects.append(Write(way.link, ("cancel", trip.message)))
+                self.effects.append(Write(way.link, ForwardedCancel(trip.message)))
             if trip in way.waiting:
                 way.waiting.remove(trip)
             self.views.given_up(way.node)
             trip.way = None
 
-    def ended(self, held: Held, end: End, result: bytes = b"") -> None:
+    def ended(self, held: PendingRequest, end: End, result: bytes = b"") -> None:
         """The walk's end is the task's one answer."""
         self.counters.add(f"ends_{end.why}")
-        rest = {"served": (result,), "rejected": (end.after_ms, False)}.get(end.kind, ())
-        self.answer(held, end.kind, *rest)
-        self.trips.pop(held.id, None)
-        self.tasks.remove(held)
+        match end.kind:
+            case "served":
+                self.serve_request(held, result)
+            case "rejected":
+                self.reject_request(held, end.after_ms, False)
+            case _:
+                self.fail_request(held)
+        self.trips.pop(held.request_id, None)
+        self.requests.remove(held)
 
     def too_late(self, now: float, trip: Trip) -> None:
         if not trip.held.answered:
             self.counters.add("too_late")
-            self.answer(trip.held, "failed")
-            self.let_go(trip.held)
+            self.fail_request(trip.held)
+            self.release(trip.held)
 
     # Nodes
 
@@ -290,10 +341,14 @@
         way.open[way.message] = trip
         held = trip.held
         self.effects.append(
-            Write(way.link, ("task", way.message, held.stage_name, trip.fields, held.body))
+            Write(
+                way.link,
+                ForwardedRequest(way.message, held.class_name, trip.fields, held.body),
+            )
         )
 
-    def linked(self, link: str) -> None:
+    def on_connection_up(self, event: events.ConnectionUp) -> None:
+        link = event.connection
         way = self.ways.get(link)
         if way is None:
             self.effects.append(Close(link))
@@ -303,11 +358,12 @@
         for trip in waiting:
             self.write(way, trip)
 
-    def unlinked(self, link: str, fault: Fault) -> None:
+    def on_connection_down(self, event: events.ConnectionDown) -> None:
+        link, fault = event
         way = self.ways.get(link)
         if way is None:
             return
-        self.met(
+        self.count_problem(
             f"links_lost_{fault.reach.name.lower()}",
             f"{link}: {fault.text}" if way.open or way.waiting else "",
         )
@@ -330,17 +386,17 @@
         self.budget.spend(tenant)
         return True
 
-    def drains(self, link: str) -> None:
-        """The node wants nothing more on this connection: it leaves, or has enough of idle ones."""
+    def on_node_draining(self, event: NodeDraining) -> None:
+        """The node leaves, or has enough of idle connections."""
+        link = event.connection
         way = self.ways.get(link)
         if way is not None:
             way.draining = True
             if not way.open:
                 self.close(link)
 
-    def returned(
-        self, link: str, message: int, kind: str, body: bytes, fields: Mapping[str, str]
-    ) -> None:
+    def on_node_answered(self, event: NodeAnswered) -> None:
+        link, message, kind, body, fields = event
         way = self.ways.get(link)
         trip = way.open.pop(message, None) if way is not None else None
         if way is None or trip is None:
@@ -388,27 +444,24 @@
     return found if found is not None and 0.0 <= found < 1e9 else None
 
 
-Router.inputs = {
-    name: getattr(Router, name)
-    for name in (
-        "start",
-        "time",
-        "leave",
-        "show_counters",
-        "remap",
-        "met",
-        "opened",
-        "eof",
-        "reset",
-        "condemn",
-        "read_out",
-        "scarce",
-        "alive",
-        "task",
-        "cancel",
-        "linked",
-        "unlinked",
-        "drains",
-        "returned",
-    )
+Router.handlers = {
+    events.Started: Router.on_started,
+    events.TimerFired: Router.on_timer,
+    events.ShutdownRequested: Router.on_shutdown_requested,
+    events.CountersRequested: Router.on_counters_requested,
+    MapRead: Router.on_map_read,
+    events.ProblemFound: Router.on_problem,
+    events.ConnectionOpened: Router.on_connection_opened,
+    events.ConnectionEnded: Router.on_connection_ended,
+    events.ConnectionReset: Router.on_connection_reset,
+    events.ProtocolViolated: Router.violate_protocol,
+    events.ReadingFinished: Router.on_reading_finished,
+    events.DescriptorsExhausted: Router.on_descriptors_exhausted,
+    events.HealthCheckReceived: Router.on_health_check,
+    events.RequestReceived: Router.on_request,
+    events.RequestCancelled: Router.on_cancel,
+    events.ConnectionUp: Router.on_connection_up,
+    events.ConnectionDown: Router.on_connection_down,
+    NodeDraining: Router.on_node_draining,
+    NodeAnswered: Router.on_node_answered,
 }
--- a/pumicenotch/route/nodes.py
+++ b/pumicenotch/route/nodes.py
@@ -8,9 +8,17 @@
 import msgpack
 from anyio.abc import TaskGroup
 
-from pumicenotch.net.dial import Links, Put
+from pumicenotch.net.dialer import Deliver, DialedProtocol, Dialer
 from pumicenotch.net.hub import Hub
-from pumicenotch.net.link import Frame
+from pumicenotch.net.outbox import Encoders
+from pumicenotch.route.decide import (
+    ForwardedCancel,
+    ForwardedRequest,
+    NodeAnswered,
+    NodeDraining,
+    Router,
+)
+from pumicenotch.server.events import ProblemFound
 
 FRAME_MOST = 16 * 1024  # a result has 4 KiB at the most
 UNREAD = (
@@ -18,15 +26,17 @@
 )  # that a node may leave unread of 32 tasks of 2 KiB and their fields, with some to spare
 
 pack: Callable[[Any], bytes] = msgpack.Packer(autoreset=True).pack
-FRAMES: dict[str, Frame] = {
-    "task": lambda message, stage, fields, body: pack([0, message, stage, [fields, body]]),
-    "cancel": lambda message: pack([2, "cancelRequest", [message]]),
+ENCODERS: Encoders = {
+    ForwardedRequest: lambda message: pack(
+        [0, message.message_id, message.class_name, [message.fields, message.body]]
+    ),
+    ForwardedCancel: lambda message: pack([2, "cancelRequest", [message.message_id]]),
 }
 
 
 class Reader:
-    def __init__(self, put: Put, link: str) -> None:
-        self.put, self.link = put, link
+    def __init__(self, deliver: Deliver, link: str) -> None:
+        self.deliver, self.link = deliver, link
         self.unpacker = msgpack.Unpacker(
             max_buffer_size=8 * FRAME_MOST,
             max_str_len=FRAME_MOST,
@@ -48,18 +58,21 @@
     def frame(self, frame: Any) -> None:
         match frame:
             case [1, int(message), None, [bytes(body), dict(fields)]]:
-                self.put("returned", self.link, message, "served", body, strings(fields))
+                self.returned(message, "served", body, fields)
             case [1, int(message), ["TryLater", dict(fields)], None]:
-                self.put("returned", self.link, message, "rejected", b"", strings(fields))
+                self.returned(message, "rejected", b"", fields)
             case [1, int(message), [str(), dict(fields)], None]:
-                self.put("returned", self.link, message, "failed", b"", strings(fields))
+                self.returned(message, "failed", b"", fields)
             case [2, "draining", [*_]]:
-                self.put("drains", self.link)
+                self.deliver(NodeDraining(self.link))
             case [2, str(), [*_]]:
-                self.put("met", "notifications_skipped")
+                self.deliver(ProblemFound("notifications_skipped"))
             case _:
                 raise ValueError("no answer of MessagePack-RPC")
 
+    def returned(self, message: int, kind: str, body: bytes, fields: dict[Any, Any]) -> None:
+        self.deliver(NodeAnswered(self.link, message, kind, body, strings(fields)))
+
 
 def strings(fields: dict[Any, Any]) -> dict[str, str]:
     return {
@@ -75,7 +88,7 @@
     """
 
     def __init__(
-        self, hub: Hub, group: TaskGroup, address: Callable[[str], tuple[str, int]]
+        self, hub: Hub[Router], group: TaskGroup, address: Callable[[str], tuple[str, int]]
     ) -> None:
         self.hub, self.group, self.address = hub, group, address
 
@@ -85,4 +98,5 @@
             address = self.address(node)
         except (LookupError, ValueError):
             address = ("127.0.0.1", 0)  # refused, as a node that is not there
-        Links(self.hub, self.group, address, FRAMES, Reader, UNREAD).dial(link, after_ms)
+        protocol = DialedProtocol(ENCODERS, Reader, UNREAD)
+        Dialer(self.hub, self.group, address, protocol).dial(link, after_ms)
--- /dev/null
+++ b/pumicenotch/server/backend_side.py
@@ -0,0 +1,173 @@
+"""What every event of the worker pool, the database and the registry does."""
+
+from collections.abc import Callable
+from typing import NamedTuple
+
+from pumicenotch.control import Agenda, Control
+from pumicenotch.interface import Outcome
+from pumicenotch.server import database_client, events, worker_pool_client
+from pumicenotch.server.backoff import Backoff
+from pumicenotch.server.database_client import DatabaseClient
+from pumicenotch.server.gateway_side import GatewaySide
+from pumicenotch.server.messages import SupplyReply
+from pumicenotch.server.pending_request import PendingRequest
+from pumicenotch.server.registry_reporter import RegistryReporter
+from pumicenotch.server.result_cache import ResultCache
+from pumicenotch.server.worker_pool_client import WorkerPoolClient
+
+RUN_COUNTERS: dict[Outcome | None, str] = {
+    Outcome.OK: "runs_fine",
+    Outcome.ERROR: "runs_fault",
+    Outcome.CANCELLED: "runs_broken_off",
+    Outcome.MOOT: "runs_late",
+    None: "runs_other",
+}
+
+
+class BackendLimits(NamedTuple):
+    """What the connections and results behind a server may take."""
+
+    max_connections: int  # of gateways
+    max_idle_connections: int
+    max_calls: int  # connections to the database
+    max_result_bytes: int
+
+
+class BackendSide(GatewaySide):
+    """Runs requests on the worker pool, makes their dependency calls, and keeps their results.
+
+    Args:
+        limits: What connections and results may take.
+        random_uniform: Draws the jitter of all delays after failures.
+    """
+
+    def __init__(
+        self, limits: BackendLimits, random_uniform: Callable[[float, float], float]
+    ) -> None:
+        super().__init__(limits.max_idle_connections, limits.max_connections)
+        self.controller: Control | None = None  # made when the pool is first bound
+        self.results = ResultCache(limits.max_result_bytes)
+        self.worker_pool = WorkerPoolClient(self.effects, Backoff(random_uniform))
+        self.database = DatabaseClient(self.effects, Backoff(random_uniform), limits.max_calls)
+        self.reporter = RegistryReporter(self.effects, random_uniform)
+        self.timers = Agenda()
+        self.gauges: tuple[float, ...] = ()
+
+    def on_report_finished(self, event: events.ReportFinished) -> None:
+        """Schedules the next report to the registry."""
+        self.reporter.on_finished(self.now, event.failure)
+        if event.failure is None:
+            self.counters.add("reports")
+        else:
+            self.count_problem("reports_failed", f"registry: {event.failure.text}")
+
+    def on_connection_up(self, event: events.ConnectionUp) -> None:
+        """Uses a connection to the pool or the database."""
+        if event.connection == worker_pool_client.CONNECTION:
+            self.counters.add(f"links_{event.connection}")
+            self.worker_pool.on_connection_up(self.now)
+        else:
+            self.counters.add(f"links_{database_client.PARTY}")
+            self.database.on_connection_up(self.now, event.connection)
+
+    def on_connection_down(self, event: events.ConnectionDown) -> None:
+        """Replaces a connection to the pool, or ends the call on one to the database."""
+        name = event.connection
+        reach = event.failure.reach.name.lower()
+        text = f"{name}: {event.failure.text}"
+        if name == worker_pool_client.CONNECTION:
+            self.count_problem(f"links_lost_{name}_{reach}", text)
+            self.worker_pool.on_connection_down()
+            return
+        ended = self.database.on_connection_down(self.now, name)
+        counter = f"links_lost_{database_client.PARTY}_{reach}"
+        self.count_problem(counter, text if ended is not None else "")
+        if ended is not None:
+            self.finish_call(ended.request, ended.outcome)
+
+    # The worker pool
+
+    def on_gauges_reported(self, event: events.GaugesReported) -> None:
+        """Ticks the controller with fresh gauges."""
+        if self.worker_pool.on_polled(event.cookie):
+            self.gauges = event.gauges
+            if self.controller is not None:
+                self.controller.tick(self.now, event.gauges)
+
+    def on_run_blocked(self, event: events.RunBlocked) -> None:
+        """Has the controller decide on the dependency call of a run."""
+        request = self._noticed_request(event.serial, event.name)
+        if request is None or self.controller is None:
+            self.counters.add("notices_stale")
+            return
+        request.last_notice_serial = event.serial
+        request.dependency_body = event.body
+        self.controller.at_call(self.now, request.request_id)
+
+    def on_run_finished(self, event: events.RunFinished) -> None:
+        """Answers the request whose run has ended."""
+        request = self._noticed_request(event.serial, event.name)
+        if request is None:
+            self.counters.add("notices_stale")
+            return
+        request.last_notice_serial = event.serial
+        self.counters.add(RUN_COUNTERS[event.outcome])
+        self.finish_run(request, event.outcome or Outcome.ERROR, event.result)
+
+    def _noticed_request(self, serial: int, name: str) -> PendingRequest | None:
+        return self.requests.by_name.get(name) if self.worker_pool.accept_notice(serial) else None
+
+    def on_notice_skipped(self, event: events.NoticeSkipped) -> None:
+        """Counts the serial of a notice that says nothing."""
+        self.worker_pool.accept_notice(event.serial)
+
+    def on_command_unknown(self, event: events.CommandUnknown) -> None:
+        """Ends a run that the pool never began.
+
+        It would keep its slot for good, and its idempotency key from the requests that share it.
+        """
+        self.count_problem("unknown", f"pool does not know {event.command} of {event.name}")
+        request = self.requests.by_name.get(event.name)
+        if request is not None and request.started and event.starts_run:
+            self.finish_run(request, Outcome.MOOT, b"")
+            self.results.drop(request.request_id, never_ran=True)
+
+    def finish_run(self, request: PendingRequest, outcome: Outcome, result: bytes) -> None:
+        """Answers a request whose run is over, and all retries that wait for it."""
+        self.database.abandon(request)
+        request.last_notice_serial = -1  # no command about it is sent again on a new connection
+        if outcome is Outcome.OK:
+            self.serve_request(request, result)
+        else:
+            self.fail_request(request)
+        self.requests.remove(request)
+        for retry in self.results.on_finished(request, outcome, result):
+            self.replay_result(retry, outcome, result)
+        if self.controller is not None:
+            self.controller.ended(self.now, request.request_id, outcome)
+
+    def replay_result(self, request: PendingRequest, outcome: Outcome, result: bytes) -> None:
+        """Answers a retry with the outcome of its first attempt, after the event under way."""
+        if not request.answered:
+            self.counters.add("reused")
+            self.deferred.append(lambda: self.finish_run(request, outcome, result))
+
+    # The database
+
+    def on_dependency_reply(self, event: events.DependencyReplied) -> None:
+        """Hands a reply to the run that waits for it."""
+        request = self.database.on_reply(self.now, event.connection, event.name)
+        if request is None:
+            self.counters.add("replies_stale")
+            return
+        if event.outcome is Outcome.OK:
+            self.worker_pool.send(request, SupplyReply(request.name, event.reply))
+        self.finish_call(request, event.outcome)
+
+    def finish_call(self, request: PendingRequest, outcome: Outcome) -> None:
+        """Tells the controller how a dependency call has ended."""
+        self.counters.add(f"calls_{outcome.name.lower()}")
+        if self.request_counters is not None:
+            self.request_counters.on_call_finished(self.now, request, outcome)
+        if self.controller is not None:
+            self.controller.call_ended(self.now, request.request_id, outcome)
--- a/pumicenotch/server/backoff.py
+++ b/pumicenotch/server/backoff.py
@@ -1,27 +1,35 @@
-"""The pause before an attempt is made again."""
+"""The pause before a failed attempt is made again."""
 
 from collections.abc import Callable
 
+INITIAL_DELAY_MS = 20.0  # a restarted peer is found at once
+MAX_DELAY_MS = 1000.0  # a peer that is long gone costs one dial a second
+MAX_DOUBLINGS = 16
+
 
 class Backoff:
-    """Time before the next dial: doubling from the first to the longest, half of it by chance."""
+    """Exponential backoff, of which half is jitter.
 
-    FIRST_MS, LONGEST_MS = (
-        20.0,
-        1000.0,
-    )  # a restart shows at once, and a link long gone costs a dial a second
+    Args:
+        random_uniform: Draws a number between its two arguments.
+    """
 
-    def __init__(self, chance: Callable[[float, float], float]) -> None:
-        self.chance, self.failures = chance, 0
+    def __init__(self, random_uniform: Callable[[float, float], float]) -> None:
+        self.random_uniform = random_uniform
+        self.failures = 0
 
-    def failed(self) -> None:
+    def record_failure(self) -> None:
+        """Lengthens the next delay."""
         self.failures += 1
 
-    def wait(self) -> float:
-        if not self.failures:
-            return 0.0
-        longest = min(self.LONGEST_MS, self.FIRST_MS * 2.0 ** min(self.failures - 1, 16))
-        return longest * self.chance(0.5, 1.0)
-
     def reset(self) -> None:
+        """Forgets all failures: the next attempt is made without delay."""
         self.failures = 0
+
+    def next_delay_ms(self) -> float:
+        """Returns the time to wait before the next attempt: 0 if none has failed."""
+        if not self.failures:
+            return 0.0
+        doublings = min(self.failures - 1, MAX_DOUBLINGS)
+        delay_ms = min(MAX_DELAY_MS, INITIAL_DELAY_MS * 2.0**doublings)
+        return delay_ms * self.random_uniform(0.5, 1.0)
--- /dev/null
+++ b/pumicenotch/server/controller_actions.py
@@ -0,0 +1,142 @@
+"""Carries out what the controller decides."""
+
+from typing import TYPE_CHECKING, NamedTuple
+
+from pumicenotch.interface import Outcome
+from pumicenotch.server.database_client import Call
+from pumicenotch.server.effects import Log
+from pumicenotch.server.messages import ResumeRun, SkipDependency, StartRun, SuspendRun
+from pumicenotch.server.pending_request import PendingRequest
+
+if TYPE_CHECKING:
+    from pumicenotch.server.core import Server
+
+
+class ResultExpiry(NamedTuple):
+    """When a cached result is looked at again while its run goes on."""
+
+    owner_id: int
+    retry_ms: float
+
+
+class ControllerActions:
+    """The actions of one server's controller, as `interface.Actions` has them.
+
+    Args:
+        server: What they act on.
+    """
+
+    def __init__(self, server: "Server") -> None:
+        self.server = server
+
+    def run(self, task: int) -> None:
+        """Starts a request's run, or resumes it where it was suspended."""
+        server = self.server
+        request = server.requests.by_id[task]
+        server.counters.add("runs")
+        if request.suspended:
+            request.suspended = False
+            server.worker_pool.send(request, ResumeRun(request.name))
+            return
+        request.started = True
+        server.results.on_started(request)
+        command = StartRun(request.name, request.class_name, request.body)
+        server.worker_pool.send(request, command)
+
+    def reject(self, task: int, last: bool, stay_away_ms: float) -> None:
+        """Rejects a request that has not run."""
+        request = self.server.requests.by_id[task]
+        self.server.reject_request(request, stay_away_ms, last)
+        self.server.requests.remove(request)
+
+    def abandon(self, task: int) -> None:
+        """Fails a request; a run that has started goes on without its dependency call."""
+        request = self.server.requests.by_id[task]
+        self.server.fail_request(request)
+        if request.started:
+            self.server.database.abandon(request)
+        else:
+            self.server.requests.remove(request)
+
+    def halt(self, task: int) -> None:
+        """Takes a run off its core."""
+        request = self.server.requests.by_id[task]
+        request.suspended = True
+        self.server.worker_pool.send(request, SuspendRun(request.name))
+
+    def call(self, task: int, give_up_ms: float) -> None:
+        """Makes the dependency call that the request's run waits for."""
+        server = self.server
+        request = server.requests.by_id[task]
+        if not server.settings.has_database:
+            server.deferred.append(lambda: server.finish_call(request, Outcome.UNREACHED))
+            return
+        server.counters.add("calls")
+        if server.request_counters is not None:
+            server.request_counters.on_call_started(server.now, request)
+        call = server.database.start(server.now, request, give_up_ms)
+        server.timers.at(server.now + give_up_ms, self._time_out_call, call)
+
+    def skip_call(self, task: int) -> None:
+        """Lets the request's run go on without its dependency."""
+        request = self.server.requests.by_id[task]
+        self.server.counters.add("calls_left_out")
+        command = SkipDependency(request.name, request.last_notice_serial)
+        self.server.worker_pool.send(request, command)
+
+    def keep(self, task: int, for_ms: float) -> None:
+        """Remembers the request under its idempotency key for that time."""
+        server = self.server
+        request = server.requests.by_id[task]
+        if request.idempotency_key:
+            server.results.add(request, server.now + for_ms)
+            expiry = ResultExpiry(request.request_id, request.request_class.limit_ms)
+            server.timers.at(server.now + for_ms + expiry.retry_ms, self._expire, expiry)
+
+    def forget(self, task: int) -> None:
+        """Forgets a request under its key that has not run; retries that wait for it fail."""
+        for retry in self.server.results.drop(task):
+            self._replay(retry, Outcome.ERROR, b"")
+
+    def reuse(self, task: int) -> None:
+        """Answers a retry from its first attempt, now or once that has finished."""
+        request = self.server.requests.by_id[task]
+        entry = self.server.results.replay(request)
+        if entry is None:
+            self._replay(request, Outcome.ERROR, b"")
+        elif entry.outcome is not None:
+            self._replay(request, entry.outcome, entry.result)
+
+    def health(self, good: bool, stored: bool) -> None:
+        """Sets the answer to health checks."""
+        self.server.healthy = good
+
+    def say(self, value: float) -> None:
+        """Sets the load hint that goes with every answer."""
+        self.server.load_hint = value
+
+    def close_idle(self, after_ms: float) -> None:
+        """Sets after which time gateways are asked to close an idle connection."""
+        self.server.connections.idle_timeout_ms = after_ms
+
+    def wake(self, after_ms: float) -> None:
+        """Schedules the next tick."""
+        self.server.lifecycle.schedule_tick(after_ms)
+
+    def log(self, text: str) -> None:
+        """Writes a line to the log."""
+        self.server.effects.append(Log(text))
+
+    def _replay(self, request: PendingRequest, outcome: Outcome, result: bytes) -> None:
+        self.server.replay_result(request, outcome, result)
+
+    def _time_out_call(self, now: float, call: Call) -> None:
+        database = self.server.database
+        if database.is_current(call):
+            written = database.abandon(call.request)
+            outcome = Outcome.TIMEOUT if written else Outcome.UNREACHED
+            self.server.finish_call(call.request, outcome)
+
+    def _expire(self, now: float, expiry: ResultExpiry) -> None:
+        if not self.server.results.expire(expiry.owner_id):
+            self.server.timers.at(now + expiry.retry_ms, self._expire, expiry)
--- a/pumicenotch/server/core.py
+++ b/pumicenotch/server/core.py
@@ -1,556 +1,304 @@
-"""The reducer: every input enters by `step`, which changes state and returns the effects asked for. It holds
-one control and decides nothing; what the control asks for comes back through the methods of its Actions.
+"""The reducer: every event enters by `step`, which changes state and returns effects.
+
+It holds one controller and decides nothing; the controller's decisions are carried out by
+`ControllerActions`, the program's own life by `Lifecycle`.
 """
 
 import random
-from collections.abc import Callable, Mapping
-from typing import TYPE_CHECKING, Any
+from collections.abc import Callable
+from typing import TYPE_CHECKING
 
-from pumicenotch.control import Agenda, Control
+from pumicenotch.control import Control
 from pumicenotch.interface import Outcome, Pools
-from pumicenotch.server import runs
-from pumicenotch.server.backoff import Backoff
-from pumicenotch.server.calls import ENDS, PARTY, Call, Calls
-from pumicenotch.server.effects import Close, Dial, Exit, Fault, Log, Move, Wake, Write
-from pumicenotch.server.front import Front
-from pumicenotch.server.kept import Kept
-from pumicenotch.server.runs import Runs
-from pumicenotch.server.tasks import BadTask, Held, Tasks
+from pumicenotch.server import database_client, events, registry_reporter, worker_pool_client
+from pumicenotch.server.backend_side import BackendLimits, BackendSide
+from pumicenotch.server.cell_admission import CellAdmission
+from pumicenotch.server.controller_actions import ControllerActions
+from pumicenotch.server.effects import ChangeAddress, Log, Write
+from pumicenotch.server.lifecycle import Lifecycle
+from pumicenotch.server.messages import HealthReply
+from pumicenotch.server.pending_request import PendingRequest
+from pumicenotch.server.request_decoder import InvalidRequestError, RequestDecoder
+from pumicenotch.server.settings import ServerSettings
 
 if TYPE_CHECKING:  # nothing of cells is loaded where there are none
     from pumicenotch.cells.fence import Fence
-    from pumicenotch.cells.map import CellMap
-
-REGISTRY = "registry"
-LISTENER = "listener"
-RUN_ENDS = {
-    "fine": Outcome.OK,
-    "fault": Outcome.ERROR,
-    "broken_off": Outcome.CANCELLED,
-    "late": Outcome.MOOT,
-}
 
-
-class Server(Front):
-    REPORT_MS = (
-        1000.0  # a third of the time after which the registry takes a silent server off its list
-    )
-    HOUSE_MS = (
-        250.0  # between looks for idle connections: a quarter of the shortest time they may idle
+MakePools = Callable[[float], Pools]  # from the time at which they begin
+
+CACHE_MEMORY_FRACTION = 0.125  # for cached results: they never exhaust the memory
+CELL_RETRY_AFTER_MS = 200.0  # after a rejection by cells: some reads of a map by a router
+RESERVED_DESCRIPTORS = (
+    32  # for the pool, the registry, the listener, and dials and closes under way
+)
+MIN_GATEWAY_CONNECTIONS = 8
+DATABASE_DESCRIPTOR_FRACTION = 0.25  # gateways open up to half
+BYTES_PER_MB = 1024 * 1024
+
+
+def limits_of(settings: ServerSettings) -> BackendLimits:
+    """Divides descriptors and memory: half of the descriptors for gateways, some for calls."""
+    descriptors = settings.max_descriptors
+    max_calls = max(1, int(DATABASE_DESCRIPTOR_FRACTION * descriptors))
+    available = descriptors - max_calls - RESERVED_DESCRIPTORS
+    cache_mb = CACHE_MEMORY_FRACTION * settings.memory_mb
+    return BackendLimits(
+        max_connections=max(MIN_GATEWAY_CONNECTIONS, available),
+        max_idle_connections=descriptors // 2,
+        max_calls=max_calls,
+        max_result_bytes=int(cache_mb * BYTES_PER_MB),
     )
-    STOP_MARGIN_MS = (
-        100.0  # left of the notice when the last answers go out: a crowded core is late
-    )
-    END_MS = 40.0  # of that margin, for the process to end once the last answers are written
-    UNHEARD_MS = 300.0  # before the stop the door closes: enough for what crossed it to be answered
-    KEPT_PART = 0.125  # of the memory, for results that are kept: they never bring the program down
-    CELL_AGAIN_MS = 200.0  # to come back after a map was old: some reads of a map by a router
-    SPARE = 32  # descriptors left for the pool, the registry, the listener, dials and closes on their way
-    CALLS_PART = 0.25  # of the descriptors, for calls below: gateways open up to half
+
+
+class Server(BackendSide):
+    """One server between gateways, worker pool, database and registry.
+
+    Args:
+        settings: Its start values.
+        make_pools: Makes its class pools, where it has some.
+        controller_type: What makes its decisions.
+        fence: What it knows of cells, where there are some.
+        node: Its name in the cell map.
+    """
 
     def __init__(
         self,
+        settings: ServerSettings,
         *,
-        keywords: dict[str, Any],
-        stages: dict[str, int],
-        tenants: dict[str, int],
-        seed: int,
-        stop_ms: float,
-        below: bool,
-        memory_mb: float,
-        sockets: int,
-        pools: Callable[[float], Pools] | None = None,
-        decides: type[Control] = Control,
+        make_pools: MakePools | None = None,
+        controller_type: type[Control] = Control,
         fence: "Fence | None" = None,
         node: str = "",
     ) -> None:
-        links = max(1, int(self.CALLS_PART * sockets))
-        most = max(8, sockets - links - self.SPARE)
-        super().__init__(Tasks(keywords["stages"], stages, tenants), sockets // 2, most)
-        self.tasks.stamped = fence is not None
-        self.keywords, self.seed, self.stop_ms, self.below = keywords, seed, stop_ms, below
-        self.fence, self.node = fence, node  # where this node knows its cells
-        self.pools, self.decides = pools, decides  # pools are made anew from the time they start at
-        self.control: Control | None = (
-            None  # made when the pool is first bound: warmth counts from its start
+        super().__init__(limits_of(settings), random.Random(settings.seed).uniform)
+        self.settings = settings
+        self.make_pools = make_pools
+        self.controller_type = controller_type
+        self.actions = ControllerActions(self)
+        self.decoder = RequestDecoder(
+            settings.controller["stages"],
+            settings.class_indexes,
+            settings.tenant_indexes,
+            self.requests,
         )
-        chance = random.Random(seed).uniform
-        self.kept = Kept(int(self.KEPT_PART * memory_mb * 1024 * 1024))
-        self.runs = Runs(self.effects, Backoff(chance))
-        self.calls = Calls(self.effects, Backoff(chance), links)
-        self.reports = Backoff(chance)
-        self.agenda = Agenda()
-        self.rang_at = self.house_at = 0.0
-        self.tick_ms = self.HOUSE_MS
-        self.gauges: tuple[float, ...] = ()
-        self.good = self.leaving = self.over = False
-        self.report_at = 0.0
-        self.stop = self.quiet_from = float("inf")
-
-    # The program's own life
-
-    def start(self) -> None:
-        self.effects.append(Dial(runs.LINK, 0.0))
-        self.rang_at = self.house_at = self.now
-        self.house(self.now, None)
-        self.wake(0.0)
-
-    def time(self) -> None:
-        self.rang_at = self.now
-        self.agenda.run(self.now)
-        if self.control is not None and self.runs.hangs(self.now):
-            self.met("links_hung", "pool: no answer on a link that is up")
-            self.runs.renew()
-        if self.control is None:
-            self.wake(self.HOUSE_MS)
-        elif self.runs.up and self.runs.asked_at is None:
-            self.runs.poll(self.now)  # its answer brings the tick, with fresh gauges
-            self.wake(self.tick_ms)
-        else:
-            self.counters.add("ticks_without_gauges")
-            self.control.tick(self.now, self.gauges)
-
-    def house(self, now: float, _: None) -> None:
-        if now >= self.report_at:
-            self.report()
-        if (
-            now <= self.house_at + self.HOUSE_MS
-        ):  # after a stall the news of the idle ones is still unread
-            self.callers.close_idle(now)
-        self.house_at = now + self.HOUSE_MS
-        self.agenda.at(self.house_at, self.house, None)
-        self.calls.close_idle(now)
-        if now >= self.quiet_from and not self.callers.connections:
-            self.exit(now, None)  # what the listener still holds is answered after it
-
-    def leave(self) -> None:
-        """Asked to end: callers and the registry are told, then what is in hand is answered."""
-        if self.leaving:
-            return
-        self.leaving = True
-        self.stop = self.now + max(0.0, self.stop_ms - self.STOP_MARGIN_MS)
-        grace = self.now + self.keywords.get("drain_grace_ms", 0.0)
-        self.agenda.at(min(grace, self.stop - self.UNHEARD_MS), self.close_door, None)
-        self.report()
-        self.callers.tell_all(self.now)
-        if self.control is not None:
-            self.control.leave(self.now, self.stop)
-        self.agenda.at(self.stop, self.exit, None)
-
-    def close_door(self, now: float, _: None) -> None:
-        """What comes from now on is not run anyway, and a refused connection proves it to the caller."""
-        self.quiet_from = now + self.HOUSE_MS
-        self.callers.tell_all(now)
-        self.effects.append(Close(LISTENER))
-
-    def exit(self, now: float, _: None) -> None:
-        if self.over:
-            return
-        self.over = True
-        if self.control is not None:
-            self.control.tick(
-                self.now, self.gauges
-            )  # after a stall the last answers may still be owed
-        if self.quiet_from == float("inf"):
-            self.effects.append(Close(LISTENER))
-        for conn, connection in list(self.callers.connections.items()):
-            for held in list(connection.open.values()):  # none, but for a fault
-                self.answer(held, "failed")
-            if conn in self.callers.connections:
-                self.callers.end(conn)
-        self.show_counters()
-        left = self.stop + self.STOP_MARGIN_MS - self.END_MS - self.now
-        self.effects.append(Exit(max(self.END_MS, left)))
-
-    def show_counters(self) -> None:
-        self.counters.counts["results_dropped"] = self.kept.dropped
-        self.effects.append(Log(f"counters: open={self.tasks.open} {self.counters.text()}"))
-        counts = getattr(self.control.pools, "counts", None) if self.control is not None else None
-        if counts is not None:
-            told = " ".join(f"{name}={value}" for name, value in counts().items())
-            self.effects.append(Log(f"pools: {told}"))
-
-    def report(self) -> None:
-        self.report_at = self.now + self.REPORT_MS
-        self.effects.append(Write(REGISTRY, ("draining" if self.leaving else "ready",)))
-
-    def reported(self, fault: Fault | None) -> None:
-        if fault is None:
-            self.reports.reset()
-            self.counters.add("reports")
-        else:
-            self.reports.failed()
-            self.met("reports_failed", f"registry: {fault.text}")
-            self.report_at = self.now + self.reports.wait()
+        self.decoder.reads_map_epoch = fence is not None
+        self.cells = CellAdmission(fence, node) if fence is not None else None
+        drain_grace_ms = settings.controller.get("drain_grace_ms", 0.0)
+        self.lifecycle = Lifecycle(self, settings.shutdown_ms, drain_grace_ms)
+        self.healthy = False
+
+    # The program
+
+    def on_started(self, _: events.Started) -> None:
+        """Starts to connect."""
+        self.lifecycle.start()
 
-    def reload(self, addresses: Mapping[str, tuple[str, int]], unapplied: str) -> None:
-        """New addresses of the parties below. Runs and notice numbers carry on."""
+    def on_timer(self, _: events.TimerFired) -> None:
+        """Runs what is due."""
+        self.lifecycle.on_timer()
+
+    def on_shutdown_requested(self, _: events.ShutdownRequested) -> None:
+        """Starts a graceful shutdown."""
+        self.lifecycle.start_draining()
+
+    def on_counters_requested(self, _: events.CountersRequested) -> None:
+        """Logs the counters."""
+        self.lifecycle.log_counters()
+
+    def on_addresses_changed(self, event: events.AddressesChanged) -> None:
+        """Connects to new addresses; runs and serials of notices carry on."""
         self.counters.add("reloads")
-        self.effects.append(Log(f"reload: moved {sorted(addresses)}; not applied: {unapplied}"))
-        self.effects += [Move(party, address) for party, address in addresses.items()]
-        if runs.LINK in addresses:
-            self.runs.backoff.reset()
-            self.runs.renew()
-        if PARTY in addresses:
-            self.calls.moved(self.now)
-        if REGISTRY in addresses:
-            self.reports.reset()
-            self.report()
-
-    def repool(self, pools: Callable[[float], Pools] | None, text: str) -> None:
-        """Other pools, or none, take over all that waits and runs. Budgets and estimates begin anew."""
+        addresses = event.addresses
+        self.effects.append(
+            Log(f"reload: moved {sorted(addresses)}; not applied: {event.not_applied}")
+        )
+        self.effects += [ChangeAddress(party, address) for party, address in addresses.items()]
+        if worker_pool_client.CONNECTION in addresses:
+            self.worker_pool.backoff.reset()
+            self.worker_pool.reconnect()
+        if database_client.PARTY in addresses:
+            self.database.on_address_changed(self.now)
+        if registry_reporter.CONNECTION in addresses:
+            self.reporter.on_address_changed(self.now, self.lifecycle.draining)
+
+    def on_pools_replaced(self, event: events.PoolsReplaced) -> None:
+        """Has other pools, or none, take over all requests; budgets and estimates begin anew."""
         self.counters.add("repools")
-        self.effects.append(Log(f"reload: {text}"))
-        self.pools = pools
-        if self.control is not None:
-            self.control.pool(self.now, pools(self.now) if pools is not None else None)
-
-    def linked(self, link: str) -> None:
-        if link == runs.LINK:
-            self.counters.add(f"links_{link}")
-            self.runs.linked(self.now)
-        else:
-            self.counters.add(f"links_{PARTY}")
-            self.calls.linked(self.now, link)
-
-    def unlinked(self, link: str, fault: Fault) -> None:
-        reach = fault.reach.name.lower()
-        if link == runs.LINK:
-            self.met(f"links_lost_{link}_{reach}", f"{link}: {fault.text}")
-            self.runs.unlinked()
-            return
-        ended = self.calls.unlinked(self.now, link)
-        self.met(f"links_lost_{PARTY}_{reach}", f"{link}: {fault.text}" if ended else "")
-        if ended is not None:
-            self.call_ended(*ended)
+        self.effects.append(Log(f"reload: {event.text}"))
+        self.make_pools = event.make_pools
+        if self.controller is not None:
+            self.controller.pool(self.now, self._new_pools())
+
+    def on_cell_map_replaced(self, event: events.CellMapReplaced) -> None:
+        """Takes the newer cell map."""
+        self.counters.add("remaps")
+        self.effects.append(Log(f"reload: {event.text}"))
+        if self.cells is not None:
+            self.cells.fence.map(event.cells)
 
     # Gateways
 
-    def opened(self, conn: int) -> None:
-        self.counters.add("connections")
-        # One that comes in the grace is of use until the door closes. Told at once, its gateway would open
-        # another for each task, and a handshake costs the cores as much as some tasks.
-        self.callers.opened(self.now, conn, told=self.quiet_from < float("inf"))
-        if self.over:
-            self.callers.end(conn)
+    def on_connection_opened(self, event: events.ConnectionOpened) -> None:
+        """Takes in a connection.
 
-    def task(
-        self,
-        conn: int,
-        message: int,
-        ahead_ms: float,
-        stage: str,
-        fields: Mapping[str, str],
-        body: Any,
-    ) -> None:
-        """`ahead_ms`: what the Unix clock is ahead of `now`, read before it: a stall between the two readings
-        lets a task seem older than it is, never younger.
+        One that comes while draining is of use until the listener closes. Notified at once, its
+        gateway would open another for each request, and a handshake costs the cores as much as some
+        requests.
         """
-        if not self.received(conn, message):
+        self.counters.add("connections")
+        self.connections.opened(
+            self.now, event.connection_id, notify=self.lifecycle.listener_closed
+        )
+        if self.lifecycle.exited:
+            self.connections.finish(event.connection_id)
+
+    def on_request(self, event: events.RequestReceived) -> None:
+        """Checks a request, and has the controller decide on it."""
+        if not self.accept_message(event):
             return
-        unix = self.now + ahead_ms
+        unix_ms = self.now + event.clock_offset_ms
         try:
-            held = self.tasks.read(conn, message, unix, stage, fields, body)
-            waited = max(0.0, unix - held.t0)
-            same = self.kept.same(held, self.now - waited) if held.token else None
-        except BadTask as error:
-            self.malformed(conn, message, error)
+            request = self.decoder.decode(event, unix_ms)
+            waited_ms = max(0.0, unix_ms - request.stamped_at_ms)
+            original_id = None
+            if request.idempotency_key:
+                original_id = self.results.find_original(request, self.now - waited_ms)
+        except InvalidRequestError as error:
+            self.answer_invalid(event, error)
+            return
+        self.connections.add_request(request)
+        self.requests.add(request)
+        if self.request_counters is not None:
+            self.request_counters.on_received(self.now, request, waited_ms)
+        if self.cells is not None and self._rejected_by_cells(event, request, original_id):
             return
-        self.callers.taken(conn, message, held)
-        self.tasks.add(held)
-        if self.seen is not None:
-            self.seen.taken(self.now, held, waited)
-        if self.fence is not None and (cell := self.barred(held, unix, fields, same is not None)):
-            self.counters.add(f"cells_{cell}")
-            self.answer(held, "rejected", self.CELL_AGAIN_MS, False, cell)
-            self.tasks.remove(held)
-        elif self.over:
-            self.too_late(held, same)
-        elif (
-            self.control is None
-        ):  # none is to arrive before the pool is up, and nothing of it has run
-            self.reject(held.id, False, 0.0)
+        if self.lifecycle.exited:
+            self._answer_after_exit(request, original_id)
+        elif self.controller is None:
+            # None is to arrive before the pool is up, and nothing of it has run.
+            self.actions.reject(request.request_id, False, 0.0)
         else:
-            self.control.task(
-                self.now,
-                held.id,
-                held.stage_number,
-                held.tenant,
-                waited,
-                None,
-                held.work,
-                held.kb,
-                same,
-                held.peer,
-                held.again,
-                held.print() if self.pools is not None else 0,
-            )
-
-    def too_late(self, held: Held, same: int | None) -> None:
-        """Read after the last word: it cannot be run any more. What has run already is not rejected."""
-        entry = self.kept.reuse(held) if same is not None else None
+            self._admit(self.controller, request, waited_ms, original_id)
+
+    def _admit(
+        self,
+        controller: Control,
+        request: PendingRequest,
+        waited_ms: float,
+        original_id: int | None,
+    ) -> None:
+        controller.task(
+            self.now,
+            request.request_id,
+            request.class_index,
+            request.tenant_index,
+            waited_ms,
+            None,
+            request.estimated_work,
+            request.memory_kb,
+            original_id,
+            request.caller,
+            request.is_retry,
+            request.fingerprint() if self.make_pools is not None else 0,
+        )
+
+    def _rejected_by_cells(
+        self, event: events.RequestReceived, request: PendingRequest, original_id: int | None
+    ) -> bool:
+        assert self.cells is not None
+        unix_ms = self.now + event.clock_offset_ms
+        tenant = event.fields.get("acct", "")
+        reason = self.cells.rejection_reason(request, unix_ms, tenant, original_id is not None)
+        if not reason:
+            return False
+        self.counters.add(f"cells_{reason}")
+        self.reject_request(request, CELL_RETRY_AFTER_MS, False, reason)
+        self.requests.remove(request)
+        return True
+
+    def _answer_after_exit(self, request: PendingRequest, original_id: int | None) -> None:
+        """Answers a request that cannot run any more; one that has run already is not rejected."""
+        entry = self.results.replay(request) if original_id is not None else None
         if entry is None:
-            self.reject(held.id, False, 0.0)
+            self.actions.reject(request.request_id, False, 0.0)
         elif entry.outcome is Outcome.OK:
-            self.answer(held, "served", entry.result)
-            self.tasks.remove(held)
+            self.serve_request(request, entry.result)
+            self.requests.remove(request)
         else:
-            self.abandon(held.id)
+            self.actions.abandon(request.request_id)
 
-    def barred(self, held: Held, unix: float, fields: Mapping[str, str], known: bool) -> str:
-        """Why the task may not run on this node, by the cells that its tenant lives in; nothing if it may. A
-        caller that is no router brings no stamp: it goes by this node's own map. Read at another time than
-        it arrived, a task is judged as of now: what was sworn off in between stays so.
-        """
-        assert self.fence is not None
-        tenant, epoch = fields.get("acct", ""), held.epoch
-        if not held.token:
-            return "" if self.fence.admits(self.node, tenant, epoch) else "old"
-        if epoch is None:
-            if not known and not self.fence.admits(self.node, tenant, None):
-                return "old"
-            epoch = self.fence.newest(tenant)
-        return self.fence.word(unix, tenant, epoch, held.asks, known)
-
-    def remap(self, cells: "CellMap", text: str) -> None:
-        """A newer map stands in this node's file."""
-        self.counters.add("remaps")
-        self.effects.append(Log(f"reload: {text}"))
-        if self.fence is not None:
-            self.fence.map(cells)
+    def release(self, request: PendingRequest) -> None:
+        """Lets a run go on to its end, and forgets a request that has not started.
 
-    def let_go(self, held: Held) -> None:
-        """Nobody waits for it: what runs goes on to its end, the rest is over. The result of a fingerprinted
-        task is kept, and a further try is worth it only with its call.
+        The result of a request with an idempotency key is kept, and a retry needs it complete, with
+        its dependency call.
         """
-        if held.started:
-            if not held.token:
-                self.calls.give_up(held)
-        else:
-            self.tasks.remove(held)
-        if self.control is not None:
-            self.control.caller_gone(self.now, held.id)
-
-    def alive(self, conn: int, message: int) -> None:
+        if not request.started:
+            self.requests.remove(request)
+        elif not request.idempotency_key:
+            self.database.abandon(request)
+        if self.controller is not None:
+            self.controller.caller_gone(self.now, request.request_id)
+
+    def on_health_check(self, event: events.HealthCheckReceived) -> None:
+        """Answers a health check."""
         self.counters.add("checks")
-        connection = self.callers.connections.get(conn)
-        if connection is not None:
-            self.callers.heard(self.now, conn, message)
-            good = self.good and self.control is not None
-            self.effects.append(Write(conn, ("alive", message, self.hint, good)))
-
-    # The pool
-
-    def bound(self, how: str, for_ms: float) -> None:
-        if self.control is None:
-            # Kept entries lie in the program's own memory: counted in the settings', which is for runs, they
-            # would turn tasks away that have room. Some hundred bytes each, and no more than ran in a window.
-            keywords = self.keywords | {"cold": how == "starting", "entry_kb": 0.0}
-            pools = self.pools(self.now) if self.pools is not None else None
-            self.control = self.decides(
-                self, self.now - for_ms, seed=self.seed, pools=pools, **keywords
-            )
-            if self.leaving:
-                self.control.leave(self.now, self.stop)
-        self.runs.bound(self.now)
-
-    def polled(self, cookie: str, gauges: tuple[float, ...]) -> None:
-        if self.runs.answered(cookie):
-            self.gauges = gauges
-            if self.control is not None:
-                self.control.tick(self.now, gauges)
-
-    def blocked(self, serial: int, name: str, body: bytes) -> None:
-        held = self.tasks.by_name.get(name) if self.runs.fresh(serial) else None
-        if held is None or self.control is None:
-            self.counters.add("notices_stale")
-        else:
-            held.heard, held.asked = serial, body
-            self.control.at_call(self.now, held.id)
-
-    def finished(self, serial: int, name: str, how: str, result: bytes) -> None:
-        held = self.tasks.by_name.get(name) if self.runs.fresh(serial) else None
-        if held is None:
-            self.counters.add("notices_stale")
-        else:
-            held.heard = serial
-            self.counters.add(f"runs_{how if how in RUN_ENDS else 'other'}")
-            self.run_ended(held, RUN_ENDS.get(how, Outcome.ERROR), result)
-
-    def chatter(self, serial: int) -> None:
-        self.runs.fresh(serial)
-
-    def unknown(self, command: str, name: str) -> None:
-        """The pool did not carry a command out. A run that it never began is over: it would keep its place
-        for good, and its fingerprint from the tasks that it belongs to.
-        """
-        self.met("unknown", f"pool does not know {command} of {name}")
-        held = self.tasks.by_name.get(name)
-        if held is not None and held.started and command == "spawn":
-            self.run_ended(held, Outcome.MOOT, b"")
-            self.kept.forget(held.id, proven=True)
-
-    def run_ended(self, held: Held, outcome: Outcome, result: bytes) -> None:
-        self.calls.give_up(held)
-        held.heard = -1  # no command about it goes out again on a new link
-        if outcome is Outcome.OK:
-            self.answer(held, "served", result)
-        else:
-            self.answer(held, "failed")
-        self.tasks.remove(held)
-        for other in self.kept.ended(held, outcome, result):
-            self.reuse_ended(other, outcome, result)
-        if self.control is not None:
-            self.control.ended(self.now, held.id, outcome)
-
-    def reuse_ended(self, held: Held, outcome: Outcome, result: bytes) -> None:
-        if not held.answered:
-            self.counters.add("reused")
-            self.later.append(lambda: self.run_ended(held, outcome, result))
-
-    # Below
-
-    def replied(self, link: str, name: str, how: str, reply: bytes) -> None:
-        held = self.calls.replied(self.now, link, name)
-        if held is None:
-            self.counters.add("replies_stale")
-            return
-        outcome = ENDS.get(how, Outcome.ERROR)
-        if outcome is Outcome.OK:
-            self.runs.send(held, "supply", held.name, reply)
-        self.call_ended(held, outcome)
-
-    def call_ended(self, held: Held, outcome: Outcome) -> None:
-        self.counters.add(f"calls_{outcome.name.lower()}")
-        if self.seen is not None:
-            self.seen.call_ended(self.now, held, outcome)
-        if self.control is not None:
-            self.control.call_ended(self.now, held.id, outcome)
-
-    def call_due(self, now: float, call: Call) -> None:
-        if self.calls.in_hand(call):
-            written = self.calls.give_up(call.held)
-            self.call_ended(call.held, Outcome.TIMEOUT if written else Outcome.UNREACHED)
-
-    # What the control asks for
-
-    def run(self, task: int) -> None:
-        held = self.tasks.by_id[task]
-        self.counters.add("runs")
-        if held.halted:
-            held.halted = False
-            self.runs.send(held, "proceed", held.name)
-        else:
-            held.started = True
-            self.kept.run(held)
-            self.runs.send(held, "spawn", held.name, held.stage_name, held.body)
-
-    def reject(self, task: int, last: bool, stay_away_ms: float) -> None:
-        held = self.tasks.by_id[task]
-        self.answer(held, "rejected", stay_away_ms, last)
-        self.tasks.remove(held)
-
-    def abandon(self, task: int) -> None:
-        held = self.tasks.by_id[task]
-        self.answer(held, "failed")
-        if held.started:
-            self.calls.give_up(held)
-        else:
-            self.tasks.remove(held)
-
-    def halt(self, task: int) -> None:
-        held = self.tasks.by_id[task]
-        held.halted = True
-        self.runs.send(held, "suspend", held.name)
-
-    def call(self, task: int, give_up_ms: float) -> None:
-        held = self.tasks.by_id[task]
-        if not self.below:
-            self.later.append(lambda: self.call_ended(held, Outcome.UNREACHED))
-            return
-        self.counters.add("calls")
-        if self.seen is not None:
-            self.seen.called(self.now, held)
-        self.agenda.at(
-            self.now + give_up_ms, self.call_due, self.calls.start(self.now, held, give_up_ms)
+        if event.connection_id in self.connections.by_id:
+            self.connections.received(self.now, event.connection_id, event.message_id)
+            healthy = self.healthy and self.controller is not None
+            reply = HealthReply(event.message_id, self.load_hint, healthy)
+            self.effects.append(Write(event.connection_id, reply))
+
+    def on_pool_bound(self, event: events.PoolBound) -> None:
+        """Makes the controller when the pool is bound for the first time."""
+        if self.controller is None:
+            self.controller = self._new_controller(event)
+            if self.lifecycle.draining:
+                self.controller.leave(self.now, self.lifecycle.stop_at)
+        self.worker_pool.on_bound(self.now)
+
+    def _new_controller(self, event: events.PoolBound) -> Control:
+        # Cached results are in the program's own memory. Counted in the settings' memory, which is
+        # for runs, they would have requests rejected for which there is room.
+        keywords = self.settings.controller | {"cold": event.starting, "entry_kb": 0.0}
+        return self.controller_type(
+            self.actions,
+            self.now - event.uptime_ms,
+            seed=self.settings.seed,
+            pools=self._new_pools(),
+            **keywords,
         )
 
-    def skip_call(self, task: int) -> None:
-        held = self.tasks.by_id[task]
-        self.counters.add("calls_left_out")
-        self.runs.send(held, "pass", held.name, held.heard)
-
-    def keep(self, task: int, for_ms: float) -> None:
-        held = self.tasks.by_id[task]
-        if held.token:
-            self.kept.keep(held, self.now + for_ms)
-            after_ms = held.stage.limit_ms
-            self.agenda.at(self.now + for_ms + after_ms, self.expire, (held.id, after_ms))
-
-    def expire(self, now: float, what: tuple[int, float]) -> None:
-        owner, after_ms = what
-        if not self.kept.expire(owner):
-            self.agenda.at(now + after_ms, self.expire, what)
-
-    def forget(self, task: int) -> None:
-        for other in self.kept.forget(task):
-            self.reuse_ended(other, Outcome.ERROR, b"")
-
-    def reuse(self, task: int) -> None:
-        held = self.tasks.by_id[task]
-        entry = self.kept.reuse(held)
-        if entry is None:
-            self.reuse_ended(held, Outcome.ERROR, b"")
-        elif entry.outcome is not None:
-            self.reuse_ended(held, entry.outcome, entry.result)
-
-    def health(self, good: bool, stored: bool) -> None:
-        self.good = good
-
-    def say(self, value: float) -> None:
-        self.hint = value
-
-    def close_idle(self, after_ms: float) -> None:
-        self.callers.idle_ms = after_ms
-
-    def wake(self, after_ms: float) -> None:
-        """From when the timer last rang, not from when the pool had answered with its gauges."""
-        self.tick_ms = after_ms
-        self.effects.append(Wake(max(0.0, self.rang_at + after_ms - self.now)))
-
-    def log(self, text: str) -> None:
-        self.effects.append(Log(text))
-
-
-Server.inputs = {
-    name: getattr(Server, name)
-    for name in (
-        "start",
-        "time",
-        "leave",
-        "show_counters",
-        "reported",
-        "linked",
-        "unlinked",
-        "opened",
-        "eof",
-        "reset",
-        "condemn",
-        "read_out",
-        "scarce",
-        "reload",
-        "repool",
-        "remap",
-        "task",
-        "cancel",
-        "alive",
-        "met",
-        "bound",
-        "polled",
-        "blocked",
-        "finished",
-        "chatter",
-        "unknown",
-        "replied",
-    )
+    def _new_pools(self) -> Pools | None:
+        return self.make_pools(self.now) if self.make_pools is not None else None
+
+
+Server.handlers = {
+    events.Started: Server.on_started,
+    events.TimerFired: Server.on_timer,
+    events.ShutdownRequested: Server.on_shutdown_requested,
+    events.CountersRequested: Server.on_counters_requested,
+    events.ProblemFound: Server.on_problem,
+    events.DescriptorsExhausted: Server.on_descriptors_exhausted,
+    events.AddressesChanged: Server.on_addresses_changed,
+    events.PoolsReplaced: Server.on_pools_replaced,
+    events.CellMapReplaced: Server.on_cell_map_replaced,
+    events.ReportFinished: Server.on_report_finished,
+    events.ConnectionUp: Server.on_connection_up,
+    events.ConnectionDown: Server.on_connection_down,
+    events.ConnectionOpened: Server.on_connection_opened,
+    events.ConnectionEnded: Server.on_connection_ended,
+    events.ConnectionReset: Server.on_connection_reset,
+    events.ProtocolViolated: Server.violate_protocol,
+    events.ReadingFinished: Server.on_reading_finished,
+    events.RequestReceived: Server.on_request,
+    events.RequestCancelled: Server.on_cancel,
+    events.HealthCheckReceived: Server.on_health_check,
+    events.PoolBound: Server.on_pool_bound,
+    events.GaugesReported: Server.on_gauges_reported,
+    events.RunBlocked: Server.on_run_blocked,
+    events.RunFinished: Server.on_run_finished,
+    events.NoticeSkipped: Server.on_notice_skipped,
+    events.CommandUnknown: Server.on_command_unknown,
+    events.DependencyReplied: Server.on_dependency_reply,
 }
--- a/pumicenotch/server/effects.py
+++ b/pumicenotch/server/effects.py
@@ -1,64 +1,62 @@
-"""What the core asks of the sockets round it, and how an attempt that failed is told to it."""
+"""What the core asks of the sockets around it."""
 
-from enum import Enum, auto
-from typing import Any, NamedTuple
+from typing import NamedTuple
 
-Link = int | str  # a gateway's connection by its number, any other by its name
+ConnectionKey = int | str  # a gateway's connection by its number, any other by its name
 
 
 class Write(NamedTuple):
-    link: Link
-    message: tuple[Any, ...]  # the kind, then the fields that its frame takes
+    """Sends one of `server.messages`, or of the router's own, if that connection is there."""
 
+    connection: ConnectionKey
+    message: object
 
-class ReadOut(NamedTuple):
-    """The input `read_out` is to follow as soon as all that has come on this connection is read: closed
-    before, it would cut a task that is there.
+
+class FinishReading(NamedTuple):
+    """Asks for a `ReadingFinished` once everything received on the connection has been delivered.
+
+    A connection that is closed earlier would lose a request that has already arrived.
     """
 
-    link: int
+    connection: int
 
 
 class Close(NamedTuple):
-    link: Link
+    """Closes a connection, a dial on its way, or the listener; what is written already is sent."""
+
+    connection: ConnectionKey
 
 
-class Move(NamedTuple):
-    """What is dialled or reported to from now on goes to this address."""
+class ChangeAddress(NamedTuple):
+    """From now on this party is dialled, or reported to, at another address."""
 
     party: str
     address: tuple[str, int]
 
 
 class Dial(NamedTuple):
-    link: str
-    after_ms: float
+    """Opens a connection after a delay; the answer is `ConnectionUp` or `ConnectionDown`."""
+
+    connection: str
+    delay_ms: float
 
 
 class Wake(NamedTuple):
-    after_ms: float
+    """Sets the one timer: `TimerFired` follows after this time."""
+
+    delay_ms: float
 
 
 class Log(NamedTuple):
+    """Writes a line to the log."""
+
     text: str
 
 
 class Exit(NamedTuple):
-    """The core has said its last word; so much time is left for it to be written."""
+    """The core has written its last message; this much time is left to send it."""
 
-    left_ms: float
+    remaining_ms: float
 
 
-Effect = Write | ReadOut | Close | Move | Dial | Wake | Log | Exit
-
-
-class Reach(Enum):
-    """How far an attempt had come when it failed."""
-
-    REFUSED = auto()  # no connection was made: nothing of it has arrived
-    BROKEN = auto()  # anything written may have arrived
-
-
-class Fault(NamedTuple):
-    reach: Reach
-    text: str
+Effect = Write | FinishReading | Close | ChangeAddress | Dial | Wake | Log | Exit
--- /dev/null
+++ b/pumicenotch/server/lifecycle.py
@@ -0,0 +1,143 @@
+"""The server's own life: its timer, periodic sweeps, draining and exit."""
+
+from typing import TYPE_CHECKING
+
+from pumicenotch.server import worker_pool_client
+from pumicenotch.server.effects import Close, Dial, Exit, Log, Wake
+
+if TYPE_CHECKING:
+    from pumicenotch.server.core import Server
+
+LISTENER = "listener"
+SWEEP_INTERVAL_MS = 250.0  # a quarter of the shortest time that connections may idle
+STOP_MARGIN_MS = 100.0  # left of the notice when the last answers are sent: a crowded core is late
+EXIT_MS = 40.0  # of that margin, for the process to end once the last answers are written
+# Before the stop the listener closes: enough for what crossed its close to be answered.
+LISTENER_CLOSE_MS = 300.0
+
+
+class Lifecycle:
+    """Runs what the server does by itself, and its graceful shutdown.
+
+    Args:
+        server: Whose life it is.
+        shutdown_ms: From the request to shut down until the process is killed.
+        drain_grace_ms: For which gateways may still send requests after it.
+    """
+
+    def __init__(self, server: "Server", shutdown_ms: float, drain_grace_ms: float) -> None:
+        self.server = server
+        self.shutdown_ms = shutdown_ms
+        self.drain_grace_ms = drain_grace_ms
+        self.timer_fired_at = 0.0
+        self.next_sweep_at = 0.0
+        self.tick_interval_ms = SWEEP_INTERVAL_MS
+        self.draining = False
+        self.exited = False
+        self.stop_at = float("inf")  # when the last answers are sent
+        self.listener_closed_until = float("inf")
+
+    def start(self) -> None:
+        """Connects to the pool, and starts the timer and the sweeps."""
+        server = self.server
+        server.effects.append(Dial(worker_pool_client.CONNECTION, 0.0))
+        self.timer_fired_at = server.now
+        self.next_sweep_at = server.now
+        self.sweep(server.now, None)
+        self.schedule_tick(0.0)
+
+    def on_timer(self) -> None:
+        """Runs what is due, and polls the pool: the answer brings the controller's tick."""
+        server = self.server
+        self.timer_fired_at = server.now
+        server.timers.run(server.now)
+        if server.controller is not None and server.worker_pool.has_timed_out(server.now):
+            server.count_problem("links_hung", "pool: no answer on a link that is up")
+            server.worker_pool.reconnect()
+        if server.controller is None:
+            self.schedule_tick(SWEEP_INTERVAL_MS)
+        elif server.worker_pool.up and server.worker_pool.awaiting_since is None:
+            server.worker_pool.poll(server.now)
+            self.schedule_tick(self.tick_interval_ms)
+        else:
+            server.counters.add("ticks_without_gauges")
+            server.controller.tick(server.now, server.gauges)
+
+    def schedule_tick(self, delay_ms: float) -> None:
+        """Sets the timer, from when it last fired and not from when the pool answered."""
+        self.tick_interval_ms = delay_ms
+        remaining_ms = self.timer_fired_at + delay_ms - self.server.now
+        self.server.effects.append(Wake(max(0.0, remaining_ms)))
+
+    def sweep(self, now: float, _: None) -> None:
+        """Reports, closes idle connections, and exits early once nothing is left to answer."""
+        server = self.server
+        server.reporter.report_periodically(now, self.draining)
+        # After a stall, what idle connections have sent meanwhile is not read yet.
+        if now <= self.next_sweep_at + SWEEP_INTERVAL_MS:
+            server.connections.sweep(now)
+        self.next_sweep_at = now + SWEEP_INTERVAL_MS
+        server.timers.at(self.next_sweep_at, self.sweep, None)
+        server.database.close_idle(now)
+        # What the listener still holds is answered after its close.
+        if now >= self.listener_closed_until and not server.connections.by_id:
+            self.exit(now, None)
+
+    def start_draining(self) -> None:
+        """Tells gateways and registry, then answers what is in hand until the stop."""
+        if self.draining:
+            return
+        server = self.server
+        self.draining = True
+        self.stop_at = server.now + max(0.0, self.shutdown_ms - STOP_MARGIN_MS)
+        grace_ends_at = server.now + self.drain_grace_ms
+        listener_closes_at = min(grace_ends_at, self.stop_at - LISTENER_CLOSE_MS)
+        server.timers.at(listener_closes_at, self.close_listener, None)
+        server.reporter.report(server.now, draining=True)
+        server.connections.notify_all(server.now)
+        if server.controller is not None:
+            server.controller.leave(server.now, self.stop_at)
+        server.timers.at(self.stop_at, self.exit, None)
+
+    def close_listener(self, now: float, _: None) -> None:
+        """Requests do not run from now on, and a refused connection proves it to the caller."""
+        self.listener_closed_until = now + SWEEP_INTERVAL_MS
+        self.server.connections.notify_all(now)
+        self.server.effects.append(Close(LISTENER))
+
+    @property
+    def listener_closed(self) -> bool:
+        """Whether no more connections are accepted, but for those that had connected before."""
+        return self.listener_closed_until < float("inf")
+
+    def exit(self, now: float, _: None) -> None:
+        """Answers what is left, closes all connections and ends the process."""
+        if self.exited:
+            return
+        self.exited = True
+        server = self.server
+        if server.controller is not None:
+            # After a stall the last answers may still be owed.
+            server.controller.tick(server.now, server.gauges)
+        if not self.listener_closed:
+            server.effects.append(Close(LISTENER))
+        for connection_id, connection in list(server.connections.by_id.items()):
+            for request in list(connection.open_requests.values()):  # none, but for a fault
+                server.fail_request(request)
+            if connection_id in server.connections.by_id:
+                server.connections.finish(connection_id)
+        self.log_counters()
+        remaining_ms = self.stop_at + STOP_MARGIN_MS - EXIT_MS - server.now
+        server.effects.append(Exit(max(EXIT_MS, remaining_ms)))
+
+    def log_counters(self) -> None:
+        """Writes all counters to the log."""
+        server = self.server
+        server.counters.counts["results_dropped"] = server.results.dropped_count
+        unanswered = server.requests.count_unanswered()
+        server.effects.append(Log(f"counters: open={unanswered} {server.counters.text()}"))
+        pools = server.controller.pools if server.controller is not None else None
+        counts = getattr(pools, "counts", None)
+        if counts is not None:
+            text = " ".join(f"{name}={value}" for name, value in counts().items())
+            server.effects.append(Log(f"pools: {text}"))
--- /dev/null
+++ b/pumicenotch/server/request_decoder.py
@@ -0,0 +1,146 @@
+"""Checks a gateway's request field by field, and makes a pending request of it."""
+
+import re
+from collections.abc import Mapping
+from hashlib import blake2b
+from itertools import count
+
+from pumicenotch.interface import Effect, Stage
+from pumicenotch.server.events import RequestReceived
+from pumicenotch.server.pending_request import PendingRequest, PendingRequests
+
+MAX_BODY_BYTES = 2048  # the protocol's bound
+MAX_MEMORY_KB = 2000.0  # the protocol's bound
+MAX_WORK = 1e9  # the controller bounds what it takes, this keeps its sums finite
+MAX_CLOCK_AHEAD_MS = 1000.0  # of a stamp: clocks of one machine differ by far less
+# The protocol's own grammar. Python's float() would take "1_0", " 1", "1e3" or "nan" as well.
+NUMBER = re.compile(r"[0-9]{1,15}(\.[0-9]{1,9})?", re.ASCII)
+# The fields of the gateways' protocol that are no decimal numbers.
+FIELD_FORMS = {
+    name: re.compile(form, re.ASCII)
+    for name, form in (
+        ("rid", "[0-9a-f]{16}"),
+        ("t0", "[0-9]{1,15}"),
+        ("peer", "[0-9]{1,15}"),
+        ("again", "1"),
+        ("epoch", "[0-9]{1,15}"),
+        ("ask", "1"),
+        ("token", "[0-9a-f]{32}"),
+        ("obj", "[0-9a-f]{16}"),
+        ("acct", ".{1,64}"),
+    )
+}
+
+
+class InvalidRequestError(ValueError):
+    """A well-formed message that is no request; the text names the field."""
+
+
+def text_field(fields: Mapping[str, str], name: str, form: re.Pattern[str] | None = None) -> str:
+    """Returns a field of the right form; raises InvalidRequestError for any other."""
+    value = fields.get(name)
+    if not isinstance(value, str) or not (form or FIELD_FORMS[name]).fullmatch(value):
+        raise InvalidRequestError(name)
+    return value
+
+
+def number_field(fields: Mapping[str, str], name: str, upper_bound: float) -> float:
+    """Returns a number from 0 to below the bound; raises InvalidRequestError for any other."""
+    value = float(text_field(fields, name, NUMBER))
+    if value >= upper_bound:
+        raise InvalidRequestError(name)
+    return value
+
+
+class RequestDecoder:
+    """Makes pending requests from what gateways send.
+
+    Args:
+        classes: The request classes in the controller's order.
+        class_indexes: Where each class stands there, by its name.
+        tenant_indexes: The same of tenants; without any, requests name none.
+        pending: Those under way, whose names no other request may have.
+    """
+
+    def __init__(
+        self,
+        classes: list[Stage],
+        class_indexes: dict[str, int],
+        tenant_indexes: dict[str, int],
+        pending: PendingRequests,
+    ) -> None:
+        self.classes = classes
+        self.class_indexes = class_indexes
+        self.tenant_indexes = tenant_indexes
+        self.pending = pending
+        self.reads_map_epoch = False  # where routers stamp requests and this node checks it
+        self.next_ids = count(1)
+
+    def decode(self, event: RequestReceived, unix_ms: float) -> PendingRequest:
+        """Returns the request that was received at that Unix time.
+
+        Fields that no decision reads are checked as well: a sender that gets them wrong is no
+        gateway, and its other fields mean nothing.
+
+        Raises:
+            InvalidRequestError: A field is missing or wrong.
+        """
+        request = self._begin(event)
+        fields = event.fields
+        self._decode_size(request, fields, unix_ms)
+        request.caller = int(text_field(fields, "peer"))
+        request.is_retry = "again" in fields and text_field(fields, "again") == "1"
+        if "obj" in fields:
+            text_field(fields, "obj")
+        if self.reads_map_epoch and "epoch" in fields:
+            request.map_epoch = int(text_field(fields, "epoch"))
+            request.is_ownership_query = "ask" in fields and text_field(fields, "ask") == "1"
+        if self.tenant_indexes:
+            tenant = text_field(fields, "acct")
+            if tenant not in self.tenant_indexes:
+                raise InvalidRequestError("acct")
+            request.tenant_index = self.tenant_indexes[tenant]
+        self._decode_idempotency_key(request, fields)
+        return request
+
+    def _begin(self, event: RequestReceived) -> PendingRequest:
+        if event.class_name not in self.class_indexes:
+            raise InvalidRequestError("stage")
+        if not isinstance(event.body, bytes) or len(event.body) > MAX_BODY_BYTES:
+            raise InvalidRequestError("body")
+        request = PendingRequest(
+            next(self.next_ids),
+            text_field(event.fields, "rid"),
+            event.connection_id,
+            event.message_id,
+            event.class_name,
+            event.body,
+        )
+        if request.name in self.pending.by_name:
+            raise InvalidRequestError("rid")
+        request.class_index = self.class_indexes[event.class_name]
+        request.request_class = self.classes[request.class_index]
+        return request
+
+    def _decode_size(
+        self, request: PendingRequest, fields: Mapping[str, str], unix_ms: float
+    ) -> None:
+        request.stamped_at_ms = float(text_field(fields, "t0"))
+        if request.stamped_at_ms > unix_ms + MAX_CLOCK_AHEAD_MS:
+            raise InvalidRequestError("t0")
+        request.memory_kb = number_field(fields, "mem", MAX_MEMORY_KB)
+        if request.memory_kb <= 0.0:
+            raise InvalidRequestError("mem")
+        if "est" in fields:
+            request.estimated_work = number_field(fields, "est", MAX_WORK)
+        number_field(fields, "prio", 1.0)
+
+    def _decode_idempotency_key(self, request: PendingRequest, fields: Mapping[str, str]) -> None:
+        if request.request_class.effect is Effect.FINGERPRINTED:
+            request.idempotency_key = text_field(fields, "token")
+            content = b"%d " % request.class_index + request.body
+            request.body_digest = blake2b(content, digest_size=16).digest()
+            if "obj" in fields:
+                raise InvalidRequestError("obj")
+        elif "token" in fields:
+            raise InvalidRequestError("token")
--- a/tests/compatibility/test_net.py
+++ b/tests/compatibility/test_net.py
@@ -18,13 +18,36 @@
 from pumicenotch.net import database, gateways, pool
 from pumicenotch.net.clock import Clock
 from pumicenotch.net.hub import Hub
-from pumicenotch.net.link import Outbox
+from pumicenotch.net.outbox import Outbox
+from pumicenotch.net.registry import ENCODERS as REGISTRY_ENCODERS
 from pumicenotch.net.registry import Registry
+from pumicenotch.server import events, messages
 from pumicenotch.server.core import Server
+from pumicenotch.server.settings import ServerSettings
 from tests.standin import SETTINGS
 
 GOLDEN = Path(__file__).parent / "golden" / "net"
-FRAMES = {"gateway": gateways.FRAMES, "pool": pool.FRAMES, "db": database.FRAMES}
+ENCODERS = {"gateway": gateways.ENCODERS, "pool": pool.ENCODERS, "db": database.ENCODERS}
+MESSAGES: dict[str, type] = {
+    "served": messages.RequestServed,
+    "failed": messages.RequestFailed,
+    "rejected": messages.RequestRejected,
+    "alive": messages.HealthReply,
+    "draining": messages.DrainNotice,
+    "bind": messages.BindPool,
+    "spawn": messages.StartRun,
+    "suspend": messages.SuspendRun,
+    "proceed": messages.ResumeRun,
+    "supply": messages.SupplyReply,
+    "pass": messages.SkipDependency,
+    "poll": messages.PollPool,
+    "call": messages.DependencyCall,
+}
+EVENTS: dict[str, type] = {
+    "start": events.Started,
+    "time": events.TimerFired,
+    "leave": events.ShutdownRequested,
+}
 START_MS = 1e6
 UNIX_MS = 1764700000000.0
 UNREAD = 1 << 20
@@ -45,14 +68,16 @@
 def make_server() -> Server:
     pairs = start.nested(SETTINGS)
     return Server(
-        keywords=start.keywords(pairs),
-        stages=start.names(pairs, "classes"),
-        tenants=start.names(pairs, "tenants"),
-        seed=1,
-        stop_ms=3000.0,
-        below=True,
-        memory_mb=192.0,
-        sockets=64,
+        ServerSettings(
+            controller=start.keywords(pairs),
+            class_indexes=start.names(pairs, "classes"),
+            tenant_indexes=start.names(pairs, "tenants"),
+            seed=1,
+            shutdown_ms=3000.0,
+            has_database=True,
+            memory_mb=192.0,
+            max_descriptors=64,
+        )
     )
 
 
@@ -66,23 +91,22 @@
         self.readers: dict[str, Any] = {}
         self.dialled: list[str] = []
         for party in ("pool", "db"):
-            self.hub.diallers[party] = lambda link, after_ms: self.dialled.append(link)
+            self.hub.dialers[party] = lambda link, after_ms: self.dialled.append(link)
         self.hub.closers["listener"] = lambda: None
-        registry = Outbox({"ready": lambda: b"ready ", "draining": lambda: b"draining "}, UNREAD)
-        self.hub.add("registry", registry)
+        self.hub.add("registry", Outbox(REGISTRY_ENCODERS, UNREAD))
 
     def connect(self, link: str) -> None:
         party, _, number = link.partition("-")
-        self.outboxes[link] = outbox = Outbox(FRAMES[party], UNREAD)
+        self.outboxes[link] = outbox = Outbox(ENCODERS[party], UNREAD)
         if party == "gateway":
-            self.readers[link] = gateways.Reader(self.hub, int(number))
+            self.readers[link] = gateways.GatewayReader(self.hub, int(number))
             self.hub.add(int(number), outbox)
-            self.hub.put("opened", int(number))
+            self.hub.deliver(events.ConnectionOpened(int(number)))
         else:
-            reader: Any = pool.Reader if party == "pool" else database.Reader
-            self.readers[link] = reader(self.hub.put, link)
+            reader: Any = pool.PoolReader if party == "pool" else database.DatabaseReader
+            self.readers[link] = reader(self.hub.deliver, link)
             self.hub.add(link, outbox)
-            self.hub.put("linked", link)
+            self.hub.deliver(events.ConnectionUp(link))
 
     def play(self, at_ms: float, link: str, event: str, data: bytes) -> list[tuple[str, bytes]]:
         """Takes one event, and returns what was written on each connection because of it."""
@@ -93,7 +117,7 @@
             case "connects":
                 self.connect(link)
             case _:
-                self.hub.put(event)
+                self.hub.deliver(EVENTS[event]())
         while self.dialled:
             self.connect(self.dialled.pop(0))
         written = []
@@ -125,7 +149,7 @@
 @pytest.mark.parametrize("line", (GOLDEN / "messages.txt").read_text().splitlines())
 def test_each_message_that_is_written_has_the_bytes_that_it_had(line: str) -> None:
     party, kind, fields, data = ast.literal_eval(line)
-    assert FRAMES[party][kind](*fields) == data
+    assert ENCODERS[party][MESSAGES[kind]](MESSAGES[kind](*fields)) == data
 
 
 def test_a_report_to_the_registry_has_the_bytes_that_it_had() -> None:
@@ -138,7 +162,7 @@
             self.sent += item
 
         async def receive(self, max_bytes: int = 65536) -> bytes:
-            return response
+            return bytes(response)
 
         async def send_eof(self) -> None: ...
 
--- a/tests/serve.py
+++ b/tests/serve.py
@@ -20,13 +20,71 @@
 from itertools import count
 from typing import Any
 
-from pumicenotch.interface import Below
+from pumicenotch.interface import Below, Outcome
+from pumicenotch.net.database import OUTCOMES
+from pumicenotch.net.pool import RUN_OUTCOMES
+from pumicenotch.server import events, messages
 from pumicenotch.server.core import Server
-from pumicenotch.server.effects import Fault, Reach, ReadOut, Wake, Write
+from pumicenotch.server.effects import FinishReading, Wake, Write
+from pumicenotch.server.settings import ServerSettings
 from tests.play import Play, numbers, rid, short
 
 RID = re.compile("[0-9a-f]{16}")
 ANSWERS = ("served", "rejected", "failed")
+# The scenarios' words for events, messages and effects.
+EVENTS: dict[str, Any] = {
+    "start": events.Started,
+    "time": events.TimerFired,
+    "leave": events.ShutdownRequested,
+    "show_counters": events.CountersRequested,
+    "reported": events.ReportFinished,
+    "linked": events.ConnectionUp,
+    "unlinked": events.ConnectionDown,
+    "opened": events.ConnectionOpened,
+    "eof": events.ConnectionEnded,
+    "reset": events.ConnectionReset,
+    "condemn": events.ProtocolViolated,
+    "read_out": events.ReadingFinished,
+    "scarce": events.DescriptorsExhausted,
+    "reload": events.AddressesChanged,
+    "task": events.RequestReceived,
+    "cancel": events.RequestCancelled,
+    "alive": events.HealthCheckReceived,
+    "bound": lambda how, uptime_ms: events.PoolBound(how == "starting", uptime_ms),
+    "polled": events.GaugesReported,
+    "blocked": events.RunBlocked,
+    "finished": lambda serial, name, how, result: events.RunFinished(
+        serial, name, RUN_OUTCOMES.get(how), result
+    ),
+    "chatter": events.NoticeSkipped,
+    "unknown": lambda command, name: events.CommandUnknown(command, name, command == "spawn"),
+    "replied": lambda link, name, how, reply: events.DependencyReplied(
+        link, name, OUTCOMES.get(how.encode(), Outcome.OK), reply
+    ),
+}
+MESSAGES: dict[type, str] = {
+    messages.RequestServed: "served",
+    messages.RequestFailed: "failed",
+    messages.RequestRejected: "rejected",
+    messages.HealthReply: "alive",
+    messages.DrainNotice: "draining",
+    messages.BindPool: "bind",
+    messages.PollPool: "poll",
+    messages.StartRun: "spawn",
+    messages.SuspendRun: "suspend",
+    messages.ResumeRun: "proceed",
+    messages.SupplyReply: "supply",
+    messages.SkipDependency: "pass",
+    messages.DependencyCall: "call",
+}
+EFFECTS = {"ChangeAddress": "Move", "FinishReading": "ReadOut"}
+
+
+def words_of(message: Any) -> tuple[Any, ...]:
+    """A message as scenarios write it: its kind, then its fields."""
+    if isinstance(message, messages.ReadinessReport):
+        return ("draining" if message.draining else "ready",)
+    return (MESSAGES[type(message)], *message)
 
 
 def plain(part: Any) -> str:
@@ -37,8 +95,8 @@
 def argument(text: str) -> Any:
     if text.startswith("b:"):
         return text[2:].encode()
-    if text in Reach.__members__:
-        return Fault(Reach[text], "as the scenario says")
+    if text in events.FailureReach.__members__:
+        return events.ConnectionFailure(events.FailureReach[text], "as the scenario says")
     return None if text == "None" else int(text) if text.lstrip("-").isdigit() else text
 
 
@@ -53,21 +111,23 @@
         self.unread = False
 
     def step(self, name: str, *details: Any) -> None:
-        for effect in self.core.step(self.now, name, *details):
+        for effect in self.core.step(self.now, EVENTS[name](*details)):
             if isinstance(effect, Wake):
-                self.ring = self.now + effect.after_ms
+                self.ring = self.now + effect.delay_ms
             elif isinstance(effect, Write):
-                self.made.append(("Write", *map(plain, (effect.link, *effect.message))))
-                if effect.message[0] == "poll" and self.answers:
-                    self.step("polled", effect.message[1], tuple(self.gauges.values()))
-            elif isinstance(effect, ReadOut) and not self.unread:
-                self.step("read_out", effect.link)
+                words = words_of(effect.message)
+                self.made.append(("Write", *map(plain, (effect.connection, *words))))
+                if isinstance(effect.message, messages.PollPool) and self.answers:
+                    self.step("polled", effect.message.cookie, tuple(self.gauges.values()))
+            elif isinstance(effect, FinishReading) and not self.unread:
+                self.step("read_out", effect.connection)
             else:
-                self.made.append((type(effect).__name__, *map(str, effect)))
+                kind = type(effect).__name__
+                self.made.append((EFFECTS.get(kind, kind), *map(str, effect)))
 
     def do_serve(self, plain: list[str], pairs: dict[str, Any]) -> None:
         stop, cold, below = pairs.pop("stop", 3000), pairs.pop("cold", False), pairs.pop("db", True)
-        limits = {"sockets": pairs.pop("sockets", 64), "memory_mb": pairs.pop("memory", 192)}
+        max_descriptors, memory_mb = pairs.pop("sockets", 64), pairs.pop("memory", 192)
         keywords = {
             "stages": list(self.stages.values()),
             "tenants": list(self.tenants.values()),
@@ -76,13 +136,16 @@
         keywords |= {"gauges": list(self.gauges), "below": Below.TIER if below else Below.NONE}
         self.now, self.answers, self.serials = 1e6, True, count(1)
         self.core = Server(
-            keywords=keywords,
-            stages={name: at for at, name in enumerate(self.stages)},
-            tenants={name: at for at, name in enumerate(self.tenants)},
-            seed=1,
-            stop_ms=stop,
-            below=below,
-            **limits,
+            ServerSettings(
+                controller=keywords,
+                class_indexes={name: at for at, name in enumerate(self.stages)},
+                tenant_indexes={name: at for at, name in enumerate(self.tenants)},
+                seed=1,
+                shutdown_ms=stop,
+                has_database=below,
+                memory_mb=memory_mb,
+                max_descriptors=max_descriptors,
+            )
         )
         self.step("start")
         self.step("linked", "pool")
@@ -107,7 +170,7 @@
     def do_mute(self, plain: list[str], pairs: dict[str, Any]) -> None:
         self.answers = plain == ["off"]
         if self.answers:
-            self.step("polled", str(self.core.runs.polls), tuple(self.gauges.values()))
+            self.step("polled", str(self.core.worker_pool.poll_number), tuple(self.gauges.values()))
 
     def do_send(self, plain: list[str], pairs: dict[str, Any]) -> None:
         conn, message, stage, name = plain
@@ -179,7 +242,9 @@
         answered = sum(
             counts[f"answered_{end}"] for end in ("served", "rejected", "failed", "gone")
         )
-        assert counts["tasks"] == answered + self.core.tasks.open, self.core.counters.text()
+        assert counts["tasks"] == answered + self.core.requests.count_unanswered(), (
+            self.core.counters.text()
+        )
         answers = [made[1:4:2] for made in self.made if made[0] == "Write" and made[2] in ANSWERS]
         assert len(answers) == len(set(answers)), answers
 
--- a/tests/test_cells_node.py
+++ b/tests/test_cells_node.py
@@ -10,10 +10,13 @@
 from pumicenotch.cells.fence import Fence
 from pumicenotch.cells.map import Cell, CellMap, Tenant
 from pumicenotch.cells.place import Node
-from pumicenotch.interface import Below, Effect, Stage
-from pumicenotch.net.gateways import rejected
+from pumicenotch.interface import Below, Effect, Outcome, Stage
+from pumicenotch.net.gateways import encode_rejected
+from pumicenotch.server import events
 from pumicenotch.server.core import Server
 from pumicenotch.server.effects import Write
+from pumicenotch.server.messages import RequestFailed, RequestRejected, RequestServed, StartRun
+from pumicenotch.server.settings import ServerSettings
 
 W = 9000.0
 STAGES = {"read": 0, "put": 1}
@@ -42,33 +45,32 @@
             "below": Below.NONE,
             "cores": 4,
         }
-        self.core = Server(
-            keywords={**keywords, "crowd_multiple": 8.0},
-            stages=STAGES,
-            tenants={},
+        settings = ServerSettings(
+            controller={**keywords, "crowd_multiple": 8.0},
+            class_indexes=STAGES,
+            tenant_indexes={},
             seed=1,
-            stop_ms=3000.0,
-            below=False,
+            shutdown_ms=3000.0,
+            has_database=False,
             memory_mb=192.0,
-            sockets=64,
-            fence=fence,
-            node=node,
+            max_descriptors=64,
         )
-        self.written: list[tuple[Any, ...]] = []
+        self.core = Server(settings, fence=fence, node=node)
+        self.written: list[tuple[Any, Any]] = []
         self.now, self.message = START, 0
-        for step in (
-            ("start",),
-            ("linked", "pool"),
-            ("bound", "running", 1e5),
-            ("polled", "1", ()),
-            ("opened", 1),
+        for event in (
+            events.Started(),
+            events.ConnectionUp("pool"),
+            events.PoolBound(False, 1e5),
+            events.GaugesReported("1", ()),
+            events.ConnectionOpened(1),
         ):
-            self.step(*step)
+            self.step(event)
 
-    def step(self, name: str, *details: Any) -> None:
-        for effect in self.core.step(self.now, name, *details):
+    def step(self, event: object) -> None:
+        for effect in self.core.step(self.now, event):
             if isinstance(effect, Write):
-                self.written.append((effect.link, *effect.message))
+                self.written.append((effect.connection, effect.message))
 
     def send(self, rid: int, stage: str, tenant: str = "acme", **more: str) -> str:
         """What became of it: `run`, `reused`, or why it was rejected."""
@@ -84,11 +86,11 @@
         }
         if stage == "put":
             fields["token"] = more.pop("token", 32 * "a")
-        self.step("task", 1, self.message, 0.0, stage, fields | more, b"body")
-        for link, kind, *rest in self.written:
-            if link == 1 and kind == "rejected":
-                return str(rest[4])
-            if link == "pool" and kind == "spawn":
+        self.step(events.RequestReceived(1, self.message, 0.0, stage, fields | more, b"body"))
+        for connection, message in self.written:
+            if connection == 1 and isinstance(message, RequestRejected):
+                return message.cell_reason
+            if connection == "pool" and isinstance(message, StartRun):
                 return "run"
         return "waits"
 
@@ -125,10 +127,14 @@
     node = Played(one)
     assert node.send(1, "put", epoch="1") == "run"
     assert node.send(2, "put", epoch="2", ask="1") == "waits"
-    node.step("remap", two, "epoch 2")
+    node.step(events.CellMapReplaced(two, "epoch 2"))
     assert node.send(3, "put", epoch="1") == "waits", "known: under any epoch"
-    node.step("finished", 1, f"{1:016x}", "fine", b"done")
-    answers = {message[2]: message[4] for message in node.written if message[1] == "served"}
+    node.step(events.RunFinished(1, f"{1:016x}", Outcome.OK, b"done"))
+    answers = {
+        message.message_id: message.result
+        for _, message in node.written
+        if isinstance(message, RequestServed)
+    }
     assert answers == {1: b"done", 2: b"done", 3: b"done"}
     assert node.send(4, "put", token=32 * "b", epoch="1") == "old", (
         "what it does not know it runs no more"
@@ -148,10 +154,10 @@
 def test_malformed_stamps_are_answered_as_failed(more: dict[str, str]) -> None:
     node = Played(maps()[0])
     node.send(1, "put", **more)
-    assert [message[1] for message in node.written] == ["failed"]
+    assert [type(message) for _, message in node.written] == [RequestFailed]
     assert node.core.counters.counts["malformed"] == 1
 
 
 def test_the_reason_goes_over_the_wire_for_routers() -> None:
-    assert b"cell" in rejected(1, None, 0.0, False, "clear")
-    assert b"cell" not in rejected(1, None, 0.0, False)
+    assert b"cell" in encode_rejected(RequestRejected(1, None, 0.0, False, "clear"))
+    assert b"cell" not in encode_rejected(RequestRejected(1, None, 0.0, False))
--- a/tests/test_cuts.py
+++ b/tests/test_cuts.py
@@ -9,9 +9,10 @@
 import pytest
 from anyio.abc import ByteStream
 
-from pumicenotch.net import database, gateways, link, pool
+from pumicenotch.net import database, gateways, outbox, pool
 from pumicenotch.net.clock import Clock
-from pumicenotch.net.link import Outbox
+from pumicenotch.net.outbox import Outbox
+from pumicenotch.server.messages import RequestServed
 from tests.play import rid
 
 FIELDS = {"rid": rid("aa"), "t0": "1", "peer": "1", "acct": "acme", "mem": "2.5", "prio": "0.25"}
@@ -32,19 +33,19 @@
     """Stands for the hub: what is put."""
 
     def __init__(self) -> None:
-        self.made: list[tuple[Any, ...]] = []
+        self.made: list[object] = []
         self.clock = Clock()
-        self.clock.ahead = lambda: 0.0  # type: ignore[method-assign]
+        self.clock.unix_offset = lambda: 0.0  # type: ignore[method-assign]
 
-    def put(self, *what: Any) -> None:
-        self.made.append(what)
+    def deliver(self, event: object) -> None:
+        self.made.append(event)
 
 
 def readers() -> list[tuple[bytes, Any]]:
     return [
-        (GATEWAY, lambda hub: gateways.Reader(hub, 1)),
-        (POOL, lambda hub: pool.Reader(hub.put, "pool")),
-        (DATABASE, lambda hub: database.Reader(hub.put, "db-1")),
+        (GATEWAY, lambda hub: gateways.GatewayReader(hub, 1)),
+        (POOL, lambda hub: pool.PoolReader(hub.deliver, "pool")),
+        (DATABASE, lambda hub: database.DatabaseReader(hub.deliver, "db-1")),
     ]
 
 
@@ -105,16 +106,18 @@
             self.closed = True
 
     async def play(most: int) -> bytes:
-        outbox, stream = Outbox(gateways.FRAMES, 100_000), Cut(most)
+        written, stream = Outbox(gateways.ENCODERS, 100_000), Cut(most)
         for message in (1, 2, 3):
-            outbox.put(("served", message, 0.5, b"result"))
-        outbox.close()
+            written.put(RequestServed(message, 0.5, b"result"))
+        written.close()
         with anyio.fail_after(20.0):
-            await outbox.write_to(stream)
-        assert outbox.ended.is_set() and stream.closed
+            await written.write_to(stream)
+        assert written.ended.is_set() and stream.closed
         return stream.taken
 
-    whole = b"".join(gateways.FRAMES["served"](message, 0.5, b"result") for message in (1, 2, 3))
+    whole = b"".join(
+        gateways.encode_served(RequestServed(message, 0.5, b"result")) for message in (1, 2, 3)
+    )
     for most in range(1, len(whole) + 1):
         assert anyio.run(play, most) == whole[:most]
 
@@ -134,7 +137,7 @@
         monkeypatch.setattr("time.monotonic", lambda: reading(100.0))
         monkeypatch.setattr("time.time", lambda: reading(5000.0))
         clock = Clock()
-        ahead = clock.ahead()
+        ahead = clock.unix_offset()
         now = clock.now()
         assert now + ahead >= (5000.0 + (1.0 if reads > jump else 0.0)) * 1000.0 - 1e-6
         reads = 0
@@ -142,12 +145,12 @@
 
 def test_what_waits_in_the_kernel_or_in_slices_is_unread() -> None:
     here, there = socket.socketpair()
-    assert not link.unread(here)
+    assert not outbox.has_unread_input(here)
     there.send(b"x")
-    assert link.unread(here)
+    assert outbox.has_unread_input(here)
     here.recv(1)
-    assert not link.unread(here)
+    assert not outbox.has_unread_input(here)
     there.close()
-    assert link.unread(here)  # its end is news too
+    assert outbox.has_unread_input(here)  # its end is news too
     here.close()
-    assert not link.unread(here)
+    assert not outbox.has_unread_input(here)
--- a/tests/test_pairs.py
+++ b/tests/test_pairs.py
@@ -5,18 +5,33 @@
 from collections import Counter
 from collections.abc import Sequence
 from itertools import product
-from typing import Any
 
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from pumicenotch.interface import Below, Effect, Stage
+from pumicenotch.interface import Below, Effect, Outcome, Stage
+from pumicenotch.server import events
 from pumicenotch.server.core import Server
-from pumicenotch.server.effects import Close, Exit, Fault, Reach, ReadOut, Wake, Write
+from pumicenotch.server.effects import Close, Exit, FinishReading, Wake, Write
+from pumicenotch.server.events import ConnectionFailure, FailureReach
+from pumicenotch.server.messages import (
+    DependencyCall,
+    PollPool,
+    RequestFailed,
+    RequestRejected,
+    RequestServed,
+    SkipDependency,
+    StartRun,
+    SupplyReply,
+)
+from pumicenotch.server.settings import ServerSettings
 from tests.play import rid
 
 STAGES = {"read": Effect.RESTARTABLE, "put": Effect.FINGERPRINTED, "pay": Effect.SIDE_EFFECTING}
+CUT = ConnectionFailure(FailureReach.BROKEN, "cut")
+PLAIN_EVENTS = {"leave": events.ShutdownRequested(), "scarce": events.DescriptorsExhausted()}
+END_EVENTS = {"reset": events.ConnectionReset, "eof": events.ConnectionEnded}
 WINDOW_MS = 400.0  # shorter than some runs here
 EVENTS = (
     "task read",
@@ -75,21 +90,23 @@
             "drain_grace_ms": 200.0,
         }
         self.core = Server(
-            keywords=keywords,
-            stages=dict(zip(STAGES, range(3), strict=True)),
-            tenants={},
-            seed=1,
-            stop_ms=800.0,
-            below=True,
-            memory_mb=64.0,
-            sockets=64,
+            ServerSettings(
+                controller=keywords,
+                class_indexes=dict(zip(STAGES, range(3), strict=True)),
+                tenant_indexes={},
+                seed=1,
+                shutdown_ms=800.0,
+                has_database=True,
+                memory_mb=64.0,
+                max_descriptors=64,
+            )
         )
         self.now, self.ring = 1e6, 1e6
         self.serial = self.tasks = self.polls = 0
         self.message: Counter[int] = Counter()
         self.sent: dict[tuple[int, int], tuple[str, str, float]] = {}  # rid, token, when it came
         self.answers: Counter[tuple[int, int]] = Counter()
-        self.kinds: dict[tuple[int, int], str] = {}
+        self.kinds: dict[tuple[int, int], type] = {}
         self.gone: set[int] = set()  # connections that are over for one side
         self.excused: set[tuple[int, int]] = set()
         self.token: dict[str, str] = {}
@@ -101,42 +118,45 @@
         self.to_read_out: list[int] = []
         self.opened = 3
         self.mute = self.over = False
-        self.step("start")
-        self.step("linked", "pool")
-        self.step("bound", "running", 1e6)
+        self.step(events.Started())
+        self.step(events.ConnectionUp("pool"))
+        self.step(events.PoolBound(False, 1e6))
         for conn in (1, 2, 3):
-            self.step("opened", conn)
+            self.step(events.ConnectionOpened(conn))
 
-    def step(self, name: str, *details: Any) -> None:
-        later: list[tuple[Any, ...]] = []
-        for effect in self.core.step(self.now, name, *details):
+    def step(self, event: object) -> None:
+        later: list[object] = []
+        for effect in self.core.step(self.now, event):
             match effect:
                 case Wake(after_ms):
                     self.ring = self.now + after_ms
-                case Write("pool", ("poll", cookie)) if not self.mute:
-                    later.append(("polled", cookie, ()))
-                case Write("pool", ("spawn", name_, stage, _)):
-                    self.spawned(name_, stage)
-                case Write("pool", ("supply" | "pass", name_, *_)):
-                    self.blocked.discard(name_)
-                case Write(int(conn), ("served" | "rejected" | "failed" as kind, message, *_)):
+                case Write("pool", PollPool(cookie)) if not self.mute:
+                    later.append(events.GaugesReported(cookie, ()))
+                case Write("pool", StartRun(name, stage, _)):
+                    self.spawned(name, stage)
+                case Write("pool", SupplyReply(name) | SkipDependency(name)):
+                    self.blocked.discard(name)
+                case Write(
+                    int(conn), RequestServed() | RequestRejected() | RequestFailed() as answer
+                ):
                     assert conn not in self.gone, "an answer after our close"
-                    self.answers[conn, message] += 1
-                    self.kinds[conn, message] = kind
-                case Write(str(link), ("call", name_, *_)):
-                    self.links[link] = name_
-                case ReadOut(conn):
+                    self.answers[conn, answer.message_id] += 1
+                    self.kinds[conn, answer.message_id] = type(answer)
+                case Write(str(link), DependencyCall(name)):
+                    self.links[link] = name
+                case FinishReading(conn):
                     self.to_read_out.append(conn)
                 case Close(int(conn)):
                     self.gone.add(conn)
                 case Exit():
                     self.over = True
-        dials = [each for each in list(self.core.calls.ways) if not self.core.calls.ways[each].up]
+        calls = self.core.database.connections
+        dials = [each for each in list(calls) if not calls[each].up]
         for link in dials:
-            later.append(("linked", link))
+            later.append(events.ConnectionUp(link))
         for each in later:
-            if each[0] != "linked" or each[1] in self.core.calls.ways:
-                self.step(*each)
+            if not isinstance(each, events.ConnectionUp) or each.connection in calls:
+                self.step(each)
 
     def spawned(self, name: str, stage: str) -> None:
         if name in self.running:
@@ -166,11 +186,11 @@
             token = fields["token"] = token or f"{self.tasks:032x}"
             self.token[name] = token
         self.sent[conn, self.message[conn]] = (name, token, self.now)
-        self.step("task", conn, self.message[conn], 0.0, stage, fields, b"body")
+        self.step(events.RequestReceived(conn, self.message[conn], 0.0, stage, fields, b"body"))
 
-    def pool(self, msg: str, *details: Any) -> None:
+    def next_serial(self) -> int:
         self.serial += 1
-        self.step(msg, self.serial, *details)
+        return self.serial
 
     def do(self, event: str) -> None:
         open_ = [key for key in self.sent if not self.answers[key] and key[0] not in self.gone]
@@ -181,46 +201,46 @@
                 self.task("put", list(self.token.values())[-1])
             case ["cancel"] if open_:
                 self.excused.add(open_[0])
-                self.step("cancel", *open_[0])
+                self.step(events.RequestCancelled(*open_[0]))
             case ["reset" | "eof" as how] if left := [
                 conn for conn in (1, 2, 3) if conn not in self.gone
             ]:
                 if how == "reset":
                     self.gone.add(left[0])
                     self.excused |= {key for key in self.sent if key[0] == left[0]}
-                self.step(how, left[0])
+                self.step(END_EVENTS[how](left[0]))
             case ["finish"] if self.running:
                 name = next(iter(self.running))
                 del self.running[name]
                 self.blocked.discard(name)
-                self.pool("finished", name, "fine", b"result")
+                self.step(events.RunFinished(self.next_serial(), name, Outcome.OK, b"result"))
             case ["block"] if free := [name for name in self.running if name not in self.blocked]:
                 self.blocked.add(free[0])
-                self.pool("blocked", free[0], b"q")
+                self.step(events.RunBlocked(self.next_serial(), free[0], b"q"))
             case ["reply"] if self.links:
                 link, name = self.links.popitem()
-                self.step("replied", link, name, "ROWS", b"rows")
+                self.step(events.DependencyReplied(link, name, Outcome.OK, b"rows"))
             case ["cut"] if self.links:
                 link, _ = self.links.popitem()
-                self.step("unlinked", link, Fault(Reach.BROKEN, "cut"))
+                self.step(events.ConnectionDown(link, CUT))
             case ["relink"]:
-                self.step("unlinked", "pool", Fault(Reach.BROKEN, "cut"))
-                self.step("linked", "pool")
-                self.step("bound", "running", 1e6)
+                self.step(events.ConnectionDown("pool", CUT))
+                self.step(events.ConnectionUp("pool"))
+                self.step(events.PoolBound(False, 1e6))
             case ["leave" | "scarce" as name]:
-                self.step(name)
+                self.step(PLAIN_EVENTS[name])
             case ["stop"]:
                 self.now += 900.0  # a stall with no timer on the way
             case ["moved"]:
-                self.step("reload", {"db": ("127.0.0.9", 1)}, "nothing")
+                self.step(events.AddressesChanged({"db": ("127.0.0.9", 1)}, "nothing"))
             case ["read_out"] if self.to_read_out:
-                self.step("read_out", self.to_read_out.pop(0))
+                self.step(events.ReadingFinished(self.to_read_out.pop(0)))
             case ["open"] if not self.over:
                 self.opened += 1
-                self.step("opened", self.opened)
-                self.step("alive", self.opened, 1)
+                self.step(events.ConnectionOpened(self.opened))
+                self.step(events.HealthCheckReceived(self.opened, 1))
             case ["crowd"]:
-                while len(self.core.callers.connections) < self.core.callers.most:
+                while len(self.core.connections.by_id) < self.core.connections.current_limit:
                     self.do("open")
             case ["silent_pool"]:
                 self.mute = not self.mute
@@ -230,7 +250,7 @@
         while self.ring <= until:
             self.now = max(self.now, self.ring)
             self.ring = self.now + 1000.0
-            self.step("time")
+            self.step(events.TimerFired())
         self.now = until
 
 
@@ -252,10 +272,10 @@
     for key, (name, token, _) in world.sent.items():
         wanted = (0, 1) if key in world.excused else (1,)
         assert world.answers[key] in wanted, (key, world.answers[key], told)
-        if world.kinds.get(key) == "rejected" and not token:
+        if world.kinds.get(key) is RequestRejected and not token:
             assert name not in world.spawns, ("rejected though it ran", told)
     assert world.core.counters.counts["faults"] == 0, told
-    assert world.core.tasks.open == 0, told
+    assert world.core.requests.count_unanswered() == 0, told
 
 
 @pytest.mark.parametrize("state", STATES)
--- a/tests/test_pools_hard.py
+++ b/tests/test_pools_hard.py
@@ -36,7 +36,7 @@
 
 
 def counts(carried: Simulation) -> dict[str, float]:
-    pools: Any = carried.nodes[0].core.control.pools  # type: ignore[union-attr]
+    pools: Any = carried.nodes[0].core.controller.pools  # type: ignore[union-attr]
     found: dict[str, float] = pools.counts()
     return found
 
@@ -141,7 +141,7 @@
 
 def test_limits_never_exceed_the_total_and_follow_it() -> None:
     _, carried = play("pools")
-    pools: Any = carried.nodes[0].core.control.pools  # type: ignore[union-attr]
+    pools: Any = carried.nodes[0].core.controller.pools  # type: ignore[union-attr]
     total = pools.total
     assert all(side.limit <= total for side in pools.sides)
     assert sum(side.share for side in pools.sides) <= total + 0.5
--- a/tests/test_seen.py
+++ b/tests/test_seen.py
@@ -1,8 +1,8 @@
 """Counts of tasks and calls by class, for a fleet."""
 
 from pumicenotch.interface import Effect, Outcome, Stage
-from pumicenotch.server.seen import MOST, REST, Seen
-from pumicenotch.server.tasks import Held
+from pumicenotch.server.pending_request import PendingRequest
+from pumicenotch.server.request_counters import MAX_CLASSES, OTHER_CLASSES, RequestCounters
 
 STAGE = Stage(
     due_ms=100.0,
@@ -16,38 +16,38 @@
 )
 
 
-def held(number: int, stage: str = "read") -> Held:
-    made = Held(number, str(number), 1, number, stage, b"")
-    made.stage = STAGE
+def held(number: int, stage: str = "read") -> PendingRequest:
+    made = PendingRequest(number, str(number), 1, number, stage, b"")
+    made.request_class = STAGE
     return made
 
 
 def test_tasks_and_calls_are_counted_by_class_and_one_given_up_leaves_nothing_behind() -> None:
-    seen = Seen()
+    seen = RequestCounters()
     for number, outcome, at in ((1, "served", 50.0), (2, "served", 150.0), (3, "failed", 50.0)):
         task = held(number)
-        seen.taken(0.0, task, 20.0)
-        seen.answered(at, task, outcome)
+        seen.on_received(0.0, task, 20.0)
+        seen.on_answered(at, task, outcome == "served")
     again = held(4)
-    again.again = True
-    seen.taken(0.0, again, 0.0)
-    seen.called(10.0, again)
-    seen.call_ended(25.0, again, Outcome.TIMEOUT)
-    seen.answered(30.0, again, "rejected")
+    again.is_retry = True
+    seen.on_received(0.0, again, 0.0)
+    seen.on_call_started(10.0, again)
+    seen.on_call_finished(25.0, again, Outcome.TIMEOUT)
+    seen.on_answered(30.0, again, served=False)
     given_up = held(5)
-    seen.taken(0.0, given_up, 0.0)
-    seen.called(10.0, given_up)  # and its task is let go: the call never ends
+    seen.on_received(0.0, given_up, 0.0)
+    seen.on_call_started(10.0, given_up)  # and its task is let go: the call never ends
     unmade = held(6)
-    seen.call_ended(10.0, unmade, Outcome.UNREACHED)  # where nothing is below
+    seen.on_call_finished(10.0, unmade, Outcome.UNREACHED)  # where nothing is below
     assert seen.rows() == [("read", 4, 3, 3, 1, 1, 15.0)]
-    assert vars(seen).keys() == {"counts"}, "nothing is kept by task"
+    assert vars(seen).keys() == {"by_class"}, "nothing is kept by task"
 
 
 def test_classes_beyond_what_is_told_go_as_one() -> None:
-    seen = Seen()
-    for number in range(MOST + 5):
+    seen = RequestCounters()
+    for number in range(MAX_CLASSES + 5):
         task = held(number, f"class {number}")
-        seen.taken(0.0, task, 0.0)
-        seen.answered(1.0, task, "served")
+        seen.on_received(0.0, task, 0.0)
+        seen.on_answered(1.0, task, served=True)
     rows = seen.rows()
-    assert len(rows) == MOST + 1 and rows[-1] == (REST, 5, 5, 0, 0, 0, 0)
+    assert len(rows) == MAX_CLASSES + 1 and rows[-1] == (OTHER_CLASSES, 5, 5, 0, 0, 0, 0)
