--- a/pumicenotch/__main__.py
+++ b/pumicenotch/__main__.py
@@ -1,42 +1,37 @@
-"""Reads LB_CONFIG and, where PUMICENOTCH_CONFIG names one, the file of ours; wires the core to its sockets,
-and handles the signals.
-"""
+"""The server: reads its configuration, wires the core to its sockets, and handles signals."""
 
 import signal
 
 SIGNALS = (signal.SIGTERM, signal.SIGINT, signal.SIGUSR1, signal.SIGHUP)
-# Until the receiver stands, and again once it is gone, they wait: their own effect would end the process.
+# Until they are received, and again afterwards, they wait: their default action would end the
+# process.
 signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)
 
 import errno
-import json
 import os
 import resource
-import subprocess
 import sys
-from collections.abc import Callable
-from typing import Any, cast
+from typing import TYPE_CHECKING, cast
 
 import anyio
+import anyio.lowlevel
 from anyio.abc import SocketAttribute, SocketListener, TaskGroup
 from loguru import logger
 
-from pumicenotch import start
 from pumicenotch.control import Control
-from pumicenotch.net import database, gateway_listener, logs, pool
+from pumicenotch.net import database, gateway_listener, instance_file, logs, pool
 from pumicenotch.net.clock import Clock
-from pumicenotch.net.dialer import Dialer
+from pumicenotch.net.dialer import DialedProtocol, Dialer
+from pumicenotch.net.gateway_listener import GatewayListener
 from pumicenotch.net.hub import Hub
 from pumicenotch.net.registry import Registry
+from pumicenotch.net.reloads import Reloads, RunningConfiguration
 from pumicenotch.net.signals import receive_signals
+from pumicenotch.net.start_values import StartValues, read_start_values
 from pumicenotch.server import database_client, registry_reporter, worker_pool_client
 from pumicenotch.server.core import Server
 from pumicenotch.server.events import (
-    AddressesChanged,
-    CellMapReplaced,
     CountersRequested,
-    PoolsReplaced,
-    ProblemFound,
     ShutdownRequested,
     Started,
     TimerFired,
@@ -44,307 +39,186 @@
 from pumicenotch.server.lifecycle import LISTENER
 from pumicenotch.server.settings import ServerSettings
 
-UNREAD_PART = 0.125  # of the memory, for what the pool leaves unread while it hangs
-AGAIN_S = 0.1  # between tries to listen at an address still in use
-FLUSH_S = 0.05  # for the last words among instances to leave
-READER_S = 30.0  # for a file of ours to be read: a second on a quiet machine
-BOUNDS = {"stop_ms": (0.0, 1e9), "limits.memory_mb": (8.0, 1e9), "limits.sockets": (48.0, 1e9)}
-MOVABLE = ("pool", "db", "registry")  # whose addresses a reload changes
+if TYPE_CHECKING:  # nothing of a fleet is loaded where there is none
+    from pumicenotch.config.compiled import Ours
+    from pumicenotch.net.peers import PeerHub
 
+UNREAD_MEMORY_FRACTION = 0.125  # for what the pool leaves unread while it hangs
+BYTES_PER_MB = 1024 * 1024
+LISTEN_RETRY_S = 0.1  # while the address is still in use
+PEER_FLUSH_S = 0.05  # for the last messages among instances to leave
 
-async def signals(hub: Hub[Server], reloads: "Reloads") -> None:
-    with receive_signals(SIGNALS) as coming:
-        async for number in coming:
+
+async def handle_signals(hub: Hub[Server], reloads: Reloads) -> None:
+    """Turns signals into events until it is cancelled."""
+    with receive_signals(SIGNALS) as received:
+        async for number in received:
             if number == signal.SIGHUP:
-                reloads.wanted.set()
+                reloads.request()
+            elif number == signal.SIGUSR1:
+                hub.deliver(CountersRequested())
             else:
-                hub.deliver(
-                    CountersRequested() if number == signal.SIGUSR1 else ShutdownRequested()
-                )
-
-
-class Reloads:
-    """One at a time, beside all else: reading a file may take a second, and a notice to leave must not wait
-    for it. Those asked for while one is on its way come to one more.
-    """
-
-    def __init__(self) -> None:
-        self.wanted = anyio.Event()
+                hub.deliver(ShutdownRequested())
 
-    async def run(self, hub: Hub[Server], values: dict[str, Any]) -> None:
-        while True:
-            await self.wanted.wait()
-            self.wanted = anyio.Event()
-            try:
-                await reload(hub, values)
-            except Exception as error:
-                hub.on_fault("reload", error)
-                text = f"reload: {error!r}; the running values stay in force"
-                hub.deliver(ProblemFound("reloads_failed", text))
 
+async def listen(host: str, port: int, timeout_s: float) -> SocketListener:
+    """Listens there, after a process before this one that may still drain at that address.
 
-async def reload(hub: Hub[Server], values: dict[str, Any]) -> None:
-    """A file that cannot be read whole leaves the running values in force, those of the other file too."""
-    try:
-        new = read()
-        ours = await replanned(values["config"])
-        cells = map_of(ours)
-    except ValueError as error:
-        text = f"reload: {error}; the running values stay in force"
-        hub.deliver(ProblemFound("reloads_failed", text))
-        return
-    moved = {name: new[name] for name in MOVABLE if None not in (new[name], values[name])}
-    moved = {name: address for name, address in moved.items() if address != values[name]}
-    values |= moved
-    old, pairs = values["pairs"], new["pairs"]
-    others = sorted(path for path in old.keys() | pairs.keys() if old.get(path) != pairs.get(path))
-    unapplied = " ".join(path for path in others if path not in moved) or "nothing"
-    hub.deliver(AddressesChanged(moved, unapplied))
-    values["pairs"] |= {name: pairs[name] for name in moved}
-    if cells is not None and hub.core.cells is not None:
-        held = hub.core.cells.fence.cells
-        if held is None or cells.epoch > held.epoch:
-            text = f"the cell map of epoch {cells.epoch} is in force"
-            hub.deliver(CellMapReplaced(cells, text))
-    if ours is not None and ours.distribution != values["ours"].distribution:
-        resubscribe(values, ours.distribution)
-        values["ours"] = values["ours"]._replace(distribution=ours.distribution)
-    if ours is not None and ours.plan != values["ours"].plan:
-        values["ours"], plan = ours, ours.plan
-        text = "class pools of the file are in force" if plan else "pools are off"
-        hub.deliver(PoolsReplaced(maker(plan, values), text))
-
-
-def resubscribe(values: dict[str, Any], settings: Any) -> None:
-    """The block `distribution` of the file of ours has changed."""
-    peers = values["peers"]
-    if peers is None or peers.extension is None or settings is None:
-        logger.info("reload: the block distribution is switched on and off by a restart")
-        return
-    peers.extension.reload(settings)
-    logger.info("reload: this server takes published configuration of {}", settings.meaning())
-
-
-async def replanned(config: str) -> Any:
-    """What the file of ours says now; None where none was named. The file is read in a process of its own,
-    while this one goes on.
+    Raises:
+        OSError: The address cannot be had, or is still in use after the timeout.
     """
-    if not config:
-        return None
-    from pumicenotch.config import compiled
-
-    if config.endswith(".json"):
-        return compiled.from_file(config)
-    with anyio.move_on_after(READER_S):
-        done = await anyio.run_process(compiled.command(config), check=False)
-        return compiled.taken(config, done.returncode, done.stdout, done.stderr)
-    raise compiled.BadConfig(f"{config}:1: not read within {READER_S:g} s")
-
-
-def planned(config: str) -> Any:
-    """The same before anything else runs. Who has read the file already hands the plan over."""
-    told = os.environ.pop("PUMICENOTCH_PLAN", "")
-    if not config:
-        return None
-    from pumicenotch.config import compiled
-
-    if told:
-        return compiled.load(told, config)
-    if config.endswith(".json"):
-        return compiled.from_file(config)
-    try:
-        done = subprocess.run(compiled.command(config), capture_output=True, timeout=READER_S)
-    except subprocess.TimeoutExpired:
-        raise compiled.BadConfig(f"{config}:1: not read within {READER_S:g} s") from None
-    return compiled.taken(config, done.returncode, done.stdout, done.stderr)
-
-
-def map_of(ours: Any) -> Any:
-    """The cell map that the file of ours names, if it names one. ValueError says what is wrong with it."""
-    if ours is None or not ours.map:
-        return None
-    from pumicenotch.config.files import cell_map
-
-    return cell_map(ours.map)[0]
-
-
-def fence_of(values: dict[str, Any]) -> Any:
-    """The node's side of cells; nothing of it is loaded where there are none."""
-    cells = map_of(values["ours"])
-    if cells is None:
-        return None
-    from pumicenotch.cells.fence import Fence
-
-    return Fence(Clock().unix(), cells.window_ms, cells)
+    deadline = anyio.current_time() + timeout_s
+    logged = False
+    while True:
+        try:
+            listeners = await anyio.create_tcp_listener(
+                local_host=host, local_port=port, backlog=gateway_listener.BACKLOG
+            )
+            return cast(SocketListener, listeners.listeners[0])
+        except OSError as error:
+            if error.errno != errno.EADDRINUSE or anyio.current_time() > deadline:
+                raise
+        if not logged:
+            logger.info("{}:{} is still in use; waits {:.1f} s at the most", host, port, timeout_s)
+        logged = True
+        await anyio.sleep(LISTEN_RETRY_S)
+
+
+def add_dialer(
+    hub: Hub[Server],
+    group: TaskGroup,
+    name: str,
+    address: tuple[str, int],
+    protocol: DialedProtocol,
+) -> None:
+    """Has the hub dial a party there."""
+    dialer = Dialer(hub, group, address, protocol)
+    hub.dialers[name] = dialer.dial
+    hub.address_changers[name] = dialer.change_address
+
+
+def connect_parties(hub: Hub[Server], group: TaskGroup, values: StartValues) -> None:
+    """Wires worker pool, database and registry to the hub."""
+    unread_bytes = max_unread_bytes(values)
+    addresses = values.addresses
+    add_dialer(
+        hub, group, worker_pool_client.CONNECTION, addresses["pool"], pool.protocol(unread_bytes)
+    )
+    if "db" in addresses:
+        add_dialer(hub, group, database_client.PARTY, addresses["db"], database.PROTOCOL)
+    if "registry" in addresses:
+        registry = Registry(hub, addresses["registry"], values.name)
+        hub.address_changers[registry_reporter.CONNECTION] = registry.change_address
+        group.start_soon(registry.run)
 
 
-def maker(plan: Any, values: dict[str, Any]) -> Callable[[float], Any] | None:
-    """Makes pools from the time that they begin at; nothing of them is loaded where there are none."""
-    if plan is None:
-        return None
-    from pumicenotch.pools import Pools
-    from pumicenotch.pools.plan import unknown
+def max_unread_bytes(values: StartValues) -> int:
+    """Returns how much of the memory may hold what other parties leave unread."""
+    return int(UNREAD_MEMORY_FRACTION * values.memory_mb * BYTES_PER_MB)
 
-    stages, numbers = values["keywords"]["stages"], values["stages"]
-    for name in unknown(plan, list(numbers)):
-        logger.warning("{}: no stage of this server is called {}", values["config"], name)
-    return lambda now: Pools(now, plan, stages, numbers)
 
+async def join_fleet(
+    hub: Hub[Server], group: TaskGroup, running: RunningConfiguration
+) -> "PeerHub | None":
+    """Takes this server's place in its fleet, if the instance's file names one.
 
-async def join(hub: Hub[Server], group: TaskGroup, ours: Any, seed: int, sockets: int) -> Any:
-    """This server's place in its fleet. Its work never waits for any of it; nothing of it is loaded where
-    the file of ours names none. Returns what is told when the server leaves and ends.
+    The server's work never waits for any of it.
     """
+    instance = running.instance
+    if instance is None or instance.fleet is None:
+        return None
     from pumicenotch.net import fleet
 
-    return await fleet.member(hub, group, ours.fleet, ours.distribution, seed, sockets)
-
-
-async def listening(host: str, port: int, most_s: float) -> SocketListener:
-    """A process before this one may still drain at that address, for as long as its notice lasts. OSError
-    when that is over.
-    """
-    until, told = anyio.current_time() + most_s, False
-    while True:
-        try:
-            many = await anyio.create_tcp_listener(
-                local_host=host, local_port=port, backlog=gateway_listener.BACKLOG
-            )
-            return cast(SocketListener, many.listeners[0])
-        except OSError as error:
-            if error.errno != errno.EADDRINUSE or anyio.current_time() > until:
-                raise
-        if not told:
-            logger.info("{}:{} is still in use; waits {:.1f} s at the most", host, port, most_s)
-        told = True
-        await anyio.sleep(AGAIN_S)
+    values = running.values
+    return await fleet.member(
+        hub, group, instance.fleet, instance.distribution, values.seed, values.max_descriptors
+    )
 
 
-async def serve(values: dict[str, Any], core: Server) -> None:
+async def serve(running: RunningConfiguration, core: Server) -> None:
+    """Runs the server until the core's exit and its last answers are written."""
+    values = running.values
     clock = Clock()
     hub = Hub(core, clock)
-    host, port = values["listen"]
-    unread = int(UNREAD_PART * values["memory_mb"] * 1024 * 1024)
-    listener = await listening(host, port, values["stop_ms"] / 1000.0)
+    listener = await listen(*values.listen, values.shutdown_ms / 1000.0)
     async with anyio.create_task_group() as group:
-        reloads = Reloads()
-        group.start_soon(reloads.run, hub, values)
-        group.start_soon(signals, hub, reloads)
-        pool_dialer = Dialer(hub, group, values["pool"], pool.protocol(unread))
-        hub.dialers[worker_pool_client.CONNECTION] = pool_dialer.dial
-        hub.address_changers[worker_pool_client.CONNECTION] = pool_dialer.change_address
-        if values["db"] is not None:
-            database_dialer = Dialer(hub, group, values["db"], database.PROTOCOL)
-            hub.dialers[database_client.PARTY] = database_dialer.dial
-            hub.address_changers[database_client.PARTY] = database_dialer.change_address
-        callers = gateway_listener.GatewayListener(
-            hub, gateway_listener.unread_bytes_per_gateway(unread, core.connections.limit)
+        reloads = Reloads(hub, running)
+        group.start_soon(reloads.run)
+        group.start_soon(handle_signals, hub, reloads)
+        connect_parties(hub, group, values)
+        gateways = GatewayListener(
+            hub,
+            gateway_listener.unread_bytes_per_gateway(
+                max_unread_bytes(values), core.connections.limit
+            ),
         )
-        hub.closers[LISTENER] = callers.closing.cancel
-        group.start_soon(callers.accept, listener, group)
-        if values["registry"] is not None:
-            registry = Registry(hub, values["registry"], values["name"])
-            hub.address_changers[registry_reporter.CONNECTION] = registry.change_address
-            group.start_soon(registry.run)
-        await anyio.sleep(0)  # the registry's outbox stands before the first report
+        hub.closers[LISTENER] = gateways.closing.cancel
+        group.start_soon(gateways.accept, listener, group)
+        await anyio.lowlevel.checkpoint()  # the registry's outbox is there before the first report
         hub.deliver(Started())
         bound = listener.extra(SocketAttribute.local_address)
         logger.info("listening on {}:{}", *bound[:2])
-        logger.info("callers are told a {}: the settings are of that shape", values["shape"])
+        logger.info("callers are told a {}: the settings are of that shape", values.hint_shape)
         group.start_soon(clock.run, lambda: hub.deliver(TimerFired()))
-        if getattr(values["ours"], "fleet", None) is not None:
-            values["peers"] = await join(
-                hub, group, values["ours"], values["seed"], values["sockets"]
-            )
-        peers = values["peers"]
+        peers = await join_fleet(hub, group, running)
+        running.peers = peers
         await hub.exit.wait()
         if peers is not None:
             peers.put("left")
-            await peers.flush(FLUSH_S)
-        await callers.finish(hub.exit_timeout_s)
+            await peers.flush(PEER_FLUSH_S)
+        await gateways.finish(hub.exit_timeout_s)
         group.cancel_scope.cancel()
 
 
-def read() -> dict[str, Any]:
-    """The start values of the program; the text of a ValueError says what is wrong with which."""
-    path = os.environ.get("LB_CONFIG")
-    if not path:
-        raise start.BadStart("LB_CONFIG is not set")
-    try:
-        with open(path, encoding="utf-8") as file:
-            told = json.load(file)
-        pairs = start.nested(told)
-    except (OSError, ValueError, RecursionError) as error:
-        raise start.BadStart(f"LB_CONFIG {path}: {error}") from None
-    settings = start.settings(pairs)
-    values = {name: start.read(name, pairs, start.peer, None) for name in MOVABLE}
-    values["listen"] = start.read("listen", pairs, start.address, None)
-    for name in ("listen", "pool"):
-        if values[name] is None:
-            raise start.BadStart(f"missing start value {name}")
-    values |= {"name": pairs.get("name", ""), "pairs": pairs}
-    values["seed"] = start.read("seed", pairs, lambda text: int(text, 16), 0)
-    values["memory_mb"] = start.read("limits.memory_mb", pairs, float, 192.0)
-    values["stop_ms"] = start.read("stop_ms", pairs, float, None)
-    values["sockets"] = start.read("limits.sockets", pairs, int, 1024)
-    values["shape"] = start.shape(settings)
-    values["keywords"] = start.keywords(settings)
-    values["stages"], values["tenants"] = (
-        start.named(settings, "classes"),
-        start.named(settings, "tenants"),
-    )
-    if not values["stages"]:
-        raise start.BadStart(
-            "missing start value settings.classes: no task could be told from another"
-        )
-    if values["stop_ms"] is None:
-        raise start.BadStart(
-            "missing start value stop_ms: the time from the notice to the end, in ms"
-        )
-    start.bounded(pairs, BOUNDS)
-    return values
+def available_descriptors(values: StartValues, instance: "Ours | None") -> int:
+    """Returns what the core may use: less than is named where a fleet or the system takes some."""
+    descriptors = values.max_descriptors
+    if instance is not None and instance.fleet is not None:
+        from pumicenotch.net.fleet import links
 
+        descriptors -= links(values.max_descriptors, instance.distribution)
+    soft_limit, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
+    if soft_limit != resource.RLIM_INFINITY:
+        descriptors = min(descriptors, soft_limit)
+    return descriptors
 
-def made(values: dict[str, Any], decides: type[Control]) -> Server:
-    told = dict(values)
-    if getattr(values["ours"], "fleet", None) is not None:
-        from pumicenotch.net.fleet import links
 
-        # what its fleet takes of the descriptors is not the core's
-        told["sockets"] -= links(values["sockets"], values["ours"].distribution)
-    given, _ = resource.getrlimit(resource.RLIMIT_NOFILE)  # which may be less than what was named
-    if given != resource.RLIM_INFINITY:
-        told["sockets"] = min(told["sockets"], given)
+def make_server(running: RunningConfiguration, controller_type: type[Control]) -> Server:
+    """Returns the core; raises ValueError if the cell map is wrong."""
+    values = running.values
+    instance = running.instance
     settings = ServerSettings(
-        controller=told["keywords"],
-        class_indexes=told["stages"],
-        tenant_indexes=told["tenants"],
-        seed=told["seed"],
-        shutdown_ms=told["stop_ms"],
-        has_database=values["db"] is not None,
-        memory_mb=told["memory_mb"],
-        max_descriptors=told["sockets"],
+        controller=values.controller,
+        class_indexes=values.class_indexes,
+        tenant_indexes=values.tenant_indexes,
+        seed=values.seed,
+        shutdown_ms=values.shutdown_ms,
+        has_database="db" in values.addresses,
+        memory_mb=values.memory_mb,
+        max_descriptors=available_descriptors(values, instance),
     )
+    plan = instance.plan if instance is not None else None
     return Server(
         settings,
-        controller_type=decides,
-        make_pools=maker(getattr(values["ours"], "plan", None), values),
-        fence=fence_of(values),
-        node=getattr(values["ours"], "node", ""),
+        controller_type=controller_type,
+        make_pools=instance_file.pools_maker(plan, values, running.path),
+        fence=instance_file.make_fence(instance),
+        node=instance.node if instance is not None else "",
     )
 
 
-def main(decides: type[Control] = Control) -> None:
+def main(controller_type: type[Control] = Control) -> None:
+    """Runs one server, as the environment's files say."""
     logs.to_stderr()
     try:
-        values = read()
-        values["config"] = os.environ.get("PUMICENOTCH_CONFIG", "")
-        values["ours"], values["peers"] = planned(values["config"]), None
-        core = made(values, decides)
+        values = read_start_values()
+        path = os.environ.get(instance_file.PATH_VARIABLE, "")
+        running = RunningConfiguration(values, path, instance_file.read_at_start(path))
+        core = make_server(running, controller_type)
     except ValueError as error:
         sys.exit(f"pumicenotch: {error}")
     try:
-        anyio.run(serve, values, core, backend_options={"use_uvloop": True})
+        anyio.run(serve, running, core, backend_options={"use_uvloop": True})
     except OSError as error:
         sys.exit(f"pumicenotch: {error}")
 
--- /dev/null
+++ b/pumicenotch/net/start_values.py
@@ -0,0 +1,91 @@
+"""The start values of a server, from the JSON file that LB_CONFIG names."""
+
+import json
+import os
+from pathlib import Path
+from typing import Any, NamedTuple
+
+from pumicenotch import start
+
+PATH_VARIABLE = "LB_CONFIG"
+MOVABLE_PARTIES = ("pool", "db", "registry")  # whose addresses a reload changes
+DEFAULT_MEMORY_MB = 192.0
+DEFAULT_DESCRIPTORS = 1024
+BOUNDS = {"stop_ms": (0.0, 1e9), "limits.memory_mb": (8.0, 1e9), "limits.sockets": (48.0, 1e9)}
+
+Address = tuple[str, int]
+
+
+class StartValues(NamedTuple):
+    """All that the file says, times in ms."""
+
+    name: str  # of this server at the registry
+    listen: Address
+    addresses: dict[str, Address]  # by party, of those that the file names
+    seed: int
+    memory_mb: float
+    shutdown_ms: float
+    max_descriptors: int
+    hint_shape: str  # what kind of hint callers are sent
+    controller: dict[str, Any]
+    class_indexes: dict[str, int]
+    tenant_indexes: dict[str, int]
+    pairs: dict[str, str]  # the values as they were read, by path
+
+
+def read_start_values() -> StartValues:
+    """Reads the file; raises ValueError with the place and the problem of what is wrong."""
+    pairs = read_pairs()
+    settings = start.settings(pairs)
+    addresses = read_addresses(pairs)
+    listen = start.read("listen", pairs, start.address, None)
+    if listen is None:
+        raise start.BadStart("missing start value listen")
+    if "pool" not in addresses:
+        raise start.BadStart("missing start value pool")
+    values = StartValues(
+        name=pairs.get("name", ""),
+        listen=listen,
+        addresses=addresses,
+        seed=start.read("seed", pairs, lambda text: int(text, 16), 0),
+        memory_mb=start.read("limits.memory_mb", pairs, float, DEFAULT_MEMORY_MB),
+        shutdown_ms=start.read("stop_ms", pairs, float, None),
+        max_descriptors=start.read("limits.sockets", pairs, int, DEFAULT_DESCRIPTORS),
+        hint_shape=start.shape(settings),
+        controller=start.keywords(settings),
+        class_indexes=start.named(settings, "classes"),
+        tenant_indexes=start.named(settings, "tenants"),
+        pairs=pairs,
+    )
+    if not values.class_indexes:
+        raise start.BadStart(
+            "missing start value settings.classes: no task could be told from another"
+        )
+    if values.shutdown_ms is None:
+        raise start.BadStart(
+            "missing start value stop_ms: the time from the notice to the end, in ms"
+        )
+    start.bounded(pairs, BOUNDS)
+    return values
+
+
+def read_pairs() -> dict[str, str]:
+    """Reads the file as values by path."""
+    path = os.environ.get(PATH_VARIABLE)
+    if not path:
+        raise start.BadStart(f"{PATH_VARIABLE} is not set")
+    try:
+        with Path(path).open(encoding="utf-8") as file:
+            return start.nested(json.load(file))
+    except (OSError, ValueError, RecursionError) as error:
+        raise start.BadStart(f"{PATH_VARIABLE} {path}: {error}") from None
+
+
+def read_addresses(pairs: dict[str, str]) -> dict[str, Address]:
+    """Returns the addresses of the parties that are named."""
+    addresses = {}
+    for party in MOVABLE_PARTIES:
+        address = start.read(party, pairs, start.peer, None)
+        if address is not None:
+            addresses[party] = address
+    return addresses
