--- a/benchmarks/capacity/connections.py
+++ b/benchmarks/capacity/connections.py
@@ -10,6 +10,7 @@
 from benchmarks.capacity.decisions import GAUGES, STAGES
 from benchmarks.capacity.meter import least_ms, state_bytes
 from benchmarks.capacity.slope import Reading, Slope, readings
+from pumicenotch.control import ControllerSettings
 from pumicenotch.interface import Outcome, Tenant
 from pumicenotch.server import events
 from pumicenotch.server.core import Server
@@ -30,16 +31,16 @@
     """The pool answers at once."""
 
     def __init__(self, callers: int, seed: int) -> None:
-        keywords: dict[str, Any] = {
-            "stages": STAGES,
-            "tenants": [Tenant(1.0, None)],
-            "gauges": GAUGES,
-            "cores": int(CORES.value),
-            "run_factor": 2.0,
-            "crowd_multiple": 8.0,
-        }
+        controller = ControllerSettings(
+            request_classes=STAGES,
+            tenants=[Tenant(1.0, None)],
+            gauges=GAUGES,
+            cores=int(CORES.value),
+            run_memory_factor=2.0,
+            crash_load_factor=8.0,
+        )
         settings = ServerSettings(
-            controller=keywords,
+            controller=controller,
             class_indexes={STAGE: 0},
             tenant_indexes={TENANT: 0},
             seed=seed,
--- a/pumicenotch/__main__.py
+++ b/pumicenotch/__main__.py
@@ -18,7 +18,7 @@
 from anyio.abc import SocketAttribute, SocketListener, TaskGroup
 from loguru import logger
 
-from pumicenotch.control import Control
+from pumicenotch.control import AdmissionController
 from pumicenotch.net import database, gateway_listener, instance_file, logs, pool
 from pumicenotch.net.clock import Clock
 from pumicenotch.net.dialer import DialedProtocol, Dialer
@@ -183,7 +183,9 @@
     return descriptors
 
 
-def make_server(running: RunningConfiguration, controller_type: type[Control]) -> Server:
+def make_server(
+    running: RunningConfiguration, controller_type: type[AdmissionController]
+) -> Server:
     """Returns the core; raises ValueError if the cell map is wrong."""
     values = running.values
     instance = running.instance
@@ -207,7 +209,7 @@
     )
 
 
-def main(controller_type: type[Control] = Control) -> None:
+def main(controller_type: type[AdmissionController] = AdmissionController) -> None:
     """Runs one server, as the environment's files say."""
     logs.to_stderr()
     try:
--- a/pumicenotch/lab/simulate.py
+++ b/pumicenotch/lab/simulate.py
@@ -10,7 +10,7 @@
 
 from pumicenotch import start
 from pumicenotch.config.file import plan_of
-from pumicenotch.control import Control
+from pumicenotch.control import AdmissionController
 from pumicenotch.interface import Outcome
 from pumicenotch.lab import world as world_
 from pumicenotch.lab.attempt import Attempt
@@ -64,7 +64,7 @@
         world: World,
         seed: int,
         pools: MakePools | None = None,
-        decides: type[Control] = Control,
+        decides: type[AdmissionController] = AdmissionController,
     ) -> None:
         self.world, self.now, self.order = world, 0.0, count()
         self.events: list[tuple[float, int, Callable[..., object], tuple[Any, ...]]] = []
@@ -78,10 +78,10 @@
         self.stages = start.names(pairs, "classes")
         self.nodes = []
         for at in range(world.servers):
-            keywords = start.keywords(pairs)
-            made = pools(keywords["stages"], self.stages) if pools is not None else None
+            controller = start.controller_settings(pairs)
+            made = pools(controller.request_classes, self.stages) if pools is not None else None
             settings = ServerSettings(
-                controller=keywords,
+                controller=controller,
                 class_indexes=self.stages,
                 tenant_indexes=start.names(pairs, "tenants"),
                 seed=seed + at,
@@ -289,7 +289,7 @@
                 self.put(node, events.ShutdownRequested())
             case "reload":
                 made = pools_of(plan_of(fault.pools) if fault.pools else None)
-                stages = node.core.settings.controller["stages"]
+                stages = node.core.settings.controller.request_classes
                 make_pools = made(stages, self.stages) if made else None
                 self.put(node, events.PoolsReplaced(make_pools, f"pools {fault.pools}"))
         self.look(node)
--- a/pumicenotch/net/database.py
+++ b/pumicenotch/net/database.py
@@ -17,10 +17,10 @@
 MAX_LOGGED_BYTES = 80
 # Replies without a body, as the database says them.
 OUTCOMES = {
-    b"FULL": Outcome.FULL,
+    b"FULL": Outcome.REJECTED,
     b"FAIL": Outcome.ERROR,
     b"TIMEOUT": Outcome.TIMEOUT,
-    b"NONE": Outcome.MOOT,
+    b"NONE": Outcome.NOT_STARTED,
 }
 
 
--- a/pumicenotch/net/instance_file.py
+++ b/pumicenotch/net/instance_file.py
@@ -47,7 +47,7 @@
             compiled.command(path), capture_output=True, timeout=READ_TIMEOUT_S, check=False
         )
     except subprocess.TimeoutExpired:
-        raise compiled.BadConfig(f"{path}:1: not read within {READ_TIMEOUT_S:g} s") from None
+        raise compiled.InvalidConfigError(timeout_text(path)) from None
     return compiled.taken(path, done.returncode, done.stdout, done.stderr)
 
 
@@ -62,7 +62,12 @@
     with anyio.move_on_after(READ_TIMEOUT_S):
         done = await anyio.run_process(compiled.command(path), check=False)
         return compiled.taken(path, done.returncode, done.stdout, done.stderr)
-    raise compiled.BadConfig(f"{path}:1: not read within {READ_TIMEOUT_S:g} s")
+    raise compiled.InvalidConfigError(timeout_text(path))
+
+
+def timeout_text(path: str) -> str:
+    """Returns what is wrong with a file that takes too long to read."""
+    return f"{path}:1: not read within {READ_TIMEOUT_S:g} s"
 
 
 def read_cell_map(instance: "Ours | None") -> "CellMap | None":
@@ -91,7 +96,7 @@
     from pumicenotch.pools import Pools
     from pumicenotch.pools.plan import unknown
 
-    classes = values.controller["stages"]
+    classes = values.controller.request_classes
     class_indexes = values.class_indexes
     for name in unknown(plan, list(class_indexes)):
         logger.warning("{}: no stage of this server is called {}", path, name)
--- a/pumicenotch/net/pool.py
+++ b/pumicenotch/net/pool.py
@@ -35,7 +35,7 @@
     "fine": Outcome.OK,
     "fault": Outcome.ERROR,
     "broken_off": Outcome.CANCELLED,
-    "late": Outcome.MOOT,
+    "late": Outcome.NOT_STARTED,
 }
 
 
--- a/pumicenotch/net/start_values.py
+++ b/pumicenotch/net/start_values.py
@@ -3,9 +3,10 @@
 import json
 import os
 from pathlib import Path
-from typing import Any, NamedTuple
+from typing import NamedTuple
 
 from pumicenotch import start
+from pumicenotch.control import ControllerSettings
 
 PATH_VARIABLE = "LB_CONFIG"
 MOVABLE_PARTIES = ("pool", "db", "registry")  # whose addresses a reload changes
@@ -27,7 +28,7 @@
     shutdown_ms: float
     max_descriptors: int
     hint_shape: str  # what kind of hint callers are sent
-    controller: dict[str, Any]
+    controller: ControllerSettings
     class_indexes: dict[str, int]
     tenant_indexes: dict[str, int]
     pairs: dict[str, str]  # the values as they were read, by path
@@ -40,9 +41,9 @@
     addresses = read_addresses(pairs)
     listen = start.read("listen", pairs, start.address, None)
     if listen is None:
-        raise start.BadStart("missing start value listen")
+        raise start.InvalidStartValueError("missing start value listen")
     if "pool" not in addresses:
-        raise start.BadStart("missing start value pool")
+        raise start.InvalidStartValueError("missing start value pool")
     values = StartValues(
         name=pairs.get("name", ""),
         listen=listen,
@@ -52,17 +53,17 @@
         shutdown_ms=start.read("stop_ms", pairs, float, None),
         max_descriptors=start.read("limits.sockets", pairs, int, DEFAULT_DESCRIPTORS),
         hint_shape=start.shape(settings),
-        controller=start.keywords(settings),
+        controller=start.controller_settings(settings),
         class_indexes=start.named(settings, "classes"),
         tenant_indexes=start.named(settings, "tenants"),
         pairs=pairs,
     )
     if not values.class_indexes:
-        raise start.BadStart(
+        raise start.InvalidStartValueError(
             "missing start value settings.classes: no task could be told from another"
         )
     if values.shutdown_ms is None:
-        raise start.BadStart(
+        raise start.InvalidStartValueError(
             "missing start value stop_ms: the time from the notice to the end, in ms"
         )
     start.bounded(pairs, BOUNDS)
@@ -73,12 +74,12 @@
     """Reads the file as values by path."""
     path = os.environ.get(PATH_VARIABLE)
     if not path:
-        raise start.BadStart(f"{PATH_VARIABLE} is not set")
+        raise start.InvalidStartValueError(f"{PATH_VARIABLE} is not set")
     try:
         with Path(path).open(encoding="utf-8") as file:
             return start.nested(json.load(file))
     except (OSError, ValueError, RecursionError) as error:
-        raise start.BadStart(f"{PATH_VARIABLE} {path}: {error}") from None
+        raise start.InvalidStartValueError(f"{PATH_VARIABLE} {path}: {error}") from None
 
 
 def read_addresses(pairs: dict[str, str]) -> dict[str, Address]:
--- a/pumicenotch/route/decide.py
+++ b/pumicenotch/route/decide.py
@@ -14,8 +14,8 @@
 from pumicenotch.cells.map import CellMap
 from pumicenotch.cells.views import Views
 from pumicenotch.cells.walk import SAYS, End, Said, Step, Walk, walk
-from pumicenotch.control import Agenda
-from pumicenotch.interface import Effect as Repeat
+from pumicenotch.control import TimerQueue
+from pumicenotch.interface import Idempotency
 from pumicenotch.pools.budget import Budget
 from pumicenotch.server import events
 from pumicenotch.server.effects import Close, Dial, Exit, Log, Wake, Write
@@ -121,7 +121,7 @@
         chance = random.Random(seed)
         self.views = Views(chance.random)
         self.budget = Budget(self.RETRY, self.BURST, 4096)
-        self.agenda = Agenda()
+        self.timers = TimerQueue()
         self.names = count(1)
         self.ways: dict[str, Way] = {}
         self.of_node: dict[str, list[str]] = {}
@@ -134,7 +134,7 @@
         self.effects.append(Wake(self.TICK_MS))
 
     def on_timer(self, _: events.TimerFired) -> None:
-        self.agenda.run(self.now)
+        self.timers.run_due(self.now)
         self.connections.sweep(self.now)
         for link, way in list(self.ways.items()):
             if way.up and not way.open and self.now - way.used_at > self.IDLE_MS:
@@ -149,9 +149,9 @@
         self.leaving = True
         stop = self.stop = self.now + max(0.0, self.stop_ms - self.STOP_MARGIN_MS)
         self.connections.notify_all(self.now)
-        self.agenda.at(max(self.now, stop - self.UNHEARD_MS), self.close_door, None)
-        self.agenda.at(stop - self.MARGIN_MS, self.give_all_up, None)
-        self.agenda.at(stop, self.exit, None)
+        self.timers.schedule(max(self.now, stop - self.UNHEARD_MS), self.close_door, None)
+        self.timers.schedule(stop - self.MARGIN_MS, self.give_all_up, None)
+        self.timers.schedule(stop, self.exit, None)
         self.effects.append(
             Log(f"leaving in {stop - self.now:.0f} ms with {len(self.trips)} tasks open")
         )
@@ -229,7 +229,7 @@
             self.confirmed,
             unix,
             tenant,
-            held.request_class.effect,
+            held.request_class.idempotency,
             held.idempotency_key,
             self.choices(held, tenant),
         )
@@ -239,11 +239,11 @@
         limit = (
             self.now
             - max(0.0, unix - held.stamped_at_ms)
-            + held.request_class.limit_ms
+            + held.request_class.timeout_ms
             - self.MARGIN_MS
         )
         trip = self.trips[held.request_id] = Trip(held, fields, begun)
-        self.agenda.at(limit, self.too_late, trip)
+        self.timers.schedule(limit, self.too_late, trip)
         if not held.is_retry:
             self.budget.first(tenant)
         self.onward(trip, begun.start())
@@ -255,7 +255,7 @@
         if held.idempotency_key:
             return []
         nodes = [(node.name, node.weight) for node in self.cells.nodes(tenant)]
-        probes = held.request_class.effect is Repeat.RESTARTABLE
+        probes = held.request_class.idempotency is Idempotency.IDEMPOTENT
         return [choice.node for choice in self.views.choose(self.now, nodes, probes)]
 
     def release(self, held: PendingRequest) -> None:
--- a/pumicenotch/server/backend_side.py
+++ b/pumicenotch/server/backend_side.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from pumicenotch.control import Agenda, Control
+from pumicenotch.control import AdmissionController, TimerQueue
 from pumicenotch.interface import Outcome
 from pumicenotch.server import database_client, events, worker_pool_client
 from pumicenotch.server.backoff import Backoff
@@ -19,11 +19,19 @@
     Outcome.OK: "runs_fine",
     Outcome.ERROR: "runs_fault",
     Outcome.CANCELLED: "runs_broken_off",
-    Outcome.MOOT: "runs_late",
+    Outcome.NOT_STARTED: "runs_late",
     None: "runs_other",
 }
 
 
+# Counters keep the names that dashboards know.
+CALL_COUNTERS: dict[Outcome, str] = {
+    Outcome.REJECTED: "calls_full",
+    Outcome.UNREACHABLE: "calls_unreached",
+    Outcome.NOT_STARTED: "calls_moot",
+}
+
+
 class BackendLimits(NamedTuple):
     """What the connections and results behind a server may take."""
 
@@ -45,12 +53,12 @@
         self, limits: BackendLimits, random_uniform: Callable[[float, float], float]
     ) -> None:
         super().__init__(limits.max_idle_connections, limits.max_connections)
-        self.controller: Control | None = None  # made when the pool is first bound
+        self.controller: AdmissionController | None = None  # made when the pool is first bound
         self.results = ResultCache(limits.max_result_bytes)
         self.worker_pool = WorkerPoolClient(self.effects, Backoff(random_uniform))
         self.database = DatabaseClient(self.effects, Backoff(random_uniform), limits.max_calls)
         self.reporter = RegistryReporter(self.effects, random_uniform)
-        self.timers = Agenda()
+        self.timers = TimerQueue()
         self.gauges: tuple[float, ...] = ()
 
     def on_report_finished(self, event: events.ReportFinished) -> None:
@@ -92,7 +100,7 @@
         if self.worker_pool.on_polled(event.cookie):
             self.gauges = event.gauges
             if self.controller is not None:
-                self.controller.tick(self.now, event.gauges)
+                self.controller.on_tick(self.now, event.gauges)
 
     def on_run_blocked(self, event: events.RunBlocked) -> None:
         """Has the controller decide on the dependency call of a run."""
@@ -102,7 +110,7 @@
             return
         request.last_notice_serial = event.serial
         request.dependency_body = event.body
-        self.controller.at_call(self.now, request.request_id)
+        self.controller.on_dependency_needed(self.now, request.request_id)
 
     def on_run_finished(self, event: events.RunFinished) -> None:
         """Answers the request whose run has ended."""
@@ -129,7 +137,7 @@
         self.count_problem("unknown", f"pool does not know {event.command} of {event.name}")
         request = self.requests.by_name.get(event.name)
         if request is not None and request.started and event.starts_run:
-            self.finish_run(request, Outcome.MOOT, b"")
+            self.finish_run(request, Outcome.NOT_STARTED, b"")
             self.results.drop(request.request_id, never_ran=True)
 
     def finish_run(self, request: PendingRequest, outcome: Outcome, result: bytes) -> None:
@@ -144,7 +152,7 @@
         for retry in self.results.on_finished(request, outcome, result):
             self.replay_result(retry, outcome, result)
         if self.controller is not None:
-            self.controller.ended(self.now, request.request_id, outcome)
+            self.controller.on_run_finished(self.now, request.request_id, outcome)
 
     def replay_result(self, request: PendingRequest, outcome: Outcome, result: bytes) -> None:
         """Answers a retry with the outcome of its first attempt, after the event under way."""
@@ -166,8 +174,8 @@
 
     def finish_call(self, request: PendingRequest, outcome: Outcome) -> None:
         """Tells the controller how a dependency call has ended."""
-        self.counters.add(f"calls_{outcome.name.lower()}")
+        self.counters.add(CALL_COUNTERS.get(outcome, f"calls_{outcome.name.lower()}"))
         if self.request_counters is not None:
             self.request_counters.on_call_finished(self.now, request, outcome)
         if self.controller is not None:
-            self.controller.call_ended(self.now, request.request_id, outcome)
+            self.controller.on_dependency_finished(self.now, request.request_id, outcome)
--- a/pumicenotch/server/controller_actions.py
+++ b/pumicenotch/server/controller_actions.py
@@ -29,10 +29,10 @@
     def __init__(self, server: "Server") -> None:
         self.server = server
 
-    def run(self, task: int) -> None:
+    def start(self, request_id: int) -> None:
         """Starts a request's run, or resumes it where it was suspended."""
         server = self.server
-        request = server.requests.by_id[task]
+        request = server.requests.by_id[request_id]
         server.counters.add("runs")
         if request.suspended:
             request.suspended = False
@@ -43,83 +43,83 @@
         command = StartRun(request.name, request.class_name, request.body)
         server.worker_pool.send(request, command)
 
-    def reject(self, task: int, last: bool, stay_away_ms: float) -> None:
+    def reject(self, request_id: int, do_not_retry: bool, retry_after_ms: float) -> None:
         """Rejects a request that has not run."""
-        request = self.server.requests.by_id[task]
-        self.server.reject_request(request, stay_away_ms, last)
+        request = self.server.requests.by_id[request_id]
+        self.server.reject_request(request, retry_after_ms, do_not_retry)
         self.server.requests.remove(request)
 
-    def abandon(self, task: int) -> None:
+    def fail(self, request_id: int) -> None:
         """Fails a request; a run that has started goes on without its dependency call."""
-        request = self.server.requests.by_id[task]
+        request = self.server.requests.by_id[request_id]
         self.server.fail_request(request)
         if request.started:
             self.server.database.abandon(request)
         else:
             self.server.requests.remove(request)
 
-    def halt(self, task: int) -> None:
+    def cancel_run(self, request_id: int) -> None:
         """Takes a run off its core."""
-        request = self.server.requests.by_id[task]
+        request = self.server.requests.by_id[request_id]
         request.suspended = True
         self.server.worker_pool.send(request, SuspendRun(request.name))
 
-    def call(self, task: int, give_up_ms: float) -> None:
+    def call_dependency(self, request_id: int, timeout_ms: float) -> None:
         """Makes the dependency call that the request's run waits for."""
         server = self.server
-        request = server.requests.by_id[task]
+        request = server.requests.by_id[request_id]
         if not server.settings.has_database:
-            server.deferred.append(lambda: server.finish_call(request, Outcome.UNREACHED))
+            server.deferred.append(lambda: server.finish_call(request, Outcome.UNREACHABLE))
             return
         server.counters.add("calls")
         if server.request_counters is not None:
             server.request_counters.on_call_started(server.now, request)
-        call = server.database.start(server.now, request, give_up_ms)
-        server.timers.at(server.now + give_up_ms, self._time_out_call, call)
+        call = server.database.start(server.now, request, timeout_ms)
+        server.timers.schedule(server.now + timeout_ms, self._time_out_call, call)
 
-    def skip_call(self, task: int) -> None:
+    def skip_dependency(self, request_id: int) -> None:
         """Lets the request's run go on without its dependency."""
-        request = self.server.requests.by_id[task]
+        request = self.server.requests.by_id[request_id]
         self.server.counters.add("calls_left_out")
         command = SkipDependency(request.name, request.last_notice_serial)
         self.server.worker_pool.send(request, command)
 
-    def keep(self, task: int, for_ms: float) -> None:
+    def retain_key(self, request_id: int, ttl_ms: float) -> None:
         """Remembers the request under its idempotency key for that time."""
         server = self.server
-        request = server.requests.by_id[task]
+        request = server.requests.by_id[request_id]
         if request.idempotency_key:
-            server.results.add(request, server.now + for_ms)
-            expiry = ResultExpiry(request.request_id, request.request_class.limit_ms)
-            server.timers.at(server.now + for_ms + expiry.retry_ms, self._expire, expiry)
+            server.results.add(request, server.now + ttl_ms)
+            expiry = ResultExpiry(request.request_id, request.request_class.timeout_ms)
+            server.timers.schedule(server.now + ttl_ms + expiry.retry_ms, self._expire, expiry)
 
-    def forget(self, task: int) -> None:
+    def drop_key(self, request_id: int) -> None:
         """Forgets a request under its key that has not run; retries that wait for it fail."""
-        for retry in self.server.results.drop(task):
+        for retry in self.server.results.drop(request_id):
             self._replay(retry, Outcome.ERROR, b"")
 
-    def reuse(self, task: int) -> None:
+    def replay_result(self, request_id: int) -> None:
         """Answers a retry from its first attempt, now or once that has finished."""
-        request = self.server.requests.by_id[task]
+        request = self.server.requests.by_id[request_id]
         entry = self.server.results.replay(request)
         if entry is None:
             self._replay(request, Outcome.ERROR, b"")
         elif entry.outcome is not None:
             self._replay(request, entry.outcome, entry.result)
 
-    def health(self, good: bool, stored: bool) -> None:
+    def set_health(self, healthy: bool, cached: bool) -> None:
         """Sets the answer to health checks."""
-        self.server.healthy = good
+        self.server.healthy = healthy
 
-    def say(self, value: float) -> None:
+    def report_load(self, value: float) -> None:
         """Sets the load hint that goes with every answer."""
         self.server.load_hint = value
 
-    def close_idle(self, after_ms: float) -> None:
+    def set_idle_timeout(self, timeout_ms: float) -> None:
         """Sets after which time gateways are asked to close an idle connection."""
-        self.server.connections.idle_timeout_ms = after_ms
+        self.server.connections.idle_timeout_ms = timeout_ms
 
-    def wake(self, after_ms: float) -> None:
+    def schedule_tick(self, after_ms: float) -> None:
         """Schedules the next tick."""
         self.server.lifecycle.schedule_tick(after_ms)
 
@@ -134,9 +134,9 @@
         database = self.server.database
         if database.is_current(call):
             written = database.abandon(call.request)
-            outcome = Outcome.TIMEOUT if written else Outcome.UNREACHED
+            outcome = Outcome.TIMEOUT if written else Outcome.UNREACHABLE
             self.server.finish_call(call.request, outcome)
 
     def _expire(self, now: float, expiry: ResultExpiry) -> None:
         if not self.server.results.expire(expiry.owner_id):
-            self.server.timers.at(now + expiry.retry_ms, self._expire, expiry)
+            self.server.timers.schedule(now + expiry.retry_ms, self._expire, expiry)
--- a/pumicenotch/server/core.py
+++ b/pumicenotch/server/core.py
@@ -8,8 +8,8 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
-from pumicenotch.control import Control
-from pumicenotch.interface import Outcome, Pools
+from pumicenotch.control import AdmissionController
+from pumicenotch.interface import IncomingRequest, Outcome, Pools
 from pumicenotch.server import database_client, events, registry_reporter, worker_pool_client
 from pumicenotch.server.backend_side import BackendLimits, BackendSide
 from pumicenotch.server.cell_admission import CellAdmission
@@ -66,7 +66,7 @@
         settings: ServerSettings,
         *,
         make_pools: MakePools | None = None,
-        controller_type: type[Control] = Control,
+        controller_type: type[AdmissionController] = AdmissionController,
         fence: "Fence | None" = None,
         node: str = "",
     ) -> None:
@@ -76,15 +76,14 @@
         self.controller_type = controller_type
         self.actions = ControllerActions(self)
         self.decoder = RequestDecoder(
-            settings.controller["stages"],
+            settings.controller.request_classes,
             settings.class_indexes,
             settings.tenant_indexes,
             self.requests,
         )
         self.decoder.reads_map_epoch = fence is not None
         self.cells = CellAdmission(fence, node) if fence is not None else None
-        drain_grace_ms = settings.controller.get("drain_grace_ms", 0.0)
-        self.lifecycle = Lifecycle(self, settings.shutdown_ms, drain_grace_ms)
+        self.lifecycle = Lifecycle(self, settings.shutdown_ms, settings.controller.drain_grace_ms)
         self.healthy = False
 
     # The program
@@ -127,7 +126,7 @@
         self.effects.append(Log(f"reload: {event.text}"))
         self.make_pools = event.make_pools
         if self.controller is not None:
-            self.controller.pool(self.now, self._new_pools())
+            self.controller.use_pools(self.now, self._new_pools())
 
     def on_cell_map_replaced(self, event: events.CellMapReplaced) -> None:
         """Takes the newer cell map."""
@@ -182,25 +181,25 @@
 
     def _admit(
         self,
-        controller: Control,
+        controller: AdmissionController,
         request: PendingRequest,
         waited_ms: float,
         original_id: int | None,
     ) -> None:
-        controller.task(
-            self.now,
-            request.request_id,
-            request.class_index,
-            request.tenant_index,
-            waited_ms,
-            None,
-            request.estimated_work,
-            request.memory_kb,
-            original_id,
-            request.caller,
-            request.is_retry,
-            request.fingerprint() if self.make_pools is not None else 0,
+        incoming = IncomingRequest(
+            request_id=request.request_id,
+            class_index=request.class_index,
+            tenant_index=request.tenant_index,
+            waited_ms=waited_ms,
+            expires_at=None,
+            estimated_work=request.estimated_work,
+            memory_kb=request.memory_kb,
+            original_id=original_id,
+            caller_id=request.caller_id,
+            is_marked_retry=request.is_retry,
+            content_digest=request.fingerprint() if self.make_pools is not None else 0,
         )
+        controller.on_request(self.now, incoming)
 
     def _rejected_by_cells(
         self, event: events.RequestReceived, request: PendingRequest, original_id: int | None
@@ -225,7 +224,7 @@
             self.serve_request(request, entry.result)
             self.requests.remove(request)
         else:
-            self.actions.abandon(request.request_id)
+            self.actions.fail(request.request_id)
 
     def release(self, request: PendingRequest) -> None:
         """Lets a run go on to its end, and forgets a request that has not started.
@@ -238,7 +237,7 @@
         elif not request.idempotency_key:
             self.database.abandon(request)
         if self.controller is not None:
-            self.controller.caller_gone(self.now, request.request_id)
+            self.controller.on_cancel(self.now, request.request_id)
 
     def on_health_check(self, event: events.HealthCheckReceived) -> None:
         """Answers a health check."""
@@ -254,19 +253,16 @@
         if self.controller is None:
             self.controller = self._new_controller(event)
             if self.lifecycle.draining:
-                self.controller.leave(self.now, self.lifecycle.stop_at)
+                self.controller.start_draining(self.now, self.lifecycle.stop_at)
         self.worker_pool.on_bound(self.now)
 
-    def _new_controller(self, event: events.PoolBound) -> Control:
+    def _new_controller(self, event: events.PoolBound) -> AdmissionController:
         # Cached results are in the program's own memory. Counted in the settings' memory, which is
         # for runs, they would have requests rejected for which there is room.
-        keywords = self.settings.controller | {"cold": event.starting, "entry_kb": 0.0}
+        settings = self.settings.controller._replace(starts_cold=event.starting, key_memory_kb=0.0)
+        started_at = self.now - event.uptime_ms
         return self.controller_type(
-            self.actions,
-            self.now - event.uptime_ms,
-            seed=self.settings.seed,
-            pools=self._new_pools(),
-            **keywords,
+            self.actions, started_at, settings, self.settings.seed, self._new_pools()
         )
 
     def _new_pools(self) -> Pools | None:
--- a/pumicenotch/server/database_client.py
+++ b/pumicenotch/server/database_client.py
@@ -4,8 +4,7 @@
 from itertools import count
 from typing import NamedTuple
 
-from pumicenotch.interface import Effect as Repeat
-from pumicenotch.interface import Outcome
+from pumicenotch.interface import Idempotency, Outcome
 from pumicenotch.server.backoff import Backoff
 from pumicenotch.server.effects import Close, Dial, Effect, Write
 from pumicenotch.server.messages import DependencyCall
@@ -129,7 +128,7 @@
         self._place_waiting(now)
         if call is None:
             return None
-        return EndedCall(call.request, Outcome.RESET if call.written else Outcome.UNREACHED)
+        return EndedCall(call.request, Outcome.RESET if call.written else Outcome.UNREACHABLE)
 
     def on_address_changed(self, now: float) -> None:
         """Lets calls on open connections finish there, and makes all others at the new address."""
@@ -148,7 +147,7 @@
             self._close(self.idle[0])
 
     def _place(self, now: float, call: Call) -> None:
-        repeatable = call.request.request_class.effect is Repeat.RESTARTABLE
+        repeatable = call.request.request_class.idempotency is Idempotency.IDEMPOTENT
         max_idle_ms = IDLE_TIMEOUT_MS if repeatable else FRESH_MS
         for index in range(len(self.idle) - 1, -1, -1):
             connection = self.connections[self.idle[index]]
--- a/pumicenotch/server/lifecycle.py
+++ b/pumicenotch/server/lifecycle.py
@@ -50,7 +50,7 @@
         """Runs what is due, and polls the pool: the answer brings the controller's tick."""
         server = self.server
         self.timer_fired_at = server.now
-        server.timers.run(server.now)
+        server.timers.run_due(server.now)
         if server.controller is not None and server.worker_pool.has_timed_out(server.now):
             server.count_problem("links_hung", "pool: no answer on a link that is up")
             server.worker_pool.reconnect()
@@ -61,7 +61,7 @@
             self.schedule_tick(self.tick_interval_ms)
         else:
             server.counters.add("ticks_without_gauges")
-            server.controller.tick(server.now, server.gauges)
+            server.controller.on_tick(server.now, server.gauges)
 
     def schedule_tick(self, delay_ms: float) -> None:
         """Sets the timer, from when it last fired and not from when the pool answered."""
@@ -77,7 +77,7 @@
         if now <= self.next_sweep_at + SWEEP_INTERVAL_MS:
             server.connections.sweep(now)
         self.next_sweep_at = now + SWEEP_INTERVAL_MS
-        server.timers.at(self.next_sweep_at, self.sweep, None)
+        server.timers.schedule(self.next_sweep_at, self.sweep, None)
         server.database.close_idle(now)
         # What the listener still holds is answered after its close.
         if now >= self.listener_closed_until and not server.connections.by_id:
@@ -92,12 +92,12 @@
         self.stop_at = server.now + max(0.0, self.shutdown_ms - STOP_MARGIN_MS)
         grace_ends_at = server.now + self.drain_grace_ms
         listener_closes_at = min(grace_ends_at, self.stop_at - LISTENER_CLOSE_MS)
-        server.timers.at(listener_closes_at, self.close_listener, None)
+        server.timers.schedule(listener_closes_at, self.close_listener, None)
         server.reporter.report(server.now, draining=True)
         server.connections.notify_all(server.now)
         if server.controller is not None:
-            server.controller.leave(server.now, self.stop_at)
-        server.timers.at(self.stop_at, self.exit, None)
+            server.controller.start_draining(server.now, self.stop_at)
+        server.timers.schedule(self.stop_at, self.exit, None)
 
     def close_listener(self, now: float, _: None) -> None:
         """Requests do not run from now on, and a refused connection proves it to the caller."""
@@ -118,7 +118,7 @@
         server = self.server
         if server.controller is not None:
             # After a stall the last answers may still be owed.
-            server.controller.tick(server.now, server.gauges)
+            server.controller.on_tick(server.now, server.gauges)
         if not self.listener_closed:
             server.effects.append(Close(LISTENER))
         for connection_id, connection in list(server.connections.by_id.items()):
--- a/pumicenotch/server/pending_request.py
+++ b/pumicenotch/server/pending_request.py
@@ -2,7 +2,7 @@
 
 from hashlib import blake2b
 
-from pumicenotch.interface import Stage
+from pumicenotch.interface import RequestClass
 
 
 class PendingRequest:
@@ -12,10 +12,10 @@
     names.
     """
 
-    request_class: Stage
+    request_class: RequestClass
     class_index = 0
     tenant_index = 0
-    caller = 0  # the gateway that sends it
+    caller_id = 0  # the gateway that sends it
     is_retry = False
     map_epoch: int | None = (
         None  # of a router's cell map, since when the tenant's nodes are the same
--- a/pumicenotch/server/request_counters.py
+++ b/pumicenotch/server/request_counters.py
@@ -44,7 +44,7 @@
 
     def on_received(self, now: float, request: PendingRequest, waited_ms: float) -> None:
         """Notes when the request, which has waited so long already, becomes late."""
-        request.objective_at = now - waited_ms + request.request_class.due_ms
+        request.objective_at = now - waited_ms + request.request_class.latency_objective_ms
 
     def on_answered(self, now: float, request: PendingRequest, served: bool) -> None:
         """Counts an answered request."""
--- a/pumicenotch/server/request_decoder.py
+++ b/pumicenotch/server/request_decoder.py
@@ -5,7 +5,8 @@
 from hashlib import blake2b
 from itertools import count
 
-from pumicenotch.interface import Effect, Stage
+from pumicenotch.errors import InputError
+from pumicenotch.interface import Idempotency, RequestClass
 from pumicenotch.server.events import RequestReceived
 from pumicenotch.server.pending_request import PendingRequest, PendingRequests
 
@@ -32,7 +33,7 @@
 }
 
 
-class InvalidRequestError(ValueError):
+class InvalidRequestError(InputError):
     """A well-formed message that is no request; the text names the field."""
 
 
@@ -64,7 +65,7 @@
 
     def __init__(
         self,
-        classes: list[Stage],
+        classes: list[RequestClass],
         class_indexes: dict[str, int],
         tenant_indexes: dict[str, int],
         pending: PendingRequests,
@@ -88,7 +89,7 @@
         request = self._begin(event)
         fields = event.fields
         self._decode_size(request, fields, unix_ms)
-        request.caller = int(text_field(fields, "peer"))
+        request.caller_id = int(text_field(fields, "peer"))
         request.is_retry = "again" in fields and text_field(fields, "again") == "1"
         if "obj" in fields:
             text_field(fields, "obj")
@@ -136,7 +137,7 @@
         number_field(fields, "prio", 1.0)
 
     def _decode_idempotency_key(self, request: PendingRequest, fields: Mapping[str, str]) -> None:
-        if request.request_class.effect is Effect.FINGERPRINTED:
+        if request.request_class.idempotency is Idempotency.KEYED:
             request.idempotency_key = text_field(fields, "token")
             content = b"%d " % request.class_index + request.body
             request.body_digest = blake2b(content, digest_size=16).digest()
--- a/pumicenotch/server/settings.py
+++ b/pumicenotch/server/settings.py
@@ -1,12 +1,14 @@
 """What a server is started with."""
 
-from typing import Any, NamedTuple
+from typing import NamedTuple
+
+from pumicenotch.control import ControllerSettings
 
 
 class ServerSettings(NamedTuple):
     """The start values that the core needs, beside what a file of ours adds."""
 
-    controller: dict[str, Any]
+    controller: ControllerSettings
     class_indexes: dict[str, int]  # where each request class stands in the controller's list
     tenant_indexes: dict[str, int]
     seed: int
--- a/tests/compatibility/test_net.py
+++ b/tests/compatibility/test_net.py
@@ -69,7 +69,7 @@
     pairs = start.nested(SETTINGS)
     return Server(
         ServerSettings(
-            controller=start.keywords(pairs),
+            controller=start.controller_settings(pairs),
             class_indexes=start.names(pairs, "classes"),
             tenant_indexes=start.names(pairs, "tenants"),
             seed=1,
--- a/tests/serve.py
+++ b/tests/serve.py
@@ -20,7 +20,7 @@
 from itertools import count
 from typing import Any
 
-from pumicenotch.interface import Below, Outcome
+from pumicenotch.interface import DependencyKind, Outcome
 from pumicenotch.net.database import OUTCOMES
 from pumicenotch.net.pool import RUN_OUTCOMES
 from pumicenotch.server import events, messages
@@ -128,16 +128,11 @@
     def do_serve(self, plain: list[str], pairs: dict[str, Any]) -> None:
         stop, cold, below = pairs.pop("stop", 3000), pairs.pop("cold", False), pairs.pop("db", True)
         max_descriptors, memory_mb = pairs.pop("sockets", 64), pairs.pop("memory", 192)
-        keywords = {
-            "stages": list(self.stages.values()),
-            "tenants": list(self.tenants.values()),
-            **pairs,
-        }
-        keywords |= {"gauges": list(self.gauges), "below": Below.TIER if below else Below.NONE}
+        pairs["below"] = DependencyKind.NEXT_TIER if below else DependencyKind.NONE
         self.now, self.answers, self.serials = 1e6, True, count(1)
         self.core = Server(
             ServerSettings(
-                controller=keywords,
+                controller=self.settings(pairs),
                 class_indexes={name: at for at, name in enumerate(self.stages)},
                 tenant_indexes={name: at for at, name in enumerate(self.tenants)},
                 seed=1,
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -7,6 +7,7 @@
 import pytest
 from anyio.abc import ByteStream
 
+from pumicenotch.control import ControllerSettings
 from pumicenotch.interface import Outcome
 from pumicenotch.net import connection, outbox
 from pumicenotch.net.outbox import Outbox
@@ -76,7 +77,7 @@
 def test_a_trouble_that_comes_with_every_task_is_not_logged_each_time() -> None:
     core = Server(
         ServerSettings(
-            controller={"stages": []},
+            controller=ControllerSettings([], [], []),
             class_indexes={},
             tenant_indexes={},
             seed=1,
--- a/tests/test_pairs.py
+++ b/tests/test_pairs.py
@@ -10,7 +10,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from pumicenotch.interface import Below, Effect, Outcome, Stage
+from pumicenotch.control import ControllerSettings
+from pumicenotch.interface import DependencyKind, Idempotency, Outcome, RequestClass
 from pumicenotch.server import events
 from pumicenotch.server.core import Server
 from pumicenotch.server.effects import Close, Exit, FinishReading, Wake, Write
@@ -28,7 +29,7 @@
 from pumicenotch.server.settings import ServerSettings
 from tests.play import rid
 
-STAGES = {"read": Effect.RESTARTABLE, "put": Effect.FINGERPRINTED, "pay": Effect.SIDE_EFFECTING}
+STAGES = {"read": Idempotency.IDEMPOTENT, "put": Idempotency.KEYED, "pay": Idempotency.NONE}
 CUT = ConnectionFailure(FailureReach.BROKEN, "cut")
 PLAIN_EVENTS = {"leave": events.ShutdownRequested(), "scarce": events.DescriptorsExhausted()}
 END_EVENTS = {"reset": events.ConnectionReset, "eof": events.ConnectionEnded}
@@ -76,22 +77,22 @@
     """One core and the peers that it has, as far as the test plays them. Runs are counted by fingerprint."""
 
     def __init__(self) -> None:
-        def stage(effect: Effect) -> Stage:
-            window_ms = WINDOW_MS if effect is Effect.FINGERPRINTED else 0.0
-            return Stage(300.0, 0.0, 600.0, effect, window_ms, 1.0, 0.0, 0.0)
+        def stage(effect: Idempotency) -> RequestClass:
+            window_ms = WINDOW_MS if effect is Idempotency.KEYED else 0.0
+            return RequestClass(300.0, 0.0, 600.0, effect, window_ms, 1.0, 0.0, 0.0)
 
-        keywords = {
-            "stages": [stage(each) for each in STAGES.values()],
-            "tenants": [],
-            "gauges": [],
-            "cores": 2,
-            "crowd_multiple": 8.0,
-            "below": Below.TIER,
-            "drain_grace_ms": 200.0,
-        }
+        settings = ControllerSettings(
+            request_classes=[stage(each) for each in STAGES.values()],
+            tenants=[],
+            gauges=[],
+            cores=2,
+            crash_load_factor=8.0,
+            dependency_kind=DependencyKind.NEXT_TIER,
+            drain_grace_ms=200.0,
+        )
         self.core = Server(
             ServerSettings(
-                controller=keywords,
+                controller=settings,
                 class_indexes=dict(zip(STAGES, range(3), strict=True)),
                 tenant_indexes={},
                 seed=1,
