--- a/pumicenotch/net/instance_file.py
+++ b/pumicenotch/net/instance_file.py
@@ -18,7 +18,7 @@
     from pumicenotch.cells.map import CellMap
     from pumicenotch.config.compiled import Ours
     from pumicenotch.net.start_values import StartValues
-    from pumicenotch.pools.plan import Plan
+    from pumicenotch.pools.plan import PoolsPlan
     from pumicenotch.server.core import MakePools
 
 PATH_VARIABLE = "PUMICENOTCH_CONFIG"
@@ -89,15 +89,15 @@
     return Fence(Clock().unix(), cells.window_ms, cells)
 
 
-def pools_maker(plan: "Plan | None", values: "StartValues", path: str) -> "MakePools | None":
+def pools_maker(plan: "PoolsPlan | None", values: "StartValues", path: str) -> "MakePools | None":
     """Returns what makes class pools by the plan, if there is one."""
     if plan is None:
         return None
-    from pumicenotch.pools import Pools
-    from pumicenotch.pools.plan import unknown
+    from pumicenotch.pools import ClassPools
+    from pumicenotch.pools.plan import unknown_classes
 
     classes = values.controller.request_classes
     class_indexes = values.class_indexes
-    for name in unknown(plan, list(class_indexes)):
+    for name in unknown_classes(plan, list(class_indexes)):
         logger.warning("{}: no stage of this server is called {}", path, name)
-    return lambda now: Pools(now, plan, classes, class_indexes)
+    return lambda now: ClassPools(now, plan, classes, class_indexes)
--- a/pumicenotch/route/decide.py
+++ b/pumicenotch/route/decide.py
@@ -16,7 +16,7 @@
 from pumicenotch.cells.walk import SAYS, End, Said, Step, Walk, walk
 from pumicenotch.control import TimerQueue
 from pumicenotch.interface import Idempotency
-from pumicenotch.pools.budget import Budget
+from pumicenotch.pools.retry_budget import RetryBudget
 from pumicenotch.server import events
 from pumicenotch.server.effects import Close, Dial, Exit, Log, Wake, Write
 from pumicenotch.server.gateway_side import GatewaySide
@@ -120,7 +120,7 @@
         self.stop_ms, self.stop = stop_ms, float("inf")
         chance = random.Random(seed)
         self.views = Views(chance.random)
-        self.budget = Budget(self.RETRY, self.BURST, 4096)
+        self.budget = RetryBudget(self.RETRY, self.BURST, 4096)
         self.timers = TimerQueue()
         self.names = count(1)
         self.ways: dict[str, Way] = {}
@@ -245,7 +245,7 @@
         trip = self.trips[held.request_id] = Trip(held, fields, begun)
         self.timers.schedule(limit, self.too_late, trip)
         if not held.is_retry:
-            self.budget.first(tenant)
+            self.budget.deposit(tenant)
         self.onward(trip, begun.start())
 
     def choices(self, held: PendingRequest, tenant: str) -> list[str]:
@@ -380,10 +380,10 @@
 
     def may_try_on(self, trip: Trip) -> bool:
         tenant = trip.fields.get("acct", "")
-        if self.budget.get(tenant) < 1.0:
+        if self.budget.tokens_of(tenant) < 1.0:
             self.counters.add("tries_over_budget")
             return False
-        self.budget.spend(tenant)
+        self.budget.withdraw(tenant)
         return True
 
     def on_node_draining(self, event: NodeDraining) -> None:
