--- a/benchmarks/restarts.py
+++ b/benchmarks/restarts.py
@@ -13,7 +13,7 @@
 from concurrent.futures import ThreadPoolExecutor
 from pathlib import Path
 
-from tests.standin import WAIT_S, Party, Peer, Program
+from tests.net.parties import WAIT_S, Party, Peer, Program
 
 DOWN_S, READY_S, PART = 2.0, 10.0, 0.9
 
--- a/tests/compatibility/test_net.py
+++ b/tests/compatibility/test_net.py
@@ -24,7 +24,7 @@
 from pumicenotch.server import events, messages
 from pumicenotch.server.core import Server
 from pumicenotch.server.settings import ServerSettings
-from tests.standin import SETTINGS
+from tests.net.parties import SETTINGS
 
 GOLDEN = Path(__file__).parent / "golden" / "net"
 ENCODERS = {"gateway": gateways.ENCODERS, "pool": pool.ENCODERS, "db": database.ENCODERS}
--- a/tests/fleet/test_alone.py
+++ b/tests/fleet/test_alone.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from tests.standin import Gateway, Program, result
+from tests.net.parties import Gateway, Program, result
 
 BLOCK = 'fleet "f" {{\n  member = "n1"\n  listen = "{}"\n  voters = ["127.0.0.1:1"]\n}}\n'
 
--- a/tests/test_crossings.py
+++ b/tests/net/test_crossing_events.py
@@ -19,7 +19,7 @@
 import msgpack
 import pytest
 
-from tests.standin import SETTINGS, WAIT_S, Gateway, Party, Pool, Program, result
+from tests.net.parties import SETTINGS, WAIT_S, Gateway, Party, Pool, Program, result
 
 LEAVE = signal.SIGTERM
 STOP_S = 0.9  # of the notices here, as short as a busy machine allows
@@ -50,7 +50,9 @@
 
 @pytest.mark.parametrize("first", ["task", "notice"])
 @pytest.mark.parametrize("where", ["open connection", "backlog"])
-def test_a_task_and_the_notice_to_leave(tmp_path: Path, first: str, where: str) -> None:
+def test_request_that_crosses_the_shutdown_request_is_served(
+    tmp_path: Path, first: str, where: str
+) -> None:
     with Program(tmp_path) as program:
         pool = program.bind()
         gateway = Gateway(program.address)
@@ -76,9 +78,7 @@
 
 
 @pytest.mark.parametrize("stall", ["the grace", "the stop"])
-def test_a_stall_over_a_step_of_the_drain_loses_nothing_that_came_meanwhile(
-    tmp_path: Path, stall: str
-) -> None:
+def test_stall_over_a_step_of_the_drain_loses_no_request(tmp_path: Path, stall: str) -> None:
     """Tasks wait on open connections and in the backlog when the clock says that it is too late."""
     stop_ms, grace_us = (3000, 300_000) if stall == "the grace" else (int(1000 * STOP_S), 200_000)
     with Program(tmp_path, stop_ms=stop_ms, settings=quick(grace_us)) as program:
@@ -113,7 +113,7 @@
         assert program.process.wait(WAIT_S) == 0
 
 
-def test_clients_that_rest_are_ended_without_a_reset_within_the_notice(tmp_path: Path) -> None:
+def test_idle_clients_are_closed_without_a_reset_before_the_stop(tmp_path: Path) -> None:
     with Program(tmp_path, stop_ms=int(1000 * STOP_S), settings=quick(100_000)) as program:
         program.bind()
         resting = [Gateway(program.address) for _ in range(5)]
@@ -129,7 +129,9 @@
         assert time.monotonic() - began < STOP_S + 2.0  # a busy machine's own time to end a process
 
 
-def test_a_connection_that_is_condemned_has_its_answers_and_no_reset(tmp_path: Path) -> None:
+def test_connection_that_violates_the_protocol_gets_its_answers_and_no_reset(
+    tmp_path: Path,
+) -> None:
     """More than the sockets hold is on its way as the connection is closed on our side."""
     with Program(tmp_path) as program:
         pool, gateway = program.bind(), Gateway(program.address)
@@ -140,7 +142,7 @@
         assert gateway.closed_cleanly()
 
 
-def test_a_crowded_table_ends_an_idle_connection_only_once_its_task_is_answered(
+def test_idle_connection_is_evicted_only_after_its_request_is_answered(
     tmp_path: Path,
 ) -> None:
     """The task of the longest idle one and the connections that crowd the table come in the same turn."""
@@ -161,7 +163,9 @@
 
 
 @pytest.mark.parametrize("number", [signal.SIGTERM, signal.SIGINT, signal.SIGUSR1, signal.SIGHUP])
-def test_a_signal_before_the_receiver_stands(tmp_path: Path, number: signal.Signals) -> None:
+def test_signal_before_the_receiver_is_ready_is_handled(
+    tmp_path: Path, number: signal.Signals
+) -> None:
     """The program stands at its configuration, a pipe that nobody has written to, as the signal comes."""
     config = tmp_path / "config.json"
     os.mkfifo(config)
@@ -197,7 +201,7 @@
 
 
 @pytest.mark.parametrize("again", [signal.SIGTERM, signal.SIGINT, signal.SIGUSR1, signal.SIGHUP])
-def test_further_signals_up_to_the_very_end(tmp_path: Path, again: signal.Signals) -> None:
+def test_further_signals_do_not_disturb_the_exit(tmp_path: Path, again: signal.Signals) -> None:
     """One a millisecond, so that the process gets on with its end between them."""
     with Program(tmp_path, stop_ms=300) as program, ThreadPoolExecutor(1) as reading:
         assert program.process.stderr is not None
@@ -222,7 +226,7 @@
         {"db": "nowhere"},
     ],
 )
-def test_a_reload_that_names_no_address_leaves_the_running_values_in_force(
+def test_reload_without_an_address_keeps_the_running_values(
     tmp_path: Path, change: dict[str, str]
 ) -> None:
     with Program(tmp_path) as program:
@@ -235,7 +239,7 @@
         assert result(gateway.answer()) == b"x"
 
 
-def test_a_reload_whose_file_nests_without_end_changes_nothing(tmp_path: Path) -> None:
+def test_reload_of_a_file_that_nests_without_end_changes_nothing(tmp_path: Path) -> None:
     with Program(tmp_path) as program:
         pool, gateway = program.bind(), Gateway(program.address)
         assert "the running values stay in force" in program.reload("[" * 100_000)
@@ -244,7 +248,7 @@
         assert result(gateway.answer()) == b"x"
 
 
-def test_a_link_that_was_replaced_delivers_nothing_more(tmp_path: Path) -> None:
+def test_replaced_pool_connection_delivers_nothing_more(tmp_path: Path) -> None:
     """The old link's notice and the new configuration come in one turn; the new link brings it again."""
     new = Party()
     with Program(tmp_path) as program:
@@ -268,7 +272,7 @@
         assert {each[1]: result(each) for each in found} == {1: b"one", 2: b"two"}
 
 
-def test_a_notice_that_came_spoilt_is_asked_for_again_once(tmp_path: Path) -> None:
+def test_corrupt_notice_is_requested_again_once(tmp_path: Path) -> None:
     """The run's end cannot be read, the next notice can: a new link brings it. Spoilt again, it is left."""
     with Program(tmp_path) as program:
         pool, gateway = program.bind(), Gateway(program.address)
@@ -296,7 +300,7 @@
         assert result(answers(gateway)[0]) == b"three"
 
 
-def test_a_successor_waits_for_the_address_that_its_predecessor_drains_at(tmp_path: Path) -> None:
+def test_successor_waits_for_the_address_of_its_draining_predecessor(tmp_path: Path) -> None:
     (tmp_path / "next").mkdir()
     with Program(tmp_path) as program:
         pool, gateway = program.bind(), Gateway(program.address)
@@ -314,7 +318,7 @@
 
 
 @pytest.mark.parametrize("over", ["what is named", "what there is"])
-def test_clients_that_rest_fill_the_descriptors_while_the_registry_is_down(
+def test_idle_clients_leave_descriptors_while_the_registry_is_down(
     tmp_path: Path, over: str
 ) -> None:
     """With the limit below what the configuration names, connections are accepted until none is left."""
--- a/tests/test_ours.py
+++ b/tests/net/test_instance_file.py
@@ -4,14 +4,14 @@
 
 import pytest
 
-from tests.standin import Gateway, Program, result
+from tests.net.parties import Gateway, Program, result
 
 GOOD = (
     'pool "cheap" {\n  stages  = ["read"]\n  reserve = 0.5\n}\npool "rest" {\n  stages = ["*"]\n}\n'
 )
 
 
-def test_a_bad_file_changes_nothing_a_good_one_is_taken_and_an_empty_one_switches_pools_off(
+def test_bad_file_changes_nothing_and_an_empty_one_switches_pools_off(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     file = tmp_path / "ours.hcl"
@@ -39,7 +39,7 @@
     assert "reloads_failed=1" in counters and "repools=2" in counters
 
 
-def test_a_file_that_is_wrong_at_the_start_is_told_and_nothing_runs(
+def test_wrong_file_at_the_start_is_reported_and_nothing_runs(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     file = tmp_path / "ours.hcl"
--- a/tests/test_cuts.py
+++ b/tests/net/test_partial_input.py
@@ -50,7 +50,7 @@
 
 
 @pytest.mark.parametrize("which", [0, 1, 2], ids=["gateway", "pool", "database"])
-def test_a_reader_is_told_the_same_wherever_its_bytes_are_cut(which: int) -> None:
+def test_reader_delivers_the_same_events_wherever_its_bytes_are_split(which: int) -> None:
     data, reader = readers()[which]
     whole = Noted()
     reader(whole).feed(data)
@@ -71,7 +71,7 @@
 
 
 @pytest.mark.parametrize("which", [0, 1, 2], ids=["gateway", "pool", "database"])
-def test_bytes_that_break_off_bring_nothing_that_was_not_whole(which: int) -> None:
+def test_truncated_bytes_deliver_only_complete_messages(which: int) -> None:
     """Each prefix, then the end: what comes of it is a prefix of what the whole brings."""
     data, reader = readers()[which]
     whole = Noted()
@@ -85,7 +85,7 @@
     assert counts == sorted(counts) and counts[-1] == 3
 
 
-def test_a_writer_cut_at_every_byte_never_sends_more_than_a_prefix() -> None:
+def test_writer_cut_at_any_byte_sends_a_prefix() -> None:
     """The peer is gone after so many bytes: what it has is a prefix of the frames, and the writing ends."""
 
     class Cut(ByteStream):
@@ -122,7 +122,7 @@
         assert anyio.run(play, most) == whole[:most]
 
 
-def test_a_stall_between_two_clocks_lets_a_task_seem_older_never_younger(
+def test_stall_between_two_clocks_makes_a_request_look_older(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Both clocks jump by a second as either is read for the n-th time."""
@@ -143,7 +143,7 @@
         reads = 0
 
 
-def test_what_waits_in_the_kernel_or_in_slices_is_unread() -> None:
+def test_input_that_waits_in_the_kernel_is_unread() -> None:
     here, there = socket.socketpair()
     assert not outbox.has_unread_input(here)
     there.send(b"x")
--- a/tests/test_server.py
+++ b/tests/net/test_protocols.py
@@ -10,8 +10,8 @@
 import msgpack
 import pytest
 
+from tests.net.parties import Gateway, Party, Program, blob, result
 from tests.play import rid
-from tests.standin import Gateway, Party, Program, blob, result
 
 FINE = '{"listen": "127.0.0.1:0", "pool": "127.0.0.1:1", '
 CLASSES = '"stop_ms": 900, "settings": {"classes": [{%s}]}}'
@@ -19,7 +19,7 @@
 BODIES = [b"", bytes(range(256)) * 8, b"\r\n\x00{}"]
 
 
-def test_a_task_with_its_call_byte_for_byte(tmp_path: Path) -> None:
+def test_request_with_its_dependency_call_byte_for_byte(tmp_path: Path) -> None:
     with Program(tmp_path) as program:
         pool, gateway = program.bind(), Gateway(program.address)
         assert program.bound_with == 0
@@ -45,7 +45,7 @@
         assert "answered_served=3" in program.logged("counters: (.*)")
 
 
-def test_sigterm_tells_everybody_answers_and_ends_with_0(tmp_path: Path) -> None:
+def test_sigterm_notifies_all_parties_answers_and_exits_with_0(tmp_path: Path) -> None:
     with Program(tmp_path) as program:
         registry = program.registry.accept()
         head = [registry.line().strip() for _ in range(4)]
@@ -71,7 +71,7 @@
         assert program.process.wait(20) == 0
 
 
-def test_rejections_failures_and_checks_on_the_wire(tmp_path: Path) -> None:
+def test_rejections_failures_and_health_checks_on_the_wire(tmp_path: Path) -> None:
     with Program(tmp_path) as program:
         gateway = Gateway(program.address)
         gateway.send(msgpack.packb([0, 1, "alive", [{}]]))
@@ -105,7 +105,7 @@
         msgpack.packb([0, 1, "read", [{}, b"x" * 50000]]),
     ],
 )
-def test_what_is_no_message_ends_its_own_connection_alone(tmp_path: Path, junk: bytes) -> None:
+def test_invalid_message_closes_its_own_connection_alone(tmp_path: Path, junk: bytes) -> None:
     with Program(tmp_path) as program:
         pool, bad, good = program.bind(), Gateway(program.address), Gateway(program.address)
         bad.task(1, "before", b"")
@@ -119,7 +119,7 @@
         assert bad.ended()
 
 
-def test_half_a_frame_and_then_the_end_or_a_reset(tmp_path: Path) -> None:
+def test_half_a_frame_before_an_end_or_a_reset_does_no_harm(tmp_path: Path) -> None:
     with Program(tmp_path) as program:
         pool, half, cut = program.bind(), Gateway(program.address), Gateway(program.address)
         for number, gateway in enumerate((half, cut), 1):
@@ -138,7 +138,7 @@
         assert "connections_reset=1" in counters
 
 
-def test_the_pools_link_breaks_in_mid_line_and_comes_back(tmp_path: Path) -> None:
+def test_pool_connection_that_breaks_in_mid_line_is_resumed(tmp_path: Path) -> None:
     with Program(tmp_path) as program:
         pool, gateway = program.bind(), Gateway(program.address)
         for at in (1, 2, 3):
@@ -176,7 +176,7 @@
         b"ID FULL 0\r\n",
     ],
 )
-def test_a_spoilt_reply_condemns_its_link_and_a_restartable_task_calls_again(
+def test_corrupt_reply_closes_its_connection_and_an_idempotent_request_calls_again(
     tmp_path: Path, spoilt: bytes
 ) -> None:
     name = rid("aa").encode()
@@ -198,7 +198,7 @@
         assert blob(pool.command("supply")) == b""
 
 
-def test_a_reload_moves_to_new_addresses_and_a_bad_file_changes_nothing(tmp_path: Path) -> None:
+def test_reload_applies_new_addresses_and_a_bad_file_changes_nothing(tmp_path: Path) -> None:
     new = {name: Party() for name in ("pool", "db", "registry")}
     with Program(tmp_path) as program:
         pool, gateway, registry = (
@@ -232,7 +232,7 @@
         assert "reloads=1 reloads_failed=1" in program.end()[1]
 
 
-def test_reports_go_on_whatever_the_registry_does(tmp_path: Path) -> None:
+def test_reports_continue_whatever_the_registry_does(tmp_path: Path) -> None:
     odd = b"HTTP/1.1 500 Odd\r\nContent-Length: 0\r\n\r\n"
     switched, fine = b"HTTP/1.1 101 Odd\r\n\r\n", b"HTTP/1.1 204 Fine\r\n\r\n"
     with Program(tmp_path) as program:
@@ -248,7 +248,7 @@
             pass
 
 
-def test_killed_and_started_again_at_the_same_address(tmp_path: Path) -> None:
+def test_killed_server_restarts_at_the_same_address(tmp_path: Path) -> None:
     with Program(tmp_path) as program:
         program.bind()
         gateway = Gateway(program.address)
@@ -263,7 +263,7 @@
         assert pool.command("spawn")["call"] == "bb"
 
 
-def test_a_site_without_database_registry_and_tenants(tmp_path: Path) -> None:
+def test_server_runs_without_database_registry_and_tenants(tmp_path: Path) -> None:
     settings = {"classes": [{"name": "read", "deadline": 8_000_000}], "family-info": {"cores": 1}}
     with Program(tmp_path, settings=settings, db=None, registry=None) as program:
         pool, gateway = program.bind(), Gateway(program.address)
@@ -272,7 +272,7 @@
         assert gateway.answer() == [1, 1, None, [b"x", {}]]
 
 
-def test_silent_connections_give_way_when_descriptors_run_short(tmp_path: Path) -> None:
+def test_silent_connections_are_closed_when_descriptors_run_short(tmp_path: Path) -> None:
     with Program(tmp_path) as program:
         pool = program.bind()
         busy = Gateway(program.address)
@@ -335,9 +335,7 @@
         ("[" * 100000, "config.json"),
     ],
 )
-def test_a_bad_start_ends_with_one_plain_line(
-    tmp_path: Path, change: str | None, said: str
-) -> None:
+def test_bad_start_value_exits_with_one_line(tmp_path: Path, change: str | None, said: str) -> None:
     config = tmp_path / "config.json"
     environment = {key: value for key, value in os.environ.items() if key != "LB_CONFIG"}
     if change is not None:
--- a/tests/test_standing.py
+++ b/tests/net/test_server_process.py
@@ -15,8 +15,8 @@
 import msgpack
 import pytest
 
+from tests.net.parties import SETTINGS, WAIT_S, Gateway, Party, Pool, Program, blob, result
 from tests.play import rid
-from tests.standin import SETTINGS, WAIT_S, Gateway, Party, Pool, Program, blob, result
 
 LEAVE, RELOAD = signal.SIGTERM, signal.SIGHUP
 MANY = {"cores": 1.0, "memory_mb": 192, "sockets": 1024}  # limits, for many gateways
@@ -109,7 +109,7 @@
 
 
 @pytest.mark.parametrize("when", ["in one turn", "once it is in force", "before it"])
-def test_a_reload_followed_by_a_drain(tmp_path: Path, when: str) -> None:
+def test_reload_followed_by_a_drain_loses_no_request(tmp_path: Path, when: str) -> None:
     """A run in hand is answered over the new link, one that comes in the grace is run there, and the new
     registry hears of the drain.
     """
@@ -146,9 +146,7 @@
 
 
 @pytest.mark.parametrize("kind", ["bias", "tokens", "min_rank"])
-def test_a_list_that_comes_whole_brings_every_gateway_to_a_cold_server_at_once(
-    tmp_path: Path, kind: str
-) -> None:
+def test_cold_server_survives_all_gateways_at_once(tmp_path: Path, kind: str) -> None:
     """Each has one answer with a free value no higher than that of a cold server, and no more run at a time
     than such a server survives.
     """
@@ -210,7 +208,7 @@
     return found
 
 
-def test_a_list_that_falls_silent_late_sends_to_the_successor_of_one_killed_after_an_accept(
+def test_successor_of_a_killed_server_serves_gateways_with_an_outdated_list(
     tmp_path: Path,
 ) -> None:
     """The predecessor is killed with connections that it has accepted, or not yet; each ends. Its callers
@@ -244,7 +242,7 @@
         assert "runs=1" in successor.logged("counters: (.*)").split()
 
 
-def test_connections_reset_right_after_their_accept_leave_nothing_behind(tmp_path: Path) -> None:
+def test_connections_reset_after_their_accept_leave_nothing_behind(tmp_path: Path) -> None:
     with Program(tmp_path, limits=MANY) as program:
         pool, gateway = program.bind(), Gateway(program.address)
         check(gateway, 1)
@@ -273,7 +271,7 @@
         assert counters.split()[0] == "open=0"  # nothing waits on behalf of those that are gone
 
 
-def test_requests_and_notices_that_come_in_pieces_and_in_long_forms(tmp_path: Path) -> None:
+def test_requests_and_notices_in_pieces_and_in_long_forms_are_read(tmp_path: Path) -> None:
     """A check on another connection goes there and back after each piece, so that pieces are read apart."""
     with Program(tmp_path) as program:
         pool, other = program.bind(), Gateway(program.address)
@@ -307,9 +305,7 @@
 
 
 @pytest.mark.parametrize("rest_comes", ["in the grace", "after it"])
-def test_a_request_of_which_the_notice_to_leave_parts_the_pieces(
-    tmp_path: Path, rest_comes: str
-) -> None:
+def test_request_split_by_the_shutdown_request_is_answered(tmp_path: Path, rest_comes: str) -> None:
     """It has come with its last byte: run in the grace, rejected after it, answered in either case."""
     grace_us = GRACE_US if rest_comes == "in the grace" else 0
     with Program(tmp_path, settings=settings(None, **{"stop-sending-within": grace_us})) as program:
@@ -335,7 +331,7 @@
         assert program.process.wait(WAIT_S) == 0
 
 
-def test_no_request_is_left_without_an_answer_when_its_time_is_up(tmp_path: Path) -> None:
+def test_every_request_is_answered_by_its_timeout(tmp_path: Path) -> None:
     """One run never ends, one waits for a call that never comes back, and the pool says nothing more."""
     limit_ms, slack_ms = 1200, 2000  # a busy machine's
     classes = [
@@ -363,7 +359,7 @@
         assert time.time() - began < (limit_ms + slack_ms) / 1000.0
 
 
-def test_a_process_whose_pool_comes_late_serves_once_it_is_up(tmp_path: Path) -> None:
+def test_server_serves_once_a_late_pool_is_up(tmp_path: Path) -> None:
     """Listed while its pool is refused, and then hangs: it says that it is not good, turns tasks away without
     a free value, and from the pool's start on asks for the share of its speed.
     """
@@ -390,7 +386,7 @@
         assert result(answer(gateway)) == b"x"
 
 
-def test_a_cold_server_among_very_many_callers_asks_for_some_of_them(tmp_path: Path) -> None:
+def test_cold_server_sends_a_positive_hint_to_very_many_callers(tmp_path: Path) -> None:
     """All of them share its credit. Told as nothing, no caller would ever send: it would serve nobody."""
     callers = 37_000
     family = {"cores": 1, "signal": "tokens", "callers": callers}
@@ -401,7 +397,7 @@
         assert good and 0.2 <= hint * callers <= 1.0
 
 
-def test_a_report_that_is_answered_in_pieces_and_in_chunks_keeps_its_connection(
+def test_report_answered_in_pieces_keeps_its_connection(
     tmp_path: Path,
 ) -> None:
     """The next report comes on the same connection, though each piece is read apart."""
@@ -422,7 +418,7 @@
                 check(gateway, message)
 
 
-def test_a_class_has_the_effect_that_the_settings_give_it(tmp_path: Path) -> None:
+def test_class_has_the_idempotency_of_its_settings(tmp_path: Path) -> None:
     """The class that is repeatable elsewhere is by_key here, with a short window: within it one run, after it
     another.
     """
--- a/tests/play.py
+++ b/tests/play.py
@@ -15,6 +15,7 @@
 forget-seen                   what was asked for so far counts no more
 """
 
+from pathlib import Path
 from typing import Any
 
 from pumicenotch.control import AdmissionController, ControllerSettings
@@ -158,6 +159,17 @@
         self.gauges: dict[str, float] = {"on_cores": 0.0}
         self.control: AdmissionController
 
+    def run(self, path: Path) -> None:
+        """Plays a whole file; an AssertionError names the line and the step."""
+        for number, line in enumerate(path.read_text().splitlines(), 1):
+            for step in line.partition("#")[0].split(";"):
+                if step.strip():
+                    try:
+                        self.line(step)
+                    except AssertionError as error:
+                        raise AssertionError(f"{path.name}:{number}: {step}: {error}") from None
+        self.end()
+
     def line(self, text: str) -> None:
         verb, *words = text.split()
         pairs = {key: val for key, _, val in (word.partition("=") for word in words if "=" in word)}
--- a/tests/serve.py
+++ b/tests/server/scenario_player.py
@@ -100,7 +100,7 @@
     return None if text == "None" else int(text) if text.lstrip("-").isdigit() else text
 
 
-class Serve(Play):
+class ServerScenario(Play):
     core: Server
 
     def __init__(self) -> None:
--- a/tests/test_pairs.py
+++ b/tests/server/test_event_pairs.py
@@ -280,7 +280,7 @@
 
 
 @pytest.mark.parametrize("state", STATES)
-def test_each_pair_of_events_in_both_orders(state: str) -> None:
+def test_each_pair_of_events_in_both_orders_answers_once(state: str) -> None:
     for pair in product(EVENTS, EVENTS):
         play(STATES[state], pair, 0.0)
 
@@ -292,7 +292,7 @@
     pair=st.tuples(st.sampled_from(EVENTS), st.sampled_from(EVENTS)),
     gap=st.sampled_from([0.0, 1.0, 30.0]),
 )
-def test_drawn_histories_before_a_pair(
+def test_drawn_histories_before_a_pair_answer_once(
     state: str, more: list[str | float], pair: tuple[str, str], gap: float
 ) -> None:
     for each in (pair, pair[::-1]):
--- a/tests/test_seen.py
+++ b/tests/server/test_request_counters.py
@@ -22,7 +22,7 @@
     return made
 
 
-def test_tasks_and_calls_are_counted_by_class_and_one_given_up_leaves_nothing_behind() -> None:
+def test_requests_and_calls_are_counted_by_class_and_nothing_is_kept() -> None:
     seen = RequestCounters()
     for number, outcome, at in ((1, "served", 50.0), (2, "served", 150.0), (3, "failed", 50.0)):
         task = held(number)
@@ -43,7 +43,7 @@
     assert vars(seen).keys() == {"by_class"}, "nothing is kept by task"
 
 
-def test_classes_beyond_what_is_told_go_as_one() -> None:
+def test_classes_beyond_the_maximum_are_counted_as_one() -> None:
     seen = RequestCounters()
     for number in range(MAX_CLASSES + 5):
         task = held(number, f"class {number}")
--- a/tests/test_move.py
+++ b/tests/test_move.py
@@ -91,12 +91,12 @@
 def test_the_real_server_refuses_a_credit_without_its_callers_and_starts_with_them(
     tmp_path: Path,
 ) -> None:
-    """On loopback, against the stand-ins of tests/standin.py: the mixed file stops the start with the key
+    """On loopback, against the stand-ins of tests/net/parties.py: the mixed file stops the start with the key
     named, and the same file with the number of callers serves, saying its shape.
     """
     import pytest
 
-    from tests.standin import SETTINGS, Program
+    from tests.net.parties import SETTINGS, Program
 
     family: dict[str, Any] = {**cast(dict[str, Any], SETTINGS["family-info"]), "signal": "tokens"}
     mixed = SETTINGS | {"family-info": family}
