--- a/pumicenotch/server/lifecycle.py
+++ b/pumicenotch/server/lifecycle.py
@@ -50,7 +50,7 @@
         """Runs what is due, and polls the pool: the answer brings the controller's tick."""
         server = self.server
         self.timer_fired_at = server.now
-        server.timers.run_due(server.now)
+        server.timers.run_expired(server.now)
         if server.controller is not None and server.worker_pool.has_timed_out(server.now):
             server.count_problem("links_hung", "pool: no answer on a link that is up")
             server.worker_pool.reconnect()
