--- a/benchmarks/capacity/agent.py
+++ b/benchmarks/capacity/agent.py
@@ -8,10 +8,10 @@
 from benchmarks.capacity.measured_day import VOTERS
 from benchmarks.capacity.meter import StepMeter, least_ms, state_bytes
 from benchmarks.capacity.slope import Reading, Slope, readings
-from pumicenotch.fleet import effects
-from pumicenotch.fleet.agent import Agent
-from pumicenotch.fleet.budgets import SERVING
-from pumicenotch.fleet.voter_node import VoterNode
+from pumicenotch.fleet.agent.agent import Agent
+from pumicenotch.fleet.drains.budgets import SERVING
+from pumicenotch.fleet.member import effects
+from pumicenotch.fleet.voter.node import VoterNode
 
 ROLE = "agent"
 SPAN_MS = 120_000.0
--- a/benchmarks/capacity/hollow.py
+++ b/benchmarks/capacity/hollow.py
@@ -12,11 +12,12 @@
 
 from benchmarks.capacity.measured_day import Meter, fleet_budgets, founded, zone_name
 from benchmarks.capacity.meter import frozen_heap
-from pumicenotch.fleet import effects, snapshot
-from pumicenotch.fleet.budgets import SERVING, Member
-from pumicenotch.fleet.failure_detector import FailureDetector
-from pumicenotch.fleet.records import member_fields
-from pumicenotch.fleet.state import SILENT
+from pumicenotch.fleet.drains.budgets import SERVING, Member
+from pumicenotch.fleet.member import effects
+from pumicenotch.fleet.replicated import snapshot
+from pumicenotch.fleet.replicated.records import member_fields
+from pumicenotch.fleet.replicated.state import SILENT
+from pumicenotch.fleet.voter.failure_detector import FailureDetector
 from pumicenotch.lab.fleets import Process, Spec
 from pumicenotch.members import messages
 from pumicenotch.members.messages import NEWS_MOST, Ack, News, Opinion, Ping, Standing, Who, Whole
--- a/benchmarks/capacity/measured_day.py
+++ b/benchmarks/capacity/measured_day.py
@@ -7,7 +7,7 @@
 
 from benchmarks.capacity.meter import NS_PER_MS, StepMeter, cpu_ns
 from benchmarks.capacity.slope import Reading, readings
-from pumicenotch.fleet.budgets import Budget
+from pumicenotch.fleet.drains.budgets import Budget
 from pumicenotch.lab.fleets import Day, Process
 
 VOTERS = 5
--- a/benchmarks/capacity/mechanisms.py
+++ b/benchmarks/capacity/mechanisms.py
@@ -93,7 +93,7 @@
         "server.membership", "", "", "`members/members.py` `Members.gossip`: 12 news a message"
     ),
     Mechanism(
-        "server.agreement", "", "", "`fleet/voter_node.py` `VoterNode.heartbeat_interval_ms`"
+        "server.agreement", "", "", "`fleet/voter/node.py` `VoterNode.heartbeat_interval_ms`"
     ),
     Mechanism(
         "voter.leader",
@@ -105,12 +105,17 @@
         "voter.follower", "servers", "", "`members/members.py` `Members.exchange`: as n squared"
     ),
     Mechanism(
-        "voter.leader", "", "", "`fleet/voter_node.py` `heartbeat_interval_ms`; `agree/voter.py`"
+        "voter.leader", "", "", "`fleet/voter/node.py` `heartbeat_interval_ms`; `agree/voter.py`"
     ),
     Mechanism(
-        "voter.follower", "", "", "`agree/voter.py` `Voter.take`; `fleet/state.py` `State.apply`"
+        "voter.follower",
+        "",
+        "",
+        "`agree/voter.py` `Voter.take`; `fleet/replicated/state.py` `State.apply`",
+    ),
+    Mechanism(
+        "agent", "", "", "`fleet/agent/agent.py` `Agent.hear`: at the pace that the leader names"
     ),
-    Mechanism("agent", "", "", "`fleet/agent.py` `Agent.hear`: at the pace that the leader names"),
     Mechanism(
         "router", "tenants_known", "start", "`cells/map.py` `load`, before the router serves"
     ),
--- a/benchmarks/capacity/members.py
+++ b/benchmarks/capacity/members.py
@@ -13,7 +13,7 @@
 from benchmarks.capacity.measured_day import Meter, fleet_budgets
 from benchmarks.capacity.meter import least_ms, state_bytes
 from benchmarks.capacity.slope import Reading, Slope, readings
-from pumicenotch.fleet import snapshot
+from pumicenotch.fleet.replicated import snapshot
 from pumicenotch.members import messages
 from pumicenotch.members.members import Members
 
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -8,7 +8,7 @@
 import time
 from statistics import quantiles
 
-from pumicenotch.fleet.budgets import Budget
+from pumicenotch.fleet.drains.budgets import Budget
 from pumicenotch.lab.fleets import DRAIN_MS, RESTART_MS, Day, usual
 from pumicenotch.members.messages import Opinion
 
--- a/benchmarks/release.py
+++ b/benchmarks/release.py
@@ -11,9 +11,9 @@
 
 import numpy as np
 
-from pumicenotch.fleet.budgets import Budget
-from pumicenotch.fleet.judge import Judge, Threshold, Told
-from pumicenotch.fleet.waves import waves_of
+from pumicenotch.fleet.canary.judge import Judge, Threshold, Told
+from pumicenotch.fleet.drains.budgets import Budget
+from pumicenotch.fleet.releases.waves import waves_of
 from pumicenotch.lab import fleets, releasing
 
 ZONES, A_ZONE, CLASSES = 3, 4, ("preview", "bake", "submit")
--- a/pumicenotch/cli/agent.py
+++ b/pumicenotch/cli/agent.py
@@ -9,7 +9,7 @@
 from pumicenotch.config import agent as config
 from pumicenotch.config import versions
 from pumicenotch.config.hcl import BadFile
-from pumicenotch.fleet.agent import AGENT_FAILED
+from pumicenotch.fleet.agent.agent import AGENT_FAILED
 
 TRIES = 2  # starts of an agent's version that never spoke with the fleet, before the one before it comes back
 
--- a/pumicenotch/cli/release.py
+++ b/pumicenotch/cli/release.py
@@ -93,7 +93,7 @@
     """
     from pumicenotch.config.fleet import budgets_of
     from pumicenotch.config.hcl import BadFile
-    from pumicenotch.fleet.release import BUDGETS, LEVEL
+    from pumicenotch.fleet.releases.release import BUDGETS, LEVEL
 
     if (slot == BUDGETS) != (budgets is not None):
         wrong("--budgets FILE goes with --slot budgets, and only with it")
--- a/pumicenotch/config/agent.py
+++ b/pumicenotch/config/agent.py
@@ -10,7 +10,7 @@
 from pumicenotch.config.fleet import Address, Name, once
 from pumicenotch.config.hcl import BadFile
 from pumicenotch.config.schema import Schema, read
-from pumicenotch.fleet.release import BUDGETS, SLOTS
+from pumicenotch.fleet.releases.release import BUDGETS, SLOTS
 
 Version = Annotated[str, Field(pattern=r"^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$")]
 FORM = 1
--- a/pumicenotch/config/compiled.py
+++ b/pumicenotch/config/compiled.py
@@ -9,7 +9,7 @@
 
 if TYPE_CHECKING:  # nothing of a fleet is loaded where there is none
     from pumicenotch.distribution.instance_settings import InstanceSettings
-    from pumicenotch.fleet.settings import FleetSettings
+    from pumicenotch.fleet.member.settings import FleetSettings
 
 FORM = 1  # of the line; a server refuses what it does not know
 
@@ -62,7 +62,7 @@
             raise TypeError("no names")
         fleet = None
         if told.get("fleet") is not None:
-            from pumicenotch.fleet.settings import settings_of
+            from pumicenotch.fleet.member.settings import settings_of
 
             fleet = settings_of(told["fleet"])
         distribution = None
--- a/pumicenotch/config/fleet.py
+++ b/pumicenotch/config/fleet.py
@@ -9,8 +9,8 @@
 from pumicenotch.config.distribution import DistributionBlock, VoterDistributionBlock
 from pumicenotch.config.schema import Schema, read
 from pumicenotch.distribution.instance_settings import InstanceSettings
-from pumicenotch.fleet import budgets
-from pumicenotch.fleet.settings import FleetSettings
+from pumicenotch.fleet.drains import budgets
+from pumicenotch.fleet.member.settings import FleetSettings
 
 Name = Annotated[str, Field(pattern=r"^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$")]
 Address = Annotated[str, Field(pattern=r"^[^:]+:[0-9]{1,5}$")]
--- a/pumicenotch/config/versions.py
+++ b/pumicenotch/config/versions.py
@@ -5,7 +5,7 @@
 import shutil
 from pathlib import Path
 
-from pumicenotch.fleet.release import VERSION
+from pumicenotch.fleet.releases.release import VERSION
 
 LETTERS = 32  # of a version's name: 128 bits
 CHUNK = 1 << 20
--- a/pumicenotch/fleet/agent.py
+++ b/pumicenotch/fleet/agent/agent.py
@@ -8,11 +8,11 @@
 from collections.abc import Iterable
 from typing import Any, ClassVar, NamedTuple
 
-from pumicenotch.fleet.budgets import SERVING
-from pumicenotch.fleet.effects import Anew, End, Hold, Proven, Reread, Start, Swap
-from pumicenotch.fleet.entries import TEXT_MOST
-from pumicenotch.fleet.release import GONE, NOTHING_DUE, RESTARTS, STARTING, STUCK, Step
-from pumicenotch.fleet.voter_client import VoterClient
+from pumicenotch.fleet.drains.budgets import SERVING
+from pumicenotch.fleet.member.effects import Anew, End, Hold, Proven, Reread, Start, Swap
+from pumicenotch.fleet.member.voter_client import VoterClient
+from pumicenotch.fleet.releases.release import GONE, NOTHING_DUE, RESTARTS, STARTING, STUCK, Step
+from pumicenotch.fleet.replicated.fields import TEXT_MOST
 
 LOOP = "crash loop"  # how that trouble begins
 AGAIN_MOST_MS = 60_000.0  # between reports, whatever the leader says
--- /dev/null
+++ b/pumicenotch/fleet/canary/__init__.py
@@ -0,0 +1,1 @@
+"""Canary analysis: whether members with a new version do worse than members without it."""
--- a/pumicenotch/fleet/watch.py
+++ b/pumicenotch/fleet/canary/analysis.py
@@ -15,10 +15,10 @@
 from statistics import median
 from typing import Any, NamedTuple
 
-from pumicenotch.fleet.entries import BadEntry
-from pumicenotch.fleet.judge import Judge, Told
-from pumicenotch.fleet.release import BUDGETS, FORWARD, SOAKING, Release
-from pumicenotch.fleet.state import SILENT, State
+from pumicenotch.fleet.canary.judge import Judge, Told
+from pumicenotch.fleet.releases.release import BUDGETS, FORWARD, SOAKING, Release
+from pumicenotch.fleet.replicated.fields import BadEntry
+from pumicenotch.fleet.replicated.state import SILENT, State
 
 ROWS_MOST = 64  # classes in one word
 
--- a/pumicenotch/fleet/drains.py
+++ b/pumicenotch/fleet/drains/scheduler.py
@@ -7,9 +7,11 @@
 
 from collections.abc import Iterable
 
-from pumicenotch.fleet.budgets import DRAINING, SERVING, Budget, Member, Tallies, Tally
-from pumicenotch.fleet.entries import Said
-from pumicenotch.fleet.records import (
+from pumicenotch.fleet.drains.budgets import DRAINING, SERVING, Budget, Member, Tallies, Tally
+from pumicenotch.fleet.releases.release import REQUESTED_BY
+from pumicenotch.fleet.releases.releases import Releases
+from pumicenotch.fleet.replicated.fields import Said
+from pumicenotch.fleet.replicated.records import (
     DRAIN_PERMIT,
     RELEASE_PERMIT,
     Answer,
@@ -19,8 +21,6 @@
     Permit,
     Request,
 )
-from pumicenotch.fleet.release import REQUESTED_BY
-from pumicenotch.fleet.releases import Releases
 
 HISTORY_MOST = 500  # events kept: some days of an ordinary fleet, some 50 KB
 IDS_MOST = 1000  # of answered requests, so that a repeat changes nothing
--- a/pumicenotch/fleet/member_node.py
+++ b/pumicenotch/fleet/member/node.py
@@ -7,11 +7,11 @@
 from collections.abc import Iterable
 from typing import Any, ClassVar, NamedTuple
 
-from pumicenotch.fleet.budgets import SERVING, Member
-from pumicenotch.fleet.effects import Leave, MemberChanged, Post, Reply
-from pumicenotch.fleet.entries import NAMES_MOST, TEXT_MOST
-from pumicenotch.fleet.records import member_fields
-from pumicenotch.fleet.voter_client import UNKNOWN, VoterClient
+from pumicenotch.fleet.drains.budgets import SERVING, Member
+from pumicenotch.fleet.member.effects import Leave, MemberChanged, Post, Reply
+from pumicenotch.fleet.member.voter_client import UNKNOWN, VoterClient
+from pumicenotch.fleet.replicated.fields import NAMES_MOST, TEXT_MOST
+from pumicenotch.fleet.replicated.records import member_fields
 from pumicenotch.members import messages
 from pumicenotch.members.members import Members
 from pumicenotch.members.messages import Changed, Opinion, Refused, Send, Standing, Who
@@ -32,7 +32,7 @@
 class MemberNode(VoterClient):
     """Its inputs: `start`, `time`, `told` (sender (name, life, address), method, params), `asked` (conn,
     message, verb, args), `closed` (conn), `answered` (number, error, result), `serve` (whether it does,
-    whether it is overloaded past use), `leave` (why), `left`, `counted` (rows as `fleet/watch` reads them,
+    whether it is overloaded past use), `leave` (why), `left`, `counted` (rows as `fleet/canary/analysis` reads them,
     MB).
     """
 
--- a/pumicenotch/fleet/settings.py
+++ b/pumicenotch/fleet/member/settings.py
@@ -4,7 +4,7 @@
 
 from typing import Any, NamedTuple
 
-from pumicenotch.fleet.budgets import Budget, Member
+from pumicenotch.fleet.drains.budgets import Budget, Member
 
 
 class BadSettings(ValueError):
--- a/pumicenotch/fleet/voter_client.py
+++ b/pumicenotch/fleet/member/voter_client.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable
 from typing import Any, ClassVar, NamedTuple
 
-from pumicenotch.fleet.effects import Ask, Effect, Log, Wake
+from pumicenotch.fleet.member.effects import Ask, Effect, Log, Wake
 
 NOT_LEADER, NO_MAJORITY, REFUSED, UNKNOWN = "NotLeader", "NoMajority", "Refused", "UnknownVerb"
 
--- a/pumicenotch/fleet/release_entries.py
+++ b/pumicenotch/fleet/releases/commands.py
@@ -2,7 +2,16 @@
 
 from typing import Any
 
-from pumicenotch.fleet.entries import (
+from pumicenotch.fleet.releases.release import (
+    BUDGETS,
+    GONE,
+    SLOTS,
+    STARTING,
+    VERSION,
+    WAVES_MOST,
+    Release,
+)
+from pumicenotch.fleet.replicated.fields import (
     BadEntry,
     Reader,
     budgets_of,
@@ -12,7 +21,6 @@
     reason,
     text,
 )
-from pumicenotch.fleet.release import BUDGETS, GONE, SLOTS, STARTING, VERSION, WAVES_MOST, Release
 
 PLAN_FIELDS = 13  # of Release, the first of them: what a plan says
 
--- a/pumicenotch/fleet/release_progress.py
+++ b/pumicenotch/fleet/releases/progress.py
@@ -7,9 +7,8 @@
 
 from typing import Any
 
-from pumicenotch.fleet.budgets import SERVING, Budget
-from pumicenotch.fleet.fleet_view import FleetView
-from pumicenotch.fleet.release import (
+from pumicenotch.fleet.drains.budgets import SERVING, Budget
+from pumicenotch.fleet.releases.release import (
     BACK,
     ENDED,
     FORWARD,
@@ -22,6 +21,7 @@
     Release,
     Step,
 )
+from pumicenotch.fleet.replicated.fleet_view import FleetView
 
 
 class ReleaseProgress:
--- a/pumicenotch/fleet/release.py
+++ b/pumicenotch/fleet/releases/release.py
@@ -3,7 +3,7 @@
 import re
 from typing import Any, NamedTuple
 
-from pumicenotch.fleet.budgets import Budget
+from pumicenotch.fleet.drains.budgets import Budget
 
 PLANNED, DRAINING, MOVING, SOAKING = "planned", "draining", "moving", "soaking"
 HALTED, BACK, DONE, ABANDONED = "halted", "going back", "done", "abandoned"
--- a/pumicenotch/fleet/releases.py
+++ b/pumicenotch/fleet/releases/releases.py
@@ -4,11 +4,9 @@
 
 from typing import Any
 
-from pumicenotch.fleet.budgets import SERVING
-from pumicenotch.fleet.entries import Said
-from pumicenotch.fleet.fleet_view import FleetView
-from pumicenotch.fleet.records import RELEASE_PERMIT
-from pumicenotch.fleet.release import (
+from pumicenotch.fleet.drains.budgets import SERVING
+from pumicenotch.fleet.releases.progress import ReleaseProgress
+from pumicenotch.fleet.releases.release import (
     ABANDONED,
     BACK,
     BUDGETS,
@@ -28,7 +26,9 @@
     NodeVersions,
     Release,
 )
-from pumicenotch.fleet.release_progress import ReleaseProgress
+from pumicenotch.fleet.replicated.fields import Said
+from pumicenotch.fleet.replicated.fleet_view import FleetView
+from pumicenotch.fleet.replicated.records import RELEASE_PERMIT
 
 RELEASES_MOST = 50  # kept after their end, for `status` and so that no name comes twice
 HALTS_MOST = 16  # of one release
--- a/pumicenotch/fleet/waves.py
+++ b/pumicenotch/fleet/releases/waves.py
@@ -4,7 +4,7 @@
 from itertools import zip_longest
 from math import ceil
 
-from pumicenotch.fleet.budgets import Member
+from pumicenotch.fleet.drains.budgets import Member
 
 
 def waves_of(
--- /dev/null
+++ b/pumicenotch/fleet/replicated/__init__.py
@@ -0,0 +1,1 @@
+"""What the voters have agreed: the state, the commands that change it, and its snapshots."""
--- a/pumicenotch/fleet/verbs.py
+++ b/pumicenotch/fleet/replicated/commands.py
@@ -3,9 +3,8 @@
 from collections.abc import Iterable, Sequence
 from typing import Any
 
-from pumicenotch.fleet import release_entries
-from pumicenotch.fleet.book import Book
-from pumicenotch.fleet.entries import (
+from pumicenotch.fleet.releases import commands as release_entries
+from pumicenotch.fleet.replicated.fields import (
     BadEntry,
     Reader,
     budgets_of,
@@ -16,6 +15,7 @@
     reason,
     text,
 )
+from pumicenotch.fleet.replicated.subject import Book
 
 # Entries after which as many are out as before, or that say themselves when it is otherwise.
 COUNTS_STAY = ("drain", "began", "halt", "resume", "word", "move", "plan", "soaked")
--- a/pumicenotch/fleet/entries.py
+++ b/pumicenotch/fleet/replicated/fields.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 from typing import Any, NamedTuple
 
-from pumicenotch.fleet.budgets import BadBudget, Budget, Member, budget_of
+from pumicenotch.fleet.drains.budgets import BadBudget, Budget, Member, budget_of
 
 TEXT_MOST = 200  # letters of a reason
 NAMES_MOST = 1024  # in one request
--- a/pumicenotch/fleet/fleet_view.py
+++ b/pumicenotch/fleet/replicated/fleet_view.py
@@ -3,9 +3,9 @@
 from collections.abc import Mapping, Sequence
 from typing import Protocol
 
-from pumicenotch.fleet.budgets import Budget, Member
-from pumicenotch.fleet.entries import Said
-from pumicenotch.fleet.records import Permit, Request
+from pumicenotch.fleet.drains.budgets import Budget, Member
+from pumicenotch.fleet.replicated.fields import Said
+from pumicenotch.fleet.replicated.records import Permit, Request
 
 
 class FleetView(Protocol):
--- a/pumicenotch/fleet/records.py
+++ b/pumicenotch/fleet/replicated/records.py
@@ -4,7 +4,7 @@
 
 from typing import Any, NamedTuple
 
-from pumicenotch.fleet.budgets import Member, Tallies
+from pumicenotch.fleet.drains.budgets import Member, Tallies
 
 # What a permit was given for.
 DRAIN_PERMIT = "drain"
--- a/pumicenotch/fleet/snapshot.py
+++ b/pumicenotch/fleet/replicated/snapshot.py
@@ -7,11 +7,11 @@
 from collections.abc import Iterable, Sequence
 from typing import Any
 
-from pumicenotch.fleet.book import Book, UnknownBook
-from pumicenotch.fleet.budgets import Budget, Member
-from pumicenotch.fleet.entries import BadEntry
-from pumicenotch.fleet.records import Answer, Event, FleetHalt, Permit, Request
-from pumicenotch.fleet.state import State
+from pumicenotch.fleet.drains.budgets import Budget, Member
+from pumicenotch.fleet.replicated.fields import BadEntry
+from pumicenotch.fleet.replicated.records import Answer, Event, FleetHalt, Permit, Request
+from pumicenotch.fleet.replicated.state import State
+from pumicenotch.fleet.replicated.subject import Book, UnknownBook
 
 FIRST_FORM = 1
 RELEASES_FORM = 2
--- a/pumicenotch/fleet/state.py
+++ b/pumicenotch/fleet/replicated/state.py
@@ -6,19 +6,10 @@
 from collections.abc import Iterable, Sequence
 from typing import Any
 
-from pumicenotch.fleet import release as release_
-from pumicenotch.fleet.book import Book
-from pumicenotch.fleet.budgets import DRAINING, OUT, SERVING, Budget, Member
-from pumicenotch.fleet.drains import Drains
-from pumicenotch.fleet.entries import Said
-from pumicenotch.fleet.records import (
-    OVERRIDE_PERMIT,
-    TERM_PERMIT,
-    WITHIN_BUDGETS,
-    FleetHalt,
-    Permit,
-)
-from pumicenotch.fleet.verbs import (
+from pumicenotch.fleet.drains.budgets import DRAINING, OUT, SERVING, Budget, Member
+from pumicenotch.fleet.drains.scheduler import Drains
+from pumicenotch.fleet.releases import release as release_
+from pumicenotch.fleet.replicated.commands import (
     COUNTS_STAY,
     OF_ONE,
     RELEASE_VERBS,
@@ -27,6 +18,15 @@
     read,
     read_fields,
 )
+from pumicenotch.fleet.replicated.fields import Said
+from pumicenotch.fleet.replicated.records import (
+    OVERRIDE_PERMIT,
+    TERM_PERMIT,
+    WITHIN_BUDGETS,
+    FleetHalt,
+    Permit,
+)
+from pumicenotch.fleet.replicated.subject import Book
 
 FORMERS_MOST = 8  # lives of a name remembered: a letter that is older has been lost long ago
 SILENT = "silent"  # why a member is out against its will that a majority hears nothing of
--- a/pumicenotch/fleet/book.py
+++ b/pumicenotch/fleet/replicated/subject.py
@@ -7,7 +7,7 @@
 from collections.abc import Mapping
 from typing import Any, Protocol
 
-from pumicenotch.fleet.entries import Reader
+from pumicenotch.fleet.replicated.fields import Reader
 
 
 class Outcome(Protocol):
--- a/pumicenotch/fleet/failure_detector.py
+++ b/pumicenotch/fleet/voter/failure_detector.py
@@ -6,8 +6,8 @@
 from collections.abc import Collection, Iterator, Mapping
 from typing import NamedTuple
 
-from pumicenotch.fleet.budgets import SERVING, Member
-from pumicenotch.fleet.state import SILENT
+from pumicenotch.fleet.drains.budgets import SERVING, Member
+from pumicenotch.fleet.replicated.state import SILENT
 from pumicenotch.members.members import Members
 from pumicenotch.members.messages import Opinion
 
--- a/pumicenotch/fleet/hints.py
+++ b/pumicenotch/fleet/voter/hints.py
@@ -4,9 +4,9 @@
 
 from typing import Any
 
-from pumicenotch.fleet.release import NOTHING_DUE
-from pumicenotch.fleet.reports import Reports
-from pumicenotch.fleet.state import State
+from pumicenotch.fleet.releases.release import NOTHING_DUE
+from pumicenotch.fleet.replicated.state import State
+from pumicenotch.fleet.voter.reports import Reports
 
 
 def member_hint(reports: Reports, name: str, life: str, interval_ms: float) -> dict[str, Any]:
--- a/pumicenotch/fleet/voter_node.py
+++ b/pumicenotch/fleet/voter/node.py
@@ -7,27 +7,27 @@
 
 from pumicenotch.agree import messages as agree
 from pumicenotch.agree.found import seated
-from pumicenotch.fleet import verbs
-from pumicenotch.fleet.book import Book
-from pumicenotch.fleet.budgets import Budget, Member
-from pumicenotch.fleet.drain_times import DrainTimes
-from pumicenotch.fleet.effects import Exit
-from pumicenotch.fleet.entries import BadEntry, Said
-from pumicenotch.fleet.failure_detector import (
+from pumicenotch.fleet.canary.analysis import Watch, memory_of, rows_of
+from pumicenotch.fleet.drains.budgets import Budget, Member
+from pumicenotch.fleet.drains.durations import DrainTimes
+from pumicenotch.fleet.member.effects import Exit
+from pumicenotch.fleet.member.voter_client import NO_MAJORITY, NOT_LEADER, REFUSED, UNKNOWN
+from pumicenotch.fleet.replicated import commands as verbs
+from pumicenotch.fleet.replicated.fields import BadEntry, Said
+from pumicenotch.fleet.replicated.records import member_fields
+from pumicenotch.fleet.replicated.state import error_code
+from pumicenotch.fleet.replicated.subject import Book
+from pumicenotch.fleet.voter.failure_detector import (
     NAME_HELD_MS,
     NEVER,
     FailureDetector,
     SilentMembers,
     VoterLevels,
 )
-from pumicenotch.fleet.hints import agent_hint, member_hint
-from pumicenotch.fleet.pending import NOBODY, Pending, PendingRead
-from pumicenotch.fleet.records import member_fields
-from pumicenotch.fleet.replica_node import ReplicaNode
-from pumicenotch.fleet.reports import READ_VERBS, BadRead, Leading, Reports
-from pumicenotch.fleet.state import error_code
-from pumicenotch.fleet.voter_client import NO_MAJORITY, NOT_LEADER, REFUSED, UNKNOWN
-from pumicenotch.fleet.watch import Watch, memory_of, rows_of
+from pumicenotch.fleet.voter.hints import agent_hint, member_hint
+from pumicenotch.fleet.voter.pending import NOBODY, Pending, PendingRead
+from pumicenotch.fleet.voter.replica import ReplicaNode
+from pumicenotch.fleet.voter.reports import READ_VERBS, BadRead, Leading, Reports
 from pumicenotch.sender import Sender
 
 # Entries that only a leader makes.
--- a/pumicenotch/fleet/replica_node.py
+++ b/pumicenotch/fleet/voter/replica.py
@@ -20,12 +20,13 @@
     name_of,
 )
 from pumicenotch.agree.voter import LEADER, Voter
-from pumicenotch.fleet import release, snapshot
-from pumicenotch.fleet.book import Book
-from pumicenotch.fleet.effects import Exit
-from pumicenotch.fleet.entries import Said
-from pumicenotch.fleet.member_node import MemberNode
-from pumicenotch.fleet.state import State
+from pumicenotch.fleet.member.effects import Exit
+from pumicenotch.fleet.member.node import MemberNode
+from pumicenotch.fleet.releases import release
+from pumicenotch.fleet.replicated import snapshot
+from pumicenotch.fleet.replicated.fields import Said
+from pumicenotch.fleet.replicated.state import State
+from pumicenotch.fleet.replicated.subject import Book
 from pumicenotch.sender import Sender
 
 NOTHING_SAID = Said(False, "")  # of an entry that is the log's own
--- a/pumicenotch/fleet/reports.py
+++ b/pumicenotch/fleet/voter/reports.py
@@ -4,13 +4,13 @@
 
 from typing import Any, NamedTuple
 
-from pumicenotch.fleet.budgets import Member, Tally
-from pumicenotch.fleet.drain_times import DrainTimes
-from pumicenotch.fleet.records import Request
-from pumicenotch.fleet.release import BUDGETS, Release
-from pumicenotch.fleet.state import State
-from pumicenotch.fleet.watch import Watch
-from pumicenotch.fleet.waves import waves_of
+from pumicenotch.fleet.canary.analysis import Watch
+from pumicenotch.fleet.drains.budgets import Member, Tally
+from pumicenotch.fleet.drains.durations import DrainTimes
+from pumicenotch.fleet.releases.release import BUDGETS, Release
+from pumicenotch.fleet.releases.waves import waves_of
+from pumicenotch.fleet.replicated.records import Request
+from pumicenotch.fleet.replicated.state import State
 
 ROWS_MOST = 200  # of a table in one answer: some 30 KB
 READ_VERBS = ("status", "why", "log", "halts", "releases", "one_release", "waves")
--- a/pumicenotch/lab/draining.py
+++ b/pumicenotch/lab/draining.py
@@ -1,6 +1,6 @@
 """A model of drains for the checker: processes that ask, hear late or twice, crash, come back under their
 name as another life, and operators who halt, lower budgets and free permits. What is agreed is
-`fleet/state`; between the log and the processes everything may be late or come twice. Agreement itself is
+`fleet/replicated/state`; between the log and the processes everything may be late or come twice. Agreement itself is
 checked by `lab/agreeing`.
 """
 
@@ -8,9 +8,9 @@
 from collections.abc import Iterator
 from typing import Any, NamedTuple
 
-from pumicenotch.fleet.budgets import Budget, Member
-from pumicenotch.fleet.records import member_fields
-from pumicenotch.fleet.state import State as Agreed
+from pumicenotch.fleet.drains.budgets import Budget, Member
+from pumicenotch.fleet.replicated.records import member_fields
+from pumicenotch.fleet.replicated.state import State as Agreed
 from pumicenotch.lab.explore import Explorer
 
 UP, GOES, GONE = "up", "goes", "gone"
--- a/pumicenotch/lab/fleets.py
+++ b/pumicenotch/lab/fleets.py
@@ -10,11 +10,11 @@
 
 import msgpack
 
-from pumicenotch.fleet import effects
-from pumicenotch.fleet.book import Book
-from pumicenotch.fleet.budgets import Budget, Member
-from pumicenotch.fleet.member_node import MemberNode
-from pumicenotch.fleet.voter_node import VoterNode
+from pumicenotch.fleet.drains.budgets import Budget, Member
+from pumicenotch.fleet.member import effects
+from pumicenotch.fleet.member.node import MemberNode
+from pumicenotch.fleet.replicated.subject import Book
+from pumicenotch.fleet.voter.node import VoterNode
 from pumicenotch.lab.simulated_time import SimulatedTime
 from pumicenotch.members.messages import Who
 from pumicenotch.sender import Sender
--- a/pumicenotch/lab/hollow_instance.py
+++ b/pumicenotch/lab/hollow_instance.py
@@ -11,9 +11,9 @@
 
 from pumicenotch import start
 from pumicenotch.distribution.instance_settings import InstanceSettings
-from pumicenotch.fleet import effects
-from pumicenotch.fleet.member_node import MemberNode
-from pumicenotch.fleet.settings import FleetSettings
+from pumicenotch.fleet.member import effects
+from pumicenotch.fleet.member.node import MemberNode
+from pumicenotch.fleet.member.settings import FleetSettings
 from pumicenotch.lab.hollow_configuration import HollowConfiguration, configured
 from pumicenotch.lab.hollow_messages import FIRST_BEGAN_MS, Place, Report, Spec, life_of
 from pumicenotch.lab.hollow_meter import Meter
--- a/pumicenotch/lab/releaserun.py
+++ b/pumicenotch/lab/releaserun.py
@@ -19,7 +19,7 @@
 
 import pumicenotch
 from pumicenotch.config.versions import pack
-from pumicenotch.fleet.release import LEVEL
+from pumicenotch.fleet.releases.release import LEVEL
 from pumicenotch.lab import world as world_
 from pumicenotch.lab.crew import FLEET, Crew, Refused
 from pumicenotch.lab.fleetrun import FORMED_S, LOOK_S, FleetRun
@@ -66,7 +66,7 @@
     "level-3": """\
     pass
 if "pumicenotch.net.fleet" in sys.orig_argv:
-    from pumicenotch.fleet import release
+    from pumicenotch.fleet.releases import release
     release.LEVEL = 3
 """,
     "kills-below": """\
--- a/pumicenotch/lab/releasing.py
+++ b/pumicenotch/lab/releasing.py
@@ -6,12 +6,12 @@
 from collections.abc import Iterable
 from typing import Any, NamedTuple
 
-from pumicenotch.fleet import effects
-from pumicenotch.fleet.agent import Agent
-from pumicenotch.fleet.budgets import Budget
-from pumicenotch.fleet.release import PLANNED, Release
-from pumicenotch.fleet.release_entries import plan_fields
-from pumicenotch.fleet.waves import waves_of
+from pumicenotch.fleet.agent.agent import Agent
+from pumicenotch.fleet.drains.budgets import Budget
+from pumicenotch.fleet.member import effects
+from pumicenotch.fleet.releases.commands import plan_fields
+from pumicenotch.fleet.releases.release import PLANNED, Release
+from pumicenotch.fleet.releases.waves import waves_of
 from pumicenotch.lab import fleets
 from pumicenotch.lab.fleets import Day, Process
 
--- a/pumicenotch/lab/releasing_model.py
+++ b/pumicenotch/lab/releasing_model.py
@@ -1,6 +1,6 @@
 """A model of releases for the checker: two nodes of one zone and one of another, each with a server and an
 agent whose words may be late, come twice or be lost with their process; halts, resumes and ways back at any
-time; another drain beside them. What is agreed is `fleet/state`. An agent's permission is good for one step
+time; another drain beside them. What is agreed is `fleet/replicated/state`. An agent's permission is good for one step
 after it was agreed, as its lease says; a later answer is none.
 
 What must not be: more of a zone away than its budget; a move on a permission after a halt was agreed, by more
@@ -12,11 +12,11 @@
 from collections.abc import Iterator
 from typing import Any, NamedTuple
 
-from pumicenotch.fleet.budgets import Budget, Member
-from pumicenotch.fleet.records import member_fields
-from pumicenotch.fleet.release import ENDED, GONE, Release
-from pumicenotch.fleet.release_entries import plan_fields
-from pumicenotch.fleet.state import State as Agreed
+from pumicenotch.fleet.drains.budgets import Budget, Member
+from pumicenotch.fleet.releases.commands import plan_fields
+from pumicenotch.fleet.releases.release import ENDED, GONE, Release
+from pumicenotch.fleet.replicated.records import member_fields
+from pumicenotch.fleet.replicated.state import State as Agreed
 from pumicenotch.lab.draining import Quiet
 from pumicenotch.lab.explore import Explorer
 
--- a/pumicenotch/net/agent.py
+++ b/pumicenotch/net/agent.py
@@ -20,8 +20,8 @@
 from pumicenotch.config import agent as config
 from pumicenotch.config import versions
 from pumicenotch.config.hcl import BadFile
-from pumicenotch.fleet import effects
-from pumicenotch.fleet.agent import Agent
+from pumicenotch.fleet.agent.agent import Agent
+from pumicenotch.fleet.member import effects
 from pumicenotch.members.messages import Who
 from pumicenotch.net import logs
 from pumicenotch.net.peers import PeerHub, ResettableTimer
--- a/pumicenotch/net/configuration.py
+++ b/pumicenotch/net/configuration.py
@@ -27,7 +27,7 @@
 from pumicenotch.distribution.tables import TABLES, table_of
 from pumicenotch.distribution.view import View
 from pumicenotch.errors import PumicenotchError
-from pumicenotch.fleet.voter_client import NO_MAJORITY, NOT_LEADER, REFUSED
+from pumicenotch.fleet.member.voter_client import NO_MAJORITY, NOT_LEADER, REFUSED
 from pumicenotch.members.messages import News, Opinion, Standing, Who
 from pumicenotch.net.peers import PeerHub, ResettableTimer
 from pumicenotch.sender import Sender
--- a/pumicenotch/net/fleet.py
+++ b/pumicenotch/net/fleet.py
@@ -16,10 +16,10 @@
 from loguru import logger
 
 from pumicenotch import start
-from pumicenotch.fleet.book import Book
-from pumicenotch.fleet.member_node import MemberNode
-from pumicenotch.fleet.settings import FleetSettings
-from pumicenotch.fleet.voter_node import VoterNode
+from pumicenotch.fleet.member.node import MemberNode
+from pumicenotch.fleet.member.settings import FleetSettings
+from pumicenotch.fleet.replicated.subject import Book
+from pumicenotch.fleet.voter.node import VoterNode
 from pumicenotch.members.messages import Who
 from pumicenotch.net import logs
 from pumicenotch.net.hub import Hub
--- a/pumicenotch/net/peers.py
+++ b/pumicenotch/net/peers.py
@@ -16,8 +16,8 @@
 from loguru import logger
 
 from pumicenotch import start
-from pumicenotch.fleet import effects
-from pumicenotch.fleet.member_node import MemberNode
+from pumicenotch.fleet.member import effects
+from pumicenotch.fleet.member.node import MemberNode
 from pumicenotch.members.messages import News
 from pumicenotch.net import gateways
 from pumicenotch.net.clock import Clock
--- a/pumicenotch/net/voter_configuration.py
+++ b/pumicenotch/net/voter_configuration.py
@@ -11,8 +11,8 @@
 from pumicenotch.distribution.source import log_of
 from pumicenotch.distribution.view import View
 from pumicenotch.distribution.voter_source import VoterSource
-from pumicenotch.fleet.book import Book
-from pumicenotch.fleet.voter_node import VoterNode
+from pumicenotch.fleet.replicated.subject import Book
+from pumicenotch.fleet.voter.node import VoterNode
 from pumicenotch.members.messages import News
 from pumicenotch.net.configuration import STATUS, Carrier, NotLeading, self_of
 from pumicenotch.net.peers import PeerHub
--- a/pumicenotch/server/seen.py
+++ b/pumicenotch/server/seen.py
@@ -41,5 +41,5 @@
             held.called_at = None
 
     def rows(self) -> list[tuple[str, float, float, float, float, float, float]]:
-        """As `fleet/watch` reads them."""
+        """As `fleet/canary/analysis` reads them."""
         return [(name[:64], *row) for name, row in self.counts.items()]  # type: ignore[misc]
--- a/tests/compatibility/fleet_recording.py
+++ b/tests/compatibility/fleet_recording.py
@@ -10,11 +10,12 @@
 from pathlib import Path
 from typing import Any, ClassVar
 
-from pumicenotch.fleet import effects, entries
-from pumicenotch.fleet.budgets import Budget
-from pumicenotch.fleet.entries import Reader, Said
-from pumicenotch.fleet.snapshot import dump
-from pumicenotch.fleet.state import State
+from pumicenotch.fleet.drains.budgets import Budget
+from pumicenotch.fleet.member import effects
+from pumicenotch.fleet.replicated import fields as entries
+from pumicenotch.fleet.replicated.fields import Reader, Said
+from pumicenotch.fleet.replicated.snapshot import dump
+from pumicenotch.fleet.replicated.state import State
 from pumicenotch.lab import releasing
 from pumicenotch.lab.fleets import Process
 from pumicenotch.lab.releasing import Agents, Version
--- a/tests/compatibility/test_fleet_golden.py
+++ b/tests/compatibility/test_fleet_golden.py
@@ -5,8 +5,8 @@
 
 import pytest
 
-from pumicenotch.fleet.snapshot import dump, load
-from pumicenotch.fleet.state import State
+from pumicenotch.fleet.replicated.snapshot import dump, load
+from pumicenotch.fleet.replicated.state import State
 from tests.compatibility.fleet_recording import BOOK_LEVEL, FOLDER, Texts, apply_all, make
 
 
--- a/tests/test_book.py
+++ b/tests/test_book.py
@@ -6,15 +6,15 @@
 
 import pytest
 
-from pumicenotch.fleet import entries
-from pumicenotch.fleet.book import UnknownBook
-from pumicenotch.fleet.effects import MemberChanged
-from pumicenotch.fleet.entries import BadEntry, Reader, Said
-from pumicenotch.fleet.release import LEVEL
-from pumicenotch.fleet.replica_node import Leadership
-from pumicenotch.fleet.snapshot import dump, load
-from pumicenotch.fleet.state import State
-from pumicenotch.fleet.voter_node import VoterNode
+from pumicenotch.fleet.member.effects import MemberChanged
+from pumicenotch.fleet.releases.release import LEVEL
+from pumicenotch.fleet.replicated import fields as entries
+from pumicenotch.fleet.replicated.fields import BadEntry, Reader, Said
+from pumicenotch.fleet.replicated.snapshot import dump, load
+from pumicenotch.fleet.replicated.state import State
+from pumicenotch.fleet.replicated.subject import UnknownBook
+from pumicenotch.fleet.voter.node import VoterNode
+from pumicenotch.fleet.voter.replica import Leadership
 from pumicenotch.lab.fleets import Day
 from pumicenotch.members import messages
 from pumicenotch.members.messages import News, Opinion, Standing, Who
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -9,12 +9,12 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from pumicenotch.fleet.budgets import OUT, SERVING, Budget, Member
-from pumicenotch.fleet.entries import BadEntry, Said
-from pumicenotch.fleet.records import member_fields
-from pumicenotch.fleet.snapshot import dump, load
-from pumicenotch.fleet.state import State
-from pumicenotch.fleet.verbs import read
+from pumicenotch.fleet.drains.budgets import OUT, SERVING, Budget, Member
+from pumicenotch.fleet.replicated.commands import read
+from pumicenotch.fleet.replicated.fields import BadEntry, Said
+from pumicenotch.fleet.replicated.records import member_fields
+from pumicenotch.fleet.replicated.snapshot import dump, load
+from pumicenotch.fleet.replicated.state import State
 from pumicenotch.lab.draining import LONG, Bounds, Draining, Quiet
 
 SHORT = 8_000
--- a/tests/test_fleet_config.py
+++ b/tests/test_fleet_config.py
@@ -13,10 +13,10 @@
 from pumicenotch.config.file import ours_of
 from pumicenotch.config.fleet import budgets_of, voter_of
 from pumicenotch.config.hcl import BadFile
-from pumicenotch.fleet.budgets import Member
-from pumicenotch.fleet.effects import Ask
-from pumicenotch.fleet.member_node import MemberNode
-from pumicenotch.fleet.settings import settings_of
+from pumicenotch.fleet.drains.budgets import Member
+from pumicenotch.fleet.member.effects import Ask
+from pumicenotch.fleet.member.node import MemberNode
+from pumicenotch.fleet.member.settings import settings_of
 from pumicenotch.members.messages import Who
 
 SERVER = """fleet "accra" {
--- a/tests/test_fleet_days.py
+++ b/tests/test_fleet_days.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from pumicenotch.fleet.budgets import Budget
-from pumicenotch.fleet.voter_node import VoterNode
+from pumicenotch.fleet.drains.budgets import Budget
+from pumicenotch.fleet.voter.node import VoterNode
 from pumicenotch.lab import fleets
 from pumicenotch.lab.fleets import Day, usual
 
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -3,7 +3,7 @@
 import pytest
 
 from benchmarks.release import Day, measure
-from pumicenotch.fleet.judge import Judge, Told, Verdict
+from pumicenotch.fleet.canary.judge import Judge, Told, Verdict
 
 
 def close(judge: Judge, *rows: tuple[str, bool, int, int]) -> Verdict:
--- a/tests/test_release.py
+++ b/tests/test_release.py
@@ -7,17 +7,17 @@
 
 import pytest
 
-from pumicenotch.fleet import effects
-from pumicenotch.fleet import release as release_
-from pumicenotch.fleet.agent import Agent
-from pumicenotch.fleet.budgets import SERVING, Budget, Member
-from pumicenotch.fleet.records import RELEASE_PERMIT, member_fields
-from pumicenotch.fleet.release import Release
-from pumicenotch.fleet.release_entries import plan_fields
-from pumicenotch.fleet.releases import Releases
-from pumicenotch.fleet.snapshot import dump, load
-from pumicenotch.fleet.state import State
-from pumicenotch.fleet.waves import waves_of
+from pumicenotch.fleet.agent.agent import Agent
+from pumicenotch.fleet.drains.budgets import SERVING, Budget, Member
+from pumicenotch.fleet.member import effects
+from pumicenotch.fleet.releases import release as release_
+from pumicenotch.fleet.releases.commands import plan_fields
+from pumicenotch.fleet.releases.release import Release
+from pumicenotch.fleet.releases.releases import Releases
+from pumicenotch.fleet.releases.waves import waves_of
+from pumicenotch.fleet.replicated.records import RELEASE_PERMIT, member_fields
+from pumicenotch.fleet.replicated.snapshot import dump, load
+from pumicenotch.fleet.replicated.state import State
 from pumicenotch.lab import fleets, releasing
 from pumicenotch.lab.releasing import NEW, OLD, Agents, Version
 from pumicenotch.lab.releasing_model import LONG, Bounds, Releasing
