--- a/pumicenotch/fleet/voter/node.py
+++ b/pumicenotch/fleet/voter/node.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable, Iterable, Sequence
 from typing import Any, NamedTuple
 
-from pumicenotch.agree import messages as agree
-from pumicenotch.agree.found import seated
+from pumicenotch.consensus import messages as agree
+from pumicenotch.consensus.bootstrap import seated
 from pumicenotch.fleet.canary.analysis import Watch, memory_of, rows_of
 from pumicenotch.fleet.drains.budgets import Budget, Member
 from pumicenotch.fleet.drains.durations import DrainTimes
--- a/pumicenotch/net/agent.py
+++ b/pumicenotch/net/agent.py
@@ -22,7 +22,7 @@
 from pumicenotch.config.hcl import BadFile
 from pumicenotch.fleet.agent.agent import Agent
 from pumicenotch.fleet.member import effects
-from pumicenotch.members.messages import Who
+from pumicenotch.membership.messages import Who
 from pumicenotch.net import logs
 from pumicenotch.net.peers import PeerHub, ResettableTimer
 
--- a/pumicenotch/net/fleet.py
+++ b/pumicenotch/net/fleet.py
@@ -20,7 +20,7 @@
 from pumicenotch.fleet.member.settings import FleetSettings
 from pumicenotch.fleet.replicated.subject import Book
 from pumicenotch.fleet.voter.node import VoterNode
-from pumicenotch.members.messages import Who
+from pumicenotch.membership.messages import Who
 from pumicenotch.net import logs
 from pumicenotch.net.hub import Hub
 from pumicenotch.net.peers import PeerHub, ResettableTimer, open_listener, run_hub
--- a/tests/test_book.py
+++ b/tests/test_book.py
@@ -16,8 +16,8 @@
 from pumicenotch.fleet.voter.node import VoterNode
 from pumicenotch.fleet.voter.replica import Leadership
 from pumicenotch.lab.fleets import Day
-from pumicenotch.members import messages
-from pumicenotch.members.messages import News, Opinion, Standing, Who
+from pumicenotch.membership import messages
+from pumicenotch.membership.messages import News, Opinion, Standing, Who
 
 VOTERS = ("v1", "v2", "v3")
 
--- a/tests/test_fleet_config.py
+++ b/tests/test_fleet_config.py
@@ -17,7 +17,7 @@
 from pumicenotch.fleet.member.effects import Ask
 from pumicenotch.fleet.member.node import MemberNode
 from pumicenotch.fleet.member.settings import settings_of
-from pumicenotch.members.messages import Who
+from pumicenotch.membership.messages import Who
 
 SERVER = """fleet "accra" {
   member = "n3"
