--- a/benchmarks/capacity/agent.py
+++ b/benchmarks/capacity/agent.py
@@ -8,7 +8,7 @@
 from benchmarks.capacity.measured_day import VOTERS
 from benchmarks.capacity.meter import StepMeter, least_ms, state_bytes
 from benchmarks.capacity.slope import Reading, Slope, readings
-from pumicenotch.fleet.agent.agent import Agent
+from pumicenotch.fleet.agent.agent import Agent, AgentSetup
 from pumicenotch.fleet.drains.budgets import SERVING
 from pumicenotch.fleet.member import effects
 from pumicenotch.fleet.voter.node import VoterNode
@@ -24,20 +24,22 @@
 
     def __init__(self, servers: int, seed: int) -> None:
         self.agent = Agent(
-            fleet="capacity",
-            node="server-0000001",
-            life=LIFE,
-            voters=[f"10.0.0.{at}:7100" for at in range(VOTERS)],
-            runs=dict(RUNS),
-            holds=HOLDS,
-            child=True,
-            start_ms=10_000.0,
-            drain_ms=5000.0,
-            now=0.0,
-            seed=seed,
+            AgentSetup(
+                fleet="capacity",
+                node="server-0000001",
+                incarnation=LIFE,
+                voters=tuple(f"10.0.0.{at}:7100" for at in range(VOTERS)),
+                versions=dict(RUNS),
+                stored=tuple(HOLDS),
+                has_server=True,
+                start_timeout_ms=10_000.0,
+                drain_timeout_ms=5000.0,
+                now_ms=0.0,
+                seed=seed,
+            )
         )
         self.again_ms = max(
-            VoterNode.HEARTBEAT_MS, VoterNode.HEARTBEAT_A_MEMBER_MS * (servers + VOTERS)
+            VoterNode.HEARTBEAT_MS, VoterNode.HEARTBEAT_MS_PER_MEMBER * (servers + VOTERS)
         )
         self.meter, self.now, self.due = StepMeter(), 0.0, 0.0
         self.bytes = {"sent": 0, "received": 0}
@@ -46,9 +48,9 @@
     def put(self, name: str, *details: Any) -> None:
         for effect in self.meter.run(name, self.agent.step, self.now, name, *details):
             match effect:
-                case effects.Wake(at):
+                case effects.WakeAt(at):
                     self.due = at
-                case effects.Ask(_, number, verb, args):
+                case effects.SendRequest(_, number, verb, args):
                     self.note("sent", args)
                     answer = self.answer(verb)
                     self.note("received", answer)
--- a/benchmarks/capacity/bad_hours.py
+++ b/benchmarks/capacity/bad_hours.py
@@ -69,13 +69,14 @@
     def out(self, some: Iterable[str]) -> bool:
         """Whether the voters have agreed that all of them are out."""
         state = self.day.state() if self.day.leader() else None
-        return state is not None and all(state.is_out(state.members[name]) for name in some)
+        return state is not None and all(state.is_unavailable(state.members[name]) for name in some)
 
     def serving(self, some: Iterable[str]) -> bool:
         """Whether the voters have agreed that all of them serve, as the processes that run now."""
         state = self.day.state() if self.day.leader() else None
         return state is not None and all(
-            not state.is_out(state.members[name]) and state.members[name].life == self.life(name)
+            not state.is_unavailable(state.members[name])
+            and state.members[name].incarnation == self.life(name)
             for name in some
         )
 
--- a/benchmarks/capacity/hollow.py
+++ b/benchmarks/capacity/hollow.py
@@ -13,10 +13,10 @@
 from benchmarks.capacity.measured_day import Meter, fleet_budgets, founded, zone_name
 from benchmarks.capacity.meter import frozen_heap
 from pumicenotch.fleet.drains.budgets import SERVING, Member
+from pumicenotch.fleet.drains.lifecycle import SILENT
 from pumicenotch.fleet.member import effects
 from pumicenotch.fleet.replicated import snapshot
-from pumicenotch.fleet.replicated.records import member_fields
-from pumicenotch.fleet.replicated.state import SILENT
+from pumicenotch.fleet.replicated.records import member_to_wire
 from pumicenotch.fleet.voter.failure_detector import FailureDetector
 from pumicenotch.lab.fleets import Process, Spec
 from pumicenotch.membership import messages
@@ -76,16 +76,18 @@
         if now >= self.due:
             found += self.questions()
             self.due = now + max(HEARTBEAT_MS, self.again_ms)
-        return [*found, effects.Wake(self.due)]
+        return [*found, effects.WakeAt(self.due)]
 
     def heard(self, sender: tuple[str, str, str], params: Any) -> list[effects.Effect]:
         if params[0] == "whole" and params[2]:
-            return [effects.Post(sender[2], "members", tuple(page)) for page in self.pages]
+            return [
+                effects.SendNotification(sender[2], "members", tuple(page)) for page in self.pages
+            ]
         if params[0] != "ping":
             return []
         mine = News(self.me, 1, Standing.SERVING, Opinion.ALIVE, self.me.name)
         answer = messages.plain(Ack(params[1], (mine,), ()))
-        return [effects.Post(sender[2], "members", tuple(answer))]
+        return [effects.SendNotification(sender[2], "members", tuple(answer))]
 
     def questions(self) -> list[effects.Effect]:
         name, life = self.me.name, self.me.life
@@ -95,12 +97,12 @@
         return [
             self.ask("mine", (name, life, False)),
             self.ask("agent", agent),
-            effects.Post(self.leader, "counts", (COUNTS, MEMORY_MB)),
+            effects.SendNotification(self.leader, "counts", (COUNTS, MEMORY_MB)),
         ]
 
     def ask(self, verb: str, args: tuple[Any, ...]) -> effects.Effect:
         self.number += 1
-        return effects.Ask(self.leader, self.number, verb, args)
+        return effects.SendRequest(self.leader, self.number, verb, args)
 
     def answered(self, now: float, error: Any, result: Any) -> None:
         if error is None and self.asks:
@@ -148,7 +150,7 @@
 
     def member(self, at: int, name: str) -> Member:
         return Member(
-            name, LIFE, self.zone(at), self.region(at), uses=(self.service(at),), standing=SERVING
+            name, LIFE, self.zone(at), self.region(at), uses=(self.service(at),), status=SERVING
         )
 
     def install_state(self) -> None:
@@ -285,10 +287,10 @@
         old = core.me
         self.tell_news(News(old, 2, Standing.OUT, Opinion.ALIVE, old.name))
         core.me = old._replace(life=f"{self.chance.getrandbits(48):012x}", began=old.began + 1)
-        member = self.members[at]._replace(life=core.me.life)
+        member = self.members[at]._replace(incarnation=core.me.life)
         core.asks = [
             ("gone", (old.name, old.life)),
-            ("join", (member_fields(member),)),
+            ("join", (member_to_wire(member),)),
             ("serving", (old.name, core.me.life)),
         ]
         core.due = self.day.now
--- a/benchmarks/capacity/measured_day.py
+++ b/benchmarks/capacity/measured_day.py
@@ -121,9 +121,9 @@
 
 def fleet_budgets(zones: int) -> tuple[Budget, ...]:
     """One budget a zone, named, one for the callers of each service, and one over all."""
-    each = [Budget(f"zone-{at}", "zone", zone_name(at), most_out=10) for at in range(zones)]
-    callers = Budget("callers", "callers", most_out=50)
-    return (*each, callers, Budget("all", "fleet", most_out=100))
+    each = [Budget(f"zone-{at}", "zone", zone_name(at), max_unavailable=10) for at in range(zones)]
+    callers = Budget("callers", "callers", max_unavailable=50)
+    return (*each, callers, Budget("all", "fleet", max_unavailable=100))
 
 
 def founded(
@@ -142,7 +142,7 @@
     day.until(
         lambda: (
             len(day.state().members) == many
-            and not any(map(day.state().is_out, day.state().members.values()))
+            and not any(map(day.state().is_unavailable, day.state().members.values()))
         ),
         FOUNDED_MS,
     )
--- a/benchmarks/capacity/spread.py
+++ b/benchmarks/capacity/spread.py
@@ -90,7 +90,7 @@
             if meter
             else book.apply(index, verb, read)
         )
-        assert outcome.good, outcome
+        assert outcome.ok, outcome
 
 
 class Process:
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -21,8 +21,8 @@
         seed,
         nodes=many,
         budgets=[
-            Budget("zones", "zone", most_out=a_zone),
-            Budget("all", "fleet", most_out=at_once),
+            Budget("zones", "zone", max_unavailable=a_zone),
+            Budget("all", "fleet", max_unavailable=at_once),
         ],
     )
     left: list[str] = []
@@ -41,7 +41,7 @@
             len(left) >= many
             and not day.away
             and bool(day.leader())
-            and not any(map(day.state().is_out, day.state().members.values()))
+            and not any(map(day.state().is_unavailable, day.state().members.values()))
         ),
         3_600_000.0,
     )
--- a/benchmarks/release.py
+++ b/benchmarks/release.py
@@ -11,9 +11,9 @@
 
 import numpy as np
 
-from pumicenotch.fleet.canary.judge import Judge, Threshold, Told
+from pumicenotch.fleet.canary.judge import FixedThreshold, Observation, SequentialJudge
 from pumicenotch.fleet.drains.budgets import Budget
-from pumicenotch.fleet.releases.waves import waves_of
+from pumicenotch.fleet.releases.waves import plan_waves
 from pumicenotch.lab import fleets, releasing
 
 ZONES, A_ZONE, CLASSES = 3, 4, ("preview", "bake", "submit")
@@ -33,7 +33,7 @@
         self.differ = self.chance.lognormal(0.0, 0.1, ZONES * A_ZONE)  # members are not alike
         self.doubles_at = int(self.chance.integers(10, len(WAVES) * SOAK_S))
 
-    def window(self, at: int, released: tuple[int, ...]) -> list[Told]:
+    def window(self, at: int, released: tuple[int, ...]) -> list[Observation]:
         load = 2.0 if at >= self.doubles_at else 1.0
         crowd = 0.04 if load > 1.0 else 0.0  # all fare worse
         found = []
@@ -46,7 +46,7 @@
                 )
                 bad = min(1.0, BASE * self.differ[member] + crowd + burst + more)
                 found.append(
-                    Told(
+                    Observation(
                         f"z{member // A_ZONE}/{name}",
                         member in released,
                         tasks,
@@ -60,17 +60,17 @@
     """Seconds until the judge and the fixed threshold halt it (-1: never), and members that had it by
     then.
     """
-    day, judge, fixed = Day(seed, harm, one_class), Judge(), Threshold()
+    day, judge, fixed = Day(seed, harm, one_class), SequentialJudge(), FixedThreshold()
     judged = thresholded = -1
     had = len(WAVES[-1])
     for at in range(len(WAVES) * SOAK_S):
         released = WAVES[at // SOAK_S]
         for told in day.window(at, released):
-            judge.tell(told)
-            fixed.tell(told)
-        if judge.close().harm and judged < 0:
+            judge.observe(told)
+            fixed.observe(told)
+        if judge.close_window().harmful and judged < 0:
             judged, had = at + 1, len(released)
-        if fixed.close() and thresholded < 0:
+        if fixed.is_exceeded() and thresholded < 0:
             thresholded = at + 1
         if judged >= 0 and thresholded >= 0:
             break
@@ -106,14 +106,14 @@
         seed,
         nodes=many,
         budgets=(
-            Budget("zones", "zone", most_out=a_zone),
-            Budget("all", "fleet", most_out=at_once),
+            Budget("zones", "zone", max_unavailable=a_zone),
+            Budget("all", "fleet", max_unavailable=at_once),
         ),
     )
     members = [
         each for each in day.state().members.values() if each.name in day.state().releases.nodes
     ]
-    waves = waves_of(members, mixed=True)
+    waves = plan_waves(members, mixed=True)
     day.run(10_000.0)  # so that what is usual is known
     day.plan(waves=waves, mixed=True, soak_ms=SOAK_MS)
     began = day.now
--- a/pumicenotch/cli/release.py
+++ b/pumicenotch/cli/release.py
@@ -93,7 +93,7 @@
     """
     from pumicenotch.config.fleet import budgets_of
     from pumicenotch.config.hcl import BadFile
-    from pumicenotch.fleet.releases.release import BUDGETS, LEVEL
+    from pumicenotch.fleet.releases.release import BUDGETS, PROGRAM_LEVEL
 
     if (slot == BUDGETS) != (budgets is not None):
         wrong("--budgets FILE goes with --slot budgets, and only with it")
@@ -114,7 +114,7 @@
         slot,
         version,
         replaces,
-        LEVEL if level is None else level,
+        PROGRAM_LEVEL if level is None else level,
         waves,
         round(soak_s * 1000),
         round(wait_s * 1000),
--- a/pumicenotch/config/fleet.py
+++ b/pumicenotch/config/fleet.py
@@ -77,7 +77,7 @@
 
     @model_validator(mode="after")
     def says_one_thing(self) -> "BudgetBlock":
-        budgets.check(self.budget())
+        budgets.check_budget(self.budget())
         return self
 
     def budget(self) -> budgets.Budget:
--- a/pumicenotch/config/versions.py
+++ b/pumicenotch/config/versions.py
@@ -5,7 +5,7 @@
 import shutil
 from pathlib import Path
 
-from pumicenotch.fleet.releases.release import VERSION
+from pumicenotch.fleet.releases.release import VERSION_PATTERN
 
 LETTERS = 32  # of a version's name: 128 bits
 CHUNK = 1 << 20
@@ -44,7 +44,7 @@
 
 def fetch(version: str, source: Path, into: Path) -> None:
     """Copies SOURCE/VERSION into INTO/VERSION, there only once it is whole and checked. Raises BadVersion."""
-    if not VERSION.fullmatch(version):
+    if not VERSION_PATTERN.fullmatch(version):
         raise BadVersion(f"{version!r:.80} names no version")
     put(source / version, version, into)
 
--- a/pumicenotch/distribution/publications.py
+++ b/pumicenotch/distribution/publications.py
@@ -24,7 +24,7 @@
     code.
     """
 
-    good: bool
+    ok: bool
     text: str
     value: Any = None
 
--- a/pumicenotch/fleet/agent/agent.py
+++ b/pumicenotch/fleet/agent/agent.py
@@ -1,325 +1,386 @@
-"""The agent beside a server: it holds versions, starts and ends its server, and takes no step between
-versions that was not agreed an instant ago. Cut off from the fleet it keeps its server running as it is.
+"""The agent beside a server: it stores versions, and starts and stops its server.
 
-A permission is good for as long as a request waits for its answer (`REQUEST_TIMEOUT_MS`), by this
-process's own clock: one that comes later, or that its process slept through, is none.
+It takes no step between versions that was not agreed an instant ago. Cut off from the fleet it
+keeps its server running as it is. A permission is good for as long as a request waits for its
+answer (`REQUEST_TIMEOUT_MS`), by this process's own clock: one that comes later, or that its process
+slept through, is none.
 """
 
-from collections.abc import Iterable
+from collections.abc import Mapping
 from typing import Any, ClassVar, NamedTuple
 
+from pumicenotch.fleet.agent.hint import AgentHint, read_agent_hint
 from pumicenotch.fleet.drains.budgets import SERVING
-from pumicenotch.fleet.member.effects import Anew, End, Hold, Proven, Reread, Start, Swap
+from pumicenotch.fleet.member.effects import (
+    ActivateVersion,
+    ConfirmVersions,
+    FetchVersion,
+    ReloadServer,
+    RestartAgent,
+    StartServer,
+    StopServer,
+)
 from pumicenotch.fleet.member.voter_client import VoterClient
-from pumicenotch.fleet.releases.release import GONE, NOTHING_DUE, RESTARTS, STARTING, STUCK, Step
-from pumicenotch.fleet.replicated.fields import TEXT_MOST
-
-LOOP = "crash loop"  # how that trouble begins
-AGAIN_MOST_MS = 60_000.0  # between reports, whatever the leader says
-AGENT_FAILED = "agent refused"  # how a trouble begins of a version of the agent itself
-
-
-class AgentHint(NamedTuple):
-    """What the leader says of this node."""
-
-    due: Step
-    halted: str
-    life: str  # of the server, as the fleet counts it
-    standing: str
-    permit: int
-    begun: bool
-    again_ms: float
-    hold: tuple[str, ...]  # versions
-
-
-def step_of(told: Any) -> Step:
-    if isinstance(told, list | tuple) and len(told) == 2:
-        return Step(str(told[0]), str(told[1]))
-    return NOTHING_DUE
-
-
-def hint_of(told: dict[str, Any]) -> AgentHint:
-    """From the wire. What is missing or of another kind counts as not said."""
-    permit, again = told.get("permit"), told.get("again_ms")
-    return AgentHint(
-        due=step_of(told.get("due")),
-        halted=str(told.get("halted", "")),
-        life=str(told.get("life", "")),
-        standing=str(told.get("standing", "")),
-        permit=permit if type(permit) is int else 0,
-        begun=bool(told.get("begun")),
-        again_ms=again if isinstance(again, int | float) else 0.0,
-        hold=tuple(map(str, told.get("hold") or ())),
-    )
+from pumicenotch.fleet.releases.release import (
+    NO_STEP,
+    RESTART_SLOTS,
+    SERVER_DOWN,
+    SERVER_STARTING,
+    STORAGE_PROBLEM,
+)
+from pumicenotch.fleet.replicated.fields import MAX_TEXT_LENGTH
+
+# How problems begin, as agents report them.
+CRASH_LOOP = "crash loop"
+AGENT_FAILED = "agent refused"  # a version of the agent itself does not start
+
+AGENT_SLOT = "agent"
+NEVER_MS = float("inf")
+MAX_REPORT_INTERVAL_MS = 60_000.0  # whatever the leader says
+MAX_BACKOFF_DOUBLINGS = 8
+
+
+class AgentSetup(NamedTuple):
+    """What an agent is made from."""
+
+    fleet: str
+    node: str
+    incarnation: str  # of this agent
+    voters: tuple[str, ...]
+    versions: Mapping[str, str]  # by slot
+    stored: tuple[str, ...]  # the versions on the disk
+    has_server: bool  # its server runs already, started by an agent before this one
+    start_timeout_ms: float  # for the server to come into service
+    drain_timeout_ms: float
+    now_ms: float
+    seed: int
+    problem: str = ""  # of this agent's earlier start, if any
 
 
 class Agent(VoterClient):
-    """Its inputs: `start`, `time`, `answered` (number, error, result), `ended` (status; None: unknown),
-    `held` (version, why not), `swapped` (slot, why not).
+    """A reducer of these inputs.
+
+    `start`; `time`; `answered` (number, error, result); `ended` (status): its server has exited, with
+    None for an unknown status; `held` (version, problem): it is stored, or could not be; `swapped`
+    (slot, problem): the version is in its slot, or could not be put there.
     """
 
-    REPORT_MS = 500.0  # between its words
-    PATIENCE_MS = (
-        5000.0  # for its server to use its permit by itself: some of its own words to the leader
-    )
-    # Without an answer after its server's end, until what is there is started: an election's time; and when
-    # this process has just started: where voters are there, they answer at once.
-    ALONE_MS, FIRST_MS = 4000.0, 1000.0
-    LOOP_MS, LOOP = 60_000.0, 3  # so many unasked ends in such a time are a crash loop
-    REFUSED = 2  # ends before it ever served: the first may be a port that is not free yet
-    BACKOFF_MS, BACKOFF_MOST_MS = 250.0, 10_000.0  # before a start after an unasked end, doubling
-    KILL_MS = 3000.0  # for a server to end that was told to and need not drain
-    HOLD_AGAIN_MS = 5000.0  # before a version is fetched again that could not be
-
-    INPUTS: ClassVar = frozenset(("start", "time", "answered", "ended", "held", "swapped"))
-
-    def __init__(
-        self,
-        *,
-        fleet: str,
-        node: str,
-        life: str,
-        voters: Iterable[str],
-        runs: dict[str, str],
-        holds: Iterable[str],
-        child: bool,
-        start_ms: float,
-        drain_ms: float,
-        now: float,
-        seed: int,
-        trouble: str = "",
-    ) -> None:
-        """`runs` is what stands in each slot; `child`: its server is there already, of an agent before this
-        one.
-        """
-        super().__init__(voters, now, seed)
-        self.fleet, self.node, self.life = fleet, node, life
-        self.runs, self.holds = dict(runs), list(holds)
-        self.start_ms, self.drain_ms = start_ms, drain_ms
-        self.child = child
-        self.served = child  # since its start
-        self.trouble = trouble  # of this agent's former start, if any
-        self.spoken = False  # with the fleet
-        self.ends: list[float] = []  # unasked ones
-        self.refusals = 0
-        self.started_at = self.answered_at = now
-        self.ended_at = now - (self.ALONE_MS - self.FIRST_MS)
-        self.start_at = now  # not before
-        self.ending: float = float("inf")  # asked to end: force from then on
-        self.report_at = now
-        self.holding: dict[
-            str, float
-        ] = {}  # version: not again before; infinite while it is on its way
-        self.swapping = False
+    REPORT_MS = 500.0  # between reports
+    # For its server to use its permit by itself: some of its own heartbeats.
+    PERMIT_PATIENCE_MS = 5000.0
+    # Without an answer after its server's exit, until the server is started as it is: the time of an
+    # election; and when this process has just started: voters that are there answer at once.
+    ISOLATION_MS = 4000.0
+    FIRST_ISOLATION_MS = 1000.0
+    # This many unexpected exits within the window are a crash loop.
+    CRASH_LOOP_EXITS = 3
+    CRASH_LOOP_WINDOW_MS = 60_000.0
+    # Exits before it ever served: the first may be for a port that is not free yet.
+    MAX_FAILED_STARTS = 2
+    BACKOFF_MS = 250.0  # before a start after an unexpected exit, doubling
+    MAX_BACKOFF_MS = 10_000.0
+    KILL_MS = 3000.0  # for a server to exit that was told to and need not drain
+    FETCH_RETRY_MS = 5000.0  # before a version is fetched again that could not be
+
+    INPUTS: ClassVar[Mapping[str, str]] = {
+        "start": "on_start",
+        "time": "on_time",
+        "answered": "on_response",
+        "ended": "on_server_exited",
+        "held": "on_fetched",
+        "swapped": "on_activated",
+    }
+
+    def __init__(self, setup: AgentSetup) -> None:
+        super().__init__(setup.voters, setup.now_ms, setup.seed)
+        self.fleet = setup.fleet
+        self.node = setup.node
+        self.incarnation = setup.incarnation
+        self.start_timeout_ms = setup.start_timeout_ms
+        self.drain_timeout_ms = setup.drain_timeout_ms
+        self.problem = setup.problem
+        # Versions.
+        self.versions = dict(setup.versions)  # by slot
+        self.stored = list(setup.stored)
+        # Not fetched again before then; NEVER_MS while a fetch is under way.
+        self.fetch_at_ms: dict[str, float] = {}
+        self.is_activating = False
+        # Its server.
+        self.has_server = setup.has_server
+        self.has_served = setup.has_server  # since its start
+        self.crashes_ms: list[float] = []  # when it exited unexpectedly
+        self.failed_starts = 0
+        self.started_at_ms = setup.now_ms
+        self.exited_at_ms = setup.now_ms - (self.ISOLATION_MS - self.FIRST_ISOLATION_MS)
+        self.start_at_ms = setup.now_ms  # not before
+        self.kill_at_ms = NEVER_MS  # set once it was told to stop
         # What the fleet said last.
-        self.known_life = self.life_before = ""
-        self.move = NOTHING_DUE
-        self.permit, self.begun = 0, False
-        self.permit_at = self.begun_at = now
-        self.halted = ""
-        self.wanted: tuple[str, ...] = ()  # versions to hold
-
-    def due(self) -> float:
-        return min(self.request_due(), self.now + self.REPORT_MS / 2.0)
-
-    def start(self) -> None:
-        self.log(f"the agent of {self.node}: {self.describe_runs()}")
-
-    def time(self) -> None:
+        self.has_spoken = False
+        self.answered_at_ms = setup.now_ms
+        self.report_at_ms = setup.now_ms
+        self.known_incarnation = ""  # of its server
+        self.incarnation_before_start = ""
+        self.next_step = NO_STEP
+        self.permit_epoch = 0
+        self.permit_at_ms = setup.now_ms
+        self.permit_started = False
+        self.permit_started_at_ms = setup.now_ms
+        self.halt_reason = ""
+        self.wanted_versions: tuple[str, ...] = ()
+
+    def wake_at_ms(self) -> float:
+        """Returns when the next input `time` is due."""
+        return min(self.request_due_ms(), self.now_ms + self.REPORT_MS / 2.0)
+
+    def on_start(self) -> None:
+        """Logs what the agent begins with."""
+        self.log(f"the agent of {self.node}: {self.describe_versions()}")
+
+    def on_time(self) -> None:
+        """Lets the request time out."""
         self.check_timeout()
 
-    def describe_runs(self) -> str:
-        return ", ".join(f"{slot} {version}" for slot, version in sorted(self.runs.items()))
+    def describe_versions(self) -> str:
+        """Returns the version in each slot, for the log."""
+        return ", ".join(f"{slot} {version}" for slot, version in sorted(self.versions.items()))
 
     # Its server
 
-    def look(self) -> None:
-        """What is to be done without any answer."""
-        if self.child:
-            late = not self.served and self.now - self.started_at > self.start_ms
-            if late and not self.trouble:
-                self.fail(f"silent: not in service {self.start_ms / 1000.0:.0f} s after its start")
-            if self.now >= self.ending:
-                self.ending = float("inf")
-                self.effects.append(End(True))
+    def check_server(self) -> None:
+        """Does what needs no answer: reports a slow start, kills, or starts the server."""
+        if self.has_server:
+            is_late = self.now_ms - self.started_at_ms > self.start_timeout_ms
+            if is_late and not self.has_served and not self.problem:
+                timeout_s = self.start_timeout_ms / 1000.0
+                self.report_problem(f"silent: not in service {timeout_s:.0f} s after its start")
+            if self.now_ms >= self.kill_at_ms:
+                self.kill_at_ms = NEVER_MS
+                self.effects.append(StopServer(force=True))
             return
-        if self.swapping or self.now < self.start_at:
+        if self.is_activating or self.now_ms < self.start_at_ms:
             return
-        moves = self.move.slot in RESTARTS and self.move.version in self.holds
-        if (self.answered_since_end() and not moves) or self.now >= self.ended_at + self.ALONE_MS:
-            self.begin()
-
-    def answered_since_end(self) -> bool:
-        """Whether the fleet has answered since its server ended."""
-        return self.spoken and self.answered_at > self.ended_at
-
-    def begin(self) -> None:
-        self.child, self.served, self.started_at = True, False, self.now
-        self.ending = float("inf")
-        self.life_before = self.known_life
-        self.log(f"starts its server: {self.describe_runs()}")
-        self.effects.append(Start())
-
-    def ended(self, status: int | None) -> None:
-        asked = self.ending < float("inf") or (self.served and (status in (0, None) or self.begun))
-        self.child, self.ended_at, self.ending = False, self.now, float("inf")
-        self.start_at = self.now
-        if not asked:
-            self.ends = [at for at in self.ends if self.now - at < self.LOOP_MS] + [self.now]
-            wait = self.BACKOFF_MS * 2.0 ** min(len(self.ends) - 1, 8)
-            self.start_at = self.now + min(self.BACKOFF_MOST_MS, wait)
-            self.refusals += not self.served
-            if self.refusals >= self.REFUSED:
-                self.fail(f"start refused: it ended with status {status} before it served")
-            elif len(self.ends) >= self.LOOP:
-                lasted = self.now - self.ends[0]
-                self.fail(
-                    f"{LOOP}: {len(self.ends)} ends in {lasted / 1000.0:.0f} s, status {status}"
-                )
-        self.served = False
+        slot, version = self.next_step
+        moves_first = slot in RESTART_SLOTS and version in self.stored
+        is_isolated = self.now_ms >= self.exited_at_ms + self.ISOLATION_MS
+        if (self.has_answer_since_exit() and not moves_first) or is_isolated:
+            self.start_server()
+
+    def has_answer_since_exit(self) -> bool:
+        """Tells whether the fleet has answered since the server exited."""
+        return self.has_spoken and self.answered_at_ms > self.exited_at_ms
+
+    def start_server(self) -> None:
+        """Starts the server from the versions in the slots."""
+        self.has_server = True
+        self.has_served = False
+        self.started_at_ms = self.now_ms
+        self.kill_at_ms = NEVER_MS
+        self.incarnation_before_start = self.known_incarnation
+        self.log(f"starts its server: {self.describe_versions()}")
+        self.effects.append(StartServer())
+
+    def on_server_exited(self, status: int | None) -> None:
+        """Takes the server's exit; one that nobody asked for counts as a crash."""
+        exited_cleanly = self.has_served and (status in (0, None) or self.permit_started)
+        was_expected = self.kill_at_ms < NEVER_MS or exited_cleanly
+        self.has_server = False
+        self.exited_at_ms = self.now_ms
+        self.kill_at_ms = NEVER_MS
+        self.start_at_ms = self.now_ms
+        if not was_expected:
+            self._note_crash(status)
+        self.has_served = False
         self.log(f"its server has ended: status {status}")
         self.report_soon()
 
-    def fail(self, why: str) -> None:
-        if self.trouble != why:
-            self.trouble = why[:TEXT_MOST]
-            self.log(why)
+    def _note_crash(self, status: int | None) -> None:
+        window_start_ms = self.now_ms - self.CRASH_LOOP_WINDOW_MS
+        recent = [at_ms for at_ms in self.crashes_ms if at_ms > window_start_ms]
+        self.crashes_ms = [*recent, self.now_ms]
+        crashes = len(self.crashes_ms)
+        backoff_ms = self.BACKOFF_MS * 2.0 ** min(crashes - 1, MAX_BACKOFF_DOUBLINGS)
+        self.start_at_ms = self.now_ms + min(self.MAX_BACKOFF_MS, backoff_ms)
+        self.failed_starts += not self.has_served
+        if self.failed_starts >= self.MAX_FAILED_STARTS:
+            self.report_problem(f"start refused: it ended with status {status} before it served")
+        elif crashes >= self.CRASH_LOOP_EXITS:
+            within_s = (self.now_ms - self.crashes_ms[0]) / 1000.0
+            self.report_problem(
+                f"{CRASH_LOOP}: {crashes} ends in {within_s:.0f} s, status {status}"
+            )
+
+    def report_problem(self, problem: str) -> None:
+        """Sets the node's problem, and reports it soon."""
+        if self.problem != problem:
+            self.problem = problem[:MAX_TEXT_LENGTH]
+            self.log(problem)
             self.report_soon()
 
-    def end(self, after_ms: float) -> None:
-        if self.child and self.ending == float("inf"):
-            self.ending = self.now + after_ms
-            self.effects.append(End(False))
+    def stop_server(self, kill_after_ms: float) -> None:
+        """Has the server stop, and killed if it has not by then."""
+        if self.has_server and self.kill_at_ms == NEVER_MS:
+            self.kill_at_ms = self.now_ms + kill_after_ms
+            self.effects.append(StopServer(force=False))
 
     def report_soon(self) -> None:
-        self.report_at = self.now
+        """Has the next report sent as soon as no request is outstanding."""
+        self.report_at_ms = self.now_ms
         if self.request is None:
-            self.request_at = min(self.request_at, self.now)
+            self.next_request_at_ms = min(self.next_request_at_ms, self.now_ms)
 
     # Versions
 
-    def held(self, version: str, why: str) -> None:
-        if why:
-            self.holding[version] = self.now + self.HOLD_AGAIN_MS
-            self.fail(f"{STUCK} {version}: {why}")
+    def on_fetched(self, version: str, problem: str) -> None:
+        """Takes the end of a fetch."""
+        if problem:
+            self.fetch_at_ms[version] = self.now_ms + self.FETCH_RETRY_MS
+            self.report_problem(f"{STORAGE_PROBLEM} {version}: {problem}")
             return
-        self.holding.pop(version, None)
-        if version not in self.holds:
-            self.holds.append(version)
-        if self.trouble.startswith(f"{STUCK} {version}"):
-            self.trouble = ""
+        self.fetch_at_ms.pop(version, None)
+        if version not in self.stored:
+            self.stored.append(version)
+        if self.problem.startswith(f"{STORAGE_PROBLEM} {version}"):
+            self.problem = ""
         self.report_soon()
 
-    def swapped(self, slot: str, why: str) -> None:
-        self.swapping = False
-        if why:
-            self.fail(f"{STUCK} {self.move.version}: {why}")
-            self.ended_at = min(self.ended_at, self.now - self.ALONE_MS)  # what is there is started
+    def on_activated(self, slot: str, problem: str) -> None:
+        """Takes the end of an activation: the server is started, reloaded or left alone."""
+        self.is_activating = False
+        if problem:
+            self.report_problem(f"{STORAGE_PROBLEM} {self.next_step.version}: {problem}")
+            # The version that is in the slot is started.
+            self.exited_at_ms = min(self.exited_at_ms, self.now_ms - self.ISOLATION_MS)
             return
-        self.runs[slot] = self.move.version
-        self.move = NOTHING_DUE
+        self.versions[slot] = self.next_step.version
+        self.next_step = NO_STEP
         self.report_soon()
-        if slot == "agent":
-            self.effects.append(Anew())
-        elif slot not in RESTARTS:
-            self.effects.append(Reread())
+        if slot == AGENT_SLOT:
+            self.effects.append(RestartAgent())
+        elif slot not in RESTART_SLOTS:
+            self.effects.append(ReloadServer())
         else:
-            self.trouble, self.ends, self.refusals = "", [], 0
-            self.begin()
-
-    # What it says and asks
-
-    def next_request(self) -> None:
-        self.look()
-        if (
-            self.request is not None
-            or self.now < self.request_at
-            or not self.voters
-            or self.swapping
-        ):
+            self.problem = ""
+            self.crashes_ms = []
+            self.failed_starts = 0
+            self.start_server()
+
+    def fetch(self, versions: tuple[str, ...]) -> None:
+        """Fetches those versions that are not stored."""
+        self.wanted_versions = versions
+        for version in versions:
+            if version not in self.stored and self.now_ms >= self.fetch_at_ms.get(version, 0.0):
+                self.fetch_at_ms[version] = NEVER_MS
+                self.effects.append(FetchVersion(version))
+
+    # Reports and requests
+
+    def send_next_request(self) -> None:
+        """Sends a report when one is due, else asks for the next step towards another version."""
+        self.check_server()
+        is_early = self.now_ms < self.next_request_at_ms
+        if self.request is not None or is_early or not self.voters or self.is_activating:
             return
-        slot, version = self.move
-        if self.now >= self.report_at:
-            self.report_at = self.now + self.REPORT_MS
-            runs = sorted(self.runs.items())
-            down = "" if self.served else STARTING if self.child else GONE
-            self.ask("agent", self.node, self.life, runs, self.holds, down, self.trouble)
-        elif version in self.holds and slot in RESTARTS and self.child:
-            self.have_it_end()
-        elif version in self.holds and (slot not in RESTARTS or self.answered_since_end()):
-            self.ask("move", self.node, self.life, slot, version)
-        if self.request is None and self.request_at <= self.now:
-            self.request_at = self.report_at
-
-    def have_it_end(self) -> None:
-        """By its permit the server drains by itself. One that does not is ended, its permit begun first; one
-        in trouble is out, by this agent's own word, and needs none.
+        slot, version = self.next_step
+        is_restart = slot in RESTART_SLOTS
+        if self.now_ms >= self.report_at_ms:
+            self._send_report()
+        elif version in self.stored and is_restart and self.has_server:
+            self._free_slot()
+        elif version in self.stored and (not is_restart or self.has_answer_since_exit()):
+            self.send_request("move", self.node, self.incarnation, slot, version)
+        if self.request is None and self.next_request_at_ms <= self.now_ms:
+            self.next_request_at_ms = self.report_at_ms
+
+    def _send_report(self) -> None:
+        self.report_at_ms = self.now_ms + self.REPORT_MS
+        versions = sorted(self.versions.items())
+        server_state = self._server_state()
+        report = (self.node, self.incarnation, versions, self.stored, server_state, self.problem)
+        self.send_request("agent", *report)
+
+    def _server_state(self) -> str:
+        if self.has_served:
+            return ""
+        return SERVER_STARTING if self.has_server else SERVER_DOWN
+
+    def _free_slot(self) -> None:
+        """Has the server stop, so that another version can take its place.
+
+        By its permit the server drains by itself. One that does not is stopped, its permit put in use
+        first; one with a problem is unavailable by this agent's own report, and needs no permit.
         """
-        if self.trouble and not self.trouble.startswith(STUCK):
-            self.end(self.KILL_MS)
-        elif self.begun:
-            if self.now - self.begun_at > self.drain_ms:
-                self.end(self.KILL_MS)
-        elif self.permit and self.now - self.permit_at > self.PATIENCE_MS and not self.halted:
-            self.ask("began", self.node, self.known_life, self.permit)
-
-    def agreed(self, verb: str, result: dict[str, Any]) -> None:
+        if self.problem and not self.problem.startswith(STORAGE_PROBLEM):
+            self.stop_server(self.KILL_MS)
+        elif self.permit_started:
+            if self.now_ms - self.permit_started_at_ms > self.drain_timeout_ms:
+                self.stop_server(self.KILL_MS)
+        elif self.permit_epoch and not self.halt_reason and self._is_permit_overdue():
+            self.send_request("began", self.node, self.known_incarnation, self.permit_epoch)
+
+    def _is_permit_overdue(self) -> bool:
+        return self.now_ms - self.permit_at_ms > self.PERMIT_PATIENCE_MS
+
+    def on_result(self, verb: str, result: dict[str, Any]) -> None:
+        """Takes the result of a request."""
         match verb:
             case "agent":
-                self.take_hint(hint_of(result))
-            case "move" if self.move.slot:
-                self.log(f"moves to {self.move.slot} {self.move.version}")
-                self.swapping = True
-                self.effects.append(Swap(*self.move))
+                self.on_hint(read_agent_hint(result))
+            case "move" if self.next_step.slot:
+                slot, version = self.next_step
+                self.log(f"moves to {slot} {version}")
+                self.is_activating = True
+                self.effects.append(ActivateVersion(slot, version))
             case "began":
-                self.begun, self.begun_at = True, self.now
-                self.end(self.drain_ms)
+                self.permit_started = True
+                self.permit_started_at_ms = self.now_ms
+                self.stop_server(self.drain_timeout_ms)
 
-    def refused(self, verb: str, text: str) -> None:
-        self.counts[f"{verb}_refused"] += 1
+    def on_refusal(self, verb: str, text: str) -> None:
+        """Takes the fleet's refusal of a request."""
+        self.counters[f"{verb}_refused"] += 1
         if verb in ("move", "agent"):
             self.log(f"{verb} refused: {text}")
-        self.report_at = self.now
-
-    def take_hint(self, hint: AgentHint) -> None:
-        """What the leader says of this node: no step rests on it alone."""
-        self.answered_at = self.now
-        if not self.spoken:
-            self.spoken = True
-            self.effects.append(Proven(("agent",)))
-        self.move, self.halted, self.known_life = hint.due, hint.halted, hint.life
-        if self.trouble.startswith(AGENT_FAILED) and not self.move.slot:
-            self.trouble = ""  # nobody wants that version here any more
-        self.note_permit(hint)
-        quiet = self.served and not self.move.slot and not self.permit
-        if quiet and self.REPORT_MS < hint.again_ms <= AGAIN_MOST_MS:
-            self.report_at = self.now + hint.again_ms  # among many more seldom
-        self.note_service(hint)
-        self.fetch(hint.hold)
-
-    def note_permit(self, hint: AgentHint) -> None:
-        if hint.permit != self.permit:
-            self.permit_at = self.now
-        if hint.begun and not self.begun:
-            self.begun_at = self.now
-        self.permit, self.begun = hint.permit, hint.begun
-
-    def note_service(self, hint: AgentHint) -> None:
-        """Its server has come into service once the fleet counts its new life so."""
-        serves = hint.standing == SERVING and not hint.permit
-        if self.child and not self.served and serves and self.known_life != self.life_before:
-            self.served, self.refusals = True, 0
-            if not self.trouble.startswith(LOOP):
-                self.trouble = ""
-            self.effects.append(Proven(tuple(slot for slot in self.runs if slot in RESTARTS)))
+        self.report_at_ms = self.now_ms
+
+    def on_hint(self, hint: AgentHint) -> None:
+        """Takes what the leader says of this node: no step rests on it alone."""
+        self.answered_at_ms = self.now_ms
+        if not self.has_spoken:
+            self.has_spoken = True
+            self.effects.append(ConfirmVersions((AGENT_SLOT,)))
+        self.next_step = hint.next_step
+        self.halt_reason = hint.halt_reason
+        self.known_incarnation = hint.incarnation
+        if self.problem.startswith(AGENT_FAILED) and not self.next_step.slot:
+            self.problem = ""  # nobody wants that version here any more
+        self._note_permit(hint)
+        is_idle = self.has_served and not self.next_step.slot and not self.permit_epoch
+        if is_idle and self.REPORT_MS < hint.report_interval_ms <= MAX_REPORT_INTERVAL_MS:
+            self.report_at_ms = self.now_ms + hint.report_interval_ms
+        self._note_service(hint)
+        self.fetch(hint.wanted_versions)
+
+    def _note_permit(self, hint: AgentHint) -> None:
+        if hint.permit_epoch != self.permit_epoch:
+            self.permit_at_ms = self.now_ms
+        if hint.permit_started and not self.permit_started:
+            self.permit_started_at_ms = self.now_ms
+        self.permit_epoch = hint.permit_epoch
+        self.permit_started = hint.permit_started
+
+    def _note_service(self, hint: AgentHint) -> None:
+        """Its server is in service once the fleet counts its new incarnation so."""
+        is_in_service = hint.status == SERVING and not hint.permit_epoch
+        is_new = self.known_incarnation != self.incarnation_before_start
+        if self.has_server and not self.has_served and is_in_service and is_new:
+            self.has_served = True
+            self.failed_starts = 0
+            if not self.problem.startswith(CRASH_LOOP):
+                self.problem = ""
+            slots = tuple(slot for slot in self.versions if slot in RESTART_SLOTS)
+            self.effects.append(ConfirmVersions(slots))
             self.report_soon()
-        calm = self.served and self.now - self.started_at > self.LOOP_MS
-        if calm and self.trouble.startswith(LOOP):
-            self.trouble = ""
-
-    def fetch(self, wanted: tuple[str, ...]) -> None:
-        self.wanted = wanted
-        for version in wanted:
-            if version not in self.holds and self.now >= self.holding.get(version, 0.0):
-                self.holding[version] = float("inf")
-                self.effects.append(Hold(version))
+        uptime_ms = self.now_ms - self.started_at_ms
+        is_stable = self.has_served and uptime_ms > self.CRASH_LOOP_WINDOW_MS
+        if is_stable and self.problem.startswith(CRASH_LOOP):
+            self.problem = ""
--- a/pumicenotch/fleet/canary/analysis.py
+++ b/pumicenotch/fleet/canary/analysis.py
@@ -1,379 +1,273 @@
-"""What a leader makes of how members say they do, while a release is on: whether the version does harm, and
-when a wave has soaked. It remembers nothing from one leader to the next: a new one looks anew, and the soak
-begins again.
-
-Three questions, each asked of like against like in the same second, or not at all: - do the released members'
-tasks, or their calls below, go badly more often than the others' (`Judge`); - do they call the services below
-more often for a task, and by much (`Pressure`): harm that all suffer has its cause there; - do calls below go
-badly, or last, for all since the first got the version, though no more tasks come (`Both`).
+"""What a leader makes of members' counts while a release is on.
+
+It proposes three commands: harm, a wave whose soak is over, and the baseline before a wave moves.
 """
 
-import math
 from collections import defaultdict
-from collections.abc import Iterable
-from functools import reduce
-from statistics import median
-from typing import Any, NamedTuple
-
-from pumicenotch.fleet.canary.judge import Judge, Told
-from pumicenotch.fleet.releases.release import BUDGETS, FORWARD, SOAKING, Release
-from pumicenotch.fleet.replicated.fields import BadEntry
-from pumicenotch.fleet.replicated.state import SILENT, State
-
-ROWS_MOST = 64  # classes in one word
-
-
-class Row(NamedTuple):
-    """Of one class, since its process began, or in some time."""
-
-    tasks: float = 0.0
-    firsts: float = 0.0  # of them that were no repeats
-    bad: float = 0.0  # failed, late or rejected
-    calls: float = 0.0  # below
-    bad_calls: float = 0.0
-    call_ms: float = 0.0  # in all
-
-    def less(self, other: "Row") -> "Row":
-        return Row(*(mine - its for mine, its in zip(self, other, strict=True)))
-
-    def plus(self, other: "Row") -> "Row":
-        return Row(*(mine + its for mine, its in zip(self, other, strict=True)))
-
-
-def sum_of(rows: Iterable[Row]) -> Row:
-    return reduce(Row.plus, rows, Row())
-
-
-def memory_of(told: Any) -> float:
-    if not isinstance(told, int | float) or not 0.0 <= told < 1e9:
-        raise BadEntry(f"no memory of a process: {told!r:.40}")
-    return float(told)
-
-
-def rows_of(told: Any) -> dict[str, Row]:
-    """From a word on the wire: (class, fields of Row) each. Raises BadEntry."""
-    try:
-        found = {str(name)[:64]: Row(*map(float, fields)) for name, *fields in told[:ROWS_MOST]}
-        if not all(math.isfinite(value) and value >= 0 for row in found.values() for value in row):
-            raise ValueError("no counts")
-        return found
-    except (TypeError, ValueError) as error:
-        raise BadEntry(f"no counts of a member: {error}") from None
-
-
-class Pressure:
-    """Calls below a task: the released members' share of all calls against their share of all tasks, stratum
-    by stratum, under the bound that Judge has.
-    """
-
-    MUCH = 1.5  # times as many calls: less is a version's own business
-
-    def __init__(self) -> None:
-        self.judge = Judge()
-        self.calls = self.expected = 0.0
-
-    def tell(self, tasks: tuple[float, float], calls: tuple[float, float]) -> None:
-        """Of the others and of the released."""
-        whole, many = sum(tasks), sum(calls)
-        if min(tasks) <= 0 or not many:
-            return
-        part = tasks[1] / whole
-        off = calls[1] - many * part
-        self.judge.sum += off
-        self.judge.spread += max(many * part * (1.0 - part), off * off)
-        self.calls += calls[1]
-        self.expected += tasks[1] * calls[0] / tasks[0]
-
-    def harm(self) -> str:
-        if self.judge.sum < self.judge.bound() or self.calls < self.MUCH * self.expected:
-            return ""
-        times = self.calls / max(1.0, self.expected)
-        return f"the released ones call the services below {times:.1f} times as often for a task as the others"
-
-
-class Both:
-    """Whether all are worse off below than before the first of the wave got the version, though no more tasks
-    come.
-    """
-
-    LEAST = 5  # windows, before and since
-    MORE_BAD = 0.1  # of the calls, beyond what was usual
-    LONGER = 3.0  # times what calls took
-    LOAD = 1.25  # times the tasks: from there on the load may be the cause
-
-    def __init__(self) -> None:
-        self.since: list[Row] = []
-
-    def tell(self, row: Row, moved: bool) -> None:
-        self.since = [*self.since, row][-self.LEAST :] if moved else []
-
-    def harm(self, usual: tuple[float, ...]) -> str:
-        """`usual` as the release has it."""
-        whole = sum_of(self.since)
-        if len(self.since) < self.LEAST or not usual or not whole.calls:
-            return ""
-        _, firsts, was_bad, took = usual
-        bad, lasts = whole.bad_calls / whole.calls, whole.call_ms / whole.calls
-        if whole.firsts / self.LEAST > self.LOAD * firsts:
-            return ""
-        if bad < was_bad + self.MORE_BAD and lasts < self.LONGER * took:
-            return ""
-        return (
-            f"below, all are worse off since this wave has the version, and no more tasks come: {bad:.0%} of"
-            f" calls go badly (before: {was_bad:.0%}), {lasts:.0f} ms each (before: {took:.0f})"
-        )
-
-
-FALLS_BY_CHANCE = (
-    0.01  # of releases that harm nobody: so often such falls would be the released ones' alone
+from collections.abc import Iterator
+from typing import NamedTuple
+
+from pumicenotch.fleet.canary.counts import RequestCounts, total_of
+from pumicenotch.fleet.canary.judge import Observation, SequentialJudge
+from pumicenotch.fleet.canary.signals import (
+    CallAmplification,
+    DependencyHealth,
+    MemoryGrowth,
+    ZoneMemory,
+    crash_harm,
 )
+from pumicenotch.fleet.drains.lifecycle import SILENT
+from pumicenotch.fleet.releases.commands import CompleteSoak, ReportHarm, SetBaseline
+from pumicenotch.fleet.releases.release import BUDGETS, FORWARD_STATES, SOAKING, Release
+from pumicenotch.fleet.replicated.state import FleetState
 
+ReleaseFinding = CompleteSoak | ReportHarm | SetBaseline
 
-def falls(release: Release, state: State) -> str:
-    """Whether released nodes' servers end unasked more often than chance has it: each fall would be one of
-    theirs as often as they are many, at the most, since they have had the version for a part of the time only
-    (a binomial tail).
-    """
-    nodes = [state.releases.nodes[name] for name in release.nodes if name in state.releases.nodes]
-    ours = [node.falls for node in nodes if state.releases.has(release, node.name)]
-    mine, many, whole = sum(ours), len(ours), sum(node.falls for node in nodes)
-    if not mine or many == len(nodes):
-        return ""
-    part = many / len(nodes)
-    chance = sum(
-        math.comb(whole, at) * part**at * (1.0 - part) ** (whole - at)
-        for at in range(mine, whole + 1)
-    )
-    if chance > FALLS_BY_CHANCE:
-        return ""
-    rest = len(nodes) - many
-    return f"{mine} ends that nobody asked for at {many} released nodes, {whole - mine} at the other {rest}"
-
-
-class Memory:
-    """What released processes hold against the others of their zone, once both are warm."""
-
-    MUCH, LEAST_MB = 1.5, 64.0  # times as much, and by so much: below, nobody falls over for it
-    WINDOWS = 10  # in a row
 
-    def __init__(self) -> None:
-        self.row = 0
-        self.text = ""
-
-    def tell(self, zones: Iterable[tuple[list[float], list[float]]]) -> None:
-        """Of each zone what the others hold, and what the released ones do."""
-        found = [(median(ours), max(others)) for others, ours in zones if others and ours]
-        over = [
-            pair
-            for pair in found
-            if pair[0] > self.MUCH * pair[1] and pair[0] > pair[1] + self.LEAST_MB
-        ]
-        self.row = self.row + 1 if over else 0
-        if over:
-            self.text = f"a released process holds {over[0][0]:.0f} MB, the others of its zone {over[0][1]:.0f}"
-
-    def harm(self) -> str:
-        return self.text if self.row >= self.WINDOWS else ""
-
-
-class Soak(NamedTuple):
-    """Since when a wave has nothing missing."""
+class SoakStart(NamedTuple):
+    """Since when a wave has no node missing."""
 
     wave: int
-    since: float
+    since_ms: float
 
 
-NO_SOAK = Soak(-1, 0.0)
+NO_SOAK = SoakStart(-1, 0.0)
 
 
-class Trial:
-    """Of one release, as this leader has seen it."""
+class ReleaseTrial:
+    """What this leader has observed of one release."""
 
     def __init__(self) -> None:
-        self.tasks, self.calls = Judge(), Judge()
-        self.pressure, self.both, self.memory = Pressure(), Both(), Memory()
+        self.requests = SequentialJudge()
+        self.calls = SequentialJudge()
+        self.amplification = CallAmplification()
+        self.dependencies = DependencyHealth()
+        self.memory = MemoryGrowth()
         self.soak = NO_SOAK
-        self.silent: dict[str, float] = {}
-        self.told_at = float("-inf")
+        self.silent_since_ms: dict[str, float] = {}
+        self.proposed_at_ms = float("-inf")
         self.text = "nothing was looked at yet"
 
 
-class Counts(NamedTuple):
-    """What a member's process has told last."""
+class MemberReport(NamedTuple):
+    """What a member's process has reported last."""
 
-    life: str
-    since: float  # when that process was first heard
-    rows: dict[str, Row]  # by class
+    incarnation: str
+    first_heard_ms: float  # of that process
+    counts: dict[str, RequestCounts]  # by class
 
 
-class Watch:
-    WINDOW_MS = 1000.0  # members speak twice in it
-    WARM_MS = 2000.0  # of a new process, which is slower for no fault of its version
-    SILENT_MS = 2000.0  # beyond the majority's word, for its neighbours' silence to be known too
-    USUAL = 30  # windows that tell what is usual: half a minute, so that an hour's change of load is none
-    AGAIN_MS = 2000.0  # before the same word is proposed again
+class CanaryAnalysis:
+    """Compares released members with the others, window by window."""
+
+    WINDOW_MS = 1000.0  # members report twice in it
+    WARM_UP_MS = 2000.0  # a new process is slower for no fault of its version
+    SILENCE_MS = 2000.0  # beyond the voters' finding, until its neighbours' silence is known too
+    # Half a minute, so that the day's change of load is not in the baseline.
+    BASELINE_WINDOWS = 30
+    RETRY_MS = 2000.0  # before another finding on the same release is proposed
 
     def __init__(self) -> None:
-        self.last: dict[str, Counts] = {}  # by member
-        self.fresh: dict[str, dict[str, Row]] = {}
-        self.memory: dict[str, float] = {}  # MB that each holds
-        self.trials: dict[str, Trial] = {}
-        self.usual: list[Row] = []  # of all members together, window by window
-        self.window_at = 0.0
-
-    def warm(self, since: float) -> bool:
-        return self.window_at - since > self.WARM_MS + self.WINDOW_MS
-
-    def told(
-        self, now: float, name: str, life: str, rows: dict[str, Row], memory_mb: float = 0.0
+        self.reports: dict[str, MemberReport] = {}  # by member
+        self.window_counts: dict[str, dict[str, RequestCounts]] = {}  # by member and class
+        self.memory_mb: dict[str, float] = {}  # by member
+        self.trials: dict[str, ReleaseTrial] = {}
+        self.baseline_windows: list[RequestCounts] = []  # of all members together
+        self.window_ends_ms = 0.0
+
+    def observe_member(
+        self,
+        now_ms: float,
+        name: str,
+        incarnation: str,
+        counts: dict[str, RequestCounts],
+        memory_mb: float = 0.0,
     ) -> None:
-        self.memory[name] = memory_mb
-        held = self.last.get(name)
-        if held is None or held.life != life:
-            self.last[name] = Counts(life, now, rows)
+        """Takes what a member counted since its process started."""
+        self.memory_mb[name] = memory_mb
+        last = self.reports.get(name)
+        if last is None or last.incarnation != incarnation:
+            self.reports[name] = MemberReport(incarnation, now_ms, counts)
             return
-        self.last[name] = Counts(life, held.since, rows)
-        if now - held.since < self.WARM_MS:
+        self.reports[name] = last._replace(counts=counts)
+        if now_ms - last.first_heard_ms < self.WARM_UP_MS:
             return
-        fresh = self.fresh.setdefault(name, {})
-        for kind, row in rows.items():
-            more = row.less(held.rows.get(kind, Row()))
-            fresh[kind] = fresh.get(kind, Row()).plus(more)
-
-    def look(self, now: float, state: State) -> list[tuple[Any, ...]]:
-        """The entries that this leader is to propose."""
-        # Of a release of budgets there is nothing to compare.
+        window = self.window_counts.setdefault(name, {})
+        for request_class, total in counts.items():
+            increase = total.minus(last.counts.get(request_class, RequestCounts()))
+            window[request_class] = window.get(request_class, RequestCounts()).plus(increase)
+
+    def findings(self, now_ms: float, state: FleetState) -> list[ReleaseFinding]:
+        """Returns what this leader is to propose now."""
+        releases = state.releases
         self.trials = {
-            each.name: self.trials.get(each.name, Trial()) for each in state.releases.open()
+            release.name: self.trials.get(release.name, ReleaseTrial())
+            for release in releases.open_releases()
         }
-        if now >= self.window_at:
-            self.window_at = now + self.WINDOW_MS
-            whole = sum_of(row for kinds in self.fresh.values() for row in kinds.values())
-            if whole.tasks:
-                self.usual = [*self.usual, whole][-self.USUAL :]
-            for each in state.releases.open():
-                if each.slot != BUDGETS:
-                    self.window(each, state, self.trials[each.name], whole)
-            self.fresh = {}
-        found = []
-        for release in state.releases.active():
-            if release.state not in FORWARD:
+        if now_ms >= self.window_ends_ms:
+            self._close_window(now_ms, state)
+        findings = []
+        for release in releases.active_releases():
+            if release.state not in FORWARD_STATES:
                 continue
             trial = self.trials[release.name]
-            entry = (
-                self.harm(now, release, state, trial)
-                or self.what_is_usual(release, state)
-                or self.soaked(now, release, state, trial)
+            finding = (
+                self._find_harm(now_ms, release, state)
+                or self._find_baseline(release, state)
+                or self._find_soaked(now_ms, release, state)
             )
-            if entry and now - trial.told_at >= self.AGAIN_MS:
-                trial.told_at = now
-                found.append(entry)
-        return found
-
-    def window(self, release: Release, state: State, trial: Trial, whole: Row) -> None:
-        sides: dict[str, list[Row]] = defaultdict(lambda: [Row(), Row()])
-        for name, kinds in self.fresh.items():
+            if finding and now_ms - trial.proposed_at_ms >= self.RETRY_MS:
+                trial.proposed_at_ms = now_ms
+                findings.append(finding)
+        return findings
+
+    # Windows
+
+    def _close_window(self, now_ms: float, state: FleetState) -> None:
+        self.window_ends_ms = now_ms + self.WINDOW_MS
+        total = total_of(row for rows in self.window_counts.values() for row in rows.values())
+        if total.requests:
+            self.baseline_windows = [*self.baseline_windows, total][-self.BASELINE_WINDOWS :]
+        for release in state.releases.open_releases():
+            if release.slot != BUDGETS:  # of which there is nothing to compare
+                self._observe_window(release, state, total)
+        self.window_counts = {}
+
+    def _observe_window(self, release: Release, state: FleetState, total: RequestCounts) -> None:
+        trial = self.trials[release.name]
+        for stratum, (others, released) in sorted(self._strata(release, state).items()):
+            for has_version, row in ((False, others), (True, released)):
+                trial.requests.observe(
+                    Observation(stratum, has_version, int(row.requests), int(row.failures))
+                )
+                calls = (int(row.calls), int(row.failed_calls))
+                trial.calls.observe(Observation(f"{stratum}, calls below", has_version, *calls))
+            trial.amplification.observe(others, released)
+        trial.dependencies.observe(total, state.releases.has_moved(release))
+        trial.memory.observe(self._memory_by_zone(release, state))
+        trial.text = trial.requests.close_window().text
+        trial.calls.close_window()
+
+    def _strata(self, release: Release, state: FleetState) -> dict[str, list[RequestCounts]]:
+        """Returns by zone, cell and class what the others and the released members counted."""
+        strata: dict[str, list[RequestCounts]] = defaultdict(
+            lambda: [RequestCounts(), RequestCounts()]
+        )
+        for name, rows in self.window_counts.items():
             member = state.members.get(name)
-            if member is None or state.is_out(member):
+            if member is None or state.is_unavailable(member):
                 continue
-            released = state.releases.has(release, name)
-            for kind, row in kinds.items():
-                side = sides[f"{member.zone or 'no zone'}, {member.cell or 'no cell'}, {kind}"]
-                side[released] = side[released].plus(row)
-        for stratum, (others, ours) in sorted(sides.items()):
-            for released, row in ((False, others), (True, ours)):
-                trial.tasks.tell(Told(stratum, released, int(row.tasks), int(row.bad)))
-                trial.calls.tell(
-                    Told(f"{stratum}, calls below", released, int(row.calls), int(row.bad_calls))
-                )
-            trial.pressure.tell((others.tasks, ours.tasks), (others.calls, ours.calls))
-        trial.both.tell(whole, self.moved(release, state))
-        held: dict[str, tuple[list[float], list[float]]] = defaultdict(lambda: ([], []))
-        for name, (life, since, _) in self.last.items():
+            has_version = state.releases.runs_version(release, name)
+            for request_class, row in rows.items():
+                zone = member.zone or "no zone"
+                groups = strata[f"{zone}, {member.cell or 'no cell'}, {request_class}"]
+                groups[has_version] = groups[has_version].plus(row)
+        return strata
+
+    def _memory_by_zone(self, release: Release, state: FleetState) -> Iterator[ZoneMemory]:
+        zones: dict[str, ZoneMemory] = defaultdict(lambda: ZoneMemory([], []))
+        for name, report in self.reports.items():
             member = state.members.get(name)
-            if member is not None and member.life == life and self.warm(since):
-                held[member.zone][state.releases.has(release, name)].append(self.memory[name])
-        trial.memory.tell(held.values())
-        trial.text = trial.tasks.close().text
-        trial.calls.close()
+            if member is None or member.incarnation != report.incarnation:
+                continue
+            if not self._is_warm(report):
+                continue
+            zone = zones[member.zone]
+            has_version = state.releases.runs_version(release, name)
+            (zone.released if has_version else zone.others).append(self.memory_mb[name])
+        yield from zones.values()
+
+    def _is_warm(self, report: MemberReport) -> bool:
+        age_ms = self.window_ends_ms - report.first_heard_ms
+        return age_ms > self.WARM_UP_MS + self.WINDOW_MS
+
+    # Findings
+
+    def _find_baseline(self, release: Release, state: FleetState) -> SetBaseline | None:
+        """Finds the baseline while no node of the wave has moved, after enough windows."""
+        is_known = bool(release.baseline) and release.baseline[0] == release.wave
+        total = total_of(self.baseline_windows)
+        windows = len(self.baseline_windows)
+        if is_known or windows < DependencyHealth.MIN_WINDOWS or not total.calls:
+            return None
+        if state.releases.has_moved(release):
+            return None
+        figures = (
+            total.first_attempts / windows,
+            total.failed_calls / total.calls,
+            total.call_ms / total.calls,
+        )
+        return SetBaseline(release.name, release.wave, figures)
+
+    def _find_harm(self, now_ms: float, release: Release, state: FleetState) -> ReportHarm | None:
+        trial = self.trials[release.name]
+        released = [name for name in release.nodes if state.releases.runs_version(release, name)]
+        if reason := self._judge(release, trial, state):
+            return ReportHarm(release.name, "judgement", tuple(released), reason)
+        for name in released:
+            if reason := self._silence(now_ms, name, state, trial):
+                return ReportHarm(release.name, "silence", (name,), reason)
+        return None
 
     @staticmethod
-    def moved(release: Release, state: State) -> bool:
-        """Whether any of the wave may have the version by now."""
-        nodes = (state.releases.nodes.get(name) for name in release.waves[release.wave])
-        return any(
-            node is not None and node.may_run(release.slot, release.version) for node in nodes
+    def _judge(release: Release, trial: ReleaseTrial, state: FleetState) -> str:
+        for judge in (trial.requests, trial.calls):
+            verdict = judge.verdict()
+            if verdict.harmful:
+                return verdict.text
+        return (
+            trial.amplification.harm()
+            or trial.dependencies.harm(release.baseline)
+            or trial.memory.harm()
+            or crash_harm(release, state)
         )
 
-    def what_is_usual(self, release: Release, state: State) -> tuple[Any, ...]:
-        """Said while none of the wave has moved, by a leader that has looked on for long enough."""
-        known = release.usual and release.usual[0] == release.wave
-        whole = sum_of(self.usual)
-        if known or len(self.usual) < Both.LEAST or not whole.calls or self.moved(release, state):
-            return ()
-        figures = (
-            whole.firsts / len(self.usual),
-            whole.bad_calls / whole.calls,
-            whole.call_ms / whole.calls,
-        )
-        return ("usual", release.name, release.wave, figures)
-
-    def harm(self, now: float, release: Release, state: State, trial: Trial) -> tuple[Any, ...]:
-        on = [name for name in release.nodes if state.releases.has(release, name)]
-        for judge in (trial.tasks, trial.calls):
-            if (verdict := judge.verdict()).harm:
-                return ("harm", release.name, "judgement", tuple(on), verdict.text)
-        why = trial.pressure.harm() or trial.both.harm(release.usual) or trial.memory.harm()
-        if why := why or falls(release, state):
-            return ("harm", release.name, "judgement", tuple(on), why)
-        for name in on:
-            if why := self.silence(now, name, release, state, trial):
-                return ("harm", release.name, "silence", (name,), why)
-        return ()
-
-    def silence(self, now: float, name: str, release: Release, state: State, trial: Trial) -> str:
-        """A sign by itself only where its neighbours are heard: else the zone is cut off, and nobody
-        knows.
+    def _silence(self, now_ms: float, name: str, state: FleetState, trial: ReleaseTrial) -> str:
+        """Returns whether a released node has failed alone; "" if it has not.
+
+        That is a sign of harm only where its neighbours are heard: else the zone is cut off, and
+        nobody knows.
         """
         member = state.members.get(name)
-        if member is None or not member.against:
-            trial.silent.pop(name, None)
+        if member is None or not member.failure:
+            trial.silent_since_ms.pop(name, None)
             return ""
-        if now - trial.silent.setdefault(name, now) < self.SILENT_MS:
+        if now_ms - trial.silent_since_ms.setdefault(name, now_ms) < self.SILENCE_MS:
             return ""
         neighbours = [
-            each
-            for each in state.members.values()
-            if each.zone == member.zone and each.name != name
+            other
+            for other in state.members.values()
+            if other.zone == member.zone and other.name != name
         ]
-        if not neighbours or any(each.against == SILENT for each in neighbours):
+        if not neighbours or any(other.failure == SILENT for other in neighbours):
             return ""
-        return f"{name} is {member.against}, and its neighbours are not"
-
-    def soaked(self, now: float, release: Release, state: State, trial: Trial) -> tuple[Any, ...]:
-        """A node that goes out again stops the clock."""
-        if release.state != SOAKING or release.asks:
-            return ()
-        if release.slot != BUDGETS and state.releases.missing(release):
+        return f"{name} is {member.failure}, and its neighbours are not"
+
+    def _find_soaked(
+        self, now_ms: float, release: Release, state: FleetState
+    ) -> CompleteSoak | None:
+        """Finds a wave whose soak is over; a node that is unavailable again restarts the clock."""
+        trial = self.trials[release.name]
+        if release.state != SOAKING or release.approval_reason:
+            return None
+        if release.slot != BUDGETS and state.releases.missing_nodes(release):
             trial.soak = NO_SOAK
-            return ()
+            return None
         if trial.soak.wave != release.wave:
-            trial.soak = Soak(release.wave, now)
-        took = now - trial.soak.since
-        if took < release.soak_ms:
-            return ()
-        wave = [
-            state.members[name] for name in release.waves[release.wave] if name in state.members
-        ]
-        if release.slot == BUDGETS or (wave and all(each.voter for each in wave)):
-            return (
-                "soaked",
-                release.name,
-                release.wave,
-                True,
-                f"nothing was wrong for {took / 1000.0:.0f} s",
-            )
-        verdict = trial.tasks.verdict()
-        if verdict.known or took >= release.soak_ms + release.wait_ms:
-            return ("soaked", release.name, release.wave, verdict.known, verdict.text)
-        return ()
+            trial.soak = SoakStart(release.wave, now_ms)
+        soaked_ms = now_ms - trial.soak.since_ms
+        if soaked_ms < release.soak_ms:
+            return None
+        if release.slot == BUDGETS or self._is_wave_of_voters(release, state):
+            reason = f"nothing was wrong for {soaked_ms / 1000.0:.0f} s"
+            return CompleteSoak(release.name, release.wave, True, reason)
+        verdict = trial.requests.verdict()
+        if verdict.conclusive or soaked_ms >= release.soak_ms + release.extra_soak_ms:
+            return CompleteSoak(release.name, release.wave, verdict.conclusive, verdict.text)
+        return None
+
+    @staticmethod
+    def _is_wave_of_voters(release: Release, state: FleetState) -> bool:
+        names = release.waves[release.wave]
+        members = [state.members[name] for name in names if name in state.members]
+        return bool(members) and all(member.voter for member in members)
--- a/pumicenotch/fleet/drains/budgets.py
+++ b/pumicenotch/fleet/drains/budgets.py
@@ -1,190 +1,232 @@
-"""How much of the fleet may be out at once. A budget speaks of groups (each zone, one cell, all that serve a
-service), and of each group says how many may be out, how many must serve, or how much capacity.
+"""Disruption budgets: how many members may be unavailable at once.
+
+A budget speaks of groups of members (each zone, one cell, all replicas of a service). For each
+group it limits how many members may be unavailable, how many must serve, or how much capacity.
 """
 
 from collections.abc import Iterable, Iterator
 from typing import Any, NamedTuple
 
-EACH = ("fleet", "zone", "region", "cell", "service", "callers")
-SERVING, DRAINING, OUT = "serving", "draining", "out"
+from pumicenotch.errors import PumicenotchError
+
+# The kinds of groups that a budget may speak of, as files of ours name them.
+BUDGET_SCOPES = ("fleet", "zone", "region", "cell", "service", "callers")
+
+# The status of a member, as snapshots and status answers name it.
+SERVING = "serving"
+DRAINING = "draining"
+STOPPED = "out"
+
+UNLIMITED = -1  # the limit of a budget that does not set it
+CAPACITY_TOLERANCE = 1e-9  # of sums of capacities, against rounding
 
 
-class BadBudget(ValueError):
-    """It says nothing, or what cannot hold."""
+class InvalidBudgetError(PumicenotchError, ValueError):
+    """A budget that limits nothing, or sets what can never hold."""
+
+    code = "invalid-budget"
+
+    def __init__(self, place: str, problem: str) -> None:
+        super().__init__(place, problem, "change the budget in its file")
 
 
 class Member(NamedTuple):
-    """One process that the fleet counts, or a replica of a service below that none of ours runs on."""
+    """One process that the fleet counts, or a replica of a service that no process of ours runs on.
+
+    Snapshots and `join` entries write it as a list: the order of its fields is part of both.
+    """
 
     name: str
-    life: str  # of its process; "" where there is none of ours
+    incarnation: str  # of its process; "" for a member without a process of ours
     zone: str = ""
     region: str = ""
     cell: str = ""
-    serves: tuple[str, ...] = ()  # services below that it is a replica or a proxy of
-    uses: tuple[str, ...] = ()  # services below that it calls
-    capacity: float = 1.0  # in parts of whatever the operators count in
+    serves: tuple[str, ...] = ()  # the services that it is a replica or a proxy of
+    uses: tuple[str, ...] = ()  # the services that it calls
+    capacity: float = 1.0  # in the unit that the operators count in
     voter: bool = False
-    standing: str = SERVING
-    against: str = ""  # why it is out against its will, by a majority of observers; "": it is not
-    formers: tuple[str, ...] = ()  # lives that it had before, the latest last
+    status: str = SERVING
+    failure: str = ""  # why a majority of observers finds it failed; "" if it does not
+    previous_incarnations: tuple[str, ...] = ()  # the latest last
 
 
 class Budget(NamedTuple):
+    """A limit on the unavailable members of each group of one kind.
+
+    Exactly one limit is set. Snapshots and entries write it as a list.
+    """
+
     name: str
-    each: str  # one of EACH: which groups it speaks of
-    only: str = ""  # one group of them; "": every one
-    most_out: int = -1  # -1 here and below: not said
-    least_serving: int = -1
-    least_capacity: float = -1.0  # part of the group's whole
-    apart: bool = False  # of a service: never its replicas and its callers at one time
+    scope: str  # one of BUDGET_SCOPES
+    group: str = ""  # the only group it speaks of; "": each of its scope
+    max_unavailable: int = UNLIMITED
+    min_available: int = UNLIMITED
+    min_capacity_fraction: float = float(UNLIMITED)  # of the group's whole capacity
+    separate_callers: bool = (
+        False  # a service's replicas and callers are never unavailable together
+    )
 
 
-def check(budget: Budget) -> Budget:
-    """Raises BadBudget."""
+def check_budget(budget: Budget) -> Budget:
+    """Returns the budget; raises InvalidBudgetError."""
+    place = f"budget {budget.name}"
     limits = (
-        budget.most_out >= 0,
-        budget.least_serving >= 0,
-        budget.least_capacity >= 0.0,
-        budget.apart,
+        budget.max_unavailable >= 0,
+        budget.min_available >= 0,
+        budget.min_capacity_fraction >= 0.0,
+        budget.separate_callers,
     )
-    if budget.each not in EACH:
-        raise BadBudget(f"budget {budget.name}: each: {budget.each!r}; allowed: {', '.join(EACH)}")
+    if budget.scope not in BUDGET_SCOPES:
+        problem = f"each: {budget.scope!r}; allowed: {', '.join(BUDGET_SCOPES)}"
+        raise InvalidBudgetError(place, problem)
     if sum(limits) != 1:
-        raise BadBudget(
-            f"budget {budget.name}: one of most_out, least_serving, least_capacity, apart is wanted"
-        )
-    if budget.apart and budget.each != "service":
-        raise BadBudget(f"budget {budget.name}: apart: for each = service only")
-    if budget.least_capacity > 1.0:
-        raise BadBudget(
-            f"budget {budget.name}: least_capacity: {budget.least_capacity:g} of 1 never holds"
-        )
+        problem = "one of most_out, least_serving, least_capacity, apart is wanted"
+        raise InvalidBudgetError(place, problem)
+    if budget.separate_callers and budget.scope != "service":
+        raise InvalidBudgetError(place, "apart: for each = service only")
+    if budget.min_capacity_fraction > 1.0:
+        problem = f"least_capacity: {budget.min_capacity_fraction:g} of 1 never holds"
+        raise InvalidBudgetError(place, problem)
     return budget
 
 
-def budget_of(told: Any) -> Budget:
-    """From what `Budget` comes to on a wire. Raises BadBudget."""
+def read_budget(value: Any) -> Budget:
+    """Returns the budget that a list on the wire holds; raises InvalidBudgetError."""
     try:
-        made = Budget._make(told)
-        texts = (made.name, made.each, made.only)
-        if not all(isinstance(text, str) for text in texts) or type(made.apart) is not bool:
+        budget = Budget._make(value)
+        texts = (budget.name, budget.scope, budget.group)
+        if not all(isinstance(text, str) for text in texts):
             raise TypeError("a text is wanted")
-        return check(
-            made._replace(
-                most_out=int(made.most_out),
-                least_serving=int(made.least_serving),
-                least_capacity=float(made.least_capacity),
-            )
+        if type(budget.separate_callers) is not bool:
+            raise TypeError("yes or no is wanted")
+        converted = budget._replace(
+            max_unavailable=int(budget.max_unavailable),
+            min_available=int(budget.min_available),
+            min_capacity_fraction=float(budget.min_capacity_fraction),
         )
-    except (TypeError, ValueError) as error:
-        if isinstance(error, BadBudget):
-            raise
-        raise BadBudget(f"no budget: {told!r:.80}") from None
+    except (TypeError, ValueError):
+        raise InvalidBudgetError("budget", f"no budget: {value!r:.80}") from None
+    return check_budget(converted)
 
 
-def groups(budget: Budget, member: Member) -> Iterator[str]:
-    """Those that the member is in, of the groups that the budget speaks of."""
-    match budget.each:
+def groups_of(budget: Budget, member: Member) -> Iterator[str]:
+    """Yields those groups of the budget that the member belongs to."""
+    match budget.scope:
         case "fleet":
-            found: tuple[str, ...] = ("",)
+            groups: tuple[str, ...] = ("",)
         case "zone" | "region" | "cell":
-            value = getattr(member, budget.each)
-            found = (value,) if value else ()
+            place = getattr(member, budget.scope)
+            groups = (place,) if place else ()
+        case "service" if budget.separate_callers:
+            groups = (*member.serves, *member.uses)
         case "service":
-            found = (*member.serves, *member.uses) if budget.apart else member.serves
+            groups = member.serves
         case _:
-            found = member.uses
-    for group in dict.fromkeys(found):
-        if not budget.only or budget.only == group:
+            groups = member.uses
+    for group in dict.fromkeys(groups):
+        if not budget.group or budget.group == group:
             yield group
 
 
-class Tally:
-    """One group of one budget: who is in it, and who of them is out."""
+class GroupOutages:
+    """One group of one budget: its members, and how many of them are unavailable."""
 
     def __init__(self, budget: Budget, group: str) -> None:
-        self.budget, self.group = budget, group
-        self.many = self.out = 0
-        self.whole = self.gone = 0.0  # capacity
-        self.sides = [0, 0]  # out of a service's replicas, and of its callers
-
-    def add(self, member: Member, out: bool) -> None:
-        self.many += 1
-        self.whole += member.capacity
-        if out:
-            self.take(member)
-
-    def take(self, member: Member) -> None:
-        self.out += 1
-        self.gone += member.capacity
-        if self.budget.apart:
-            self.sides[0] += self.group in member.serves
-            self.sides[1] += self.group in member.uses
-
-    def place(self) -> str:
+        self.budget = budget
+        self.group = group
+        self.members = 0
+        self.unavailable = 0
+        self.capacity = 0.0
+        self.lost_capacity = 0.0
+        self.unavailable_replicas = 0  # counted where the budget separates callers
+        self.unavailable_callers = 0
+
+    @property
+    def available(self) -> int:
+        """How many of its members are available."""
+        return self.members - self.unavailable
+
+    def add(self, member: Member, unavailable: bool) -> None:
+        """Counts a member of the group."""
+        self.members += 1
+        self.capacity += member.capacity
+        if unavailable:
+            self.mark_unavailable(member)
+
+    def mark_unavailable(self, member: Member) -> None:
+        """Counts a member that was added before as unavailable."""
+        self.unavailable += 1
+        self.lost_capacity += member.capacity
+        if self.budget.separate_callers:
+            self.unavailable_replicas += self.group in member.serves
+            self.unavailable_callers += self.group in member.uses
+
+    def label(self) -> str:
+        """Returns the names of the budget and the group, for messages."""
         group = f" {self.group}" if self.group else ""
-        return f"budget {self.budget.name}: {self.budget.each}{group}"
-
-    def against(self, member: Member) -> str:
-        """Why one more may not go; "" if it may."""
-        budget, place = self.budget, self.place()
-        if 0 <= budget.most_out < self.out + 1:
-            return f"{place}: {self.out} of at most {budget.most_out} are out"
-        if budget.least_serving >= 0 and self.many - self.out - 1 < budget.least_serving:
-            return f"{place}: {self.many - self.out} serve, at least {budget.least_serving} must"
-        if budget.least_capacity >= 0.0:
-            left = self.whole - self.gone - member.capacity
-            if left < budget.least_capacity * self.whole - 1e-9:
-                share = left / self.whole if self.whole else 0.0
-                least = f"{budget.least_capacity:.0%} must"
-                return f"{place}: {share:.0%} of the capacity would be left, at least {least}"
-        return self.mixed(member)
-
-    def mixed(self, member: Member) -> str:
-        """Whether the other side of its service is out, where both may not be."""
-        if self.budget.apart:
-            if self.group in member.serves and self.sides[1]:
-                return f"{self.place()}: {self.sides[1]} of its callers are out"
-            if self.group in member.uses and self.sides[0]:
-                return f"{self.place()}: {self.sides[0]} of its replicas are out"
+        return f"budget {self.budget.name}: {self.budget.scope}{group}"
+
+    def refusal(self, member: Member) -> str:
+        """Returns why this member may not become unavailable too; "" if it may."""
+        budget = self.budget
+        if 0 <= budget.max_unavailable < self.unavailable + 1:
+            limit = f"{self.unavailable} of at most {budget.max_unavailable} are out"
+            return f"{self.label()}: {limit}"
+        if budget.min_available >= 0 and self.available - 1 < budget.min_available:
+            return f"{self.label()}: {self.available} serve, at least {budget.min_available} must"
+        if budget.min_capacity_fraction >= 0.0:
+            remaining = self.capacity - self.lost_capacity - member.capacity
+            if self._is_below_capacity(remaining):
+                fraction = remaining / self.capacity if self.capacity else 0.0
+                limit = f"at least {budget.min_capacity_fraction:.0%} must"
+                return f"{self.label()}: {fraction:.0%} of the capacity would be left, {limit}"
+        return self.conflict(member)
+
+    def conflict(self, member: Member) -> str:
+        """Returns which of the service's callers or replicas stand against it; "" if none do."""
+        if not self.budget.separate_callers:
+            return ""
+        if self.group in member.serves and self.unavailable_callers:
+            return f"{self.label()}: {self.unavailable_callers} of its callers are out"
+        if self.group in member.uses and self.unavailable_replicas:
+            return f"{self.label()}: {self.unavailable_replicas} of its replicas are out"
         return ""
 
-    def over(self) -> str:
-        """What it is over its budget by; "" if it is not."""
+    def violation(self) -> str:
+        """Returns how the group exceeds its budget already; "" if it does not."""
         budget = self.budget
-        if 0 <= budget.most_out < self.out:
-            return f"{self.place()}: {self.out} out of at most {budget.most_out}"
-        if budget.least_serving >= 0 and self.many - self.out < min(
-            budget.least_serving, self.many
-        ):
-            return (
-                f"{self.place()}: {self.many - self.out} serve of at least {budget.least_serving}"
-            )
-        if (
-            budget.least_capacity >= 0.0
-            and self.whole - self.gone < budget.least_capacity * self.whole - 1e-9
-        ):
-            return f"{self.place()}: {(self.whole - self.gone) / self.whole:.0%} of the capacity is left"
+        if 0 <= budget.max_unavailable < self.unavailable:
+            return f"{self.label()}: {self.unavailable} out of at most {budget.max_unavailable}"
+        # A group that is smaller than its minimum can do no more than be available whole.
+        if budget.min_available >= 0 and self.available < min(budget.min_available, self.members):
+            return f"{self.label()}: {self.available} serve of at least {budget.min_available}"
+        remaining = self.capacity - self.lost_capacity
+        if budget.min_capacity_fraction >= 0.0 and self._is_below_capacity(remaining):
+            return f"{self.label()}: {remaining / self.capacity:.0%} of the capacity is left"
         return ""
 
+    def _is_below_capacity(self, remaining: float) -> bool:
+        return remaining < self.budget.min_capacity_fraction * self.capacity - CAPACITY_TOLERANCE
 
-class Tallies:
-    """Of all budgets at one moment."""
+
+class OutageCounts:
+    """The groups of all budgets at one moment."""
 
     def __init__(self, budgets: Iterable[Budget], members: Iterable[tuple[Member, bool]]) -> None:
+        """Counts `members`, each with whether it is unavailable."""
         self.budgets = tuple(budgets)
-        self.found: dict[tuple[str, str], Tally] = {}
-        for member, out in members:
-            for tally in self.of(member):
-                tally.add(member, out)
-
-    def of(self, member: Member) -> list[Tally]:
-        made = []
+        self.groups: dict[tuple[str, str], GroupOutages] = {}  # by names of budget and group
+        for member, unavailable in members:
+            for group in self.groups_of(member):
+                group.add(member, unavailable)
+
+    def groups_of(self, member: Member) -> list[GroupOutages]:
+        """Returns the groups that a member belongs to."""
+        groups = []
         for budget in self.budgets:
-            for group in groups(budget, member):
-                key = (budget.name, group)
-                if key not in self.found:
-                    self.found[key] = Tally(budget, group)
-                made.append(self.found[key])
-        return made
+            for name in groups_of(budget, member):
+                key = (budget.name, name)
+                if key not in self.groups:
+                    self.groups[key] = GroupOutages(budget, name)
+                groups.append(self.groups[key])
+        return groups
--- a/pumicenotch/fleet/drains/durations.py
+++ b/pumicenotch/fleet/drains/durations.py
@@ -3,39 +3,43 @@
 from collections.abc import Collection, Mapping
 from statistics import median_high
 
-KEPT = 16  # durations of the last permits
+MAX_DURATIONS = 16  # of the last permits
 
 
-class DrainTimes:
+class DrainDurations:
     """When this process saw each wait or permit begin, and how long the last permits lasted."""
 
     def __init__(self) -> None:
-        self.seen_at: dict[str, float] = {}  # by member that waits or holds a permit
-        self.durations: list[float] = []
+        self.first_seen_ms: dict[str, float] = {}  # by member that waits or holds a permit
+        self.durations_ms: list[float] = []
 
     def observe(
         self,
-        now: float,
-        before: Collection[str],
+        now_ms: float,
+        previous_holders: Collection[str],
         permits: Mapping[str, object],
-        waits: Collection[str],
+        waiting: Collection[str],
     ) -> None:
-        """After an entry: who held a permit before it, who does now, and who waits."""
-        for name in before:
-            if name not in permits and name in self.seen_at:
-                self.durations = [*self.durations, now - self.seen_at.pop(name)][-KEPT:]
+        """Notes what an entry changed: who held a permit before it, who does now, and who waits."""
+        for name in previous_holders:
+            if name not in permits and name in self.first_seen_ms:
+                duration_ms = now_ms - self.first_seen_ms.pop(name)
+                self.durations_ms = [*self.durations_ms, duration_ms][-MAX_DURATIONS:]
         for name in permits:
-            if name not in before:
-                self.seen_at[name] = now
-        for name in waits:
-            self.seen_at.setdefault(name, now)
-        for name in [name for name in self.seen_at if name not in permits and name not in waits]:
-            del self.seen_at[name]
-
-    def lasted_ms(self, now: float, name: str) -> float:
-        """How long it waits or holds a permit."""
-        return round(now - self.seen_at[name]) if name in self.seen_at else 0.0
+            if name not in previous_holders:
+                self.first_seen_ms[name] = now_ms
+        for name in waiting:
+            self.first_seen_ms.setdefault(name, now_ms)
+        ended = [name for name in self.first_seen_ms if name not in permits and name not in waiting]
+        for name in ended:
+            del self.first_seen_ms[name]
+
+    def elapsed_ms(self, now_ms: float, name: str) -> float:
+        """Returns how long a member has waited or held its permit; 0 if it does neither."""
+        if name not in self.first_seen_ms:
+            return 0.0
+        return round(now_ms - self.first_seen_ms[name])
 
     def median_ms(self) -> int:
-        """Of the last permits; 0 while none has ended."""
-        return round(median_high(self.durations)) if self.durations else 0
+        """Returns the median of the last permits; 0 while none has ended."""
+        return round(median_high(self.durations_ms)) if self.durations_ms else 0
--- a/pumicenotch/fleet/member/effects.py
+++ b/pumicenotch/fleet/member/effects.py
@@ -1,5 +1,6 @@
-"""What the processes of a fleet ask of their carrier. An address is HOST:PORT of a listener among
-instances.
+"""What the processes of a fleet ask of their carrier.
+
+An address is the HOST:PORT of a listener for other instances.
 """
 
 from typing import Any, NamedTuple
@@ -7,110 +8,122 @@
 from pumicenotch.membership.messages import News
 
 
-class Post(NamedTuple):
-    """Told once, without an answer; lost with its connection."""
+class SendNotification(NamedTuple):
+    """A message without an answer; it is lost with its connection."""
 
     address: str
     method: str
     params: tuple[Any, ...]
 
 
-class Ask(NamedTuple):
-    """A request that wants an answer: the input `answered`, or none at all, as on a cut link."""
+class SendRequest(NamedTuple):
+    """A request: its answer is the input `answered`; on a broken connection there is none."""
 
     address: str
-    number: int
+    request_number: int
     verb: str
     args: tuple[Any, ...]
 
 
-class Reply(NamedTuple):
-    """To a request on a connection: an error (code, text, more), or a result."""
+class RequestError(NamedTuple):
+    """Why a request has no result."""
+
+    code: str
+    text: str
+    detail: Any = None  # where another voter leads its address; else the code of a refusal
+
 
-    conn: int
-    message: int
-    error: tuple[str, str, Any] | None
+class SendResponse(NamedTuple):
+    """The answer to a request on a connection: an error, or a result."""
+
+    connection_id: int
+    message_id: int
+    error: RequestError | None
     result: Any = None
 
 
-class Leave(NamedTuple):
-    """The permit is agreed and begun: this process is to drain and end, as at its platform's wish."""
+class StartDraining(NamedTuple):
+    """The permit is agreed and in use: this process is to drain and exit."""
 
-    why: str
+    reason: str
 
 
 class MemberChanged(NamedTuple):
-    """Membership has another opinion of that process than before."""
+    """The membership has another opinion of that process than before."""
 
     news: News
 
 
 class Log(NamedTuple):
+    """A line for the process's log."""
+
     text: str
 
 
-class Wake(NamedTuple):
-    at: float
+class WakeAt(NamedTuple):
+    """The next input `time` is due then, if no other input comes before."""
+
+    at_ms: float
 
 
 class Exit(NamedTuple):
-    pass
+    """This process is to exit now."""
 
 
 # Of an agent, beside its server
 
 
-class Hold(NamedTuple):
-    """Fetch that version and check it: the input `held`."""
+class FetchVersion(NamedTuple):
+    """Store that version on the disk and check it: the input `held`."""
 
     version: str
 
 
-class Swap(NamedTuple):
-    """Put that version in the slot, to stay there: the input `swapped`."""
+class ActivateVersion(NamedTuple):
+    """Put that version in the slot for good: the input `swapped`."""
 
     slot: str
     version: str
 
 
-class Start(NamedTuple):
-    """Start the server, of what stands in the slots."""
+class StartServer(NamedTuple):
+    """Start the server from the versions in the slots."""
 
 
-class End(NamedTuple):
-    """End the server: asked to, or by force."""
+class StopServer(NamedTuple):
+    """Stop the server: by SIGTERM, or by SIGKILL if forced."""
 
     force: bool
 
 
-class Reread(NamedTuple):
+class ReloadServer(NamedTuple):
     """Have the server read its files again."""
 
 
-class Anew(NamedTuple):
-    """This process goes on as the version that stands in its own slot."""
+class RestartAgent(NamedTuple):
+    """This process continues as the version in its own slot."""
 
 
-class Proven(NamedTuple):
-    """What stands in those slots works: it is the last good one."""
+class ConfirmVersions(NamedTuple):
+    """The versions in these slots work: they are the ones to fall back to."""
 
     slots: tuple[str, ...]
 
 
 Effect = (
-    Hold
-    | Swap
-    | Start
-    | End
-    | Reread
-    | Anew
-    | Proven
-    | Post
-    | Ask
-    | Reply
-    | Leave
+    SendNotification
+    | SendRequest
+    | SendResponse
+    | StartDraining
     | MemberChanged
     | Log
-    | Wake
+    | WakeAt
     | Exit
+    | FetchVersion
+    | ActivateVersion
+    | StartServer
+    | StopServer
+    | ReloadServer
+    | RestartAgent
+    | ConfirmVersions
 )
--- a/pumicenotch/fleet/member/node.py
+++ b/pumicenotch/fleet/member/node.py
@@ -1,188 +1,213 @@
-"""One process in a fleet: what it thinks of the others, and its own drains by permit.
+"""A member's process: its opinion of the others, and its own drain by permit.
 
-Whatever it hears or does not hear, its work goes on: only steps that nobody forces wait for agreement.
+Whatever it hears or does not hear, its work goes on: only steps that nobody forces wait for
+agreement.
 """
 
 from collections import Counter
-from collections.abc import Iterable
+from collections.abc import Mapping
 from typing import Any, ClassVar, NamedTuple
 
 from pumicenotch.fleet.drains.budgets import SERVING, Member
-from pumicenotch.fleet.member.effects import Leave, MemberChanged, Post, Reply
-from pumicenotch.fleet.member.voter_client import UNKNOWN, VoterClient
-from pumicenotch.fleet.replicated.fields import NAMES_MOST, TEXT_MOST
-from pumicenotch.fleet.replicated.records import member_fields
+from pumicenotch.fleet.member.effects import (
+    MemberChanged,
+    RequestError,
+    SendNotification,
+    SendResponse,
+    StartDraining,
+)
+from pumicenotch.fleet.member.hint import read_member_hint
+from pumicenotch.fleet.member.voter_client import UNKNOWN_VERB, VoterClient
+from pumicenotch.fleet.replicated.commands import (
+    JoinMember,
+    MemberCommand,
+    ReportServing,
+    ReportStopped,
+    ReportTermination,
+    StartDrain,
+)
+from pumicenotch.fleet.replicated.fields import MAX_NAMES, MAX_TEXT_LENGTH
+from pumicenotch.fleet.replicated.registry import encode_command
 from pumicenotch.membership import messages
 from pumicenotch.membership.messages import Changed, Opinion, Refused, Send, Standing, Who
 from pumicenotch.membership.swim import Members
 from pumicenotch.sender import Sender
 
-HALT = "halt"  # the key under which members hand a halt on
+HALT_KEY = "halt"  # under which members gossip a halt
+MAX_HEARTBEAT_INTERVAL_MS = 60_000.0  # whatever the leader says
 
 
 class HaltMarker(NamedTuple):
-    """A halt as members hand it on; the highest rank holds."""
+    """A halt as members gossip it; the highest rank is in force."""
 
     rank: int
     key: str  # "": there is no halt
-    by: str
-    why: str
+    operator: str
+    reason: str
+
+
+class MemberSetup(NamedTuple):
+    """What a member's process is made from."""
+
+    fleet: str
+    me: Who
+    member: Member  # what the fleet counts of this process
+    voters: tuple[str, ...]  # the addresses of all voters
+    seeds: tuple[str, ...]  # addresses to join the membership by
+    now_ms: float
+    seed: int
 
 
 class MemberNode(VoterClient):
-    """Its inputs: `start`, `time`, `told` (sender (name, life, address), method, params), `asked` (conn,
-    message, verb, args), `closed` (conn), `answered` (number, error, result), `serve` (whether it does,
-    whether it is overloaded past use), `leave` (why), `left`, `counted` (rows as `fleet/canary/analysis` reads them,
-    MB).
+    """A reducer of these inputs.
+
+    `start`; `time`; `told` (sender, method, params): a notification; `asked` (connection, message,
+    verb, args): a request; `closed` (connection); `answered` (number, error, result); `serve`
+    (whether it serves, whether it is overloaded); `leave` (reason): it drains; `left`: it is about to
+    exit; `counted` (rows as `canary.counts` reads them, MB).
     """
 
-    HEARTBEAT_MS = 500.0  # between heartbeats to the leader, unless it names a longer time
-
-    INPUTS: ClassVar = frozenset(
-        (
-            "start",
-            "time",
-            "told",
-            "asked",
-            "closed",
-            "answered",
-            "serve",
-            "leave",
-            "left",
-            "counted",
-        )
-    )
-
-    def __init__(
-        self,
-        *,
-        fleet: str,
-        me: Who,
-        member: Member,
-        voters: Iterable[str],
-        seeds: Iterable[str],
-        now: float,
-        seed: int,
-    ) -> None:
-        """`voters` are the addresses of all voters; `member` is what the fleet counts of this process."""
-        super().__init__(voters, now, seed)
-        self.fleet, self.me, self.member = fleet, me, member
-        self.members = Members(me, now, seeds, self.random)
-        self.heartbeat_at = now
-        # What is agreed of this process, as far as it was told.
-        self.joined = self.agreed_serving = self.gone_sent = self.leaving_sent = False
-        self.permit, self.began = 0, False
-        # that permit is agreed as begun, though this process has not heard so when it asked
-        self.begun = False
-        self.agreed_halt = ""  # why nothing goes on
-        self.waits = ""  # for what a drain of it waits, and about how long
-        self.permit_refusal = ""  # why the last one could not be used
-        self.counts_at, self.heartbeat_wait = (
-            now,
-            self.HEARTBEAT_MS,
-        )  # as often as its heartbeats, among many more seldom
-        self.counting = False  # whether the leader wants to hear how this process does
-        # What it is.
-        self.serves = self.leaving = self.ending = self.overloaded = False
-        self.why = ""
-        self.name_taken_by = ""  # by whom the name is taken
-
-    def due(self) -> float:
-        return min(self.members.due(), self.request_due())
-
-    def start(self) -> None:
-        self.time()
-
-    def time(self) -> None:
-        self.of_members("time")
+    HEARTBEAT_MS = 500.0  # between heartbeats to the leader, unless it names a longer interval
+
+    INPUTS: ClassVar[Mapping[str, str]] = {
+        "start": "on_time",
+        "time": "on_time",
+        "told": "on_notification",
+        "asked": "on_request",
+        "closed": "on_connection_closed",
+        "answered": "on_response",
+        "serve": "set_serving",
+        "leave": "start_draining",
+        "left": "stop",
+        "counted": "send_counts",
+    }
+
+    def __init__(self, setup: MemberSetup) -> None:
+        super().__init__(setup.voters, setup.now_ms, setup.seed)
+        self.fleet = setup.fleet
+        self.me = setup.me
+        self.member = setup.member
+        self.members = Members(setup.me, setup.now_ms, setup.seeds, self.rng)
+        # What this process is.
+        self.is_serving = False
+        self.is_overloaded = False
+        self.is_draining = False
+        self.is_stopping = False
+        self.drain_reason = ""
+        # What is agreed of this process, as far as it knows.
+        self.has_joined = False
+        self.is_agreed_serving = False
+        self.termination_reported = False
+        self.stop_reported = False
+        self.join_refusal = ""
+        self.permit_epoch = 0
+        self.permit_refusal = ""
+        self.permit_started = False  # agreed, though the answer may have been lost
+        self.drain_started = False  # by permit, and this process knows it
+        self.fleet_halt_reason = ""
+        self.wait_reason = ""  # of its queued drain
+        # Its reports.
+        self.heartbeat_at_ms = setup.now_ms
+        self.heartbeat_interval_ms = self.HEARTBEAT_MS
+        self.counts_at_ms = setup.now_ms
+        self.wants_counts = False  # the leader does
+
+    def wake_at_ms(self) -> float:
+        """Returns when the next input `time` is due."""
+        return min(self.members.due(), self.request_due_ms())
+
+    def on_time(self) -> None:
+        """Lets the membership and the request time out."""
+        self.step_members("time")
         self.check_timeout()
 
-    # Members
+    # Membership
 
-    def of_members(self, name: str, *details: Any) -> None:
-        for effect in self.members.step(self.now, name, *details):
+    def step_members(self, name: str, *details: Any) -> None:
+        """Gives the membership an input, and carries out its effects."""
+        for effect in self.members.step(self.now_ms, name, *details):
             match effect:
                 case Send(address, message):
-                    self.post(address, "members", *messages.plain(message))
+                    self.notify(address, "members", *messages.plain(message))
                 case Changed(news):
-                    self.changed(news)
+                    self.on_member_changed(news)
                 case Refused(other):
-                    self.counts["names_taken"] += 1
+                    self.counters["names_taken"] += 1
                     self.log(
-                        f"another process goes by the name {other.name}: {other.address} ({other.life})"
+                        f"another process goes by the name {other.name}: {other.address}"
+                        f" ({other.life})"
                     )
 
-    def changed(self, news: messages.News) -> None:
+    def on_member_changed(self, news: messages.News) -> None:
+        """Reports another opinion of a member."""
         self.effects.append(MemberChanged(news))
         if news.opinion is not Opinion.ALIVE:
             self.log(f"{news.who.name} is thought {news.opinion.name.lower()} by {news.by}")
 
-    def told(self, sender: Sender, method: str, params: Any) -> None:
-        """A notification of another process of this fleet."""
+    def on_notification(self, sender: Sender, method: str, params: Any) -> None:
+        """Takes a notification of another process of this fleet; a malformed one is counted."""
         try:
             self.receive(sender, method, params)
         except ValueError as error:
-            self.counts["notices_unreadable"] += 1
-            name, _, _ = sender
-            self.log(f"{name}: {method}: {error}")
+            self.counters["notices_unreadable"] += 1
+            self.log(f"{sender[0]}: {method}: {error}")
 
     def receive(self, sender: Sender, method: str, params: Any) -> None:
+        """Handles a notification; raises ValueError if it is malformed."""
         _, _, address = sender
         match method:
             case "members":
-                self.of_members("message", address, messages.message_of(params))
+                self.step_members("message", address, messages.message_of(params))
             case "permitted" if params and type(params[0]) is int:
-                self.permit = max(self.permit, params[0])
-                self.request_at = min(
-                    self.request_at, self.now
-                )  # not at the next heartbeat that is due anyway
+                self.permit_epoch = max(self.permit_epoch, params[0])
+                # Not at the next heartbeat only, which is due anyway.
+                self.next_request_at_ms = min(self.next_request_at_ms, self.now_ms)
             case _:
-                self.counts["notices_unknown"] += 1
+                self.counters["notices_unknown"] += 1
 
-    # Halt
+    # Halts
 
-    def marker(self) -> HaltMarker:
-        """The halt that members hand on."""
-        rank, key, by, why = self.members.extras.get(HALT, (0, "", "", ""))
-        return HaltMarker(rank, key, by, why)
+    def halt_marker(self) -> HaltMarker:
+        """Returns the halt that members gossip."""
+        rank, key, operator, reason = self.members.extras.get(HALT_KEY, (0, "", "", ""))
+        return HaltMarker(rank, key, operator, reason)
 
-    def halted(self) -> str:
-        """Why this process takes no step that it need not take; "" if it may."""
-        halt = self.marker()
+    def halt_reason(self) -> str:
+        """Returns why this process takes no step that can wait; "" if it may."""
+        halt = self.halt_marker()
         if halt.key:
-            return f"halted: by {halt.by}: {halt.why}"
-        return self.agreed_halt
+            return f"halted: by {halt.operator}: {halt.reason}"
+        return self.fleet_halt_reason
 
-    def mark(self, key: str, by: str, why: str) -> None:
-        self.members.hand(HALT, HaltMarker(self.marker().rank + 1, key, by, why))
+    def gossip_halt(self, key: str, operator: str, reason: str) -> None:
+        """Has members gossip this halt in place of the last one; an empty key: there is none."""
+        rank = self.halt_marker().rank + 1
+        self.members.hand(HALT_KEY, HaltMarker(rank, key, operator, reason))
 
     # Requests of operators and of other processes
 
-    def asked(self, conn: int, message: int, verb: str, args: Any) -> None:
+    def on_request(self, connection_id: int, message_id: int, verb: str, args: Any) -> None:
+        """Answers what any process of the fleet answers."""
         match [verb, *args] if isinstance(args, list | tuple) else [verb]:
             case ["local"]:
-                self.reply(conn, message, self.local())
-            case ["halt", str(key), str(by), str(why)] if (
-                key and by and why and len(key + by + why) <= TEXT_MOST
+                self.respond(connection_id, message_id, self.local_status())
+            case ["halt", str(key), str(operator), str(reason)] if (
+                key and operator and reason and len(key + operator + reason) <= MAX_TEXT_LENGTH
             ):
-                if self.marker().key != key:
-                    self.mark(key, by, why)
-                    self.log(f"HALT by {by}: {why}")
-                self.reply(
-                    conn,
-                    message,
-                    {"text": "halted here, and handed on to the others", "agreed": False},
-                )
+                if self.halt_marker().key != key:
+                    self.gossip_halt(key, operator, reason)
+                    self.log(f"HALT by {operator}: {reason}")
+                answer = {"text": "halted here, and handed on to the others", "agreed": False}
+                self.respond(connection_id, message_id, answer)
             case _:
-                self.refuse(
-                    conn, message, UNKNOWN, f"{verb}: ask a voter: {', '.join(self.voters)}"
-                )
+                problem = f"{verb}: ask a voter: {', '.join(self.voters)}"
+                self.refuse(connection_id, message_id, RequestError(UNKNOWN_VERB, problem))
 
-    def closed(self, conn: int) -> None:
+    def on_connection_closed(self, connection_id: int) -> None:
         """Nobody waits on that connection any more."""
 
-    def local(self) -> dict[str, Any]:
-        """What this process thinks by itself: an opinion."""
+    def local_status(self) -> dict[str, Any]:
+        """Returns what this process thinks by itself: an opinion."""
         rows = [
             {
                 "name": name,
@@ -195,146 +220,170 @@
             }
             for name, news in sorted(self.members.table().items())
         ]
-        many = Counter(row["opinion"] for row in rows)
         return {
             "fleet": self.fleet,
             "name": self.me.name,
             "life": self.me.life,
-            "halted": self.halted(),
-            "permit": self.permit,
-            "waits": self.waits,
-            "joined": self.joined,
-            "members": rows[:NAMES_MOST],
-            "opinions": dict(many),
-            "counts": dict(self.counts),
-            "taken": self.name_taken_by,
+            "halted": self.halt_reason(),
+            "permit": self.permit_epoch,
+            "waits": self.wait_reason,
+            "joined": self.has_joined,
+            "members": rows[:MAX_NAMES],
+            "opinions": dict(Counter(row["opinion"] for row in rows)),
+            "counts": dict(self.counters),
+            "taken": self.join_refusal,
         }
 
-    def reply(self, conn: int, message: int, result: Any) -> None:
-        self.effects.append(Reply(conn, message, None, result))
+    def respond(self, connection_id: int, message_id: int, result: Any) -> None:
+        """Answers a request."""
+        self.effects.append(SendResponse(connection_id, message_id, None, result))
 
-    def refuse(self, conn: int, message: int, code: str, text: str, more: Any = None) -> None:
-        self.effects.append(Reply(conn, message, (code, text, more)))
+    def refuse(self, connection_id: int, message_id: int, error: RequestError) -> None:
+        """Answers a request with an error."""
+        self.effects.append(SendResponse(connection_id, message_id, error))
 
-    # What it wants agreed of itself: every request may come twice, or late, and changes nothing then
+    # What it wants agreed of itself: each request may come twice, or late, and changes nothing then
 
-    def next_request(self) -> None:
-        if self.request is not None or self.now < self.request_at or not self.voters:
+    def send_next_request(self) -> None:
+        """Sends the first report or request that is due, else a heartbeat."""
+        if self.request is not None or self.now_ms < self.next_request_at_ms or not self.voters:
+            return
+        if self.is_stopping:
+            if not self.stop_reported and self.has_joined:
+                self.send_command(ReportStopped(self.me.name, self.me.life))
             return
-        name, life = self.me.name, self.me.life
-        if self.ending:
-            if not self.gone_sent and self.joined:
-                self.ask("gone", name, life)
-        elif not self.joined:
-            self.ask("join", member_fields(self.member._replace(life=life)))
-        elif self.leaving and not self.leaving_sent:
-            self.ask("leaving", name, life, self.why)
-        elif (
-            self.permit
-            and not self.leaving
-            and not self.began
-            and (self.begun or not self.halted())
-        ):
-            self.ask("began", name, life, self.permit)
-        elif self.serves and not self.leaving and not self.agreed_serving:
-            self.ask("serving", name, life)
-        elif self.now >= self.heartbeat_at:
-            self.heartbeat_at = self.now + self.HEARTBEAT_MS
-            self.ask("mine", name, life, self.overloaded)
+        command = self._next_command()
+        if command is not None:
+            self.send_command(command)
+        elif self.now_ms >= self.heartbeat_at_ms:
+            self.heartbeat_at_ms = self.now_ms + self.HEARTBEAT_MS
+            self.send_request("mine", self.me.name, self.me.life, self.is_overloaded)
         else:
-            self.request_at = self.heartbeat_at
-
-    def agreed(self, verb: str, result: dict[str, Any]) -> None:
+            self.next_request_at_ms = self.heartbeat_at_ms
+
+    def _next_command(self) -> MemberCommand | None:
+        name, incarnation = self.me.name, self.me.life
+        if not self.has_joined:
+            return JoinMember(self.member._replace(incarnation=incarnation))
+        if self.is_draining:
+            if self.termination_reported:
+                return None
+            return ReportTermination(name, incarnation, self.drain_reason)
+        may_start = self.permit_started or not self.halt_reason()
+        if self.permit_epoch and not self.drain_started and may_start:
+            return StartDrain(name, incarnation, self.permit_epoch)
+        if self.is_serving and not self.is_agreed_serving:
+            return ReportServing(name, incarnation)
+        return None
+
+    def send_command(self, command: MemberCommand) -> None:
+        """Asks the leader to propose a command."""
+        verb, *fields = encode_command(command)
+        self.send_request(verb, *fields)
+
+    def on_result(self, verb: str, result: dict[str, Any]) -> None:
+        """Takes the result of a request."""
         match verb:
             case "join":
-                self.joined, self.name_taken_by = True, ""
+                self.has_joined = True
+                self.join_refusal = ""
             case "serving":
-                self.agreed_serving = True
+                self.is_agreed_serving = True
             case "leaving":
-                self.leaving_sent = True
+                self.termination_reported = True
             case "gone":
-                self.gone_sent = True
+                self.stop_reported = True
             case "began":
-                self.began = True
-                self.effects.append(Leave(f"by permit of epoch {self.permit}"))
+                self.drain_started = True
+                self.effects.append(StartDraining(f"by permit of epoch {self.permit_epoch}"))
             case "mine":
-                self.heartbeat_answered(result)
-
-    def heartbeat_answered(self, result: dict[str, Any]) -> None:
-        """What the leader says is agreed: a hint, since it may have stopped leading. No step rests on it."""
-        again, permit = result.get("again_ms"), result.get("permit")
-        if isinstance(again, int | float) and 0 < again <= 60_000:
-            self.heartbeat_wait = max(self.HEARTBEAT_MS, again)
-            self.heartbeat_at = self.now + self.heartbeat_wait
-        self.joined = bool(result.get("known"))
-        if not self.joined:
-            self.leaving_sent = False  # a fleet that was founded anew counts it again
-        self.agreed_serving = result.get("standing") == SERVING
-        self.permit, self.begun = permit if type(permit) is int else 0, bool(result.get("begun"))
-        self.agreed_halt = str(result.get("halted", ""))[:1000]
-        self.counting = bool(result.get("counts"))
-        waits = str(result.get("waits", ""))[:1000]
-        if waits and not self.waits:
-            self.log(f"a drain of this process is asked for, and waits: {waits}")
-        self.waits = waits
-
-    def refused(self, verb: str, text: str) -> None:
-        self.counts[f"{verb}_refused"] += 1
+                self.on_hint(result)
+
+    def on_hint(self, result: dict[str, Any]) -> None:
+        """Takes what the leader says is agreed: no step rests on it alone."""
+        hint = read_member_hint(result)
+        if 0 < hint.heartbeat_interval_ms <= MAX_HEARTBEAT_INTERVAL_MS:
+            self.heartbeat_interval_ms = max(self.HEARTBEAT_MS, hint.heartbeat_interval_ms)
+            self.heartbeat_at_ms = self.now_ms + self.heartbeat_interval_ms
+        self.has_joined = hint.is_known
+        if not hint.is_known:
+            self.termination_reported = False  # a fleet that was founded again counts it again
+        self.is_agreed_serving = hint.status == SERVING
+        self.permit_epoch = hint.permit_epoch
+        self.permit_started = hint.permit_started
+        self.fleet_halt_reason = hint.halt_reason
+        self.wants_counts = hint.wants_counts
+        if hint.wait_reason and not self.wait_reason:
+            self.log(f"a drain of this process is asked for, and waits: {hint.wait_reason}")
+        self.wait_reason = hint.wait_reason
+
+    def on_refusal(self, verb: str, text: str) -> None:
+        """Takes the fleet's refusal of a request."""
+        self.counters[f"{verb}_refused"] += 1
         if verb == "join":
-            if text != self.name_taken_by:
+            if text != self.join_refusal:
                 self.log(f"cannot join the fleet: {text}")
-            self.name_taken_by = text
+            self.join_refusal = text
         elif verb == "began":
-            self.permit = 0  # the leader's next answer tells whether it is there still
+            self.permit_epoch = 0  # the next heartbeat's answer tells whether it is still in force
             if text != self.permit_refusal:
                 self.log(f"permit refused: {text}")
             self.permit_refusal = text
         else:
-            self.joined = False  # it knows another life, or none: say all again
+            # The fleet knows another incarnation, or none: this process joins again.
+            self.has_joined = False
 
     # This process
 
-    def serve(self, good: bool, overloaded: bool) -> None:
-        if overloaded != self.overloaded:
-            self.overloaded, self.heartbeat_at, self.request_at = (
-                overloaded,
-                self.now,
-                min(self.request_at, self.now),
-            )
-        if good != self.serves:
-            self.request_at = min(self.request_at, self.now)
-            self.serves = good
-            if not self.leaving:
-                self.stand(Standing.SERVING if good else Standing.JOINING)
-
-    def counted(self, rows: Any, memory_mb: float) -> None:
-        """How its tasks have gone, since its start: for whoever leads, while a release is on. Lost ones do
-        no harm: the next says it all again.
+    def set_serving(self, is_serving: bool, is_overloaded: bool) -> None:
+        """Whether this process serves, and whether its load is more than it can use."""
+        if is_overloaded != self.is_overloaded:
+            self.is_overloaded = is_overloaded
+            self.heartbeat_at_ms = self.now_ms
+            self.next_request_at_ms = min(self.next_request_at_ms, self.now_ms)
+        if is_serving != self.is_serving:
+            self.next_request_at_ms = min(self.next_request_at_ms, self.now_ms)
+            self.is_serving = is_serving
+            if not self.is_draining:
+                self.announce(Standing.SERVING if is_serving else Standing.JOINING)
+
+    def send_counts(self, rows: Any, memory_mb: float) -> None:
+        """Tells the leader how requests have gone since this process started.
+
+        A lost report does no harm: the next one says it all again.
         """
-        if self.counting and self.joined and not self.leaving and self.now >= self.counts_at:
-            self.counts_at = self.now + max(self.HEARTBEAT_MS, self.heartbeat_wait) - 1.0
-            self.post(self.voters[self.voter_index], "counts", rows, memory_mb)
-
-    def leave(self, why: str) -> None:
-        """It drains from now on, whether anybody agreed or not."""
-        if not self.leaving:
-            self.leaving, self.why = True, why[:TEXT_MOST] or "asked to leave"
-            self.stand(Standing.DRAINING)
-            self.request_now()
-
-    def left(self) -> None:
-        """It is about to end."""
-        if not self.ending:
-            self.leaving = self.ending = True
-            self.stand(Standing.OUT)
-            self.request_now()
-
-    def request_now(self) -> None:
-        """The next request goes out at once, whatever the last one came to."""
-        self.request, self.request_at, self.failures = None, self.now, 0
-
-    def stand(self, standing: Standing) -> None:
-        self.of_members("stand", standing)
-
-    def post(self, address: str, method: str, *params: Any) -> None:
-        self.effects.append(Post(address, method, params))
+        is_due = self.now_ms >= self.counts_at_ms
+        if self.wants_counts and self.has_joined and not self.is_draining and is_due:
+            interval_ms = max(self.HEARTBEAT_MS, self.heartbeat_interval_ms)
+            self.counts_at_ms = self.now_ms + interval_ms - 1.0
+            self.notify(self.voters[self.voter_index], "counts", rows, memory_mb)
+
+    def start_draining(self, reason: str) -> None:
+        """This process drains from now on, whether anybody agreed or not."""
+        if not self.is_draining:
+            self.is_draining = True
+            self.drain_reason = reason[:MAX_TEXT_LENGTH] or "asked to leave"
+            self.announce(Standing.DRAINING)
+            self.reset_request()
+
+    def stop(self) -> None:
+        """This process is about to exit."""
+        if not self.is_stopping:
+            self.is_draining = True
+            self.is_stopping = True
+            self.announce(Standing.OUT)
+            self.reset_request()
+
+    def reset_request(self) -> None:
+        """Has the next request sent at once, whatever came of the last one."""
+        self.request = None
+        self.next_request_at_ms = self.now_ms
+        self.failures = 0
+
+    def announce(self, standing: Standing) -> None:
+        """Tells the membership what this process does."""
+        self.step_members("stand", standing)
+
+    def notify(self, address: str, method: str, *params: Any) -> None:
+        """Sends a notification to another process."""
+        self.effects.append(SendNotification(address, method, params))
--- a/pumicenotch/fleet/member/voter_client.py
+++ b/pumicenotch/fleet/member/voter_client.py
@@ -1,111 +1,136 @@
-"""Whoever asks the voters: one question at a time, to whoever is said to lead, again after silence."""
+"""A client of the voters: one request at a time, to the voter that is said to lead."""
 
 import random
 from abc import ABC, abstractmethod
 from collections import Counter
-from collections.abc import Iterable
+from collections.abc import Iterable, Mapping
 from typing import Any, ClassVar, NamedTuple
 
-from pumicenotch.fleet.member.effects import Ask, Effect, Log, Wake
+from pumicenotch.fleet.member.effects import Effect, Log, SendRequest, WakeAt
 
-NOT_LEADER, NO_MAJORITY, REFUSED, UNKNOWN = "NotLeader", "NoMajority", "Refused", "UnknownVerb"
+# Error codes of voters' answers, as they stand on the wire.
+NOT_LEADER = "NotLeader"
+NO_MAJORITY = "NoMajority"
+REFUSED = "Refused"
+UNKNOWN_VERB = "UnknownVerb"
 
+MAX_BACKOFF_DOUBLINGS = 8
+FAST_REDIRECTS = 3  # failures in a row before a redirect to a leader waits longer
 
-class PendingRequest(NamedTuple):
+
+class OutstandingRequest(NamedTuple):
     """What a voter was asked, and until when its answer counts."""
 
     number: int
     verb: str
-    until: float
+    expires_at_ms: float
 
 
 class VoterClient(ABC):
-    INPUTS: ClassVar[frozenset[str]]
-    # for an answer: an agreed step takes some round trips between regions, then another is asked
+    """A reducer that asks voters, and retries with another one after an error or silence."""
+
+    INPUTS: ClassVar[Mapping[str, str]]  # the method for each input
+    # For an answer. An agreed step takes some round trips between regions.
     REQUEST_TIMEOUT_MS = 700.0
-    RETRY_MS = 250.0  # after a refusal or silence, doubling
-    RETRY_MOST_MS = 2000.0
+    RETRY_DELAY_MS = 250.0  # after a refusal or silence, doubling
+    MAX_RETRY_DELAY_MS = 2000.0
+    REDIRECT_DELAY_MS = 50.0  # before another voter is asked that is said to lead
 
-    def __init__(self, voters: Iterable[str], now: float, seed: int) -> None:
-        self.now, self.random = now, random.Random(seed)
+    def __init__(self, voters: Iterable[str], now_ms: float, seed: int) -> None:
+        self.now_ms = now_ms
+        self.rng = random.Random(seed)
         self.effects: list[Effect] = []
-        self.counts: Counter[str] = Counter()
+        self.counters: Counter[str] = Counter()
         self.voters = sorted(voters)
-        self.voter_index = self.random.randrange(len(self.voters)) if self.voters else 0
-        self.last_number = 0
-        self.request: PendingRequest | None = None  # one at a time
-        self.request_at, self.failures = now, 0
-
-    def step(self, now: float, name: str, *details: Any) -> list[Effect]:
-        """One input, as its class says; what comes of it. Time never goes back."""
-        self.now = max(self.now, now)
-        assert name in self.INPUTS, name
-        getattr(self, name)(*details)
-        self.next_request()
-        effects, self.effects = self.effects, []
-        effects.append(Wake(self.due()))
+        self.voter_index = self.rng.randrange(len(self.voters)) if self.voters else 0
+        self.last_request_number = 0
+        self.request: OutstandingRequest | None = None
+        self.next_request_at_ms = now_ms
+        self.failures = 0  # in a row
+
+    def step(self, now_ms: float, name: str, *details: Any) -> list[Effect]:
+        """Takes one input, as the class describes; returns its effects. Time never goes back."""
+        self.now_ms = max(self.now_ms, now_ms)
+        getattr(self, self.INPUTS[name])(*details)
+        self.send_next_request()
+        effects = self.effects
+        self.effects = []
+        effects.append(WakeAt(self.wake_at_ms()))
         return effects
 
     def log(self, text: str) -> None:
+        """Writes a line to the process's log."""
         self.effects.append(Log(text))
 
-    def request_due(self) -> float:
-        return (
-            self.request.until if self.request is not None else max(self.request_at, self.now + 1.0)
-        )
+    def request_due_ms(self) -> float:
+        """Returns when the request times out, or when the next one may be sent."""
+        if self.request is not None:
+            return self.request.expires_at_ms
+        return max(self.next_request_at_ms, self.now_ms + 1.0)
 
     def check_timeout(self) -> None:
-        if self.request is not None and self.now >= self.request.until:
-            self.counts["asks_unanswered"] += 1
+        """Retries if the request has had no answer in time."""
+        if self.request is not None and self.now_ms >= self.request.expires_at_ms:
+            self.counters["asks_unanswered"] += 1
             self.retry()
 
-    def ask(self, verb: str, *args: Any) -> None:
-        self.last_number += 1
-        self.request = PendingRequest(self.last_number, verb, self.now + self.REQUEST_TIMEOUT_MS)
-        self.effects.append(Ask(self.voters[self.voter_index], self.last_number, verb, args))
+    def send_request(self, verb: str, *args: Any) -> None:
+        """Sends a request to the voter that is thought to lead."""
+        self.last_request_number += 1
+        number = self.last_request_number
+        expires_at_ms = self.now_ms + self.REQUEST_TIMEOUT_MS
+        self.request = OutstandingRequest(number, verb, expires_at_ms)
+        self.effects.append(SendRequest(self.voters[self.voter_index], number, verb, args))
 
-    def retry(self, towards: str = "") -> None:
-        """Another voter is asked, the one that is said to lead if any."""
+    def retry(self, leader: str = "") -> None:
+        """Waits, and then asks the voter at that address, or the next one if it is unknown."""
         self.request = None
         self.failures += 1
-        if towards in self.voters:
-            self.voter_index = self.voters.index(towards)
-            wait = self.RETRY_MS / 5.0 if self.failures < 3 else self.RETRY_MS
+        if leader in self.voters:
+            self.voter_index = self.voters.index(leader)
+            is_fast = self.failures < FAST_REDIRECTS
+            delay_ms = self.REDIRECT_DELAY_MS if is_fast else self.RETRY_DELAY_MS
         else:
             self.voter_index = (self.voter_index + 1) % len(self.voters)
-            wait = min(self.RETRY_MOST_MS, self.RETRY_MS * 2.0 ** min(self.failures - 1, 8))
-        self.request_at = self.now + wait * self.random.uniform(0.5, 1.0)
-
-    def answered(self, number: int, error: Any, result: Any) -> None:
-        if self.request is None or self.request.number != number or self.now >= self.request.until:
-            self.counts["answers_late"] += 1
+            doublings = min(self.failures - 1, MAX_BACKOFF_DOUBLINGS)
+            delay_ms = min(self.MAX_RETRY_DELAY_MS, self.RETRY_DELAY_MS * 2.0**doublings)
+        self.next_request_at_ms = self.now_ms + delay_ms * self.rng.uniform(0.5, 1.0)
+
+    def on_response(self, number: int, error: Any, result: Any) -> None:
+        """Takes the answer to a request, unless it is late.
+
+        A process that slept through the answer's time has no permission by it.
+        """
+        request = self.request
+        if request is None or request.number != number or self.now_ms >= request.expires_at_ms:
+            self.counters["answers_late"] += 1
             return
-        verb = self.request.verb  # in time: a process that slept through it has no permission by it
         if error is None:
-            self.request, self.failures, self.request_at = None, 0, self.now
-            self.agreed(verb, result if isinstance(result, dict) else {})
+            self.request = None
+            self.failures = 0
+            self.next_request_at_ms = self.now_ms
+            self.on_result(request.verb, result if isinstance(result, dict) else {})
             return
-        code, text, more = (
-            (*error, None, None, None)[:3] if isinstance(error, list | tuple) else ("", "", "")
-        )
+        is_list = isinstance(error, list | tuple)
+        code, text, detail = (*error, None, None, None)[:3] if is_list else ("", "", "")
         if code == REFUSED:
-            self.refused(verb, str(text))
+            self.on_refusal(request.verb, str(text))
             self.retry(self.voters[self.voter_index])
         else:
-            self.retry(more if isinstance(more, str) else "")
+            self.retry(detail if isinstance(detail, str) else "")
 
     @abstractmethod
-    def next_request(self) -> None:
-        """What is to be done or asked by now."""
+    def send_next_request(self) -> None:
+        """Sends what is to be requested by now, if no request is outstanding."""
 
     @abstractmethod
-    def due(self) -> float:
-        """When it is to be woken."""
+    def wake_at_ms(self) -> float:
+        """Returns when the next input `time` is due."""
 
     @abstractmethod
-    def agreed(self, verb: str, result: dict[str, Any]) -> None:
-        """The answer to what was asked."""
+    def on_result(self, verb: str, result: dict[str, Any]) -> None:
+        """Takes the result of a request."""
 
     @abstractmethod
-    def refused(self, verb: str, text: str) -> None:
-        """The fleet's own no."""
+    def on_refusal(self, verb: str, text: str) -> None:
+        """Takes the fleet's refusal of a request."""
--- a/pumicenotch/fleet/releases/waves.py
+++ b/pumicenotch/fleet/releases/waves.py
@@ -3,61 +3,104 @@
 from collections.abc import Iterator
 from itertools import zip_longest
 from math import ceil
+from typing import NamedTuple
 
 from pumicenotch.fleet.drains.budgets import Member
 
+DEFAULT_FRACTIONS = (0.34, 1.0)
 
-def waves_of(
+# Which side of a service goes first, as the compatibility of services with their callers requires.
+REPLICAS_FIRST = "below-first"
+CALLERS_FIRST = "callers-first"
+
+
+class Placement(NamedTuple):
+    """Where a node stands."""
+
+    zone: str
+    cell: str
+
+
+def plan_waves(
     members: list[Member],
     *,
-    shares: tuple[float, ...] = (0.34, 1.0),
+    fractions: tuple[float, ...] = DEFAULT_FRACTIONS,
     mixed: bool = False,
     order: str = "",
 ) -> tuple[tuple[str, ...], ...]:
-    """One node, then one of each zone, then rising shares of each zone and cell; voters last, one a wave.
-    `order` is "below-first" or "callers-first", as the compatibility of services with their callers asks.
+    """Returns the names of the nodes of each wave.
+
+    One node is first, then one of each zone, then rising fractions of each zone and cell; the voters
+    are last, one a wave.
+
+    Args:
+        members: the nodes to reach.
+        fractions: of each zone and cell, reached wave by wave.
+        mixed: whether one wave may hold nodes of several zones or cells.
+        order: REPLICAS_FIRST, CALLERS_FIRST, or "" for neither.
     """
-    found: list[tuple[str, ...]] = []
-    below = [each for each in members if each.serves and not each.voter]
-    others = [each for each in members if not each.serves and not each.voter]
-    parts = {"below-first": [below, others], "callers-first": [others, below]}.get(
-        order, [below + others]
-    )
-    for part in parts:
-        found += list(part_waves(sorted(part), shares, mixed))
-    found += [(each.name,) for each in sorted(members) if each.voter]
-    return tuple(found)
-
-
-def part_waves(
-    part: list[Member], shares: tuple[float, ...], mixed: bool
-) -> Iterator[tuple[str, ...]]:
-    left: dict[tuple[str, str], list[str]] = {}
-    for each in part:
-        left.setdefault((each.zone, each.cell), []).append(each.name)
-    whole = {place: len(some) for place, some in left.items()}
-    if not left:
-        return
-    place = next(iter(left))
-    yield (left[place].pop(0),)
-
-    def wave(counts: dict[tuple[str, str], int]) -> Iterator[tuple[str, ...]]:
+    replicas = [member for member in members if member.serves and not member.voter]
+    others = [member for member in members if not member.serves and not member.voter]
+    voters = sorted(member for member in members if member.voter)
+    groups = {REPLICAS_FIRST: [replicas, others], CALLERS_FIRST: [others, replicas]}
+    waves: list[tuple[str, ...]] = []
+    for group in groups.get(order, [replicas + others]):
+        waves += _GroupPlan(sorted(group)).waves(fractions, mixed)
+    waves += [(voter.name,) for voter in voters]
+    return tuple(waves)
+
+
+class _GroupPlan:
+    """The waves of nodes that may be reached in any order."""
+
+    def __init__(self, members: list[Member]) -> None:
+        self.remaining: dict[Placement, list[str]] = {}
+        for member in members:
+            placement = Placement(member.zone, member.cell)
+            self.remaining.setdefault(placement, []).append(member.name)
+        self.sizes = {placement: len(names) for placement, names in self.remaining.items()}
+
+    def waves(self, fractions: tuple[float, ...], mixed: bool) -> Iterator[tuple[str, ...]]:
+        if not self.remaining:
+            return
+        first = next(iter(self.remaining))
+        yield (self.remaining[first].pop(0),)
+        yield from self._take(self._one_of_each_new_zone(), mixed)
+        for fraction in fractions:
+            yield from self._take(self._up_to_fraction(fraction), mixed)
+
+    def _one_of_each_new_zone(self) -> dict[Placement, int]:
+        reached = {
+            placement.zone
+            for placement, names in self.remaining.items()
+            if len(names) < self.sizes[placement]
+        }
+        first_placements = {
+            placement.zone: placement
+            for placement in reversed(self.remaining)
+            if placement.zone not in reached
+        }
+        return {first_placements[zone]: 1 for zone in sorted(first_placements)}
+
+    def _up_to_fraction(self, fraction: float) -> dict[Placement, int]:
+        counts = {}
+        for placement, names in self.remaining.items():
+            size = self.sizes[placement]
+            reached = size - len(names)
+            counts[placement] = max(0, ceil(fraction * size) - reached)
+        return counts
+
+    def _take(self, counts: dict[Placement, int], mixed: bool) -> Iterator[tuple[str, ...]]:
+        """Yields one wave for each placement, or a single one for all if they may be mixed."""
         taken = []
-        for place, many in counts.items():
-            some, left[place] = left[place][:many], left[place][many:]
-            if some:
-                taken.append(tuple(some))
-        if (
-            mixed and taken
-        ):  # zones in turn: one that waits for its own bars whoever stands behind it
-            yield tuple(one for some in zip_longest(*taken) for one in some if one is not None)
-        elif not mixed:
+        for placement, count in counts.items():
+            names = self.remaining[placement][:count]
+            self.remaining[placement] = self.remaining[placement][count:]
+            if names:
+                taken.append(tuple(names))
+        if not mixed:
             yield from taken
-
-    zones = {place[0]: place for place in reversed(left) if len(left[place]) == whole[place]}
-    seen = {place[0] for place in left if len(left[place]) < whole[place]}
-    yield from wave({zones[zone]: 1 for zone in sorted(zones) if zone not in seen})
-    for share in shares:
-        yield from wave(
-            {at: max(0, ceil(share * whole[at]) - (whole[at] - len(left[at]))) for at in left}
-        )
+        elif taken:
+            # Zones in turn: a node that waits for its own zone blocks whoever is behind it.
+            turns = zip_longest(*taken)
+            yield tuple(name for turn in turns for name in turn if name is not None)
--- a/pumicenotch/fleet/replicated/fields.py
+++ b/pumicenotch/fleet/replicated/fields.py
@@ -1,90 +1,114 @@
-"""What an entry of the log may hold, read before it is agreed and again where it is applied."""
+"""Readers for the fields of log entries.
 
-from collections.abc import Callable
-from typing import Any, NamedTuple
+A leader reads an entry before it proposes it, and each voter reads it again where it applies it.
+"""
 
-from pumicenotch.fleet.drains.budgets import BadBudget, Budget, Member, budget_of
+from collections.abc import Callable
+from typing import Any
 
-TEXT_MOST = 200  # letters of a reason
-NAMES_MOST = 1024  # in one request
-Reader = Callable[[Any], Any]
+from pumicenotch.errors import PumicenotchError
+from pumicenotch.fleet.drains.budgets import Budget, InvalidBudgetError, Member, read_budget
 
+MAX_TEXT_LENGTH = 200
+MAX_NAME_LENGTH = 64
+MAX_NAMES = 1024  # in one request
+MAX_SERVICES = 64  # of one member: those it serves and those it calls
+MAX_CAPACITY = 1e9
 
-class Said(NamedTuple):
-    """What an entry came to: `good`, and a text for whoever asked."""
+FieldReader = Callable[[Any], Any]
 
-    good: bool
-    text: str
-    value: Any = None
 
+class InvalidCommandError(PumicenotchError, ValueError):
+    """An entry that is none of this fleet's commands, or whose fields hold the wrong values.
 
-class BadEntry(ValueError):
-    """It is no entry of this fleet's form: refused before it is proposed, skipped where it is agreed all the
-    same.
+    A leader refuses to propose such an entry; a voter skips one that is agreed all the same.
     """
 
+    code = "invalid-command"
+
+    def __init__(self, problem: str, *, place: str = "fleet command") -> None:
+        super().__init__(place, problem, "send it with a command of the fleet's own version")
+
 
-def text(told: Any) -> str:
-    if not isinstance(told, str) or len(told) > TEXT_MOST:
-        raise BadEntry(f"a text of up to {TEXT_MOST} letters is wanted, not {told!r:.40}")
-    return told
+def read_text(value: Any) -> str:
+    """Returns a text of up to MAX_TEXT_LENGTH characters; raises InvalidCommandError."""
+    if not isinstance(value, str) or len(value) > MAX_TEXT_LENGTH:
+        raise InvalidCommandError(
+            f"a text of up to {MAX_TEXT_LENGTH} letters is wanted, not {value!r:.40}"
+        )
+    return value
 
 
-def name(told: Any) -> str:
-    if not text(told) or len(told) > 64:
-        raise BadEntry(f"a name of 1 to 64 letters is wanted, not {told!r:.80}")
-    return str(told)
+def read_name(value: Any) -> str:
+    """Returns the name of a member, release or request; raises InvalidCommandError."""
+    if not read_text(value) or len(value) > MAX_NAME_LENGTH:
+        raise InvalidCommandError(
+            f"a name of 1 to {MAX_NAME_LENGTH} letters is wanted, not {value!r:.80}"
+        )
+    return str(value)
 
 
-def names(told: Any) -> tuple[str, ...]:
-    if not isinstance(told, list | tuple) or not 0 < len(told) <= NAMES_MOST:
-        raise BadEntry(f"1 to {NAMES_MOST} names are wanted")
-    return tuple(dict.fromkeys(name(each) for each in told))
+def read_names(value: Any) -> tuple[str, ...]:
+    """Returns one name or more, without duplicates; raises InvalidCommandError."""
+    if not isinstance(value, list | tuple) or not 0 < len(value) <= MAX_NAMES:
+        raise InvalidCommandError(f"1 to {MAX_NAMES} names are wanted")
+    return tuple(dict.fromkeys(read_name(item) for item in value))
 
 
-def reason(told: Any) -> str:
-    if not text(told).strip():
-        raise BadEntry("a reason is wanted: it stands in the log")
-    return str(told)
+def read_reason(value: Any) -> str:
+    """Returns a text that is not blank; raises InvalidCommandError."""
+    if not read_text(value).strip():
+        raise InvalidCommandError("a reason is wanted: it stands in the log")
+    return str(value)
 
 
-def number(told: Any) -> int:
-    if type(told) is not int or told < 0:
-        raise BadEntry(f"a whole number is wanted, not {told!r:.40}")
-    return told
+def read_number(value: Any) -> int:
+    """Returns a whole number from 0 up; raises InvalidCommandError."""
+    if type(value) is not int or value < 0:
+        raise InvalidCommandError(f"a whole number is wanted, not {value!r:.40}")
+    return value
 
 
-def budgets_of(told: Any) -> tuple[Budget, ...]:
-    if not isinstance(told, list | tuple):
-        raise BadEntry("a list of budgets is wanted")
+def read_budgets(value: Any) -> tuple[Budget, ...]:
+    """Returns budgets with distinct names; raises InvalidCommandError."""
+    if not isinstance(value, list | tuple):
+        raise InvalidCommandError("a list of budgets is wanted")
     try:
-        made = tuple(budget_of(each) for each in told)
-    except BadBudget as error:
-        raise BadEntry(str(error)) from None
-    if len({budget.name for budget in made}) < len(made):
-        raise BadEntry("two budgets have one name")
-    return made
+        budgets = tuple(read_budget(item) for item in value)
+    except InvalidBudgetError as error:
+        raise InvalidCommandError(error.problem, place=error.place) from None
+    if len({budget.name for budget in budgets}) < len(budgets):
+        raise InvalidCommandError("two budgets have one name")
+    return budgets
 
 
-def member_of(told: Any) -> Member:
-    """Of what a process says of itself: the first fields of Member, to `voter`."""
+def read_member(value: Any) -> Member:
+    """Returns a member as its process describes it; raises InvalidCommandError."""
     try:
-        one, life, zone, region, cell, serves, uses, capacity, voter = told
-        made = Member(
-            name(one),
-            text(life),
-            text(zone),
-            text(region),
-            text(cell),
-            tuple(map(name, serves)),
-            tuple(map(name, uses)),
+        name, incarnation, zone, region, cell, serves, uses, capacity, voter = value
+        member = Member(
+            read_name(name),
+            read_text(incarnation),
+            read_text(zone),
+            read_text(region),
+            read_text(cell),
+            tuple(map(read_name, serves)),
+            tuple(map(read_name, uses)),
             float(capacity),
             bool(voter),
         )
+    except InvalidCommandError as error:
+        raise InvalidCommandError(f"no member: {error.problem}") from None
     except (TypeError, ValueError) as error:
-        raise BadEntry(f"no member: {error}") from None
-    if not 0.0 < made.capacity < 1e9 or len(made.serves) + len(made.uses) > 64:
-        raise BadEntry(
-            f"member {made.name}: capacity {made.capacity:g}, {len(made.serves)} services"
+        raise InvalidCommandError(f"no member: {error}") from None
+    services = len(member.serves) + len(member.uses)
+    if not 0.0 < member.capacity < MAX_CAPACITY or services > MAX_SERVICES:
+        raise InvalidCommandError(
+            f"member {member.name}: capacity {member.capacity:g}, {len(member.serves)} services"
         )
-    return made
+    return member
+
+
+def read_members(value: Any) -> tuple[Member, ...]:
+    """Returns members, or none; raises InvalidCommandError."""
+    return tuple(map(read_member, value))
--- a/pumicenotch/fleet/replicated/fleet_view.py
+++ b/pumicenotch/fleet/replicated/fleet_view.py
@@ -4,48 +4,53 @@
 from typing import Protocol
 
 from pumicenotch.fleet.drains.budgets import Budget, Member
-from pumicenotch.fleet.replicated.fields import Said
-from pumicenotch.fleet.replicated.records import Permit, Request
+from pumicenotch.fleet.replicated.records import ApplyResult, DrainPermit, QueuedDrain
 
 
 class FleetView(Protocol):
-    """The narrow view of the agreed state that its releases have."""
+    """The part of the replicated state that its releases see."""
 
     budgets: tuple[Budget, ...]
 
     @property
-    def index(self) -> int:
-        """Of the entry that is being applied."""
+    def log_index(self) -> int:
+        """The log index of the entry that is being applied."""
 
     @property
-    def members(self) -> Mapping[str, Member]: ...
+    def members(self) -> Mapping[str, Member]:
+        """All members by name."""
+
     @property
-    def permits(self) -> Mapping[str, Permit]: ...
+    def permits(self) -> Mapping[str, DrainPermit]:
+        """The drain permits in force, by member."""
+
     @property
-    def queue(self) -> Sequence[Request]: ...
+    def queue(self) -> Sequence[QueuedDrain]:
+        """The drains that wait for a permit, the oldest request first."""
 
-    def halted(self) -> str:
-        """Why the whole fleet is halted; "" if it is not."""
+    def halt_reason(self) -> str:
+        """Returns why the whole fleet is halted; "" if it is not."""
 
-    def is_out(self, member: Member) -> bool: ...
+    def is_unavailable(self, member: Member) -> bool:
+        """Tells whether the member counts as unavailable."""
 
-    def spare_voters(self) -> int:
-        """How many voters may be out while a majority stays."""
+    def max_unavailable_voters(self) -> int:
+        """Returns how many voters may be unavailable while a majority remains."""
 
-    def ask_for(self, one: str, why: str, by: str) -> None:
+    def enqueue_drain(self, name: str, reason: str, requested_by: str) -> None:
         """Queues a drain of that member."""
 
-    def withdraw(self, request: Request) -> None:
-        """Takes it out of the queue."""
+    def dequeue_drain(self, request: QueuedDrain) -> None:
+        """Removes a drain from the queue."""
 
-    def free(self, one: str, why: str) -> None:
-        """Takes that member's permit back."""
+    def end_permit(self, name: str, reason: str) -> None:
+        """Ends that member's permit."""
 
-    def recount(self) -> None:
-        """Others are out than before."""
+    def invalidate_counts(self) -> None:
+        """Notes that other members are unavailable than before."""
 
-    def note(self, what: str) -> None:
-        """A line for the fleet's log."""
+    def record_event(self, text: str) -> None:
+        """Adds a line to the fleet's event history."""
 
-    def answered(self, request: str, said: Said) -> Said:
-        """Remembers what an operator's request came to."""
+    def record_answer(self, request_id: str, result: ApplyResult) -> ApplyResult:
+        """Remembers the answer to an operator's request, and returns it."""
--- a/pumicenotch/fleet/replicated/records.py
+++ b/pumicenotch/fleet/replicated/records.py
@@ -1,69 +1,78 @@
-"""The records that the agreed state is made of, beside members and budgets. A snapshot writes them as
-lists.
+"""The records that the replicated state is made of, beside members and budgets.
+
+Snapshots write them as lists, so the order of their fields is part of the stored form.
 """
 
 from typing import Any, NamedTuple
 
-from pumicenotch.fleet.drains.budgets import Member, Tallies
+from pumicenotch.fleet.drains.budgets import Member, OutageCounts
 
-# What a permit was given for.
+# What a drain permit was given for. The values stand in snapshots.
 DRAIN_PERMIT = "drain"
 RELEASE_PERMIT = "release"
-TERM_PERMIT = "term"  # a process that could not wait
+TERMINATION_PERMIT = "term"  # the process was told to end and could not wait
 OVERRIDE_PERMIT = "override"
-WITHIN_BUDGETS = (DRAIN_PERMIT, RELEASE_PERMIT)
+BUDGETED_PERMITS = (DRAIN_PERMIT, RELEASE_PERMIT)
+
+WIRE_MEMBER_FIELDS = 9  # the first fields of Member: what a process tells of itself
+
 
-MEMBER_FIELDS = 9  # of Member, the first of them: what a process says of itself
+class ApplyResult(NamedTuple):
+    """What applying one entry of the log came to."""
 
+    ok: bool
+    text: str  # for whoever sent the entry
+    value: Any = None
 
-class Permit(NamedTuple):
-    """Its holder may drain."""
+
+class DrainPermit(NamedTuple):
+    """The right of one process to drain."""
 
     name: str
-    life: str
-    epoch: int  # the index at which it was given: of two, the higher is the later
+    incarnation: str
+    epoch: int  # the log index at which it was given: the higher of two is the later
     kind: str
     reason: str
-    begun: bool = False
+    started: bool = False  # its holder is draining
 
 
-class Request(NamedTuple):
-    """One member's place in the queue."""
+class QueuedDrain(NamedTuple):
+    """One member's place in the queue for drain permits."""
 
     name: str
-    at: int  # the index at which it was asked: the order
+    requested_at: int  # the log index of the request
     reason: str
-    by: str
+    requested_by: str
 
 
 class FleetHalt(NamedTuple):
-    """While one stands, no step begins that could wait."""
+    """While one is in force, no step begins that could wait."""
 
-    by: str
-    why: str
+    operator: str
+    reason: str
 
 
-class Answer(NamedTuple):
-    """What an operator's request came to, for its repeats."""
+class RecordedAnswer(NamedTuple):
+    """The answer to an operator's request, for its retries."""
 
-    good: bool
+    ok: bool
     text: str
 
 
 class Event(NamedTuple):
-    """One line of the fleet's log for people."""
+    """One line of the fleet's event history."""
 
-    at: int  # the index of its entry
+    log_index: int
     text: str
 
 
-class Counted(NamedTuple):
-    """Who is out in each group, and how many of the voters."""
+class CachedCounts(NamedTuple):
+    """Who is unavailable, as counted after the last entry that changed it."""
 
-    tallies: Tallies
-    voters_out: int
+    outages: OutageCounts
+    unavailable_voters: int
 
 
-def member_fields(member: Member) -> tuple[Any, ...]:
-    """As the entry `join` says it."""
-    return tuple(member[:MEMBER_FIELDS])
+def member_to_wire(member: Member) -> tuple[Any, ...]:
+    """Returns the fields that a `join` entry carries."""
+    return tuple(member[:WIRE_MEMBER_FIELDS])
--- a/pumicenotch/fleet/replicated/snapshot.py
+++ b/pumicenotch/fleet/replicated/snapshot.py
@@ -1,6 +1,7 @@
-"""Snapshots of the agreed state, for voters that lack the entries.
+"""Snapshots of the replicated state, for voters that lack the entries.
 
-A line of JSON, and after it the bytes of the books as they are: megabytes are not escaped.
+A snapshot is a line of JSON and after it the bytes of the further subjects as they are, since some
+of those hold megabytes. The keys of the JSON are part of the stored form.
 """
 
 import json
@@ -8,33 +9,44 @@
 from typing import Any
 
 from pumicenotch.fleet.drains.budgets import Budget, Member
-from pumicenotch.fleet.replicated.fields import BadEntry
-from pumicenotch.fleet.replicated.records import Answer, Event, FleetHalt, Permit, Request
-from pumicenotch.fleet.replicated.state import State
-from pumicenotch.fleet.replicated.subject import Book, UnknownBook
+from pumicenotch.fleet.replicated.fields import InvalidCommandError
+from pumicenotch.fleet.replicated.records import (
+    DrainPermit,
+    Event,
+    FleetHalt,
+    QueuedDrain,
+    RecordedAnswer,
+)
+from pumicenotch.fleet.replicated.state import FleetState
+from pumicenotch.fleet.replicated.subject import ReplicatedSubject, UnknownSubjectError
 
 FIRST_FORM = 1
 RELEASES_FORM = 2
-BOOKS_FORM = 3
-FORMS = (FIRST_FORM, RELEASES_FORM, BOOKS_FORM)
-
-
-def dump(state: State) -> bytes:
-    """The same bytes for the same state."""
-    told = dump_fields(state)
-    books = [book for book in state.books.values() if state.releases.level >= book.level]
-    if not books:
-        return compact_json(told)
-    sections = [book.dump() for book in books]
-    told["form"] = BOOKS_FORM
-    told["books"] = [(book.name, len(data)) for book, data in zip(books, sections, strict=True)]
-    return b"\n".join((compact_json(told), b"".join(sections)))
-
-
-def dump_fields(state: State) -> dict[str, Any]:
-    told: dict[str, Any] = {
-        "form": RELEASES_FORM if state.releases.level > 1 else FIRST_FORM,
-        "index": state.index,
+SUBJECTS_FORM = 3
+KNOWN_FORMS = (FIRST_FORM, RELEASES_FORM, SUBJECTS_FORM)
+MAX_PROBLEM_LENGTH = 200
+
+
+def dump(state: FleetState) -> bytes:
+    """Returns the same bytes for the same state."""
+    header = _dump_header(state)
+    level = state.releases.level
+    subjects = [subject for subject in state.subjects.values() if level >= subject.level]
+    if not subjects:
+        return _compact_json(header)
+    sections = [subject.dump() for subject in subjects]
+    header["form"] = SUBJECTS_FORM
+    header["books"] = [
+        (subject.name, len(section)) for subject, section in zip(subjects, sections, strict=True)
+    ]
+    return b"\n".join((_compact_json(header), b"".join(sections)))
+
+
+def _dump_header(state: FleetState) -> dict[str, Any]:
+    has_releases = state.releases.level > 1
+    header: dict[str, Any] = {
+        "form": RELEASES_FORM if has_releases else FIRST_FORM,
+        "index": state.log_index,
         "fleet": state.fleet,
         "voters": state.voters,
         "members": list(state.members.values()),
@@ -42,64 +54,80 @@
         "queue": state.queue,
         "permits": list(state.permits.values()),
         "halts": list(state.halts.items()),
-        "ids": list(state.ids.items()),
+        "ids": list(state.answers.items()),
         "history": state.history,
     }
-    if state.releases.level > 1:
-        told["releases"] = state.releases.dump()
-    return told
+    if has_releases:
+        header["releases"] = state.releases.dump()
+    return header
 
 
-def compact_json(told: Any) -> bytes:
-    return json.dumps(told, separators=(",", ":")).encode()
+def _compact_json(value: Any) -> bytes:
+    return json.dumps(value, separators=(",", ":")).encode()
 
 
-def load(data: bytes, books: Sequence[Book] = ()) -> State:
-    """What `dump` gave. Raises BadEntry on anything else, UnknownBook where `books` lacks one of it."""
-    header, _, sections = data.partition(b"\n")
+def load(data: bytes, subjects: Sequence[ReplicatedSubject] = ()) -> FleetState:
+    """Returns the state that `dump` wrote.
+
+    Raises:
+        InvalidCommandError: the data is no snapshot, or of a form that this program does not know.
+        UnknownSubjectError: it has a subject that is not among `subjects`.
+    """
+    header_line, _, sections = data.partition(b"\n")
     try:
-        told = json.loads(header)
-        if told["form"] not in FORMS:
-            raise BadEntry(
-                f"a state of form {told['form']!r}: {FORMS} are known: a newer program is wanted"
+        header = json.loads(header_line)
+        if header["form"] not in KNOWN_FORMS:
+            raise InvalidCommandError(
+                f"a state of form {header['form']!r}: {KNOWN_FORMS} are known:"
+                " a newer program is wanted",
+                place="snapshot",
             )
-        made = State(books)
-        made.index, made.fleet = told["index"], told["fleet"]
-        made.voters = tuple(told["voters"])
-        made.members = {each[0]: member_of(each) for each in told["members"]}
-        made.budgets = tuple(Budget._make(each) for each in told["budgets"])
-        made.queue = [Request._make(each) for each in told["queue"]]
-        made.permits = {each[0]: Permit._make(each) for each in told["permits"]}
-        made.halts = {key: FleetHalt._make(halt) for key, halt in told["halts"]}
-        made.ids = {key: Answer._make(answer) for key, answer in told["ids"]}
-        made.history = [Event._make(each) for each in told["history"]]
-        if "releases" in told:
-            made.releases.load(told["releases"])
-        load_books(made, told.get("books", ()), sections)
-    except (BadEntry, UnknownBook):
+        state = _load_header(header, subjects)
+        _load_subjects(state, header.get("books", ()), sections)
+    except (InvalidCommandError, UnknownSubjectError):
         raise
     except (KeyError, TypeError, ValueError, IndexError) as error:
-        raise BadEntry(f"no state of a fleet: {type(error).__name__} {error}"[:200]) from None
-    made.settle()
-    return made
-
-
-def member_of(told: Any) -> Member:
-    member = Member._make(told)
+        problem = f"no state of a fleet: {type(error).__name__} {error}"
+        raise InvalidCommandError(problem[:MAX_PROBLEM_LENGTH], place="snapshot") from None
+    state.grant_permits()
+    return state
+
+
+def _load_header(header: dict[str, Any], subjects: Sequence[ReplicatedSubject]) -> FleetState:
+    state = FleetState(subjects)
+    state.log_index = header["index"]
+    state.fleet = header["fleet"]
+    state.voters = tuple(header["voters"])
+    state.members = {fields[0]: _load_member(fields) for fields in header["members"]}
+    state.budgets = tuple(map(Budget._make, header["budgets"]))
+    state.queue = list(map(QueuedDrain._make, header["queue"]))
+    state.permits = {fields[0]: DrainPermit._make(fields) for fields in header["permits"]}
+    state.halts = {key: FleetHalt._make(halt) for key, halt in header["halts"]}
+    state.answers = {key: RecordedAnswer._make(answer) for key, answer in header["ids"]}
+    state.history = list(map(Event._make, header["history"]))
+    if "releases" in header:
+        state.releases.load(header["releases"])
+    return state
+
+
+def _load_member(fields: Iterable[Any]) -> Member:
+    member = Member._make(fields)
     return member._replace(
-        serves=tuple(member.serves), uses=tuple(member.uses), formers=tuple(member.formers)
+        serves=tuple(member.serves),
+        uses=tuple(member.uses),
+        previous_incarnations=tuple(member.previous_incarnations),
     )
 
 
-def load_books(state: State, lengths: Iterable[tuple[str, int]], sections: bytes) -> None:
-    """Each book from its section: the sections follow each other in the order of `lengths`."""
-    found = list(lengths)
-    for book, _ in found:
-        if book not in state.books:
-            raise UnknownBook(book)
-    if sum(length for _, length in found) != len(sections):
-        raise ValueError("its books are not whole")
+def _load_subjects(state: FleetState, lengths: Iterable[tuple[str, int]], sections: bytes) -> None:
+    """Loads each subject from its section; the sections follow in the order of `lengths`."""
+    sizes = list(lengths)
+    for name, _ in sizes:
+        if name not in state.subjects:
+            raise UnknownSubjectError(name)
+    if sum(size for _, size in sizes) != len(sections):
+        raise ValueError("its subjects are cut short or followed by something else")
     start = 0
-    for book, length in found:
-        state.books[book].load(sections[start : start + length])
-        start += length
+    for name, size in sizes:
+        state.subjects[name].load(sections[start : start + size])
+        start += size
--- a/pumicenotch/fleet/replicated/subject.py
+++ b/pumicenotch/fleet/replicated/subject.py
@@ -1,63 +1,70 @@
-"""The seam between the fleet's agreed state and a subject that another package adds to it.
+"""The interface between the fleet's replicated state and a subject that another package adds to it.
 
-A voter's log carries the entries of every subject. The state hands a book the entries whose verbs are its
-own, and keeps the book's bytes in its snapshots. Without books nothing here is used.
+A voter's log carries the entries of every subject. The state hands a subject the entries whose
+verbs are its own, and carries the subject's bytes in its snapshots.
 """
 
 from collections.abc import Mapping
 from typing import Any, Protocol
 
-from pumicenotch.fleet.replicated.fields import Reader
+from pumicenotch.errors import PumicenotchError
+from pumicenotch.fleet.replicated.fields import FieldReader
 
 
-class Outcome(Protocol):
-    """What an entry came to, in the form of `entries.Said`."""
+class SubjectResult(Protocol):
+    """What an entry came to, in the form of `records.ApplyResult`."""
 
     @property
-    def good(self) -> bool: ...
+    def ok(self) -> bool:
+        """Whether the entry changed the subject as it was meant to."""
+
     @property
     def text(self) -> str:
-        """For whoever asked."""
+        """For whoever sent the entry."""
 
     @property
     def value(self) -> Any:
         """A result; of a refusal its error's code, if it has one."""
 
 
-class Book(Protocol):
-    """One subject of the agreed state. The same entries give the same book at every voter."""
+class ReplicatedSubject(Protocol):
+    """One subject of the state. The same entries lead to the same content at every voter."""
 
     @property
     def name(self) -> str:
-        """In snapshots: it stays the same from program to program."""
+        """The key of the subject in snapshots: it never changes."""
 
     @property
     def level(self) -> int:
-        """Of the fleet's entries, from which on all voters read this book's."""
+        """The level of the fleet's entries from which on all voters read this subject's."""
 
     @property
-    def verbs(self) -> Mapping[str, tuple[Reader, ...]]:
-        """Each entry's verb, with a reader for each of its fields. A reader raises ValueError."""
+    def verbs(self) -> Mapping[str, tuple[FieldReader, ...]]:
+        """The verbs of its entries, with a reader for each field; a reader raises ValueError."""
 
     def admit(self, verb: str, args: tuple[Any, ...]) -> None:
-        """Called by a leader before it proposes an entry. Raises ValueError for one that is not to be."""
+        """Called by a leader before it proposes an entry; raises ValueError to refuse it."""
 
-    def apply(self, index: int, verb: str, args: tuple[Any, ...]) -> Outcome:
-        """An agreed entry, its fields as the readers gave them. It raises nothing."""
+    def apply(self, index: int, verb: str, args: tuple[Any, ...]) -> SubjectResult:
+        """Applies the entry at that log index, its fields as the readers gave them; raises nothing."""
 
     def dump(self) -> bytes:
-        """The same bytes for the same content."""
+        """Returns the same bytes for the same content."""
 
     def load(self, data: bytes) -> None:
-        """In place of all that it holds. Raises ValueError on what `dump` did not give."""
+        """Replaces the content by what `dump` gave; raises ValueError on anything else."""
+
 
+class UnknownSubjectError(PumicenotchError, ValueError):
+    """Another voter's state has a subject that this voter does not have."""
 
-class UnknownBook(ValueError):
-    """Another voter's state has a subject that this voter does not keep."""
+    code = "unknown-subject"
 
     def __init__(self, name: str) -> None:
         super().__init__(
-            f"the fleet's state has the book {name!r}, which this voter does not keep: give its file the"
-            " block that the other voters' files have for it, or start it with a newer program"
+            "the fleet's state",
+            f"it has the subject {name!r}, which this voter does not have",
+            "give its file the block that the other voters' files have for it, or start it with a"
+            " newer program",
         )
         self.name = name
--- a/pumicenotch/fleet/voter/failure_detector.py
+++ b/pumicenotch/fleet/voter/failure_detector.py
@@ -1,152 +1,152 @@
-"""What the leader takes for granted of members: who is out against its will, and whose name is taken.
+"""What the leader concludes of members: who has failed, and whose name is taken.
 
-Voters tell the leader whom they think dead; members send heartbeats to the leader itself.
+Voters tell the leader whom they believe dead; members send heartbeats to the leader itself.
 """
 
 from collections.abc import Collection, Iterator, Mapping
 from typing import NamedTuple
 
 from pumicenotch.fleet.drains.budgets import SERVING, Member
-from pumicenotch.fleet.replicated.state import SILENT
+from pumicenotch.fleet.drains.lifecycle import SILENT
+from pumicenotch.fleet.replicated.commands import SetFailure
+from pumicenotch.fleet.replicated.registry import FIRST_LEVEL
 from pumicenotch.membership.messages import Opinion
 from pumicenotch.membership.swim import Members
 
-OVERLOADED = "overloaded"
-NEVER = float("-inf")
-OPINION_LASTS_MS = 5000.0  # of a voter's opinion: some lost ones change nothing
-NO_NEWS_MS = (
-    15_000.0  # for news of a member to reach a voter: many times what it takes among a thousand
-)
-NAME_HELD_MS = 3000.0  # a name's process that was heard from so lately keeps it
+OVERLOADED = "overloaded"  # the failure of a member that says so itself
+NEVER_MS = float("-inf")
+OPINION_LIFETIME_MS = 5000.0  # of a voter's opinion: some lost ones change nothing
+# For gossip of a member to reach a voter: many times what it takes among a thousand.
+GOSSIP_TIMEOUT_MS = 15_000.0
+NAME_LEASE_MS = 3000.0  # a name's process that was heard from this lately keeps it
 
 
 class Observation(NamedTuple):
     """One voter's opinion."""
 
-    at: float
+    at_ms: float
     dead: frozenset[str]
 
 
 class Heartbeat(NamedTuple):
-    """The last one of a member, since this process leads."""
+    """The last one of a member since this process leads."""
 
-    at: float
+    at_ms: float
     overloaded: bool
 
 
 class LastSeen(NamedTuple):
     """When a member's process last sent a heartbeat."""
 
-    life: str
-    at: float
-
-
-class Verdict(NamedTuple):
-    """Why a member is out against its will; "": it is not any more."""
-
-    name: str
-    life: str
-    why: str
+    incarnation: str
+    at_ms: float
 
 
 class SilentMembers:
-    """Whom one voter thinks dead, or has not heard of for so long that it should have."""
+    """Whom one voter believes dead, or has not heard of for too long."""
 
     def __init__(self) -> None:
-        self.no_news_since: dict[str, float] = {}  # of counted members that no news has come of
+        self.unknown_since_ms: dict[str, float] = {}  # counted members that no gossip speaks of
 
     def dead(
-        self, now: float, me: str, counted: Mapping[str, Member], members: Members
+        self, now_ms: float, me: str, counted: Mapping[str, Member], members: Members
     ) -> list[str]:
-        """Of those that the fleet counts, without this voter and members by hand."""
+        """Returns those that the fleet counts, without this voter and members without a process."""
         return sorted(
             name
-            for name, held in counted.items()
-            if held.life and name != me and self.is_dead(now, name, members)
+            for name, member in counted.items()
+            if member.incarnation and name != me and self._is_dead(now_ms, name, members)
         )
 
-    def is_dead(self, now: float, name: str, members: Members) -> bool:
+    def _is_dead(self, now_ms: float, name: str, members: Members) -> bool:
         if name in members.news:
-            self.no_news_since.pop(name, None)
+            self.unknown_since_ms.pop(name, None)
             return members.opinion(name) is Opinion.DEAD
-        return now - self.no_news_since.setdefault(name, now) > NO_NEWS_MS
+        return now_ms - self.unknown_since_ms.setdefault(name, now_ms) > GOSSIP_TIMEOUT_MS
 
 
 class FailureDetector:
-    """Of a leader. It remembers nothing that must last: a new one begins anew."""
+    """A leader's, from when it begins to lead. It remembers nothing that must last."""
 
-    def __init__(self, now: float, members: Mapping[str, Member]) -> None:
+    def __init__(self, now_ms: float, members: Mapping[str, Member]) -> None:
         self.observations: dict[str, Observation] = {}  # by voter
         self.heartbeats: dict[str, Heartbeat] = {}
-        # Who sent heartbeats to the former leader counts as heard: its name is not free.
-        self.last_seen = {name: LastSeen(held.life, now) for name, held in members.items()}
-
-    def observe(self, now: float, voter: str, dead: Collection[str]) -> None:
-        self.observations[voter] = Observation(now, frozenset(dead))
-
-    def heard(self, now: float, name: str, life: str, overloaded: bool) -> None:
-        self.last_seen[name] = LastSeen(life, now)
-        self.heartbeats[name] = Heartbeat(now, overloaded)
-
-    def holds_name(self, now: float, held: Member, interval_ms: float) -> bool:
-        """Whether the process that has this name is alive, so that no other may take it."""
-        seen = self.last_seen.get(held.name)
-        lately = seen is not None and now - seen.at < NAME_HELD_MS + interval_ms
-        return lately and held.standing == SERVING
-
-    def verdicts(
-        self, now: float, voters: int, members: Mapping[str, Member], interval_ms: float
-    ) -> Iterator[Verdict]:
-        """Out against its will is who a majority of the voters thinks dead, or who says so itself. It takes
-        as much to be well again, and its own heartbeat: a new leader that has heard of nobody yet knows of
-        no change.
+        # Who sent heartbeats to the former leader counts as heard: its name is not available.
+        self.last_seen = {
+            name: LastSeen(member.incarnation, now_ms) for name, member in members.items()
+        }
+
+    def observe(self, now_ms: float, voter: str, dead: Collection[str]) -> None:
+        """Takes a voter's opinion."""
+        self.observations[voter] = Observation(now_ms, frozenset(dead))
+
+    def on_heartbeat(self, now_ms: float, name: str, incarnation: str, overloaded: bool) -> None:
+        """Takes a member's heartbeat."""
+        self.last_seen[name] = LastSeen(incarnation, now_ms)
+        self.heartbeats[name] = Heartbeat(now_ms, overloaded)
+
+    def holds_name(self, now_ms: float, member: Member, interval_ms: float) -> bool:
+        """Tells whether the process that has this name is alive, so that no other may take it."""
+        seen = self.last_seen.get(member.name)
+        is_recent = seen is not None and now_ms - seen.at_ms < NAME_LEASE_MS + interval_ms
+        return is_recent and member.status == SERVING
+
+    def findings(
+        self, now_ms: float, voters: int, members: Mapping[str, Member], interval_ms: float
+    ) -> Iterator[SetFailure]:
+        """Yields the members that have failed or recovered.
+
+        A member has failed if a majority of the voters believes it dead, or if it says itself that
+        it is overloaded. It takes as much to recover, and its own heartbeat: a new leader that has
+        heard of nobody yet knows of no change.
         """
-        since = now - OPINION_LASTS_MS
-        fresh = [each.dead for each in self.observations.values() if each.at >= since]
-        if 2 * len(fresh) <= voters:
+        oldest_ms = now_ms - OPINION_LIFETIME_MS
+        opinions = [each.dead for each in self.observations.values() if each.at_ms >= oldest_ms]
+        if 2 * len(opinions) <= voters:
             return
-        for name, held in list(members.items()):
-            if not held.life or held.standing != SERVING:
+        for name, member in list(members.items()):
+            if not member.incarnation or member.status != SERVING:
                 continue
-            why = self.why_out(held, fresh, voters, since - interval_ms)
-            if why != held.against:
-                yield Verdict(name, held.life, why)
-
-    def why_out(self, held: Member, fresh: list[frozenset[str]], voters: int, since: float) -> str:
-        heartbeat = self.heartbeats.get(held.name, Heartbeat(NEVER, False))
-        dead = sum(held.name in each for each in fresh)
+            failure = self._failure_of(member, opinions, voters, oldest_ms - interval_ms)
+            if failure != member.failure:
+                yield SetFailure(name, member.incarnation, failure)
+
+    def _failure_of(
+        self, member: Member, opinions: list[frozenset[str]], voters: int, oldest_ms: float
+    ) -> str:
+        heartbeat = self.heartbeats.get(member.name, Heartbeat(NEVER_MS, False))
+        dead = sum(member.name in opinion for opinion in opinions)
         if 2 * dead > voters:
             return SILENT
-        if heartbeat.at >= since and 2 * (len(fresh) - dead) > voters:
+        if heartbeat.at_ms >= oldest_ms and 2 * (len(opinions) - dead) > voters:
             return OVERLOADED if heartbeat.overloaded else ""
-        return held.against
+        return member.failure
 
 
 class AnnouncedLevel(NamedTuple):
-    """The level of entries that a voter has said to understand."""
+    """The level of entries that a voter says it reads."""
 
-    at: float
+    at_ms: float
     level: int
 
 
 class VoterLevels:
-    """What the voters have told the leader since it leads."""
-
-    FIRST = 1  # that every program understands
+    """The levels that the voters have announced to the leader since it leads."""
 
     def __init__(self) -> None:
         self.announced: dict[str, AnnouncedLevel] = {}
 
-    def observe(self, now: float, voter: str, level: int) -> None:
-        self.announced[voter] = AnnouncedLevel(now, level)
+    def observe(self, now_ms: float, voter: str, level: int) -> None:
+        """Takes a voter's announcement."""
+        self.announced[voter] = AnnouncedLevel(now_ms, level)
 
-    def below(self, level: int, voters: Collection[str]) -> list[str]:
-        """Who has not said that it understands that level."""
-        unknown = AnnouncedLevel(NEVER, self.FIRST)
+    def voters_below(self, level: int, voters: Collection[str]) -> list[str]:
+        """Returns the voters that have not announced that level."""
+        unknown = AnnouncedLevel(NEVER_MS, FIRST_LEVEL)
         return [name for name in voters if self.announced.get(name, unknown).level < level]
 
-    def common(self, now: float, voters: int) -> int:
-        """What all understand; the first while some have not spoken lately."""
-        since = now - OPINION_LASTS_MS
-        fresh = [each.level for each in self.announced.values() if each.at >= since]
-        return min(fresh) if len(fresh) >= voters else self.FIRST
+    def common(self, now_ms: float, voters: int) -> int:
+        """Returns the level that all voters read; the first while some were not heard lately."""
+        oldest_ms = now_ms - OPINION_LIFETIME_MS
+        levels = [each.level for each in self.announced.values() if each.at_ms >= oldest_ms]
+        return min(levels) if len(levels) >= voters else FIRST_LEVEL
--- a/pumicenotch/fleet/voter/hints.py
+++ b/pumicenotch/fleet/voter/hints.py
@@ -1,50 +1,51 @@
-"""What the leader tells members and agents of themselves, with each heartbeat. A hint: the leader may have
-stopped leading, and each step that rests on it is an entry of its own.
-"""
+"""What the leader tells members and agents of themselves, with each heartbeat and report."""
 
-from typing import Any
-
-from pumicenotch.fleet.releases.release import NOTHING_DUE
-from pumicenotch.fleet.replicated.state import State
+from pumicenotch.fleet.agent.hint import AgentHint
+from pumicenotch.fleet.member.hint import MemberHint
+from pumicenotch.fleet.releases.release import NO_STEP
+from pumicenotch.fleet.replicated.state import FleetState
 from pumicenotch.fleet.voter.reports import Reports
 
 
-def member_hint(reports: Reports, name: str, life: str, interval_ms: float) -> dict[str, Any]:
-    """What is agreed of that member."""
+def member_hint(reports: Reports, name: str, incarnation: str, interval_ms: float) -> MemberHint:
+    """Returns what is agreed of that member's process."""
     state = reports.state
-    held, permit = state.members.get(name), state.permits.get(name)
-    own = permit if permit is not None and permit.life == life else None
-    return {
-        "known": held is not None and held.life == life,
-        "standing": held.standing if held is not None else "",
-        "permit": own.epoch if own is not None else 0,
-        "waits": reports.waiting_for(name) if name in state.waits else "",
-        "begun": own is not None and own.begun,
-        "halted": state.halted(),
-        "again_ms": interval_ms,
-        "counts": bool(state.releases.nodes),
-    }
+    member = state.members.get(name)
+    permit = state.permits.get(name)
+    has_permit = permit is not None and permit.incarnation == incarnation
+    return MemberHint(
+        is_known=member is not None and member.incarnation == incarnation,
+        status=member.status if member is not None else "",
+        permit_epoch=permit.epoch if permit is not None and has_permit else 0,
+        wait_reason=reports.describe_wait(name) if name in state.wait_reasons else "",
+        permit_started=permit is not None and has_permit and permit.started,
+        halt_reason=state.halt_reason(),
+        heartbeat_interval_ms=interval_ms,
+        wants_counts=bool(state.releases.nodes),
+    )
 
 
-def agent_hint(state: State, one: str, interval_ms: float) -> dict[str, Any]:
-    """What its agent is to do with that node, and which versions it is to hold."""
-    node, member = state.releases.nodes.get(one), state.members.get(one)
-    permit = state.permits.get(one)
-    due = state.releases.due(node) if node is not None else NOTHING_DUE
-    releases = [each for each in state.releases.open() if one in each.nodes]
+def agent_hint(state: FleetState, name: str, interval_ms: float) -> AgentHint:
+    """Returns what an agent is to do with its node, and which versions it is to store."""
+    releases = state.releases
+    node = releases.nodes.get(name)
+    member = state.members.get(name)
+    permit = state.permits.get(name)
+    next_step = releases.next_step(node) if node is not None else NO_STEP
+    concerned = [release for release in releases.open_releases() if name in release.nodes]
     versions = [
-        due.version,
-        *(each.version for each in releases),
-        *(each.replaces for each in releases),
+        next_step.version,
+        *(release.version for release in concerned),
+        *(release.replaces for release in concerned),
     ]
-    return {
-        "member": member is not None,
-        "life": member.life if member is not None else "",
-        "standing": member.standing if member is not None else "",
-        "permit": permit.epoch if permit is not None else 0,
-        "begun": permit is not None and permit.begun,
-        "due": due,
-        "hold": [version for version in dict.fromkeys(versions) if version],
-        "halted": state.halted(),
-        "again_ms": interval_ms,
-    }
+    return AgentHint(
+        is_member=member is not None,
+        incarnation=member.incarnation if member is not None else "",
+        status=member.status if member is not None else "",
+        permit_epoch=permit.epoch if permit is not None else 0,
+        permit_started=permit is not None and permit.started,
+        next_step=next_step,
+        wanted_versions=tuple(version for version in dict.fromkeys(versions) if version),
+        halt_reason=state.halt_reason(),
+        report_interval_ms=interval_ms,
+    )
