--- a/pumicenotch/fleet/voter/node.py
+++ b/pumicenotch/fleet/voter/node.py
@@ -1,395 +1,293 @@
-"""A voter's process. Whoever leads proposes what is asked for, judges by all voters' observations who is out
-against its will, and tells holders of their permits.
+"""A voter's process.
+
+Whoever leads proposes what is requested, concludes from all voters' observations who has failed,
+and tells holders of their permits.
 """
 
-from collections.abc import Callable, Iterable, Sequence
-from typing import Any, NamedTuple
+from typing import Any
 
 from pumicenotch.consensus import messages as agree
 from pumicenotch.consensus.bootstrap import seated
-from pumicenotch.fleet.canary.analysis import Watch, memory_of, rows_of
-from pumicenotch.fleet.drains.budgets import Budget, Member
-from pumicenotch.fleet.drains.durations import DrainTimes
-from pumicenotch.fleet.member.effects import Exit
-from pumicenotch.fleet.member.voter_client import NO_MAJORITY, NOT_LEADER, REFUSED, UNKNOWN
-from pumicenotch.fleet.replicated import commands as verbs
-from pumicenotch.fleet.replicated.fields import BadEntry, Said
-from pumicenotch.fleet.replicated.records import member_fields
-from pumicenotch.fleet.replicated.state import error_code
-from pumicenotch.fleet.replicated.subject import Book
+from pumicenotch.fleet.canary.analysis import CanaryAnalysis
+from pumicenotch.fleet.canary.counts import read_counts, read_memory_mb
+from pumicenotch.fleet.member.effects import Exit, RequestError
+from pumicenotch.fleet.member.voter_client import NO_MAJORITY, REFUSED, UNKNOWN_VERB
+from pumicenotch.fleet.releases.commands import ReportNode, SetLevel
+from pumicenotch.fleet.replicated.commands import BootstrapFleet, HaltFleet
+from pumicenotch.fleet.replicated.fields import InvalidCommandError
+from pumicenotch.fleet.replicated.registry import (
+    FIRST_LEVEL,
+    LEADER_VERBS,
+    REGISTRY,
+    RELEASES_LEVEL,
+    decode_command,
+)
 from pumicenotch.fleet.voter.failure_detector import (
-    NAME_HELD_MS,
-    NEVER,
+    NAME_LEASE_MS,
+    NEVER_MS,
     FailureDetector,
     SilentMembers,
     VoterLevels,
 )
 from pumicenotch.fleet.voter.hints import agent_hint, member_hint
-from pumicenotch.fleet.voter.pending import NOBODY, Pending, PendingRead
-from pumicenotch.fleet.voter.replica import ReplicaNode
-from pumicenotch.fleet.voter.reports import READ_VERBS, BadRead, Leading, Reports
+from pumicenotch.fleet.voter.pending import NO_CONNECTION, PendingRead
+from pumicenotch.fleet.voter.proposals import ProposerNode
+from pumicenotch.fleet.voter.replica import VoterSetup
+from pumicenotch.fleet.voter.reports import (
+    READ_VERBS,
+    InvalidReadError,
+    LeaderInfo,
+    Reports,
+    Sources,
+)
 from pumicenotch.sender import Sender
 
-# Entries that only a leader makes.
-LEADER_ENTRIES = frozenset(("begin", "against", "level", "word", "usual", "soaked", "harm"))
-OWN_VERBS = ("local", "mine", "agent")  # requests that are no entries and no reads
-RELEASES_LEVEL = 2  # of the fleet, from which on agents' words are agreed
-
+# Requests that are neither entries nor reads.
+LOCAL_STATUS_VERB = "local"
+HEARTBEAT_VERB = "mine"
+AGENT_REPORT_VERB = "agent"
+OTHER_VERBS = (LOCAL_STATUS_VERB, HEARTBEAT_VERB, AGENT_REPORT_VERB)
 
-class InitialState(NamedTuple):
-    """What a new fleet begins with."""
 
-    budgets: tuple[Budget, ...]
-    manual_members: tuple[Member, ...]
+class VoterNode(ProposerNode):
+    """Beside a member's inputs it takes requests of operators, members and agents.
 
-
-class VoterNode(ReplicaNode):
-    """Beside a member's inputs it takes requests of operators, members and agents, and answers them while it
-    leads.
+    It answers them while it leads; a follower answers with the leader's address.
     """
 
-    LEADER_CHECK_MS = (
-        250.0  # between looks at what a leader has to propose: a part of what a person notices
-    )
-    OPINION_MS = 1000.0  # between a voter's messages to the leader on whom it thinks dead
-    # for a proposal, before its asker hears that nobody agreed: a change of leaders fits in
-    PROPOSAL_TIMEOUT_MS = 3000.0
-    HAND_OVER_MS = (
-        1500.0  # for the handing over and the message of its leaving, before the process ends
-    )
-    HEARTBEAT_A_MEMBER_MS = (
-        5.0  # so that all members' heartbeats cost a leader a bounded part of a core
-    )
-
-    def __init__(
-        self,
-        *,
-        budgets: Iterable[Budget] = (),
-        manual_members: Iterable[Member] = (),
-        books: Callable[[], Sequence[Book]] = tuple,
-        **rest: Any,
-    ) -> None:
-        """Budgets and members by hand are those that a new fleet begins with."""
-        super().__init__(books=books, **rest)
-        self.initial_state = InitialState(tuple(budgets), tuple(manual_members))
-        self.pending: dict[int, Pending] = {}
+    # Between checks of what a leader has to propose: well below what a person notices.
+    LEADER_CHECK_MS = 250.0
+    OPINION_MS = 1000.0  # between a voter's messages to the leader on whom it believes dead
+    # For the leadership transfer and the report of its exit, before the process exits.
+    TRANSFER_MS = 1500.0
+
+    def __init__(self, setup: VoterSetup) -> None:
+        super().__init__(setup)
+        self.setup = setup
         self.pending_reads: dict[int, PendingRead] = {}
         self.last_read = 0
         self.silent_members = SilentMembers()
-        self.detector = FailureDetector(self.now, {})
-        self.voter_levels = VoterLevels()
-        self.drain_times = DrainTimes()
-        self.watch = Watch()  # while it leads
-        self.check_at = self.opinion_at = self.now
-        self.leave_at = float("inf")
+        self.analysis = CanaryAnalysis()  # while it leads
+        self.check_at_ms = self.now_ms
+        self.opinion_at_ms = self.now_ms
+        self.exit_at_ms = float("inf")
 
-    def due(self) -> float:
-        return min(super().due(), self.voter.due, self.check_at, self.leave_at)
+    def wake_at_ms(self) -> float:
+        """Returns when the next input `time` is due."""
+        return min(super().wake_at_ms(), self.voter.due, self.check_at_ms, self.exit_at_ms)
 
-    def time(self) -> None:
+    def on_time(self) -> None:
+        """Does what is due: the replica's timers, a leader's checks, its exit."""
         # In service is a voter whose replica has a vote: until then a majority may be without it.
-        self.serve(self.replica in self.voter.log.seats.voters, False)
-        super().time()
-        if self.now >= self.voter.due:
+        self.set_serving(self.replica in self.voter.log.seats.voters, False)
+        super().on_time()
+        if self.now_ms >= self.voter.due:
             self.step_voter("time")
-        if self.now >= self.check_at:
-            self.check_at = self.now + self.LEADER_CHECK_MS
+        if self.now_ms >= self.check_at_ms:
+            self.check_at_ms = self.now_ms + self.LEADER_CHECK_MS
             self.find_fleet()
             self.expire_proposals()
-            self.tell_opinion()
-            self.lead()
-        if self.now >= self.leave_at or (self.ending and self.gone_sent):
-            self.leave_at = float("inf")
+            self._send_opinion()
+            self._lead()
+        if self.now_ms >= self.exit_at_ms or (self.is_stopping and self.stop_reported):
+            self.exit_at_ms = float("inf")
             self.effects.append(Exit())
 
     def receive(self, sender: Sender, method: str, params: Any) -> None:
-        name, life, _ = sender
+        """Handles a notification; raises ValueError if it is malformed."""
+        name, incarnation, _ = sender
         match method:
-            case "sees" if name not in self.names:
+            case "sees" if name not in self.voter_addresses:
                 raise agree.BadMessage(f"{name} is no voter of this fleet")
             case "sees":
-                self.detector.observe(
-                    self.now, name, [each for each in params if isinstance(each, str)]
-                )
-                level = max([VoterLevels.FIRST, *(each for each in params if type(each) is int)])
-                self.voter_levels.observe(self.now, name, level)
+                dead = [item for item in params if isinstance(item, str)]
+                levels = [item for item in params if type(item) is int]
+                self.detector.observe(self.now_ms, name, dead)
+                self.voter_levels.observe(self.now_ms, name, max([FIRST_LEVEL, *levels]))
             case "counts":
                 if self.leads and len(params) == 2 and name in self.state.members:
-                    self.watch.told(self.now, name, life, rows_of(params[0]), memory_of(params[1]))
+                    counts = read_counts(params[0])
+                    memory_mb = read_memory_mb(params[1])
+                    self.analysis.observe_member(self.now_ms, name, incarnation, counts, memory_mb)
             case _:
                 super().receive(sender, method, params)
 
-    # The replica
-
-    def leader_changed(self) -> None:
+    def on_leader_changed(self) -> None:
+        """Starts over as a new leader, or refuses what a former leader had under way."""
         if self.voter.leader == self.replica:
             self.joining_replicas = {}
-            self.detector = FailureDetector(self.now, self.state.members)
-            self.voter_levels, self.watch = VoterLevels(), Watch()
+            self.detector = FailureDetector(self.now_ms, self.state.members)
+            self.voter_levels = VoterLevels()
+            self.analysis = CanaryAnalysis()
         elif self.pending:
             for pending in self.pending.values():
-                self.not_leader(pending.conn, pending.message)
+                self.refuse_as_follower(pending.connection_id, pending.message_id)
             self.pending = {}
 
-    def applied(self, index: int, entry: agree.Entry, said: Said, permits: set[str]) -> None:
-        if entry.kind == "do":
-            self.drain_times.observe(self.now, permits, self.state.permits, self.state.waits)
-            self.tell_holders(permits)
-        pending = self.pending.pop(index, None)
-        if pending is None:
-            return
-        if pending.term != entry.term:
-            self.not_leader(pending.conn, pending.message)
-        elif not said.good:
-            self.refuse(pending.conn, pending.message, REFUSED, said.text, said.value)
-        elif pending.conn != NOBODY:
-            answer = {"text": said.text, "value": said.value, "index": index, "agreed": True}
-            self.reply(pending.conn, pending.message, answer)
-
-    def tell_holders(self, before: set[str]) -> None:
-        """New holders hear of their permits at once: they ask by themselves too."""
-        if not self.leads:
-            return
-        for name in sorted(self.state.permits.keys() - before):
-            if name in self.members.news:
-                address = self.members.news[name].who.address
-                self.post(address, "permitted", self.state.permits[name].epoch)
-
     # Requests
 
-    def asked(self, conn: int, message: int, verb: str, args: Any) -> None:
-        args = tuple(args) if isinstance(args, list | tuple) else ()
-        if verb == "local" or (verb == "halt" and not self.leads):
-            # A halt holds here at once; the leader finds it among what is handed on.
-            super().asked(conn, message, verb, args)
+    def on_request(self, connection_id: int, message_id: int, verb: str, args: Any) -> None:
+        """Answers a request, or has it agreed first."""
+        fields = tuple(args) if isinstance(args, list | tuple) else ()
+        # A halt is in force here at once; the leader learns of it by gossip.
+        is_local_halt = verb == "halt" and not self.leads
+        if verb == LOCAL_STATUS_VERB or is_local_halt:
+            super().on_request(connection_id, message_id, verb, fields)
         elif not self.leads:
-            self.not_leader(conn, message)
+            self.refuse_as_follower(connection_id, message_id)
         elif not self.state.fleet:
-            self.refuse(conn, message, NO_MAJORITY, "the fleet has not begun yet")
+            error = RequestError(NO_MAJORITY, "the fleet has not begun yet")
+            self.refuse(connection_id, message_id, error)
         else:
-            self.asked_leader(conn, message, verb, args)
+            self._answer_as_leader(connection_id, message_id, verb, fields)
 
-    def asked_leader(self, conn: int, message: int, verb: str, args: tuple[Any, ...]) -> None:
+    def _answer_as_leader(
+        self, connection_id: int, message_id: int, verb: str, args: tuple[Any, ...]
+    ) -> None:
+        requested_verbs = (REGISTRY.keys() - LEADER_VERBS) | self.state.subject_by_verb.keys()
         if verb in READ_VERBS:
             self.last_read += 1
-            self.pending_reads[self.last_read] = PendingRead(conn, message, verb, args)
+            read = PendingRead(connection_id, message_id, verb, args)
+            self.pending_reads[self.last_read] = read
             self.step_voter("read", self.last_read)
-        elif verb == "mine":
-            self.asked_heartbeat(conn, message, args)
-        elif verb == "agent":
-            self.asked_agent(conn, message, args)
-        elif verb in self.requested_entries():
-            self.propose(conn, message, (verb, *args))
+        elif verb == HEARTBEAT_VERB:
+            self._answer_heartbeat(connection_id, message_id, args)
+        elif verb == AGENT_REPORT_VERB:
+            self._answer_agent(connection_id, message_id, args)
+        elif verb in requested_verbs:
+            self.propose(connection_id, message_id, (verb, *args))
         else:
-            known = sorted((*self.requested_entries(), *READ_VERBS, *OWN_VERBS))
-            self.refuse(conn, message, UNKNOWN, f"{verb}: unknown; known: {', '.join(known)}")
-
-    def requested_entries(self) -> set[str]:
-        return (verbs.ENTRIES.keys() - LEADER_ENTRIES) | self.state.book_by_verb.keys()
+            known = sorted((*requested_verbs, *READ_VERBS, *OTHER_VERBS))
+            error = RequestError(UNKNOWN_VERB, f"{verb}: unknown; known: {', '.join(known)}")
+            self.refuse(connection_id, message_id, error)
 
-    def closed(self, conn: int) -> None:
+    def on_connection_closed(self, connection_id: int) -> None:
+        """Forgets whom to answer on that connection."""
         for index, pending in list(self.pending.items()):
-            if pending.conn == conn:
-                self.pending[index] = pending._replace(conn=NOBODY)
+            if pending.connection_id == connection_id:
+                self.pending[index] = pending._replace(connection_id=NO_CONNECTION)
         self.pending_reads = {
-            key: read for key, read in self.pending_reads.items() if read.conn != conn
+            key: read
+            for key, read in self.pending_reads.items()
+            if read.connection_id != connection_id
         }
 
-    def not_leader(self, conn: int, message: int) -> None:
-        address = self.leader_address()
-        text = f"{agree.name_of(self.voter.leader)} leads" if address else "nobody leads just now"
-        self.refuse(conn, message, NOT_LEADER if address else NO_MAJORITY, text, address)
-
-    def refuse(self, conn: int, message: int, code: str, text: str, more: Any = None) -> None:
-        if conn != NOBODY:
-            super().refuse(conn, message, code, text, more)
-
-    # Reads
-
     def reports(self) -> Reports:
+        """Returns what operators may read now."""
         seats = self.voter.log.seats
-        leading = Leading(self.me.name, self.voter.term, seats.voters, seats.learners)
-        return Reports(self.now, self.state, leading, self.watch, self.drain_times)
+        leader = LeaderInfo(self.me.name, self.voter.term, seats.voters, seats.learners)
+        return Reports(self.now_ms, Sources(self.state, leader, self.analysis, self.durations))
 
     def answer_read(self, key: int) -> None:
+        """The read may be answered from the state as it is."""
         read = self.pending_reads.pop(key, None)
         if read is None:
             return
         try:
-            self.reply(read.conn, read.message, self.reports().answer(read.verb, read.args))
-        except BadRead as error:
-            self.refuse(read.conn, read.message, REFUSED, str(error))
+            answer = self.reports().answer(read.verb, read.args)
+        except InvalidReadError as error:
+            refusal = RequestError(REFUSED, str(error))
+            self.refuse(read.connection_id, read.message_id, refusal)
+            return
+        self.respond(read.connection_id, read.message_id, answer)
 
-    def read_failed(self, key: int) -> None:
+    def fail_read(self, key: int) -> None:
+        """This process does not lead any more."""
         read = self.pending_reads.pop(key, None)
         if read is not None:
-            self.not_leader(read.conn, read.message)
+            self.refuse_as_follower(read.connection_id, read.message_id)
 
-    # Members and agents
-
-    def heartbeat_interval_ms(self) -> float:
-        return max(self.HEARTBEAT_MS, self.HEARTBEAT_A_MEMBER_MS * len(self.state.members))
-
-    def asked_heartbeat(self, conn: int, message: int, args: tuple[Any, ...]) -> None:
+    def _answer_heartbeat(self, connection_id: int, message_id: int, args: tuple[Any, ...]) -> None:
         match args:
-            case [str(name), str(life), bool(overloaded)]:
-                held = self.state.members.get(name)
-                if held is not None and held.life == life:
-                    self.detector.heard(self.now, name, life, overloaded)
-                hint = member_hint(self.reports(), name, life, self.heartbeat_interval_ms())
-                self.reply(conn, message, hint)
+            case [str(name), str(incarnation), bool(overloaded)]:
+                member = self.state.members.get(name)
+                if member is not None and member.incarnation == incarnation:
+                    self.detector.on_heartbeat(self.now_ms, name, incarnation, overloaded)
+                interval_ms = self.heartbeat_interval()
+                hint = member_hint(self.reports(), name, incarnation, interval_ms)
+                self.respond(connection_id, message_id, hint.to_wire())
             case _:
-                self.refuse(
-                    conn, message, REFUSED, "mine: a name, a life and whether overloaded are wanted"
-                )
+                problem = "mine: a name, a life and whether overloaded are wanted"
+                self.refuse(connection_id, message_id, RequestError(REFUSED, problem))
 
-    def asked_agent(self, conn: int, message: int, args: tuple[Any, ...]) -> None:
-        """What an agent says of its node is agreed where it is new."""
+    def _answer_agent(self, connection_id: int, message_id: int, args: tuple[Any, ...]) -> None:
+        """Takes an agent's report; it is agreed where it is new."""
         try:
-            _, (one, *said) = verbs.read(("word", *args))
-        except BadEntry as error:
-            self.refuse(conn, message, REFUSED, str(error))
+            report = decode_command(("word", *args))
+        except InvalidCommandError as error:
+            self.refuse(connection_id, message_id, RequestError(REFUSED, str(error)))
             return
+        assert isinstance(report, ReportNode)
         releases = self.state.releases
-        node = releases.nodes.get(one)
-        if releases.level >= RELEASES_LEVEL and (node is None or node.reported != tuple(said)):
-            self.propose_own("word", one, *said)
-        self.reply(conn, message, agent_hint(self.state, one, self.heartbeat_interval_ms()))
-
-    # Proposals
-
-    def propose(self, conn: int, message: int, entry: tuple[Any, ...]) -> None:
-        """What cannot be read is refused before it is agreed, and what is not safe by what only the leader
-        knows.
-        """
-        try:
-            self.state.read(entry)
-            if why := self.unsafe(entry):
-                raise BadEntry(why)
-            self.state.admit(entry)
-        except ValueError as error:
-            self.refuse(conn, message, REFUSED, str(error), error_code(error))
-            return
-        if entry[0] == "halt":  # by this process at once, whenever it is agreed
-            self.mark(*entry[1:])
-        index = self.voter.log.last + 1
-        self.pending[index] = Pending(
-            self.voter.term, conn, message, self.now + self.PROPOSAL_TIMEOUT_MS
-        )
-        self.step_voter("propose", entry)
-        if self.voter.log.last < index and index in self.pending:  # it hands over just now
-            del self.pending[index]
-            self.refuse(conn, message, NO_MAJORITY, "the leader hands over: ask again", "")
-
-    def propose_own(self, *entry: Any) -> None:
-        self.propose(NOBODY, 0, entry)
-
-    def expire_proposals(self) -> None:
-        why = "no majority of the voters has agreed in time: it may come to pass still"
-        for index, pending in list(self.pending.items()):
-            if self.now >= pending.until:
-                del self.pending[index]
-                self.refuse(pending.conn, pending.message, NO_MAJORITY, why)
-
-    def unsafe(self, entry: tuple[Any, ...]) -> str:
-        """Why it is not to be proposed now; "" if it may be."""
-        verb = entry[0]
-        if verb == "join" and (why := self.name_taken(*entry[1][:2])):
-            return why
-        if verb != "level" and (why := self.below_level(verb)):
-            return why
-        if verb not in ("move", "began") or not self.unagreed_halt():
-            return ""
-        permit = self.state.permits.get(entry[1]) if verb == "began" else None
-        return "" if permit is not None and permit.begun else self.halted()
-
-    def name_taken(self, name: str, life: str) -> str:
-        held = self.state.members.get(name)
-        if held is None or held.life == life:
-            return ""
-        if not self.detector.holds_name(self.now, held, self.heartbeat_interval_ms()):
-            return ""
-        return f"{name}: the name is taken by a process that is alive ({held.life})"
-
-    def below_level(self, verb: str) -> str:
-        needs, level = self.state.level_of(verb), self.state.releases.level
-        if needs <= level:
-            return ""
-        old = self.voter_levels.below(needs, self.names)
-        return (
-            f"{verb} is of level {needs}, and the fleet is at level {level}: all voters have to understand it"
-            f" first; not heard so of {', '.join(old) or 'nobody: wait'}"
-        )
-
-    def unagreed_halt(self) -> bool:
-        """Whether members hand a halt on that is not in the log yet."""
-        key = self.marker().key
-        return bool(key) and key not in self.state.ids
+        node = releases.nodes.get(report.name)
+        is_new = node is None or node.reported != report[1:]
+        if releases.level >= RELEASES_LEVEL and is_new:
+            self.propose_command(report)
+        hint = agent_hint(self.state, report.name, self.heartbeat_interval())
+        self.respond(connection_id, message_id, hint.to_wire())
 
     # What a leader sees to
 
-    def tell_opinion(self) -> None:
-        """Whom this voter thinks dead, and what entries it understands."""
-        if self.now < self.opinion_at:
+    def _send_opinion(self) -> None:
+        """Tells the leader whom this voter believes dead, and what entries it reads."""
+        if self.now_ms < self.opinion_at_ms:
             return
-        self.opinion_at = self.now + self.OPINION_MS
-        dead = self.silent_members.dead(self.now, self.me.name, self.state.members, self.members)
+        self.opinion_at_ms = self.now_ms + self.OPINION_MS
+        me = self.me.name
+        dead = self.silent_members.dead(self.now_ms, me, self.state.members, self.members)
         if self.leads:
-            self.detector.observe(self.now, self.me.name, dead)
-            self.voter_levels.observe(self.now, self.me.name, self.level)
+            self.detector.observe(self.now_ms, me, dead)
+            self.voter_levels.observe(self.now_ms, me, self.level)
         elif address := self.leader_address():
-            self.post(address, "sees", *dead, self.level)
+            self.notify(address, "sees", *dead, self.level)
 
-    def lead(self) -> None:
+    def _lead(self) -> None:
         if not self.leads or not self.voter.settled():
             return
         if not self.state.fleet:
-            self.begin_fleet()
+            names = tuple(sorted(self.voter_addresses))
+            first = self.setup
+            self.propose_command(
+                BootstrapFleet(self.fleet, names, first.budgets, first.manual_members)
+            )
             return
-        self.agree_on_halts()
-        self.judge_members()
-        self.raise_level()
-        for entry in self.watch.look(self.now, self.state):
-            self.propose_own(*entry)
-        self.change_seats()
-
-    def begin_fleet(self) -> None:
-        names, first = tuple(sorted(self.names)), self.initial_state
-        manual_members = tuple(map(member_fields, first.manual_members))
-        self.propose_own("begin", self.fleet, names, first.budgets, manual_members)
-
-    def agree_on_halts(self) -> None:
-        """A halt that was said to any process is agreed once the leader hears of it; one that is over is
-        taken out of what is handed on.
-        """
-        halt = self.marker()
+        self._agree_on_halts()
+        self._detect_failures()
+        self._raise_level()
+        for finding in self.analysis.findings(self.now_ms, self.state):
+            self.propose_command(finding)
+        self._change_seats()
+
+    def _agree_on_halts(self) -> None:
+        """Proposes a halt that members gossip, and ends the gossip of one that is over."""
+        halt = self.halt_marker()
         if not halt.key:
             return
-        if halt.key not in self.state.ids:
-            self.propose_own("halt", halt.key, halt.by, halt.why)
+        if halt.key not in self.state.answers:
+            self.propose_command(HaltFleet(halt.key, halt.operator, halt.reason))
         elif halt.key not in self.state.halts:
-            self.mark("", "", "")
-
-    def judge_members(self) -> None:
-        members, interval_ms = self.state.members, self.heartbeat_interval_ms()
-        for each in self.detector.verdicts(self.now, len(self.names), members, interval_ms):
-            self.propose_own("against", each.name, each.life, each.why)
-
-    def raise_level(self) -> None:
-        """Entries that the oldest voter cannot read are not proposed before all voters can; nor while a
-        release may still have to go back.
-        """
-        common = self.voter_levels.common(self.now, len(self.names))
-        if common > self.state.releases.level and not self.state.releases.active():
-            self.propose_own("level", common)
-
-    def change_seats(self) -> None:
-        seats = seated(self.voter, self.joining_replicas, self.replica_heard)
+            self.gossip_halt("", "", "")
+
+    def _detect_failures(self) -> None:
+        members = self.state.members
+        interval_ms = self.heartbeat_interval()
+        voters = len(self.voter_addresses)
+        for failure in self.detector.findings(self.now_ms, voters, members, interval_ms):
+            self.propose_command(failure)
+
+    def _raise_level(self) -> None:
+        """Proposes the level that all voters read, but not while a release may have to go back."""
+        common = self.voter_levels.common(self.now_ms, len(self.voter_addresses))
+        releases = self.state.releases
+        if common > releases.level and not releases.active_releases():
+            self.propose_command(SetLevel(common))
+
+    def _change_seats(self) -> None:
+        seats = seated(self.voter, self.joining_replicas, self._is_replica_heard)
         if seats is None:
             return
-        self.log(
-            f"seats: {', '.join(seats.voters)}; learning: {', '.join(seats.learners) or 'none'}"
-        )
+        learners = ", ".join(seats.learners) or "none"
+        self.log(f"seats: {', '.join(seats.voters)}; learning: {learners}")
         self.step_voter("change", seats)
         self.joining_replicas = {
             name: replica
@@ -397,15 +295,15 @@
             if replica not in seats.voters
         }
 
-    def replica_heard(self, replica: str) -> bool:
-        return self.now - self.voter.answered_at.get(replica, NEVER) < NAME_HELD_MS
+    def _is_replica_heard(self, replica: str) -> bool:
+        return self.now_ms - self.voter.answered_at.get(replica, NEVER_MS) < NAME_LEASE_MS
 
-    # Leaving
+    # Exit
 
-    def left(self) -> None:
-        """Leadership goes to another before this process ends, so that nobody waits for an election."""
-        if not self.ending:
-            self.leave_at = self.now + self.HAND_OVER_MS
+    def stop(self) -> None:
+        """Transfers the leadership before this process exits, so that nobody waits for an election."""
+        if not self.is_stopping:
+            self.exit_at_ms = self.now_ms + self.TRANSFER_MS
             if self.leads:
                 self.step_voter("hand_over", "")
-        super().left()
+        super().stop()
--- a/pumicenotch/fleet/voter/pending.py
+++ b/pumicenotch/fleet/voter/pending.py
@@ -1,23 +1,23 @@
-"""What a leader has on its way for those that asked."""
+"""What a leader has under way for those that asked."""
 
 from typing import Any, NamedTuple
 
-NOBODY = -1  # in the place of a connection: the leader's own proposal, or its asker is gone
+NO_CONNECTION = -1  # the leader's own proposal, or its client is gone
 
 
-class Pending(NamedTuple):
-    """A proposal, by its index."""
+class PendingProposal(NamedTuple):
+    """A proposed entry whose client waits for agreement; kept by log index."""
 
     term: int
-    conn: int
-    message: int
-    until: float
+    connection_id: int
+    message_id: int
+    expires_at_ms: float
 
 
 class PendingRead(NamedTuple):
-    """A question that waits until it is known that this process leads still."""
+    """A read that waits until it is known that this process still leads."""
 
-    conn: int
-    message: int
+    connection_id: int
+    message_id: int
     verb: str
     args: tuple[Any, ...]
--- /dev/null
+++ b/pumicenotch/fleet/voter/proposals.py
@@ -0,0 +1,160 @@
+"""What a leader proposes: commands of clients and its own, checked before they are agreed."""
+
+from typing import Any
+
+from pumicenotch.consensus import messages as agree
+from pumicenotch.fleet.drains.durations import DrainDurations
+from pumicenotch.fleet.member.effects import RequestError
+from pumicenotch.fleet.member.voter_client import NO_MAJORITY, NOT_LEADER, REFUSED
+from pumicenotch.fleet.replicated.records import ApplyResult
+from pumicenotch.fleet.replicated.registry import Command, encode_command
+from pumicenotch.fleet.replicated.state import error_code
+from pumicenotch.fleet.voter.failure_detector import FailureDetector, VoterLevels
+from pumicenotch.fleet.voter.pending import NO_CONNECTION, PendingProposal
+from pumicenotch.fleet.voter.replica import COMMAND, ReplicaNode, VoterSetup
+
+
+class ProposerNode(ReplicaNode):
+    """Proposes entries while it leads, and answers their clients once they are applied."""
+
+    # For a proposal, until its client hears that nobody agreed: a change of leaders fits in.
+    PROPOSAL_TIMEOUT_MS = 3000.0
+    # So that all members' heartbeats cost a leader a bounded fraction of a core.
+    HEARTBEAT_MS_PER_MEMBER = 5.0
+
+    def __init__(self, setup: VoterSetup) -> None:
+        super().__init__(setup)
+        self.pending: dict[int, PendingProposal] = {}  # by log index
+        self.detector = FailureDetector(self.now_ms, {})
+        self.voter_levels = VoterLevels()
+        self.durations = DrainDurations()
+
+    def heartbeat_interval(self) -> float:
+        """Returns the ms between a member's heartbeats: more among many members."""
+        return max(self.HEARTBEAT_MS, self.HEARTBEAT_MS_PER_MEMBER * len(self.state.members))
+
+    # Proposals
+
+    def propose(self, connection_id: int, message_id: int, entry: tuple[Any, ...]) -> None:
+        """Proposes an entry, unless it cannot be read or is not safe now: then it is refused."""
+        try:
+            self.state.check(entry)
+            if reason := self._refusal_of(entry):
+                self.refuse(connection_id, message_id, RequestError(REFUSED, reason))
+                return
+            self.state.admit(entry)
+        except ValueError as error:
+            refusal = RequestError(REFUSED, str(error), error_code(error))
+            self.refuse(connection_id, message_id, refusal)
+            return
+        if entry[0] == "halt":  # in force for this process at once, whenever it is agreed
+            self.gossip_halt(*entry[1:])
+        index = self.voter.log.last + 1
+        expires_at_ms = self.now_ms + self.PROPOSAL_TIMEOUT_MS
+        self.pending[index] = PendingProposal(
+            self.voter.term, connection_id, message_id, expires_at_ms
+        )
+        self.step_voter("propose", entry)
+        if self.voter.log.last < index and index in self.pending:  # leadership is being transferred
+            del self.pending[index]
+            problem = "the leader hands over: ask again"
+            self.refuse(connection_id, message_id, RequestError(NO_MAJORITY, problem, ""))
+
+    def propose_command(self, command: Command) -> None:
+        """Proposes a command of the leader itself."""
+        self.propose(NO_CONNECTION, 0, encode_command(command))
+
+    def expire_proposals(self) -> None:
+        """Tells clients that wait too long that nobody has agreed yet."""
+        problem = "no majority of the voters has agreed in time: it may come to pass still"
+        for index, pending in list(self.pending.items()):
+            if self.now_ms >= pending.expires_at_ms:
+                del self.pending[index]
+                error = RequestError(NO_MAJORITY, problem)
+                self.refuse(pending.connection_id, pending.message_id, error)
+
+    def _refusal_of(self, entry: tuple[Any, ...]) -> str:
+        """Returns why the leader must not propose an entry now; "" if it may."""
+        verb = entry[0]
+        if verb == "join":
+            name, incarnation = entry[1][:2]
+            if reason := self._name_conflict(name, incarnation):
+                return reason
+        if verb != "level" and (reason := self._level_problem(verb)):
+            return reason
+        if verb not in ("move", "began") or not self.has_unagreed_halt():
+            return ""
+        permit = self.state.permits.get(entry[1]) if verb == "began" else None
+        return "" if permit is not None and permit.started else self.halt_reason()
+
+    def _name_conflict(self, name: str, incarnation: str) -> str:
+        member = self.state.members.get(name)
+        if member is None or member.incarnation == incarnation:
+            return ""
+        if not self.detector.holds_name(self.now_ms, member, self.heartbeat_interval()):
+            return ""
+        return f"{name}: the name is taken by a process that is alive ({member.incarnation})"
+
+    def _level_problem(self, verb: str) -> str:
+        required = self.state.level_of(verb)
+        level = self.state.releases.level
+        if required <= level:
+            return ""
+        below = self.voter_levels.voters_below(required, self.voter_addresses)
+        return (
+            f"{verb} is of level {required}, and the fleet is at level {level}: all voters have to"
+            f" understand it first; not heard so of {', '.join(below) or 'nobody: wait'}"
+        )
+
+    def has_unagreed_halt(self) -> bool:
+        """Tells whether members gossip a halt that is not in the log yet."""
+        key = self.halt_marker().key
+        return bool(key) and key not in self.state.answers
+
+    # Answers
+
+    def on_applied(
+        self, index: int, entry: agree.Entry, result: ApplyResult, permit_holders: set[str]
+    ) -> None:
+        """Answers the client of an applied entry, and tells new holders of their permits."""
+        if entry.kind == COMMAND:
+            self.durations.observe(
+                self.now_ms, permit_holders, self.state.permits, self.state.wait_reasons
+            )
+            self._notify_permit_holders(permit_holders)
+        pending = self.pending.pop(index, None)
+        if pending is None:
+            return
+        connection_id, message_id = pending.connection_id, pending.message_id
+        if pending.term != entry.term:
+            self.refuse_as_follower(connection_id, message_id)
+        elif not result.ok:
+            error = RequestError(REFUSED, result.text, result.value)
+            self.refuse(connection_id, message_id, error)
+        elif connection_id != NO_CONNECTION:
+            answer = {"text": result.text, "value": result.value, "index": index, "agreed": True}
+            self.respond(connection_id, message_id, answer)
+
+    def _notify_permit_holders(self, previous_holders: set[str]) -> None:
+        """Tells new holders of their permits at once: they ask by themselves too."""
+        if not self.leads:
+            return
+        for name in sorted(self.state.permits.keys() - previous_holders):
+            if name in self.members.news:
+                address = self.members.news[name].who.address
+                self.notify(address, "permitted", self.state.permits[name].epoch)
+
+    def refuse_as_follower(self, connection_id: int, message_id: int) -> None:
+        """Answers a request that only a leader may answer with the leader's address."""
+        address = self.leader_address()
+        if address:
+            problem = f"{agree.name_of(self.voter.leader)} leads"
+            error = RequestError(NOT_LEADER, problem, address)
+        else:
+            error = RequestError(NO_MAJORITY, "nobody leads just now", address)
+        self.refuse(connection_id, message_id, error)
+
+    def refuse(self, connection_id: int, message_id: int, error: RequestError) -> None:
+        """Answers a request with an error, if its client is still there."""
+        if connection_id != NO_CONNECTION:
+            super().refuse(connection_id, message_id, error)
--- a/pumicenotch/fleet/voter/replica.py
+++ b/pumicenotch/fleet/voter/replica.py
@@ -1,9 +1,7 @@
-"""A member that has a replica of the agreed log: how its replica gets a vote, and how what is agreed comes to
-the state.
-"""
+"""A member with a replica of the log: how its replica gets a vote, and how entries reach the state."""
 
 from abc import abstractmethod
-from collections.abc import Callable, Sequence
+from collections.abc import Callable, Mapping, Sequence
 from typing import Any, NamedTuple
 
 from pumicenotch.consensus import messages as agree
@@ -20,16 +18,28 @@
     name_of,
 )
 from pumicenotch.consensus.voter import LEADER, Voter
+from pumicenotch.fleet.drains.budgets import Budget, Member
 from pumicenotch.fleet.member.effects import Exit
-from pumicenotch.fleet.member.node import MemberNode
+from pumicenotch.fleet.member.node import MemberNode, MemberSetup
 from pumicenotch.fleet.releases import release
 from pumicenotch.fleet.replicated import snapshot
-from pumicenotch.fleet.replicated.fields import Said
-from pumicenotch.fleet.replicated.state import State
-from pumicenotch.fleet.replicated.subject import Book
+from pumicenotch.fleet.replicated.records import ApplyResult
+from pumicenotch.fleet.replicated.state import FleetState
+from pumicenotch.fleet.replicated.subject import ReplicatedSubject
 from pumicenotch.sender import Sender
 
-NOTHING_SAID = Said(False, "")  # of an entry that is the log's own
+COMMAND = "do"  # the kind of log entries that hold a command; the others are the log's own
+NO_RESULT = ApplyResult(False, "")  # of entries that are the log's own
+
+
+class VoterSetup(NamedTuple):
+    """What a voter's process is made from."""
+
+    member: MemberSetup
+    voters: Mapping[str, str]  # the addresses of all voters by name, this one's too
+    budgets: tuple[Budget, ...] = ()  # that a new fleet begins with
+    manual_members: tuple[Member, ...] = ()  # likewise
+    make_subjects: Callable[[], Sequence[ReplicatedSubject]] = tuple  # empty ones, for each state
 
 
 class Leadership(NamedTuple):
@@ -41,166 +51,170 @@
 
 
 class ReplicaNode(MemberNode):
-    """`step_voter` is its way to the replica; what the replica wants is carried out here."""
+    """Carries out what the replica wants; `step_voter` is the way to it."""
 
-    COMPACT_AT = 1024  # entries after which they make way for a snapshot: some hundred KB
+    # Entries after which they make way for a snapshot: some hundred KB.
+    COMPACT_AT = 1024
 
-    def __init__(
-        self, *, names: dict[str, str], books: Callable[[], Sequence[Book]], **rest: Any
-    ) -> None:
-        """`names` are all voters' addresses by name, this one's too. `books` makes the further subjects of
-        the log, once for each state.
-        """
-        super().__init__(voters=names.values(), **rest)
-        self.names = names
+    def __init__(self, setup: VoterSetup) -> None:
+        super().__init__(setup.member)
+        self.voter_addresses = dict(setup.voters)
         self.replica = f"{self.me.name}/{self.me.life}"
-        self.founding = Founding(self.replica, names)
-        self.voter = self.new_voter(Seats())
-        self.joining_replicas: dict[str, str] = {}  # name -> replica of processes that want a vote
-        self.books = books
-        self.state = State(books())
-        self.unreadable = False  # the fleet's state, by this program: it ends
+        self.founding = Founding(self.replica, self.voter_addresses)
+        self.voter = self._new_voter(Seats())
+        self.joining_replicas: dict[str, str] = {}  # by name: replicas that want a vote
+        self.make_subjects = setup.make_subjects
+        self.state = FleetState(setup.make_subjects())
+        self.cannot_read_state = False  # this program does not understand it: the process exits
 
-    def new_voter(self, seats: Seats) -> Voter:
-        return Voter(self.replica, self.now, seats, self.random.uniform)
+    def _new_voter(self, seats: Seats) -> Voter:
+        return Voter(self.replica, self.now_ms, seats, self.rng.uniform)
 
     @property
     def leads(self) -> bool:
+        """Whether this voter leads."""
         return self.voter.role == LEADER
 
     @property
     def level(self) -> int:
         """The highest level of entries that this process reads."""
-        return max([release.LEVEL, *(book.level for book in self.state.books.values())])
+        subjects = self.state.subjects.values()
+        return max([release.PROGRAM_LEVEL, *(subject.level for subject in subjects)])
 
     def leader_address(self) -> str:
-        """Of whoever leads; "": nobody, or nobody that this process knows."""
-        return self.names.get(name_of(self.voter.leader), "")
+        """Returns the leader's address; "" if nobody leads, as far as this process knows."""
+        return self.voter_addresses.get(name_of(self.voter.leader), "")
 
     def leadership(self) -> Leadership:
-        """For a carrier that hands it on to another reducer."""
+        """Returns who leads, for a carrier that hands it on to another reducer."""
         address = self.leader_address()
-        in_touch = (
-            self.voter.in_touch() if self.leads else bool(address) and self.voter.hears_leader()
-        )
+        if self.leads:
+            in_touch = self.voter.in_touch()
+        else:
+            in_touch = bool(address) and self.voter.hears_leader()
         return Leadership(address, self.leads, in_touch)
 
     # Getting a vote
 
     def find_fleet(self) -> None:
-        """Until its replica has a vote it asks for one; then it passes the founding on for a while."""
+        """Asks for a vote until the replica has one; then passes the bootstrap on for a while."""
         if self.voter.log.last > 0:
             self.founding.over = True
             if self.replica in self.voter.log.seats.all:
                 return
-        self.send_founding(self.founding.time(self.now))
-        self.take_founded_seats()
+        self._send_founding(self.founding.time(self.now_ms))
+        self._take_founded_seats()
 
-    def take_founded_seats(self) -> None:
+    def _take_founded_seats(self) -> None:
         seats = self.founding.seats
         if seats is not None and not self.voter.log.seats.voters and self.voter.log.last == 0:
-            self.voter = self.new_voter(seats)
+            self.voter = self._new_voter(seats)
             self.log(f"the fleet is founded: {', '.join(seats.voters)}")
-            self.send_founding(self.founding.time(self.now))
+            self._send_founding(self.founding.time(self.now_ms))
 
-    def send_founding(self, messages: list[Say]) -> None:
-        for each in messages:
-            if each.to in self.names:
-                self.post(self.names[each.to], "found", *each.told)
+    def _send_founding(self, founding_messages: list[Say]) -> None:
+        for message in founding_messages:
+            if message.to in self.voter_addresses:
+                self.notify(self.voter_addresses[message.to], "found", *message.told)
 
     def receive(self, sender: Sender, method: str, params: Any) -> None:
-        name, life, _ = sender
+        """Handles a notification; raises ValueError if it is malformed."""
+        name, incarnation, _ = sender
         match method:
-            case "agree" | "found" if name not in self.names:
+            case "agree" | "found" if name not in self.voter_addresses:
                 raise agree.BadMessage(f"{name} is no voter of this fleet")
             case "agree":
-                self.step_voter("message", f"{name}/{life}", agree.message_of(params))
+                message = agree.message_of(params)
+                self.step_voter("message", f"{name}/{incarnation}", message)
             case "found":
-                self.receive_founding(name, f"{name}/{life}", params)
+                self._receive_founding(name, f"{name}/{incarnation}", params)
             case _:
                 super().receive(sender, method, params)
 
-    def receive_founding(self, name: str, replica: str, params: Any) -> None:
-        asks = bool(params) and params[0] == "who"
-        if asks and self.leads and replica not in self.voter.log.seats.voters:
+    def _receive_founding(self, name: str, replica: str, params: Any) -> None:
+        wants_vote = bool(params) and params[0] == "who"
+        if wants_vote and self.leads and replica not in self.voter.log.seats.voters:
             self.joining_replicas[name] = replica
-        self.send_founding(self.founding.said(replica, params))
-        self.take_founded_seats()
+        self._send_founding(self.founding.said(replica, params))
+        self._take_founded_seats()
 
     # The replica
 
     def step_voter(self, name: str, *details: Any) -> None:
-        todo = self.voter.step(self.now, name, *details)
-        while todo and not self.unreadable:
-            effect = todo.pop(0)
+        """Gives the replica an input, and carries out its effects."""
+        pending = self.voter.step(self.now_ms, name, *details)
+        while pending and not self.cannot_read_state:
+            effect = pending.pop(0)
             match effect:
-                case Store(serial):  # in memory: a process that ends comes back as another replica
-                    todo += self.voter.step(self.now, "stored", serial)
+                case Store(serial):  # in memory: a process that exits returns as another replica
+                    pending += self.voter.step(self.now_ms, "stored", serial)
                 case Send(to, message):
-                    if address := self.names.get(name_of(to)):
-                        self.post(address, "agree", *agree.plain(message))
+                    if address := self.voter_addresses.get(name_of(to)):
+                        self.notify(address, "agree", *agree.plain(message))
                 case Commit(index, entry):
-                    self.commit(index, entry)
+                    self._commit(index, entry)
                 case Restore(index, data):
-                    self.restore(index, data)
+                    self._restore(index, data)
                 case Readable(key, _):
                     self.answer_read(key)
                 case Unreadable(key):
-                    self.read_failed(key)
+                    self.fail_read(key)
                 case Led(leader, term):
                     self.log(f"{leader or 'nobody'} leads in term {term}")
-                    self.leader_changed()
-
-    def commit(self, index: int, entry: agree.Entry) -> None:
-        permits = set(self.state.permits)
-        said = NOTHING_SAID
-        if entry.kind == "do":
-            said = self.state.apply(index, entry.data)
-            self.check_level()
+                    self.on_leader_changed()
+
+    def _commit(self, index: int, entry: agree.Entry) -> None:
+        permit_holders = set(self.state.permits)
+        result = NO_RESULT
+        if entry.kind == COMMAND:
+            result = self.state.apply(index, entry.data)
+            self._check_level()
         else:
-            self.state.index = index
-        self.applied(index, entry, said, permits)
+            self.state.log_index = index
+        self.on_applied(index, entry, result, permit_holders)
         log = self.voter.log
         if log.last - log.base > self.COMPACT_AT and self.voter.commit == index:
             self.voter.compact(index, snapshot.dump(self.state))
 
-    def restore(self, index: int, data: bytes) -> None:
+    def _restore(self, index: int, data: bytes) -> None:
         try:
-            self.state = snapshot.load(data, self.books())
+            self.state = snapshot.load(data, self.make_subjects())
         except ValueError as error:
-            self.give_up(str(error))
+            self._give_up(str(error))
             return
         self.log(f"takes the fleet's state as of {index}")
-        self.check_level()
+        self._check_level()
 
-    def check_level(self) -> None:
+    def _check_level(self) -> None:
         if self.state.releases.level > self.level:
-            self.give_up(
-                f"the fleet is at level {self.state.releases.level}, and this voter reads entries up to"
-                f" level {self.level}: give its file the blocks that the other voters' files have, or"
-                " start it with a newer program"
+            self._give_up(
+                f"the fleet is at level {self.state.releases.level}, and this voter reads entries"
+                f" up to level {self.level}: give its file the blocks that the other voters' files"
+                " have, or start it with a newer program"
             )
 
-    def give_up(self, why: str) -> None:
-        """A voter that cannot read what is agreed would hold another state than the others."""
-        self.unreadable = True
-        self.log(f"this voter ends: {why}")
+    def _give_up(self, reason: str) -> None:
+        """Ends a voter that cannot read what is agreed: its state would differ from the others'."""
+        self.cannot_read_state = True
+        self.log(f"this voter ends: {reason}")
         self.effects.append(Exit())
 
     # What comes of it
 
     @abstractmethod
-    def leader_changed(self) -> None:
-        """Another leads, or nobody."""
+    def on_leader_changed(self) -> None:
+        """Another voter leads, or nobody."""
 
     @abstractmethod
-    def applied(self, index: int, entry: agree.Entry, said: Said, permits: set[str]) -> None:
-        """The entry is agreed and in the state; `permits` are those that held one before it."""
+    def on_applied(
+        self, index: int, entry: agree.Entry, result: ApplyResult, permit_holders: set[str]
+    ) -> None:
+        """The entry is in the state; `permit_holders` held a permit before it."""
 
     @abstractmethod
     def answer_read(self, key: int) -> None:
-        """The read may be answered by the state as it is."""
+        """The read may be answered from the state as it is."""
 
     @abstractmethod
-    def read_failed(self, key: int) -> None:
+    def fail_read(self, key: int) -> None:
         """This process does not lead any more."""
--- a/pumicenotch/fleet/voter/reports.py
+++ b/pumicenotch/fleet/voter/reports.py
@@ -1,29 +1,36 @@
-"""What operators read of the fleet: plain tables made from the agreed state and from what the leader has
-seen.
+"""What operators read of the fleet: tables of the agreed state and of what the leader has seen.
+
+The keys of the tables are part of the command's `--json` output and never change.
 """
 
 from typing import Any, NamedTuple
 
-from pumicenotch.fleet.canary.analysis import Watch
-from pumicenotch.fleet.drains.budgets import Member, Tally
-from pumicenotch.fleet.drains.durations import DrainTimes
+from pumicenotch.errors import PumicenotchError
+from pumicenotch.fleet.canary.analysis import CanaryAnalysis
+from pumicenotch.fleet.drains.budgets import GroupOutages, Member
+from pumicenotch.fleet.drains.durations import DrainDurations
 from pumicenotch.fleet.releases.release import BUDGETS, Release
-from pumicenotch.fleet.releases.waves import waves_of
-from pumicenotch.fleet.replicated.records import Request
-from pumicenotch.fleet.replicated.state import State
+from pumicenotch.fleet.releases.waves import plan_waves
+from pumicenotch.fleet.replicated.records import QueuedDrain
+from pumicenotch.fleet.replicated.state import FleetState
 
-ROWS_MOST = 200  # of a table in one answer: some 30 KB
+MAX_ROWS = 200  # of a table in one answer: some 30 KB
 READ_VERBS = ("status", "why", "log", "halts", "releases", "one_release", "waves")
 
-Table = dict[str, Any]
+Table = dict[str, Any]  # JSON, by the names that operators know
+
+
+class InvalidReadError(PumicenotchError, ValueError):
+    """What is read is not there, or the arguments are of another type."""
 
+    code = "invalid-read"
 
-class BadRead(ValueError):
-    """What is asked about is not there, or the values are of another kind."""
+    def __init__(self, verb: str, problem: str) -> None:
+        super().__init__(verb, problem, "see `fleet status` and `release status` for what there is")
 
 
-class Leading(NamedTuple):
-    """Of the voter that answers."""
+class LeaderInfo(NamedTuple):
+    """Who answers, and who takes part in its consensus group."""
 
     name: str
     term: int
@@ -31,212 +38,229 @@
     learners: tuple[str, ...]
 
 
+class Sources(NamedTuple):
+    """What the tables are made from."""
+
+    state: FleetState
+    leader: LeaderInfo
+    analysis: CanaryAnalysis
+    durations: DrainDurations
+
+
 class Reports:
-    """Answers to one moment's questions."""
-
-    def __init__(
-        self, now: float, state: State, leading: Leading, watch: Watch, times: DrainTimes
-    ) -> None:
-        self.now, self.state, self.leading, self.watch, self.times = (
-            now,
-            state,
-            leading,
-            watch,
-            times,
-        )
+    """Answers the reads of one moment."""
+
+    def __init__(self, now_ms: float, sources: Sources) -> None:
+        self.now_ms = now_ms
+        self.state = sources.state
+        self.leader = sources.leader
+        self.analysis = sources.analysis
+        self.durations = sources.durations
 
     def answer(self, verb: str, args: tuple[Any, ...]) -> Table:
-        """To one of READ_VERBS. Raises BadRead."""
+        """Returns the answer to one of READ_VERBS; raises InvalidReadError."""
         match [verb, *args]:
             case ["status"]:
                 return self.status()
             case ["halts"]:
                 return {"halts": list(self.state.halts)}
-            case ["log", int(many)]:
-                return self.log(many)
+            case ["log", int(count)]:
+                return self.events(count)
             case ["releases"]:
                 return self.releases()
             case ["one_release", str(name)]:
                 return self.one_release(name)
-            case ["waves", [*shares], bool(mixed), str(order)]:
-                return {"waves": self.waves(tuple(map(float, shares)), mixed, order)}
+            case ["waves", [*fractions], bool(mixed), str(order)]:
+                return {"waves": self.waves(tuple(map(float, fractions)), mixed, order)}
             case ["why", str(name)]:
-                return self.why(name)
-        raise BadRead(f"{verb}: other values are wanted")
+                return self.one_member(name)
+        raise InvalidReadError(verb, "other values are wanted")
 
-    def log(self, many: int) -> Table:
+    def events(self, count: int) -> Table:
+        """Returns the last events, the latest last."""
         rows = [
-            {"index": each.at, "what": each.text} for each in self.state.history[-max(1, many) :]
+            {"index": event.log_index, "what": event.text}
+            for event in self.state.history[-max(1, count) :]
         ]
-        return {"log": rows[-ROWS_MOST:]}
+        return {"log": rows[-MAX_ROWS:]}
 
     # Releases
 
     def releases(self) -> Table:
-        found = self.state.releases
-        rows = [self.release_row(each) for each in list(found.releases.values())[-ROWS_MOST:]]
-        return {"level": found.level, "stands": found.stands, "releases": rows}
+        """Returns all releases, and the versions that the fleet is on."""
+        known = self.state.releases
+        rows = [self._release_row(each) for each in list(known.releases.values())[-MAX_ROWS:]]
+        return {"level": known.level, "stands": known.current_versions, "releases": rows}
 
     def one_release(self, name: str) -> Table:
+        """Returns a release with a row for each of its nodes; raises InvalidReadError."""
         release = self.state.releases.releases.get(name)
         if release is None:
-            raise BadRead(f"no release {name}")
-        return {**self.release_row(release), "rows": self.release_nodes(release)}
+            raise InvalidReadError("one_release", f"no release {name}")
+        return {**self._release_row(release), "rows": self._release_nodes(release)}
 
     def waves(
-        self, shares: tuple[float, ...], mixed: bool, order: str
+        self, fractions: tuple[float, ...], mixed: bool, order: str
     ) -> tuple[tuple[str, ...], ...]:
-        """Of all nodes that an agent has spoken for."""
+        """Returns the waves of all nodes that an agent has reported on."""
         nodes = self.state.releases.nodes
-        members = [each for each in self.state.members.values() if each.name in nodes]
-        return waves_of(members, shares=shares, mixed=mixed, order=order)
-
-    def release_row(self, release: Release) -> Table:
-        trial = self.watch.trials.get(release.name)
-        missing = (
-            self.state.releases.missing(release)
-            if release.active and release.slot != BUDGETS
-            else []
-        )
+        members = [member for member in self.state.members.values() if member.name in nodes]
+        return plan_waves(members, fractions=fractions, mixed=mixed, order=order)
+
+    def _release_row(self, release: Release) -> Table:
+        trial = self.analysis.trials.get(release.name)
+        has_nodes = release.is_active and release.slot != BUDGETS
+        missing = self.state.releases.missing_nodes(release) if has_nodes else []
         return {
             "name": release.name,
             "slot": release.slot,
             "version": release.version,
             "replaces": release.replaces,
             "state": release.state,
-            "stands": release.stands,
+            "stands": release.description,
             "wave": release.wave,
             "waves": [len(wave) for wave in release.waves],
             "nodes": len(release.nodes),
             "halts": [list(halt) for halt in release.halts],
-            "asks": release.asks,
-            "why": release.why,
+            "asks": release.approval_reason,
+            "why": release.reason,
             "harmed": list(release.harmed),
             "urgent": release.urgent,
-            "missing": missing[:ROWS_MOST],
+            "missing": missing[:MAX_ROWS],
             "judged": trial.text if trial is not None else "",
-            "usual_windows": len(self.watch.usual),
-            "has": sum(self.state.releases.has(release, one) for one in release.nodes),
+            "usual_windows": len(self.analysis.baseline_windows),
+            "has": sum(self.state.releases.runs_version(release, name) for name in release.nodes),
         }
 
-    def release_nodes(self, release: Release) -> list[Table]:
-        """What stands where: for when it is halted half way."""
-        found = [
-            self.release_node(release, one, number)
+    def _release_nodes(self, release: Release) -> list[Table]:
+        """Returns what runs where: for when the release is halted half way."""
+        rows = [
+            self._release_node(release, name, number)
             for number, wave in enumerate(release.waves, 1)
-            for one in wave
-            if one in self.state.releases.nodes and one in self.state.members
+            for name in wave
+            if name in self.state.releases.nodes and name in self.state.members
         ]
-        return found[:ROWS_MOST]
+        return rows[:MAX_ROWS]
 
-    def release_node(self, release: Release, one: str, wave: int) -> Table:
-        node, member = self.state.releases.nodes[one], self.state.members[one]
+    def _release_node(self, release: Release, name: str, wave: int) -> Table:
+        node = self.state.releases.nodes[name]
+        member = self.state.members[name]
         return {
-            "name": one,
+            "name": name,
             "zone": member.zone,
             "wave": wave,
             "runs": node.version(release.slot),
-            "serves": not self.state.is_out(member),
-            "trouble": node.trouble or member.against,
-            "waits": self.state.waits.get(one, ""),
+            "serves": not self.state.is_unavailable(member),
+            "trouble": node.problem or member.failure,
+            "waits": self.state.wait_reasons.get(name, ""),
         }
 
     # Members and drains
 
     def status(self) -> Table:
+        """Returns the fleet at a glance: who is unavailable, who waits, what exceeds its budget."""
         state = self.state
-        out = [each for each in state.members.values() if state.is_out(each)]
+        unavailable = [each for each in state.members.values() if state.is_unavailable(each)]
+        groups = list(state.outage_counts().groups.values())
+        open_releases = state.releases.open_releases()
         return {
             "fleet": state.fleet,
-            "index": state.index,
-            "leader": self.leading.name,
-            "term": self.leading.term,
-            "seats": list(self.leading.voters),
-            "learners": list(self.leading.learners),
-            "halted": state.halted(),
+            "index": state.log_index,
+            "leader": self.leader.name,
+            "term": self.leader.term,
+            "seats": list(self.leader.voters),
+            "learners": list(self.leader.learners),
+            "halted": state.halt_reason(),
             "members": len(state.members),
-            "out": len(out),
-            "rows": [self.member_row(each) for each in out[:ROWS_MOST]],
-            "waiting": [self.waiting_row(each) for each in state.queue[:ROWS_MOST]],
-            "budgets": [
-                budget_row(each) for each in list(state.tallies().found.values())[:ROWS_MOST]
-            ],
-            "over": state.over()[:ROWS_MOST],
+            "out": len(unavailable),
+            "rows": [self._member_row(each) for each in unavailable[:MAX_ROWS]],
+            "waiting": [self._waiting_row(each) for each in state.queue[:MAX_ROWS]],
+            "budgets": [_budget_row(each) for each in groups[:MAX_ROWS]],
+            "over": state.violations()[:MAX_ROWS],
             "level": state.releases.level,
-            "releases": [
-                {"name": each.name, "stands": each.stands} for each in state.releases.open()
-            ],
+            "releases": [{"name": each.name, "stands": each.description} for each in open_releases],
         }
 
-    def member_row(self, member: Member) -> Table:
+    def _member_row(self, member: Member) -> Table:
         permit = self.state.permits.get(member.name)
         return {
             "name": member.name,
             "zone": member.zone,
-            "standing": member.standing,
-            "against": member.against,
+            "standing": member.status,
+            "against": member.failure,
             "permit": permit.epoch if permit is not None else 0,
             "kind": permit.kind if permit is not None else "",
             "reason": permit.reason if permit is not None else "",
-            "ms": self.times.lasted_ms(self.now, member.name),
+            "ms": self.durations.elapsed_ms(self.now_ms, member.name),
         }
 
-    def waiting_row(self, request: Request) -> Table:
+    def _waiting_row(self, request: QueuedDrain) -> Table:
         return {
             "name": request.name,
-            "by": request.by,
+            "by": request.requested_by,
             "reason": request.reason,
-            "why": self.state.waits.get(request.name, ""),
-            "ms": self.times.lasted_ms(self.now, request.name),
+            "why": self.state.wait_reasons.get(request.name, ""),
+            "ms": self.durations.elapsed_ms(self.now_ms, request.name),
         }
 
-    def why(self, name: str) -> Table:
-        """Why it waits and about how long, or how else it stands."""
+    def one_member(self, name: str) -> Table:
+        """Returns why a member waits and about how long, or its status; raises InvalidReadError."""
         if name not in self.state.members:
-            raise BadRead(f"no member {name}")
-        member, waits = self.state.members[name], self.state.waits.get(name, "")
-        table = {**self.member_row(member), "budgets": self.budgets_of(member), "waits": waits}
-        if name in self.state.waits:
-            table |= {"ahead": self.queued_before(name), "a_drain_takes_ms": self.times.median_ms()}
+            raise InvalidReadError("why", f"no member {name}")
+        member = self.state.members[name]
+        wait_reason = self.state.wait_reasons.get(name, "")
+        table = {
+            **self._member_row(member),
+            "budgets": self._budgets_of(member),
+            "waits": wait_reason,
+        }
+        if name in self.state.wait_reasons:
+            table["ahead"] = self._queued_before(name)
+            table["a_drain_takes_ms"] = self.durations.median_ms()
         return table
 
-    def budgets_of(self, member: Member) -> list[Table]:
-        """The groups that it counts in, and who is out in each."""
-        state, tallies = self.state, self.state.tallies()
-        out = [each for each in state.members.values() if state.is_out(each)]
+    def _budgets_of(self, member: Member) -> list[Table]:
+        """Returns the groups that a member counts in, and who is unavailable in each."""
+        state = self.state
+        outages = state.outage_counts()
+        unavailable = [each for each in state.members.values() if state.is_unavailable(each)]
         rows = []
-        for tally in tallies.of(member):
-            names = [each.name for each in out if any(other is tally for other in tallies.of(each))]
+        for group in outages.groups_of(member):
+            names = [
+                other.name
+                for other in unavailable
+                if any(each is group for each in outages.groups_of(other))
+            ]
             rows.append(
                 {
-                    "budget": tally.place(),
-                    "members": tally.many,
-                    "out": names[:ROWS_MOST],
-                    "over": tally.over(),
+                    "budget": group.label(),
+                    "members": group.members,
+                    "out": names[:MAX_ROWS],
+                    "over": group.violation(),
                 }
             )
         return rows
 
-    def queued_before(self, name: str) -> int:
-        """How many asked before it and wait still."""
-        return [each.name for each in self.state.queue].index(name)
+    def _queued_before(self, name: str) -> int:
+        return [request.name for request in self.state.queue].index(name)
 
-    def waiting_for(self, name: str) -> str:
-        """For its holder: why, and about how long."""
-        took = self.times.median_ms()
-        each = f", of about {took / 1000.0:.0f} s each" if self.times.durations else ""
-        return f"{self.state.waits[name]}; {self.queued_before(name)} before it{each}"
+    def describe_wait(self, name: str) -> str:
+        """Returns why a queued drain waits and about how long, for its process."""
+        drain_s = self.durations.median_ms() / 1000.0
+        estimate = f", of about {drain_s:.0f} s each" if self.durations.durations_ms else ""
+        return f"{self.state.wait_reasons[name]}; {self._queued_before(name)} before it{estimate}"
 
 
-def budget_row(tally: Tally) -> Table:
+def _budget_row(group: GroupOutages) -> Table:
+    budget = group.budget
     return {
-        "budget": tally.budget.name,
-        "each": tally.budget.each,
-        "group": tally.group,
-        "members": tally.many,
-        "out": tally.out,
-        "over": tally.over(),
-        "most_out": tally.budget.most_out,
-        "least_serving": tally.budget.least_serving,
-        "least_capacity": tally.budget.least_capacity,
+        "budget": budget.name,
+        "each": budget.scope,
+        "group": group.group,
+        "members": group.members,
+        "out": group.unavailable,
+        "over": group.violation(),
+        "most_out": budget.max_unavailable,
+        "least_serving": budget.min_available,
+        "least_capacity": budget.min_capacity_fraction,
     }
--- a/pumicenotch/lab/draining.py
+++ b/pumicenotch/lab/draining.py
@@ -9,8 +9,8 @@
 from typing import Any, NamedTuple
 
 from pumicenotch.fleet.drains.budgets import Budget, Member
-from pumicenotch.fleet.replicated.records import member_fields
-from pumicenotch.fleet.replicated.state import State as Agreed
+from pumicenotch.fleet.replicated.records import ApplyResult, member_to_wire
+from pumicenotch.fleet.replicated.state import FleetState as Agreed
 from pumicenotch.lab.explore import Explorer
 
 UP, GOES, GONE = "up", "goes", "gone"
@@ -55,11 +55,11 @@
 class Quiet(Agreed):
     """Without what only people read: it would make every state another one."""
 
-    def note(self, what: str) -> None:
+    def record_event(self, text: str) -> None:
         pass
 
-    def answered(self, request: str, said: Any) -> Any:
-        return said
+    def record_answer(self, request_id: str, result: ApplyResult) -> ApplyResult:
+        return result
 
 
 class Draining:
@@ -71,18 +71,20 @@
     def first(self) -> State:
         made = self.type()
         made.apply(
-            1, ("begin", "f", ("v",), (Budget("zones", "zone", most_out=self.most_out),), ())
+            1, ("begin", "f", ("v",), (Budget("zones", "zone", max_unavailable=self.most_out),), ())
         )
         for name in self.NAMES:
-            made.apply(made.index + 1, ("join", member_fields(Member(name, "0", zone=name[0]))))
-            made.apply(made.index + 1, ("serving", name, "0"))
+            made.apply(
+                made.log_index + 1, ("join", member_to_wire(Member(name, "0", zone=name[0])))
+            )
+            made.apply(made.log_index + 1, ("serving", name, "0"))
         processes = tuple(Process(0, UP, False) for _ in self.NAMES)
         return State(self.frozen(made), processes, frozenset(), False, False, tuple(self.bounds))
 
     @staticmethod
     def frozen(made: Agreed) -> tuple[Any, ...]:
         return (
-            made.index,
+            made.log_index,
             tuple(made.members.values()),
             made.budgets,
             tuple(made.queue),
@@ -92,7 +94,7 @@
 
     def thawed(self, state: State) -> Agreed:
         made = self.type()
-        made.index, members, made.budgets, queue, permits, halts = state.agreed
+        made.log_index, members, made.budgets, queue, permits, halts = state.agreed
         made.fleet, made.voters = "f", ("v",)
         made.members = {member.name: member for member in members}
         made.queue, made.halts = list(queue), dict(halts)
@@ -127,7 +129,7 @@
                 ),
             )
         if left.lowers:
-            lower = ("budget", "b", (Budget("zones", "zone", most_out=0),), "op")
+            lower = ("budget", "b", (Budget("zones", "zone", max_unavailable=0),), "op")
             yield (
                 "the budget is lowered to none",
                 self.applied(self.spent(state, left, "lowers"), lower),
@@ -144,7 +146,12 @@
                 f"a drain of {name} is asked for",
                 self.applied(self.spent(state, left, "asks"), asks),
             )
-        if process.is_ == UP and permit is not None and permit.life == life and not process.away:
+        if (
+            process.is_ == UP
+            and permit is not None
+            and permit.incarnation == life
+            and not process.away
+        ):
             began = Letter(("began", name, life, permit.epoch))
             if began not in state.letters:
                 yield f"{name} hears of its permit", self.posted(state, began)
@@ -170,14 +177,14 @@
             new = str(process.life + 1)
             spent = self.spent(state, left, "returns")
             up = self.process(spent, at, is_=UP, life=process.life + 1, away=False)
-            joined = self.applied(up, ("join", member_fields(Member(name, new, zone=name[0]))))
+            joined = self.applied(up, ("join", member_to_wire(Member(name, new, zone=name[0]))))
             yield (
                 f"{name} is back as another life",
                 self.posted(joined, Letter(("serving", name, new))),
             )
         if left.silences:  # an opinion: it may be wrong
             held = agreed.members[name]
-            silent = ("against", name, held.life, "silent")
+            silent = ("against", name, held.incarnation, "silent")
             yield (
                 f"{name} is found silent",
                 self.applied(self.spent(state, left, "silences"), silent),
@@ -192,18 +199,18 @@
                 return self.process(state, at, is_=GOES, away=True)
             return state
         before, agreed = state, self.thawed(state)
-        said = agreed.apply(agreed.index + 1, letter.entry)
+        said = agreed.apply(agreed.log_index + 1, letter.entry)
         new = before._replace(agreed=self.frozen(agreed))
-        if letter.entry[0] == "began" and said.good:
+        if letter.entry[0] == "began" and said.ok:
             old = self.thawed(before).permits.get(name)
-            if before.halted and old is not None and not old.begun:
+            if before.halted and old is not None and not old.started:
                 new = new._replace(after_halt=True)
             return self.posted(new, Letter(letter.entry, answer=True))
         return new
 
     def applied(self, state: State, entry: tuple[Any, ...]) -> State:
         agreed = self.thawed(state)
-        agreed.apply(agreed.index + 1, entry)
+        agreed.apply(agreed.log_index + 1, entry)
         return state._replace(agreed=self.frozen(agreed))
 
     @staticmethod
--- a/pumicenotch/lab/fleets.py
+++ b/pumicenotch/lab/fleets.py
@@ -12,9 +12,11 @@
 
 from pumicenotch.fleet.drains.budgets import Budget, Member
 from pumicenotch.fleet.member import effects
-from pumicenotch.fleet.member.node import MemberNode
-from pumicenotch.fleet.replicated.subject import Book
+from pumicenotch.fleet.member.node import MemberNode, MemberSetup
+from pumicenotch.fleet.replicated.state import FleetState
+from pumicenotch.fleet.replicated.subject import ReplicatedSubject
 from pumicenotch.fleet.voter.node import VoterNode
+from pumicenotch.fleet.voter.replica import VoterSetup
 from pumicenotch.lab.simulated_time import SimulatedTime
 from pumicenotch.membership.messages import Who
 from pumicenotch.sender import Sender
@@ -67,7 +69,9 @@
         self.voters: dict[str, str] = {}
         self.budgets: tuple[Budget, ...] = ()
         self.manual_members: tuple[Member, ...] = ()
-        self.books: Callable[[str], Sequence[Book]] = lambda name: ()  # of that voter
+        self.subjects: Callable[[str], Sequence[ReplicatedSubject]] = (
+            lambda name: ()
+        )  # of that voter
         self.away: dict[str, float] = {}  # by permit, since when
         self.log: list[tuple[float, str, str]] = []
         self.on_leave: Callable[[str], None] = lambda name: None
@@ -92,24 +96,27 @@
         process.stopped, process.late, process.wake_at = False, [], float("inf")
         life = f"{process.life:04d}"
         member = Member(name, life, spec.zone, voter=spec.voter, **spec.more)
-        told: dict[str, Any] = {
-            "fleet": "day",
-            "me": Who(name, name, life, int(self.now) + 1, spec.zone, ""),
-            "member": member,
-            "seeds": list(self.voters),
-            "now": self.now,
-            "seed": self.chance.getrandbits(32),
-        }
+        setup = MemberSetup(
+            fleet="day",
+            me=Who(name, name, life, int(self.now) + 1, spec.zone, ""),
+            member=member,
+            voters=tuple(self.voters.values()),
+            seeds=tuple(self.voters),
+            now_ms=self.now,
+            seed=self.chance.getrandbits(32),
+        )
         if spec.voter:
             process.core = VoterNode(
-                names=self.voters,
-                budgets=self.budgets,
-                manual_members=self.manual_members,
-                books=partial(self.books, name),
-                **told,
+                VoterSetup(
+                    member=setup,
+                    voters=self.voters,
+                    budgets=self.budgets,
+                    manual_members=self.manual_members,
+                    make_subjects=partial(self.subjects, name),
+                )
             )
         else:
-            process.core = MemberNode(voters=self.voters.values(), **told)
+            process.core = MemberNode(setup)
         self.away.pop(name, None)
         self.put(name, "start")
         if not spec.voter:
@@ -144,25 +151,25 @@
     def carry_out(self, process: Process, effect: effects.Effect) -> None:
         name = process.spec.name
         match effect:
-            case effects.Post(address, method, params):
+            case effects.SendNotification(address, method, params):
                 core = process.core
                 assert core is not None
                 sender = Sender(name, core.me.life, process.address)
                 self.send(process, address, "told", sender, method, self.wire(process, params))
-            case effects.Ask(address, number, verb, args):
+            case effects.SendRequest(address, number, verb, args):
                 self.count += 1
                 conn = self.count
                 self.conns[conn] = (name, number)
                 self.send(process, address, "asked", conn, number, verb, self.wire(process, args))
-            case effects.Reply(conn, _, error, result):
+            case effects.SendResponse(conn, _, error, result):
                 asker, number = self.conns.pop(conn, ("", 0))
                 if asker:
                     self.send(process, asker, "answered", number, error, self.wire(process, result))
                 else:  # an operator's
                     self.answers[conn] = (error, result)
-            case effects.Leave():
+            case effects.StartDraining():
                 self.leave(process)
-            case effects.Wake(at):
+            case effects.WakeAt(at):
                 self.alarm(process, at)
             case effects.Log(text):
                 self.log.append((self.now, name, text))
@@ -307,7 +314,7 @@
             self.run(100.0)
         raise AssertionError(f"{verb} was not agreed within {within_ms:g} ms: {self.tail()}")
 
-    def state(self) -> Any:
+    def state(self) -> FleetState:
         leader = self.leader()
         assert leader, "nobody leads"
         core = self.processes[leader].core
@@ -329,8 +336,8 @@
     """
     day = Day(seed, **more)
     day.budgets = tuple(budgets) or (
-        Budget("zones", "zone", most_out=1),
-        Budget("all", "fleet", most_out=2),
+        Budget("zones", "zone", max_unavailable=1),
+        Budget("all", "fleet", max_unavailable=2),
     )
     for at in range(voters):
         day.add(f"v{at + 1}", f"z{at % zones}", voter=True)
@@ -341,7 +348,7 @@
     day.until(
         lambda: (
             len(day.state().members) == nodes + voters
-            and not any(day.state().is_out(each) for each in day.state().members.values())
+            and not any(day.state().is_unavailable(each) for each in day.state().members.values())
         ),
         120_000.0,
     )
--- a/pumicenotch/lab/hollow.py
+++ b/pumicenotch/lab/hollow.py
@@ -102,7 +102,7 @@
             if self.instances.get(number) is instance:
                 del self.instances[number]
             if instance.member is not None:
-                self.counts.update(instance.member.counts)
+                self.counts.update(instance.member.counters)
 
     async def replace(self, number: int) -> None:
         """An orderly end, then another life in its place."""
@@ -141,8 +141,8 @@
         counts = self.counts.copy()
         for instance in self.instances.values():
             if instance.member is not None:
-                report.serving += instance.member.agreed_serving
-                counts.update(instance.member.counts)
+                report.serving += instance.member.is_agreed_serving
+                counts.update(instance.member.counters)
         report.counts, report.lives, self.lives = dict(counts), self.lives, []
         self.observed(report)
         report.descriptors = len(os.listdir("/proc/self/fd"))
--- a/pumicenotch/lab/hollow_instance.py
+++ b/pumicenotch/lab/hollow_instance.py
@@ -12,7 +12,7 @@
 from pumicenotch import start
 from pumicenotch.distribution.instance_settings import InstanceSettings
 from pumicenotch.fleet.member import effects
-from pumicenotch.fleet.member.node import MemberNode
+from pumicenotch.fleet.member.node import MemberNode, MemberSetup
 from pumicenotch.fleet.member.settings import FleetSettings
 from pumicenotch.lab.hollow_configuration import HollowConfiguration, configured
 from pumicenotch.lab.hollow_messages import FIRST_BEGAN_MS, Place, Report, Spec, life_of
@@ -47,13 +47,13 @@
 class HollowMember(MemberNode):
     """The real one, with its opinions watched."""
 
-    def __init__(self, meter: Meter, **rest: Any) -> None:
-        super().__init__(**rest)
+    def __init__(self, meter: Meter, setup: MemberSetup) -> None:
+        super().__init__(setup)
         self.meter = meter
         self.holds_dead: dict[str, str] = {}  # name -> life
 
-    def changed(self, news: News) -> None:
-        super().changed(news)
+    def on_member_changed(self, news: News) -> None:
+        super().on_member_changed(news)
         name, life = news.who.name, news.who.life
         if (before := self.holds_dead.pop(name, None)) is not None:
             self.meter.thought_dead(name, before, -1)
@@ -73,11 +73,11 @@
                 members.news[who.name] = News(
                     who, KNOWN_INCARNATION, Standing.SERVING, Opinion.ALIVE, who.name
                 )
-                members.since[who.name] = self.now
+                members.since[who.name] = self.now_ms
         members.pages_told = members.SEEDED + 1 + chance.randrange(3)
-        members.page_at = self.now + after_ms
+        members.page_at = self.now_ms + after_ms
         members.page_at += chance.uniform(0.0, members.PAGE_PERIODS * members.PERIOD_MS)
-        members.next_at = self.now + after_ms + chance.uniform(0.0, members.PERIOD_MS)
+        members.next_at = self.now_ms + after_ms + chance.uniform(0.0, members.PERIOD_MS)
 
     def forget_all(self) -> None:
         """Its process ends: what it held is held no more."""
@@ -177,13 +177,15 @@
         chance = random.Random(self.spec.seed * 1_000_003 + self.number * 101 + self.generation)
         member = HollowMember(
             self.meter,
-            fleet=self.spec.fleet,
-            member=settings.member(life),
-            voters=settings.voters,
-            me=Who(place.name, place.address, life, began, place.zone, place.region),
-            seeds=settings.voters,
-            now=timer.now(),
-            seed=chance.getrandbits(32),
+            MemberSetup(
+                fleet=self.spec.fleet,
+                me=Who(place.name, place.address, life, began, place.zone, place.region),
+                member=settings.member(life),
+                voters=settings.voters,
+                seeds=settings.voters,
+                now_ms=timer.now(),
+                seed=chance.getrandbits(32),
+            ),
         )
         if known:
             member.know(known, after_s * 1000.0, chance)
@@ -212,7 +214,7 @@
             await anyio.sleep(DRAIN_S)
             self.hub.put("left")
             with anyio.move_on_after(GONE_S):
-                while not self.member.gone_sent:
+                while not self.member.stop_reported:
                     await anyio.sleep(0.05)
         self.stopped.set()
 
--- a/pumicenotch/lab/releaserun.py
+++ b/pumicenotch/lab/releaserun.py
@@ -19,7 +19,7 @@
 
 import pumicenotch
 from pumicenotch.config.versions import pack
-from pumicenotch.fleet.releases.release import LEVEL
+from pumicenotch.fleet.releases.release import PROGRAM_LEVEL
 from pumicenotch.lab import world as world_
 from pumicenotch.lab.crew import FLEET, Crew, Refused
 from pumicenotch.lab.fleetrun import FORMED_S, LOOK_S, FleetRun
@@ -67,7 +67,7 @@
     pass
 if "pumicenotch.net.fleet" in sys.orig_argv:
     from pumicenotch.fleet.releases import release
-    release.LEVEL = 3
+    release.PROGRAM_LEVEL = 3
 """,
     "kills-below": """\
     import json, socket, threading, time
@@ -305,7 +305,12 @@
             "soak": int(self.world.soak_ms),
             "back": True,
         }
-        usual |= {"wait": 20 * int(self.world.soak_ms), "urgent": False, "level": LEVEL, **more}
+        usual |= {
+            "wait": 20 * int(self.world.soak_ms),
+            "urgent": False,
+            "level": PROGRAM_LEVEL,
+            **more,
+        }
         entry = [
             name,
             usual["slot"],
--- a/pumicenotch/lab/releasing.py
+++ b/pumicenotch/lab/releasing.py
@@ -6,12 +6,12 @@
 from collections.abc import Iterable
 from typing import Any, NamedTuple
 
-from pumicenotch.fleet.agent.agent import Agent
+from pumicenotch.fleet.agent.agent import Agent, AgentSetup
 from pumicenotch.fleet.drains.budgets import Budget
 from pumicenotch.fleet.member import effects
-from pumicenotch.fleet.releases.commands import plan_fields
+from pumicenotch.fleet.releases.commands import release_to_wire
 from pumicenotch.fleet.releases.release import PLANNED, Release
-from pumicenotch.fleet.releases.waves import waves_of
+from pumicenotch.fleet.releases.waves import plan_waves
 from pumicenotch.lab import fleets
 from pumicenotch.lab.fleets import Day, Process
 
@@ -69,19 +69,20 @@
         process = self.processes[name]
         process.life += 1
         process.stopped, process.late, process.wake_at = False, [], float("inf")
-        process.core = Agent(  # type: ignore[assignment]
+        setup = AgentSetup(
             fleet="day",
             node=node,
-            life=f"{process.life:04d}",
-            voters=self.voters.values(),
-            runs=self.runs[node],
-            holds=self.holds[node],
-            child=self.processes[node].up,
-            start_ms=10_000.0,
-            drain_ms=6000.0,
-            now=self.now,
+            incarnation=f"{process.life:04d}",
+            voters=tuple(self.voters.values()),
+            versions=self.runs[node],
+            stored=tuple(self.holds[node]),
+            has_server=self.processes[node].up,
+            start_timeout_ms=10_000.0,
+            drain_timeout_ms=6000.0,
+            now_ms=self.now,
             seed=self.chance.getrandbits(32),
         )
+        process.core = Agent(setup)  # type: ignore[assignment]
         self.put(name, "start")
 
     def version(self, node: str) -> Version:
@@ -91,7 +92,7 @@
         name = process.spec.name
         node = self.agents.get(name)
         if node is None:
-            if isinstance(effect, effects.Leave) and self.version(name).hangs:
+            if isinstance(effect, effects.StartDraining) and self.version(name).hangs:
                 return
             super().carry_out(process, effect)
             return
@@ -104,23 +105,23 @@
             )
 
         match effect:
-            case effects.Hold(version):
+            case effects.FetchVersion(version):
                 full = node in self.full
                 if not full and version not in self.holds[node]:
                     self.holds[node].append(version)
                 later(HOLD_MS, "held", version, "no space left on device" if full else "")
-            case effects.Swap(slot, version):
+            case effects.ActivateVersion(slot, version):
                 self.runs[node] = {**self.runs[node], slot: version}
                 self.ever[version].add(node)
                 self.moves.append((self.now, node, version))
                 later(SWAP_MS, "swapped", slot, "")
-            case effects.Start():
+            case effects.StartServer():
                 self.at(self.now + fleets.RESTART_MS, lambda: self.started(node))
-            case effects.End(force):
+            case effects.StopServer(force):
                 self.at(self.now + 100.0, lambda: self.told_to_end(node, force))
-            case effects.Anew():
+            case effects.RestartAgent():
                 self.boot(name)
-            case effects.Reread() | effects.Proven():
+            case effects.ReloadServer() | effects.ConfirmVersions():
                 pass
             case _:
                 super().carry_out(process, effect)
@@ -198,11 +199,11 @@
     def plan(self, name: str = "r1", version: str = NEW, **more: Any) -> Any:
         """Plans and starts it; the last answer."""
         told = self.release(name, version, **more)
-        text = self.agreed("plan", f"p-{name}", plan_fields(told), "op")
+        text = self.agreed("plan", f"p-{name}", release_to_wire(told), "op")
         return text if isinstance(text, str) else self.word(name, "start")
 
     def release(self, name: str, version: str, **more: Any) -> Release:
-        waves = more.pop("waves", None) or waves_of(
+        waves = more.pop("waves", None) or plan_waves(
             [
                 each
                 for each in self.state().members.values()
@@ -212,8 +213,8 @@
         usual: dict[str, Any] = {
             "slot": "program",
             "soak_ms": 5000,
-            "wait_ms": 30_000,
-            "back": True,
+            "extra_soak_ms": 30_000,
+            "rolls_back": True,
             "gate": 0,
         }
         usual |= {"urgent": False, "mixed": False, "replaces": "", "level": 2, **more}
@@ -249,8 +250,8 @@
     day = Agents(seed, **more)
     day.versions = versions or {}
     day.budgets = tuple(budgets) or (
-        Budget("zones", "zone", most_out=1),
-        Budget("all", "fleet", most_out=2),
+        Budget("zones", "zone", max_unavailable=1),
+        Budget("all", "fleet", max_unavailable=2),
     )
     for at in range(voters):
         day.add(f"v{at + 1}", f"z{at % zones}", voter=True)
@@ -266,7 +267,7 @@
             bool(day.leader())
             and len(day.state().releases.nodes) == len(day.agents)
             and len(day.state().members) == nodes + voters
-            and not any(day.state().is_out(each) for each in day.state().members.values())
+            and not any(day.state().is_unavailable(each) for each in day.state().members.values())
         ),
         120_000.0,
     )
--- a/pumicenotch/lab/releasing_model.py
+++ b/pumicenotch/lab/releasing_model.py
@@ -13,10 +13,10 @@
 from typing import Any, NamedTuple
 
 from pumicenotch.fleet.drains.budgets import Budget, Member
-from pumicenotch.fleet.releases.commands import plan_fields
-from pumicenotch.fleet.releases.release import ENDED, GONE, Release
-from pumicenotch.fleet.replicated.records import member_fields
-from pumicenotch.fleet.replicated.state import State as Agreed
+from pumicenotch.fleet.releases.commands import release_to_wire
+from pumicenotch.fleet.releases.release import FINAL_STATES, SERVER_DOWN, Release
+from pumicenotch.fleet.replicated.records import member_to_wire
+from pumicenotch.fleet.replicated.state import FleetState as Agreed
 from pumicenotch.lab.draining import Quiet
 from pumicenotch.lab.explore import Explorer
 
@@ -63,16 +63,18 @@
     def first(self) -> State:
         made = self.type()
         made.apply(
-            1, ("begin", "f", ("v",), (Budget("zones", "zone", most_out=self.most_out),), ())
+            1, ("begin", "f", ("v",), (Budget("zones", "zone", max_unavailable=self.most_out),), ())
         )
         made.apply(2, ("level", 2))
         for name in self.NAMES:
-            made.apply(made.index + 1, ("join", member_fields(Member(name, "0", zone=name[0]))))
-            made.apply(made.index + 1, ("serving", name, "0"))
-            made.apply(made.index + 1, ("word", name, "g", ((SLOT, OLD),), (OLD, NEW), "", ""))
+            made.apply(
+                made.log_index + 1, ("join", member_to_wire(Member(name, "0", zone=name[0])))
+            )
+            made.apply(made.log_index + 1, ("serving", name, "0"))
+            made.apply(made.log_index + 1, ("word", name, "g", ((SLOT, OLD),), (OLD, NEW), "", ""))
         plan = Release("r", SLOT, NEW, OLD, 2, self.WAVES, 1, 1, True, 0, False, False)
-        made.apply(made.index + 1, ("plan", "p", plan_fields(plan), "op"))
-        made.apply(made.index + 1, ("release", "s", "r", "start", (), "x", "op"))
+        made.apply(made.log_index + 1, ("plan", "p", release_to_wire(plan), "op"))
+        made.apply(made.log_index + 1, ("release", "s", "r", "start", (), "x", "op"))
         return State(
             self.frozen(made), tuple(Box() for _ in self.NAMES), False, "", tuple(self.bounds)
         )
@@ -81,33 +83,42 @@
     def frozen(made: Agreed) -> tuple[Any, ...]:
         """Indices count for nothing but their order: epochs are told anew by it."""
         nodes = tuple(
-            each._replace(move=each.move._replace(epoch=0)) for each in made.releases.nodes.values()
+            each._replace(last_move=each.last_move._replace(epoch=0))
+            for each in made.releases.nodes.values()
         )
-        queue = tuple(each._replace(at=0) for each in made.queue)
+        queue = tuple(each._replace(requested_at=0) for each in made.queue)
         permits = tuple(each._replace(epoch=at) for at, each in enumerate(made.permits.values()))
-        members = tuple(each._replace(formers=()) for each in made.members.values())
+        members = tuple(each._replace(previous_incarnations=()) for each in made.members.values())
         releases = tuple(
-            each._replace(why="", asks="", harmed=()) for each in made.releases.releases.values()
+            each._replace(reason="", approval_reason="", harmed=())
+            for each in made.releases.releases.values()
+        )
+        return (
+            members,
+            queue,
+            permits,
+            nodes,
+            releases,
+            tuple(made.releases.current_versions.items()),
         )
-        return members, queue, permits, nodes, releases, tuple(made.releases.stands.items())
 
     def thawed(self, state: State) -> Agreed:
         made = self.type()
         members, queue, permits, nodes, releases, stands = state.agreed
-        made.index, made.fleet, made.voters = 100, "f", ("v",)
-        made.budgets = (Budget("zones", "zone", most_out=self.most_out),)
+        made.log_index, made.fleet, made.voters = 100, "f", ("v",)
+        made.budgets = (Budget("zones", "zone", max_unavailable=self.most_out),)
         made.members = {each.name: each for each in members}
         made.queue, made.permits = list(queue), {each.name: each for each in permits}
         made.releases.level = 2
         made.releases.nodes = {each.name: each for each in nodes}
         made.releases.releases = {each.name: each for each in releases}
-        made.releases.stands = dict(stands)
+        made.releases.current_versions = dict(stands)
         return made
 
     def apply(self, state: State, *entries: tuple[Any, ...]) -> State:
         made = self.thawed(state)
         for entry in entries:
-            made.apply(made.index + 1, entry)
+            made.apply(made.log_index + 1, entry)
         return state._replace(agreed=self.frozen(made))
 
     @staticmethod
@@ -139,11 +150,11 @@
         if (
             box.is_ == UP
             and permit is not None
-            and permit.life == life
-            and not permit.begun
+            and permit.incarnation == life
+            and not permit.started
             and not box.away
         ):
-            if agreed.apply(101, ("began", name, life, permit.epoch)).good:
+            if agreed.apply(101, ("began", name, life, permit.epoch)).ok:
                 new = state._replace(agreed=self.frozen(agreed))
                 yield f"{name} begins to drain", self.box(new, at, is_=GOES, away=True)
             agreed = self.thawed(state)
@@ -156,17 +167,17 @@
                 "g",
                 ((SLOT, box.runs),),
                 (OLD, NEW),
-                GONE if box.is_ == DOWN else "",
+                SERVER_DOWN if box.is_ == DOWN else "",
                 "",
             )
             yield (
                 f"the word of {name}'s agent is agreed",
                 self.box(self.apply(state, word), at, heard=True),
             )
-        due = agreed.releases.due(node)
+        due = agreed.releases.next_step(node)
         if box.is_ == DOWN and box.heard and due[0] and not box.may:
             made = self.thawed(state)
-            if made.apply(101, ("move", name, "g", *due)).good:
+            if made.apply(101, ("move", name, "g", *due)).ok:
                 late = f"{name} may move to {due[1]}" if state.halted else state.late
                 new = state._replace(agreed=self.frozen(made), late=late)
                 yield f"{name} may move to {due[1]}", self.box(new, at, may=due[1])
@@ -180,7 +191,7 @@
         up = self.box(state, at, is_=UP, life=life, away=False, heard=False)
         return self.apply(
             up,
-            ("join", member_fields(Member(name, str(life), zone=name[0]))),
+            ("join", member_to_wire(Member(name, str(life), zone=name[0]))),
             ("serving", name, str(life)),
         )
 
@@ -189,7 +200,7 @@
         if release.state == "soaking":
             entry = ("soaked", "r", release.wave, True, "x")
             yield "the soak is over", self.apply(state, entry)
-        if left.halts and release.active:
+        if left.halts and release.is_active:
             key = f"h{left.halts}"
             halt = ("release", key, "r", "halt", (), "x", "op")
             yield "HALT", self.apply(self.spent(state, "halts"), halt)._replace(halted=True)
@@ -208,7 +219,7 @@
                 "resumed",
                 self.apply(self.spent(state, "resumes"), entries)._replace(halted=False),
             )
-        if left.backs and release.active:
+        if left.backs and release.is_active:
             entries = ("release", f"b{left.backs}", "r", "back", keys, "x", "op")
             yield "BACK", self.apply(self.spent(state, "backs"), entries)._replace(halted=False)
         if left.drains:
@@ -274,13 +285,13 @@
         if (
             len(runs) > 1
             or any(box.is_ != UP for box in state.boxes)
-            or self.release(state).state not in ENDED
+            or self.release(state).state not in FINAL_STATES
         ):
             stands = ", ".join(
                 f"{name} {box.runs} {box.is_}"
                 for name, box in zip(self.NAMES, state.boxes, strict=True)
             )
-            return f"no way leads on: release {self.release(state).stands}; {stands}"
+            return f"no way leads on: release {self.release(state).description}; {stands}"
         return ""
 
     def explore(self, most: int) -> Any:
--- a/pumicenotch/lab/spreading_model.py
+++ b/pumicenotch/lab/spreading_model.py
@@ -166,7 +166,7 @@
         version = book.version
         told = (f"p{version}", "", 0, changes_digest(changes), version, "lab", "model", 0, changes)
         outcome = book.apply(version + 1, "publish", told)
-        assert outcome.good, outcome
+        assert outcome.ok, outcome
         self.step(name, events.Published(book.version))
 
     # What must hold
--- a/pumicenotch/net/agent.py
+++ b/pumicenotch/net/agent.py
@@ -20,7 +20,7 @@
 from pumicenotch.config import agent as config
 from pumicenotch.config import versions
 from pumicenotch.config.hcl import BadFile
-from pumicenotch.fleet.agent.agent import Agent
+from pumicenotch.fleet.agent.agent import Agent, AgentSetup
 from pumicenotch.fleet.member import effects
 from pumicenotch.membership.messages import Who
 from pumicenotch.net import logs
@@ -52,7 +52,7 @@
         clock: ResettableTimer,
         group: TaskGroup,
     ) -> None:
-        core.me = Who("", "", core.life, 0, "", "")  # type: ignore[attr-defined]
+        core.me = Who("", "", core.incarnation, 0, "", "")  # type: ignore[attr-defined]
         super().__init__(cast(Any, core), clock, group, lambda why: None, FRAME_MOST, LINKS_MOST)
         self.told, self.agent, self.disk = told, core, disk
         self.home = Path(told.home)
@@ -60,19 +60,19 @@
 
     def carry_out(self, effect: Any) -> None:
         match effect:
-            case effects.Hold(version):
+            case effects.FetchVersion(version):
                 self.group.start_soon(self.hold, version)
-            case effects.Swap(slot, version):
+            case effects.ActivateVersion(slot, version):
                 self.group.start_soon(self.swap, slot, version)
-            case effects.Start():
+            case effects.StartServer():
                 self.start()
-            case effects.End(force):
+            case effects.StopServer(force):
                 self.signal(signal.SIGKILL if force else signal.SIGTERM)
-            case effects.Reread():
+            case effects.ReloadServer():
                 self.signal(signal.SIGHUP)
-            case effects.Anew():
+            case effects.RestartAgent():
                 self.anew()
-            case effects.Proven(slots):
+            case effects.ConfirmVersions(slots):
                 good = {slot: version for slot, version in self.disk.runs.items() if slot in slots}
                 self.save(good={**self.disk.good, **good}, tries=0, trouble="")
                 self.tidy()
@@ -117,7 +117,7 @@
 
     def tidy(self) -> None:
         """Old versions that nothing names make room."""
-        named = {*self.disk.runs.values(), *self.disk.good.values(), *self.agent.wanted}
+        named = {*self.disk.runs.values(), *self.disk.good.values(), *self.agent.wanted_versions}
         folder = self.home / "versions"
         old = sorted(
             (path.stat().st_mtime, path) for path in folder.iterdir() if path.name not in named
@@ -125,7 +125,7 @@
         for _, path in old[: max(0, len(old) - KEPT)]:
             versions.remove(path)
             with contextlib.suppress(ValueError):
-                self.agent.holds.remove(path.name)
+                self.agent.stored.remove(path.name)
 
     # Its server
 
@@ -187,20 +187,21 @@
 async def run(told: config.AgentFile, disk: config.Disk) -> None:
     timer = ResettableTimer()
     there = bool(disk.pid) and ticks(disk.pid) == disk.began
-    core = Agent(
+    setup = AgentSetup(
         fleet=told.fleet,
         node=told.member,
-        life=secrets.token_hex(6),
-        voters=told.voters,
-        runs=disk.runs,
-        holds=versions.held(Path(told.home) / "versions"),
-        child=there,
-        start_ms=told.start_ms,
-        drain_ms=told.drain_ms,
-        now=timer.now(),
+        incarnation=secrets.token_hex(6),
+        voters=tuple(told.voters),
+        versions=disk.runs,
+        stored=tuple(versions.held(Path(told.home) / "versions")),
+        has_server=there,
+        start_timeout_ms=told.start_ms,
+        drain_timeout_ms=told.drain_ms,
+        now_ms=timer.now(),
         seed=told.seed,
-        trouble=disk.trouble,
+        problem=disk.trouble,
     )
+    core = Agent(setup)
     async with anyio.create_task_group() as group:
         hub = AgentHub(told, core, disk, timer, group)
         group.start_soon(hub.look_on)
--- a/pumicenotch/net/fleet.py
+++ b/pumicenotch/net/fleet.py
@@ -9,17 +9,18 @@
 import time
 from collections.abc import Callable, Sequence
 from functools import partial
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING
 
 import anyio
 from anyio.abc import TaskGroup
 from loguru import logger
 
 from pumicenotch import start
-from pumicenotch.fleet.member.node import MemberNode
+from pumicenotch.fleet.member.node import MemberNode, MemberSetup
 from pumicenotch.fleet.member.settings import FleetSettings
-from pumicenotch.fleet.replicated.subject import Book
+from pumicenotch.fleet.replicated.subject import ReplicatedSubject
 from pumicenotch.fleet.voter.node import VoterNode
+from pumicenotch.fleet.voter.replica import VoterSetup
 from pumicenotch.membership.messages import Who
 from pumicenotch.net import logs
 from pumicenotch.net.hub import Hub
@@ -40,8 +41,8 @@
 FRAME_MOST = 128 * 1024  # to a server: a page of news has some 10 KB
 
 
-def who(settings: FleetSettings) -> tuple[Who, dict[str, Any]]:
-    """This process as others know it, with a life of its own, and what every node is made from."""
+def member_setup(settings: FleetSettings, now_ms: float, seed: int) -> MemberSetup:
+    """Returns what a node of this process is made from, with an incarnation of its own."""
     life = secrets.token_hex(6)
     me = Who(
         settings.name,
@@ -51,8 +52,15 @@
         settings.zone,
         settings.region,
     )
-    seeds = settings.seeds or settings.voters
-    return me, {"fleet": settings.fleet, "me": me, "member": settings.member(life), "seeds": seeds}
+    return MemberSetup(
+        fleet=settings.fleet,
+        me=me,
+        member=settings.member(life),
+        voters=settings.voters,
+        seeds=settings.seeds or settings.voters,
+        now_ms=now_ms,
+        seed=seed,
+    )
 
 
 def links(sockets: int, distribution: "InstanceSettings | None") -> int:
@@ -73,8 +81,7 @@
 ) -> PeerHub | None:
     """A server's. A listener that cannot be had is logged, and the server goes on without its fleet."""
     timer = ResettableTimer()
-    _, told = who(settings)
-    node = MemberNode(voters=settings.voters, now=timer.now(), seed=seed, **told)
+    node = MemberNode(member_setup(settings, timer.now(), seed))
     most = links(sockets, distribution)
     peers = PeerHub(node, timer, group, lambda why: hub.put("leave"), FRAME_MOST, most)
     try:
@@ -108,7 +115,7 @@
         ]
         tasks, turned = (last - first for first, last in zip(before[0], before[-1], strict=True))
         if core.leaving:
-            peers.put("leave", "its platform asks" if not peers.node.began else "by permit")
+            peers.put("leave", "its platform asks" if not peers.node.drain_started else "by permit")
         if core.seen is not None:
             peers.put("counted", core.seen.rows(), memory_mb())
         peers.put(
@@ -130,20 +137,19 @@
 ) -> None:
     """A voter's whole process, until it is asked to end or its drain is agreed."""
     timer = ResettableTimer()
-    books: Callable[[], Sequence[Book]] = tuple
+    make_subjects: Callable[[], Sequence[ReplicatedSubject]] = tuple
     if distribution is not None:
-        from pumicenotch.net.voter_configuration import books_of
+        from pumicenotch.net.voter_configuration import make_subjects_of
 
-        books = partial(books_of, distribution)
-    _, told = who(settings)
+        make_subjects = partial(make_subjects_of, distribution)
     node = VoterNode(
-        names=dict(settings.names),
-        budgets=settings.budgets,
-        manual_members=settings.manual_members,
-        now=timer.now(),
-        seed=seed,
-        books=books,
-        **told,
+        VoterSetup(
+            member=member_setup(settings, timer.now(), seed),
+            voters=dict(settings.names),
+            budgets=settings.budgets,
+            manual_members=settings.manual_members,
+            make_subjects=make_subjects,
+        )
     )
     listener = await open_listener(start.address(settings.listen))
     async with anyio.create_task_group() as group:
@@ -157,7 +163,8 @@
         await peers.exit.wait()
         await peers.flush(FLUSH_S)
         logger.info(
-            "counters: {}", " ".join(f"{name}={many}" for name, many in sorted(node.counts.items()))
+            "counters: {}",
+            " ".join(f"{name}={many}" for name, many in sorted(node.counters.items())),
         )
         group.cancel_scope.cancel()
 
--- a/pumicenotch/net/peers.py
+++ b/pumicenotch/net/peers.py
@@ -270,16 +270,16 @@
         return name == "asked" and self.extension.request(*details)
 
     def fault(self, where: str, error: Exception) -> list[Any]:
-        self.node.counts["faults"] += 1
-        if self.node.counts["faults"] <= 10:
+        self.node.counters["faults"] += 1
+        if self.node.counters["faults"] <= 10:
             logger.opt(exception=error).error("fault in {}", where)
         effects, self.node.effects = self.node.effects, []
         return cast(list[Any], effects)
 
     def count_trouble(self, trouble: str, text: str = "") -> None:
-        self.node.counts[trouble] += 1
-        if text and str(self.node.counts[trouble]).rstrip("0") == "1":
-            logger.info("{} ({}={})", text, trouble, self.node.counts[trouble])
+        self.node.counters[trouble] += 1
+        if text and str(self.node.counters[trouble]).rstrip("0") == "1":
+            logger.info("{} ({}={})", text, trouble, self.node.counters[trouble])
 
     # Who dials this side
 
@@ -358,7 +358,7 @@
     def unlinked(self, link: str, text: str) -> None:
         peer = self.peer_links[link]
         if not peer.up:
-            self.node.counts["mates_unreached"] += 1
+            self.node.counters["mates_unreached"] += 1
         peer.up, peer.dialling, peer.queued = False, False, []
         peer.not_before = self.clock.now() + REDIAL_MS
 
@@ -392,21 +392,21 @@
 
     def carry_out(self, effect: Any) -> None:
         match effect:
-            case effects.Post(address, method, params):
+            case effects.SendNotification(address, method, params):
                 self.send(address, ("notice", method, params))
-            case effects.Ask(address, number, verb, args):
+            case effects.SendRequest(address, number, verb, args):
                 self.send(address, ("request", number, verb, args))
-            case effects.Reply(conn, message, None, result):
+            case effects.SendResponse(conn, message, None, result):
                 self.write(conn, ("result", message, result))
-            case effects.Reply(conn, message, error, _):
+            case effects.SendResponse(conn, message, error, _):
                 self.write(conn, ("error", message, error))
             case effects.MemberChanged(news):
                 if self.extension is not None:
                     self.extension.member_changed(news)
-            case effects.Leave(why):
+            case effects.StartDraining(why):
                 logger.info("leaves {}", why)
                 self.leave(why)
-            case effects.Wake(at):
+            case effects.WakeAt(at):
                 self.clock.wake(max(0.0, at - self.clock.now()))
             case effects.Log(text):
                 logger.info("fleet: {}", text)
--- a/pumicenotch/net/voter_configuration.py
+++ b/pumicenotch/net/voter_configuration.py
@@ -11,14 +11,14 @@
 from pumicenotch.distribution.source import log_of
 from pumicenotch.distribution.view import View
 from pumicenotch.distribution.voter_source import VoterSource
-from pumicenotch.fleet.replicated.subject import Book
+from pumicenotch.fleet.replicated.subject import ReplicatedSubject
 from pumicenotch.fleet.voter.node import VoterNode
 from pumicenotch.membership.messages import News
 from pumicenotch.net.configuration import STATUS, Carrier, NotLeading, self_of
 from pumicenotch.net.peers import PeerHub
 
 
-def books_of(settings: InstanceSettings) -> tuple[Book, ...]:
+def make_subjects_of(settings: InstanceSettings) -> tuple[ReplicatedSubject, ...]:
     """What a voter's state holds beside the fleet's own subjects, empty."""
     return (Publications(tables=settings.tables(), log=log_of(settings.settings)),)
 
@@ -41,7 +41,7 @@
     @property
     def publications(self) -> Publications:
         """Of the agreed state as it is now: a snapshot puts another in its place."""
-        return cast(Publications, self.node.state.books[Publications.name])
+        return cast(Publications, self.node.state.subjects[Publications.name])
 
     def step(self, now_ms: float, event: events.VoterEvent) -> list[effects.Effect]:
         return self.source.step(now_ms, event)
@@ -80,5 +80,5 @@
 
     def status(self) -> dict[str, Any]:
         members = self.node.state.members.values()
-        names = [each.name for each in members if each.life and not each.voter]
+        names = [each.name for each in members if each.incarnation and not each.voter]
         return self.source.status(self.timer.now(), names)
--- a/tests/compatibility/fleet_recording.py
+++ b/tests/compatibility/fleet_recording.py
@@ -12,10 +12,11 @@
 
 from pumicenotch.fleet.drains.budgets import Budget
 from pumicenotch.fleet.member import effects
-from pumicenotch.fleet.replicated import fields as entries
-from pumicenotch.fleet.replicated.fields import Reader, Said
+from pumicenotch.fleet.replicated import fields
+from pumicenotch.fleet.replicated.fields import FieldReader
+from pumicenotch.fleet.replicated.records import ApplyResult
 from pumicenotch.fleet.replicated.snapshot import dump
-from pumicenotch.fleet.replicated.state import State
+from pumicenotch.fleet.replicated.state import FleetState
 from pumicenotch.lab import releasing
 from pumicenotch.lab.fleets import Process
 from pumicenotch.lab.releasing import Agents, Version
@@ -36,7 +37,9 @@
 
     name: ClassVar[str] = "texts"
     level: ClassVar[int] = BOOK_LEVEL
-    verbs: ClassVar[Mapping[str, tuple[Reader, ...]]] = {"write": (entries.name, entries.text)}
+    verbs: ClassVar[Mapping[str, tuple[FieldReader, ...]]] = {
+        "write": (fields.read_name, fields.read_text)
+    }
 
     def __init__(self) -> None:
         self.texts: dict[str, str] = {}
@@ -44,10 +47,10 @@
     def admit(self, verb: str, args: tuple[Any, ...]) -> None:
         pass
 
-    def apply(self, index: int, verb: str, args: tuple[Any, ...]) -> Said:
+    def apply(self, index: int, verb: str, args: tuple[Any, ...]) -> ApplyResult:
         key, value = args
         self.texts[key] = value
-        return Said(True, "written", index)
+        return ApplyResult(True, "written", index)
 
     def dump(self) -> bytes:
         return json.dumps(self.texts).encode() + b"\n\xff"
@@ -147,21 +150,21 @@
     return made
 
 
-def apply_all(state: State, script: list[Any]) -> list[dict[str, Any]]:
+def apply_all(state: FleetState, script: list[Any]) -> list[dict[str, Any]]:
     """Each entry with what it came to; why one cannot be read is a text that may change."""
     rows = []
     for entry in script:
-        said = state.apply(state.index + 1, entry)
-        row = {"entry": entry, "good": said.good, "value": said.value}
+        said = state.apply(state.log_index + 1, entry)
+        row = {"entry": entry, "good": said.ok, "value": said.value}
         if is_readable(state, entry):
             row["text"] = said.text
         rows.append(row)
     return rows
 
 
-def is_readable(state: State, entry: list[Any]) -> bool:
+def is_readable(state: FleetState, entry: list[Any]) -> bool:
     try:
-        state.read(entry)
+        state.check(entry)
     except ValueError:
         return False
     return True
@@ -184,17 +187,21 @@
 
     def carry_out(self, process: Process, effect: effects.Effect) -> None:
         match effect:
-            case effects.Post(_, "agree", ["append", _, at, _, some, *_]):
+            case effects.SendNotification(_, "agree", ["append", _, at, _, some, *_]):
                 for index, entry in enumerate(some, at + 1):
                     self.entries[index] = entry
-            case effects.Post(_, method, params) if method not in ("agree", "members", "found"):
+            case effects.SendNotification(_, method, params) if method not in (
+                "agree",
+                "members",
+                "found",
+            ):
                 if self.example("post", method):
                     self.notifications.append([method, params])
-            case effects.Ask(_, _, verb, args):
+            case effects.SendRequest(_, _, verb, args):
                 if self.example("ask", verb):
                     self.requests.append([verb, args])
                 self.verbs[self.count + 1] = verb
-            case effects.Reply(conn, _, error, result):
+            case effects.SendResponse(conn, _, error, result):
                 verb = self.verbs.get(conn, "")
                 if verb and self.example("reply" if error is None else "refusal", verb):
                     self.requests.append([f"answer to {verb}", error, result])
@@ -226,16 +233,16 @@
     ask("undrain", "d3", ("n2",), "not today", "op")
     day.run(20_000.0)
     ask("waves", (0.5, 1.0), False, "")
-    day.plan("r1", "v-new", soak_ms=2000, wait_ms=3000)
+    day.plan("r1", "v-new", soak_ms=2000, extra_soak_ms=3000)
     while day.stands("r1") != "done":
         day.run(500.0)
-        if day.leader() and day.state().releases.releases["r1"].asks:
+        if day.leader() and day.state().releases.releases["r1"].approval_reason:
             day.word("r1", "approve")
     day.plan("r2", "v-bad", soak_ms=20_000)
     day.until(lambda: day.stands("r2") == "abandoned", 300_000.0)
     ask("releases")
     ask("one_release", "r2")
-    ask("budget", "d4", (Budget("zones", "zone", most_out=2),), "op")
+    ask("budget", "d4", (Budget("zones", "zone", max_unavailable=2),), "op")
     ask("override", "d5", "n1", "it burns", "op")
     day.run(10_000.0)
     ask("log", 40)
@@ -256,7 +263,7 @@
 
 def make() -> dict[str, bytes]:
     """Each golden file's name and content."""
-    first, second, third = State(), State(), State([Texts()])
+    first, second, third = FleetState(), FleetState(), FleetState([Texts()])
     rows = apply_all(first, script_of_entries())
     apply_all(second, script_of_entries())
     release_rows = apply_all(second, script_of_releases())
--- a/tests/compatibility/test_fleet_golden.py
+++ b/tests/compatibility/test_fleet_golden.py
@@ -6,7 +6,7 @@
 import pytest
 
 from pumicenotch.fleet.replicated.snapshot import dump, load
-from pumicenotch.fleet.replicated.state import State
+from pumicenotch.fleet.replicated.state import FleetState
 from tests.compatibility.fleet_recording import BOOK_LEVEL, FOLDER, Texts, apply_all, make
 
 
@@ -33,7 +33,7 @@
 
 
 def test_old_entries_come_to_what_they_came_to() -> None:
-    state = State()
+    state = FleetState()
     for name in ("entries.jsonl", "release_entries.jsonl"):
         assert apply_all(state, entries_of(name)) == golden_rows(name)
     assert dump(state) == (FOLDER / "snapshot_of_releases.json").read_bytes()
@@ -61,11 +61,11 @@
 
 
 def test_the_log_of_an_old_day_is_applied_whole() -> None:
-    state = State()
+    state = FleetState()
     for index, _, kind, data in golden_rows("day_entries.jsonl"):
         if kind == "do":
             state.apply(index, data)
-    assert state.releases.stands == {"program": "v-new"}
+    assert state.releases.current_versions == {"program": "v-new"}
     assert {release.name: release.state for release in state.releases.releases.values()} == {
         "r1": "done",
         "r2": "abandoned",
--- a/tests/distribution/network.py
+++ b/tests/distribution/network.py
@@ -47,7 +47,7 @@
         args = tuple(reader(each) for reader, each in zip(book.verbs[verb], told, strict=True))
         book.admit(verb, args)
         outcome = book.apply(1, verb, args)
-        assert outcome.good, outcome
+        assert outcome.ok, outcome
     return outcome
 
 
--- a/tests/distribution/test_publications.py
+++ b/tests/distribution/test_publications.py
@@ -33,7 +33,7 @@
 def test_a_publication_is_one_version() -> None:
     book = Publications()
     outcome = publish(book, [tenant("c1", "a", 1), tenant("c2", "b", 2)])
-    assert (outcome.good, outcome.value, book.version) == (True, 1, 1)
+    assert (outcome.ok, outcome.value, book.version) == (True, 1, 1)
     assert book.view.lookup("tenants", "c1/a") == '{"weight":1}'
     assert book.view.scope("tenants", "c2") == {"b": '{"weight":2}'}
     publish(book, [Change("tenants", "c1/a", None)])
@@ -42,12 +42,10 @@
 
 def test_of_two_publishers_at_once_the_second_has_a_conflict() -> None:
     book = Publications()
-    assert small(book, [tenant("c", "a", 1)], request="r1", previous=0).good
+    assert small(book, [tenant("c", "a", 1)], request="r1", previous=0).ok
     outcome = small(book, [tenant("c", "b", 1)], request="r2", previous=0)
     assert (
-        not outcome.good
-        and outcome.value == errors.Conflict.code
-        and "publish again" in outcome.text
+        not outcome.ok and outcome.value == errors.Conflict.code and "publish again" in outcome.text
     )
     assert book.version == 1 and book.view.lookup("tenants", "c/b") is None
 
@@ -65,10 +63,10 @@
     *parts, last = entries_of("big", 0, "me", "why", 1, changes)
     assert len(parts) == 3
     for verb, *told in parts:
-        assert entry(book, verb, *told).good
+        assert entry(book, verb, *told).ok
         assert book.version == 0 and book.view.record_count() == 0
     assert entry(book, parts[1][0], *parts[1][1:]).text == "staged already"
-    assert entry(book, last[0], *last[1:]).good
+    assert entry(book, last[0], *last[1:]).ok
     assert book.view.record_count() == len(changes)
 
 
@@ -77,7 +75,7 @@
     changes = [tenant("c", f"t{at}", at) for at in range(2 * PART_CHANGES_MOST)]
     first, second, last = entries_of("big", 0, "me", "why", 1, changes)
     outcome = entry(book, second[0], *second[1:])
-    assert not outcome.good and "part 0 is missing" in outcome.text
+    assert not outcome.ok and "part 0 is missing" in outcome.text
     entry(book, first[0], *first[1:])
     assert entry(book, last[0], *last[1:]).value == errors.InvalidPublication.code
     small(book, [tenant("c", "a", 1)])
@@ -89,7 +87,7 @@
 def test_too_many_uploads_drop_the_oldest() -> None:
     book = Publications()
     for at in range(6):
-        assert entry(book, "stage", f"u{at}", 0, 0, [["tenants", f"c/{at}", '{"weight":1}']]).good
+        assert entry(book, "stage", f"u{at}", 0, 0, [["tenants", f"c/{at}", '{"weight":1}']]).ok
     assert list(book.uploads) == ["u2", "u3", "u4", "u5"]
 
 
@@ -98,8 +96,8 @@
     for at in range(0, SCOPE_RECORDS_MOST, 1024):
         publish(book, [tenant("c", f"t{at + each}", 1) for each in range(1024)])
     outcome = small(book, [tenant("c", "one-more", 1)])
-    assert not outcome.good and outcome.value == errors.OversizedScope.code
-    assert small(book, [Change("tenants", "c/t0", None)], request="r2").good
+    assert not outcome.ok and outcome.value == errors.OversizedScope.code
+    assert small(book, [Change("tenants", "c/t0", None)], request="r2").ok
 
 
 @pytest.mark.parametrize(
@@ -163,10 +161,10 @@
     assert other.dump() == dump == book.dump()
     assert (other.version, other.log.base, other.log.version) == (6, 3, 6)
     assert other.view.digest("tenants", "c0") == book.view.digest("tenants", "c0") != 0
-    assert entry(other, "stage", "open", 1, 6, [list(tenant("c", "more", 1))]).good
+    assert entry(other, "stage", "open", 1, 6, [list(tenant("c", "more", 1))]).ok
     assert small(
         other, [tenant("c", "x", 1)], request="r1", previous=0
-    ).good  # a repeat of the first one
+    ).ok  # a repeat of the first one
 
 
 @pytest.mark.parametrize("told", [b"", b"[]", b'["head",99,0,0,{},[]]', b"\xff", b'["head",1,0,0]'])
--- a/tests/membership/test_swim.py
+++ b/tests/membership/test_swim.py
@@ -192,7 +192,7 @@
     answer = day.ask("n7", "halt", "h1", "op", "smoke")
     assert day.answers[answer][0] is None
     cores = [process.core for process in day.processes.values() if process.core is not None]
-    day.until(lambda: all(core.halted() == "halted: by op: smoke" for core in cores), 8_000.0)
+    day.until(lambda: all(core.halt_reason() == "halted: by op: smoke" for core in cores), 8_000.0)
 
 
 def test_messages_go_through_their_plain_form() -> None:
--- a/tests/test_book.py
+++ b/tests/test_book.py
@@ -7,12 +7,13 @@
 import pytest
 
 from pumicenotch.fleet.member.effects import MemberChanged
-from pumicenotch.fleet.releases.release import LEVEL
-from pumicenotch.fleet.replicated import fields as entries
-from pumicenotch.fleet.replicated.fields import BadEntry, Reader, Said
+from pumicenotch.fleet.releases.release import PROGRAM_LEVEL
+from pumicenotch.fleet.replicated import fields
+from pumicenotch.fleet.replicated.fields import FieldReader, InvalidCommandError
+from pumicenotch.fleet.replicated.records import ApplyResult
 from pumicenotch.fleet.replicated.snapshot import dump, load
-from pumicenotch.fleet.replicated.state import State
-from pumicenotch.fleet.replicated.subject import UnknownBook
+from pumicenotch.fleet.replicated.state import FleetState
+from pumicenotch.fleet.replicated.subject import UnknownSubjectError
 from pumicenotch.fleet.voter.node import VoterNode
 from pumicenotch.fleet.voter.replica import Leadership
 from pumicenotch.lab.fleets import Day
@@ -30,8 +31,10 @@
     """A book for tests: texts by name."""
 
     name: ClassVar[str] = "notes"
-    level: ClassVar[int] = LEVEL + 1
-    verbs: ClassVar[Mapping[str, tuple[Reader, ...]]] = {"write": (entries.name, entries.text)}
+    level: ClassVar[int] = PROGRAM_LEVEL + 1
+    verbs: ClassVar[Mapping[str, tuple[FieldReader, ...]]] = {
+        "write": (fields.read_name, fields.read_text)
+    }
 
     def __init__(self) -> None:
         self.texts: dict[str, str] = {}
@@ -41,13 +44,13 @@
         if args[0] == "reserved":
             raise ReservedName("notes: this name is reserved: choose another one")
 
-    def apply(self, index: int, verb: str, args: tuple[Any, ...]) -> Said:
+    def apply(self, index: int, verb: str, args: tuple[Any, ...]) -> ApplyResult:
         key, value = args
         if not value:
-            return Said(False, "notes: the text is empty: write one", "empty")
+            return ApplyResult(False, "notes: the text is empty: write one", "empty")
         self.indexes.append(index)
         self.texts[key] = value
-        return Said(True, "written", len(self.texts))
+        return ApplyResult(True, "written", len(self.texts))
 
     def dump(self) -> bytes:
         return repr(sorted(self.texts.items())).encode() + b"\n\x00\xff"
@@ -58,8 +61,8 @@
         self.texts = dict(eval(data[:-3]))
 
 
-def begun(*books: Notes, level: int = Notes.level) -> State:
-    state = State(books)
+def begun(*books: Notes, level: int = Notes.level) -> FleetState:
+    state = FleetState(books)
     state.apply(1, ("begin", "test", VOTERS, (), ()))
     state.apply(2, ("level", level))
     return state
@@ -71,44 +74,44 @@
 def test_its_entries_are_read_and_applied_by_the_book() -> None:
     notes = Notes()
     state = begun(notes)
-    assert state.apply(3, ("write", "a", "one")) == Said(True, "written", 1)
-    assert (notes.texts, notes.indexes, state.index) == ({"a": "one"}, [3], 3)
-    assert state.apply(4, ("write", "a", "")) == Said(
+    assert state.apply(3, ("write", "a", "one")) == ApplyResult(True, "written", 1)
+    assert (notes.texts, notes.indexes, state.log_index) == ({"a": "one"}, [3], 3)
+    assert state.apply(4, ("write", "a", "")) == ApplyResult(
         False, "notes: the text is empty: write one", "empty"
     )
-    assert not state.apply(5, ("write", "a")).good
-    assert not state.apply(6, ("write", 1, "x")).good
+    assert not state.apply(5, ("write", "a")).ok
+    assert not state.apply(6, ("write", 1, "x")).ok
     assert "unknown" in state.apply(7, ("erase", "a")).text
     assert notes.texts == {"a": "one"}
 
 
 def test_below_its_level_no_entry_of_it_is_applied() -> None:
     notes = Notes()
-    said = begun(notes, level=LEVEL).apply(3, ("write", "a", "one"))
-    assert not said.good and f"level {Notes.level}" in said.text and not notes.texts
+    said = begun(notes, level=PROGRAM_LEVEL).apply(3, ("write", "a", "one"))
+    assert not said.ok and f"level {Notes.level}" in said.text and not notes.texts
 
 
 def test_a_verb_has_one_owner() -> None:
     class Taken(Notes):
-        verbs: ClassVar[Mapping[str, tuple[Reader, ...]]] = {"drain": (entries.name,)}
+        verbs: ClassVar[Mapping[str, tuple[FieldReader, ...]]] = {"drain": (fields.read_name,)}
 
     with pytest.raises(ValueError, match="drain"):
-        State([Taken()])
+        FleetState([Taken()])
     with pytest.raises(ValueError, match="write"):
-        State([Notes(), Notes()])
+        FleetState([Notes(), Notes()])
 
 
 def test_a_dump_carries_the_books_as_they_are() -> None:
     state = begun(Notes())
     state.apply(3, ("write", "a", "one\ntwo"))
     data = dump(state)
-    assert data.endswith(state.books["notes"].dump())
+    assert data.endswith(state.subjects["notes"].dump())
     notes = Notes()
     again = load(data, [notes])
     assert notes.texts == {"a": "one\ntwo"} and dump(again) == data
 
 
-@pytest.mark.parametrize("level", [1, LEVEL])
+@pytest.mark.parametrize("level", [1, PROGRAM_LEVEL])
 def test_below_its_level_a_dump_is_as_it_was_without_the_book(level: int) -> None:
     data = dump(begun(Notes(), level=level))
     assert data == dump(begun(level=level))
@@ -118,14 +121,14 @@
 
 def test_a_state_with_an_unknown_book_is_refused_with_a_remedy() -> None:
     data = dump(begun(Notes()))
-    with pytest.raises(UnknownBook, match=r"'notes'.*give its file the block"):
+    with pytest.raises(UnknownSubjectError, match=r"'notes'.*give its file the block"):
         load(data)
 
 
 def test_a_dump_that_is_not_whole_is_refused() -> None:
     data = dump(begun(Notes()))
     for spoilt in (data[:-1], data + b"x", data.partition(b"\n")[0], data[:-3] + b"abc"):
-        with pytest.raises(BadEntry):
+        with pytest.raises(InvalidCommandError):
             load(spoilt, [Notes()])
 
 
@@ -138,11 +141,11 @@
     def __init__(self, seed: int, keepers: tuple[str, ...] = VOTERS) -> None:
         super().__init__(seed)
         self.keepers = keepers
-        self.books = lambda voter: [Notes()] if voter in self.keepers else []
+        self.subjects = lambda voter: [Notes()] if voter in self.keepers else []
         for voter in VOTERS:
             self.add(voter, f"zone-{voter}", voter=True)
         self.start()
-        self.until(lambda: bool(self.leader()) and self.state().releases.level >= LEVEL)
+        self.until(lambda: bool(self.leader()) and self.state().releases.level >= PROGRAM_LEVEL)
 
     def node(self, voter: str) -> VoterNode:
         core = self.processes[voter].core
@@ -150,7 +153,7 @@
         return core
 
     def notes(self, voter: str) -> dict[str, str]:
-        book = self.node(voter).state.books["notes"]
+        book = self.node(voter).state.subjects["notes"]
         assert isinstance(book, Notes)
         return book.texts
 
@@ -172,13 +175,13 @@
     answer = day.agreed("write", "a", "one")
     assert answer["agreed"] and answer["value"] == 1
     day.until(lambda: all(day.notes(voter) == {"a": "one"} for voter in VOTERS))
-    before = day.state().index
+    before = day.state().log_index
     for args, code in ((("reserved", "x"), "reserved-name"), (("a",), None)):
         key = day.ask(day.leader(), "write", *args)
         day.run(500.0)
         error, _ = day.answers[key]
         assert error[0] == "Refused" and error[2] == code
-    assert day.state().index == before  # nothing of it was proposed
+    assert day.state().log_index == before  # nothing of it was proposed
     key = day.ask(day.leader(), "write", "a", "")
     day.run(1000.0)
     assert day.answers[key][0] == ("Refused", "notes: the text is empty: write one", "empty")
--- a/tests/test_fleet_config.py
+++ b/tests/test_fleet_config.py
@@ -14,8 +14,8 @@
 from pumicenotch.config.fleet import budgets_of, voter_of
 from pumicenotch.config.hcl import BadFile
 from pumicenotch.fleet.drains.budgets import Member
-from pumicenotch.fleet.member.effects import Ask
-from pumicenotch.fleet.member.node import MemberNode
+from pumicenotch.fleet.member.effects import SendRequest
+from pumicenotch.fleet.member.node import MemberNode, MemberSetup
 from pumicenotch.fleet.member.settings import settings_of
 from pumicenotch.membership.messages import Who
 
@@ -73,7 +73,7 @@
 def test_a_voters_file_says_all(tmp_path: Path) -> None:
     settings, seed, _ = voter_of(put(tmp_path, VOTER + "seed = 4\n"))
     assert seed == 4 and [name for name, _ in settings.names] == ["v1", "v2", "v3"]
-    assert [budget.most_out for budget in settings.budgets] == [1]
+    assert [budget.max_unavailable for budget in settings.budgets] == [1]
     assert [hand.serves for hand in settings.manual_members] == [("ledger",)]
     assert settings.member("x").voter
 
@@ -121,15 +121,17 @@
     """
     me = Who("n0", "n0:1", "1", 1, "a", "")
     mate = MemberNode(
-        fleet="f",
-        me=me,
-        member=Member("n0", "1"),
-        voters=["v:1"],
-        seeds=[],
-        now=0.0,
-        seed=random.Random(1).getrandbits(9),
+        MemberSetup(
+            fleet="f",
+            me=me,
+            member=Member("n0", "1"),
+            voters=("v:1",),
+            seeds=(),
+            now_ms=0.0,
+            seed=random.Random(1).getrandbits(9),
+        )
     )
-    asks = [each for each in mate.step(1.0, "serve", True, False) if isinstance(each, Ask)]
+    asks = [each for each in mate.step(1.0, "serve", True, False) if isinstance(each, SendRequest)]
     for verb in ("join", "serving", "mine"):
         assert [each.verb for each in asks] == [verb]
         result = (
@@ -137,8 +139,8 @@
             if verb == "mine"
             else {}
         )
-        effects = mate.step(2.0, "answered", asks[0].number, None, result)
-        asks = [each for each in effects if isinstance(each, Ask)]
+        effects = mate.step(2.0, "answered", asks[0].request_number, None, result)
+        asks = [each for each in effects if isinstance(each, SendRequest)]
     assert not asks
     effects = mate.step(100.0, "told", ("v1", "1", "v:1"), "permitted", (7,))
-    assert [each.args[-1] for each in effects if isinstance(each, Ask)] == [7]
+    assert [each.args[-1] for each in effects if isinstance(each, SendRequest)] == [7]
--- a/tests/test_fleet_days.py
+++ b/tests/test_fleet_days.py
@@ -39,7 +39,7 @@
     return (
         bool(day.leader())
         and not day.away
-        and not any(map(day.state().is_out, day.state().members.values()))
+        and not any(map(day.state().is_unavailable, day.state().members.values()))
     )
 
 
@@ -81,7 +81,7 @@
     day.run(10_000.0)
     assert day.state().permits.keys() == {"n0"}  # silence frees nothing
     day.run(120_000.0)
-    assert day.state().members["n0"].against == "silent"
+    assert day.state().members["n0"].failure == "silent"
     day.agreed("free", "f", "n0", "burnt, says the hall", "op")
     day.run(3000.0)
     assert watch.left == []  # n0 counts as out, whether it holds a permit or not
@@ -120,7 +120,7 @@
     gone = [name for name in watch.left if name in inside]
     assert not watch.over and not gone
     assert all(day.processes[name].up for name in inside)  # they serve on
-    assert {name for name in day.state().members if day.state().members[name].against} == set(
+    assert {name for name in day.state().members if day.state().members[name].failure} == set(
         inside
     )
     day.heal()
@@ -138,7 +138,7 @@
     assert all(day.processes[name].up for name in NODES)
     day.put("n0", "leave", "its platform asks")  # one that cannot wait asks nobody
     core = day.processes["n0"].core
-    assert core is not None and core.leaving
+    assert core is not None and core.is_draining
 
 
 def test_one_way_cuts_of_every_pair_change_nothing_for_good() -> None:
@@ -162,9 +162,9 @@
     core = day.processes["n6"].core
     assert (
         core is not None
-        and core.waits == "budget zones: zone z0: 1 of at most 1 are out; 1 before it"
+        and core.wait_reason == "budget zones: zone z0: 1 of at most 1 are out; 1 before it"
     )
-    day.until(lambda: core.waits.endswith("of about 3 s each"), 10_000.0)
+    day.until(lambda: core.wait_reason.endswith("of about 3 s each"), 10_000.0)
     day.until(lambda: all_back(day), 60_000.0)
 
 
@@ -191,12 +191,12 @@
     day.processes["n0"].core = kept
     # The twin's request, as its process would send it.
     held = day.state().members["n0"]
-    answer = day.agreed("join", held._replace(life="other")[:9])
+    answer = day.agreed("join", held._replace(incarnation="other")[:9])
     assert "the name is taken" in answer
     assert day.state().members["n0"].life == f"{life:04d}"
     day.kill("n0")
     day.run(5000.0)
-    assert day.agreed("join", held._replace(life="other")[:9])["agreed"]
+    assert day.agreed("join", held._replace(incarnation="other")[:9])["agreed"]
 
 
 def test_a_voter_comes_back_as_another_seat_and_a_majority_stays() -> None:
@@ -238,7 +238,7 @@
     day.until(lambda: bool(day.leader()) and len(day.state().members) == 17, 30_000.0)
     drain(day, "n3", key="again")
     day.run(10_000.0)
-    assert watch.left == ["n0"] and day.state().is_out(day.state().members["n0"])
+    assert watch.left == ["n0"] and day.state().is_unavailable(day.state().members["n0"])
 
 
 def test_a_voter_drains_by_permit_and_hands_over_first() -> None:
@@ -267,7 +267,7 @@
     day.kill(leader)
     day.until(lambda: day.leader() not in ("", leader))
     day.run(10_000.0)
-    assert day.state().halted() and len(watch.left) == before  # it outlives its leader
+    assert day.state().halt_reason() and len(watch.left) == before  # it outlives its leader
     assert day.agreed("resume", "r", ("h",), "the smoke is gone", "op")["agreed"]
     day.boot(leader)
     day.until(lambda: len(watch.left) == 12 and all_back(day), 120_000.0)
@@ -294,7 +294,7 @@
     day = usual(13)
     watch = Watch(day)
     day.put("n0", "serve", True, True)
-    day.until(lambda: day.state().members["n0"].against == "overloaded", 10_000.0)
+    day.until(lambda: day.state().members["n0"].failure == "overloaded", 10_000.0)
     drain(day, "n3")
     day.run(5000.0)
     assert watch.left == []
@@ -303,7 +303,10 @@
 
 
 def test_a_hundred_members_take_90_drains_asked_at_once() -> None:
-    budgets = [Budget("zones", "zone", most_out=10), Budget("all", "fleet", most_out=30)]
+    budgets = [
+        Budget("zones", "zone", max_unavailable=10),
+        Budget("all", "fleet", max_unavailable=30),
+    ]
     day = usual(14, nodes=100, budgets=budgets)
     watch = Watch(day, 10, 30)
     for at in range(90):
@@ -342,7 +345,7 @@
     """Drained one after the other, each as soon as the one before is back: a majority of seats was lost while
     the first had a process and no seat.
     """
-    day = usual(22, nodes=2, voters=3, budgets=(Budget("all", "fleet", most_out=1),))
+    day = usual(22, nodes=2, voters=3, budgets=(Budget("all", "fleet", max_unavailable=1),))
     for name in ("v1", "v2", "v3", "v1"):
         life = day.processes[name].life
         day.agreed("drain", f"{name}-{life}", [name], "kernel", "op")
@@ -350,7 +353,7 @@
             lambda name=name, life=life: (  # type: ignore[misc]
                 day.processes[name].life > life
                 and bool(day.leader())
-                and not day.state().voters_out()
+                and not day.state().unavailable_voters()
             )
         )
     assert len(day.processes[day.leader()].core.voter.log.seats.voters) == 3  # type: ignore[union-attr]
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -3,13 +3,13 @@
 import pytest
 
 from benchmarks.release import Day, measure
-from pumicenotch.fleet.canary.judge import Judge, Told, Verdict
+from pumicenotch.fleet.canary.judge import Observation, SequentialJudge, Verdict
 
 
-def close(judge: Judge, *rows: tuple[str, bool, int, int]) -> Verdict:
+def close(judge: SequentialJudge, *rows: tuple[str, bool, int, int]) -> Verdict:
     for row in rows:
-        judge.tell(Told(*row))
-    return judge.close()
+        judge.observe(Observation(*row))
+    return judge.close_window()
 
 
 def test_good_releases_go_through_where_a_fixed_threshold_halts_them() -> None:
@@ -30,31 +30,31 @@
 
 
 def test_what_both_sides_suffer_is_nobodys_version() -> None:
-    judge = Judge()
+    judge = SequentialJudge()
     for _ in range(300):
         verdict = close(judge, ("a", True, 40, 20), ("a", False, 120, 60))
-    assert not verdict.harm and verdict.known
+    assert not verdict.harmful and verdict.conclusive
 
 
 def test_only_like_is_held_against_like() -> None:
     """The released zone is the worse one, and has no others: nothing is known of it."""
-    judge = Judge()
+    judge = SequentialJudge()
     for _ in range(300):
         verdict = close(judge, ("a", True, 100, 50), ("b", False, 100, 0))
-    assert not verdict.harm
-    assert judge.sum == 0.0
+    assert not verdict.harmful
+    assert judge.bound.sum == 0.0
 
 
 def test_too_little_traffic_is_not_known_rather_than_good() -> None:
-    judge = Judge()
+    judge = SequentialJudge()
     for _ in range(20):
         verdict = close(judge, ("a", True, 1, 0), ("a", False, 3, 0))
-    assert (verdict.harm, verdict.known) == (False, False)
+    assert (verdict.harmful, verdict.conclusive) == (False, False)
     assert verdict.text == "not known yet: 20 tasks of released ones were seen"
 
 
 def test_the_text_says_how_much_and_where() -> None:
-    judge = Judge()
+    judge = SequentialJudge()
     for _ in range(60):
         verdict = close(
             judge,
@@ -63,9 +63,9 @@
             ("a/submit", True, 50, 15),
             ("a/submit", False, 150, 3),
         )
-        if verdict.harm:
+        if verdict.harmful:
             break
-    assert verdict.harm and verdict.text.endswith("most in a/submit")
+    assert verdict.harmful and verdict.text.endswith("most in a/submit")
     assert verdict.excess > 0.05
 
 
@@ -73,12 +73,12 @@
     """A bound for one look alone is passed by harmless days; the one for all looks at once is not."""
     passed = 0
     for seed in range(30):
-        day, judge, peeked = Day(seed, 0.0, False), Judge(), False
+        day, judge, peeked = Day(seed, 0.0, False), SequentialJudge(), False
         for at in range(180):
             for told in day.window(at, (0, 4, 8)):
-                judge.tell(told)
-            judge.close()
-            peeked = peeked or judge.sum > 2.6 * judge.spread**0.5  # one look at 0.5%
-            assert judge.sum < judge.bound()
+                judge.observe(told)
+            judge.close_window()
+            peeked = peeked or judge.bound.sum > 2.6 * judge.bound.variance**0.5  # one look at 0.5%
+            assert judge.bound.sum < judge.bound.value()
         passed += peeked
     assert passed >= 1
--- a/tests/test_release.py
+++ b/tests/test_release.py
@@ -7,17 +7,17 @@
 
 import pytest
 
-from pumicenotch.fleet.agent.agent import Agent
+from pumicenotch.fleet.agent.agent import Agent, AgentSetup
 from pumicenotch.fleet.drains.budgets import SERVING, Budget, Member
 from pumicenotch.fleet.member import effects
 from pumicenotch.fleet.releases import release as release_
-from pumicenotch.fleet.releases.commands import plan_fields
+from pumicenotch.fleet.releases.commands import release_to_wire
 from pumicenotch.fleet.releases.release import Release
 from pumicenotch.fleet.releases.releases import Releases
-from pumicenotch.fleet.releases.waves import waves_of
-from pumicenotch.fleet.replicated.records import RELEASE_PERMIT, member_fields
+from pumicenotch.fleet.releases.waves import plan_waves
+from pumicenotch.fleet.replicated.records import RELEASE_PERMIT, member_to_wire
 from pumicenotch.fleet.replicated.snapshot import dump, load
-from pumicenotch.fleet.replicated.state import State
+from pumicenotch.fleet.replicated.state import FleetState
 from pumicenotch.lab import fleets, releasing
 from pumicenotch.lab.releasing import NEW, OLD, Agents, Version
 from pumicenotch.lab.releasing_model import LONG, Bounds, Releasing
@@ -46,7 +46,7 @@
         lambda: (
             day.versions_run() == Counter({version: len(day.agents)})
             and bool(day.leader())
-            and not any(day.state().is_out(each) for each in day.state().members.values())
+            and not any(day.state().is_unavailable(each) for each in day.state().members.values())
         ),
         120_000.0,
     )
@@ -81,7 +81,7 @@
     day.plan()
     assert ended(day) == "done"
     all_on(day, NEW)
-    assert day.state().releases.stands == {"program": NEW}
+    assert day.state().releases.current_versions == {"program": NEW}
 
 
 @pytest.mark.parametrize(
@@ -98,7 +98,7 @@
 )
 def test_a_bad_version_goes_back_by_itself(version: Version, word: str) -> None:
     day = harmful(version)
-    assert word in day.state().releases.releases["r1"].why
+    assert word in day.state().releases.releases["r1"].reason
 
 
 def test_a_version_that_dies_now_and_then_is_no_crash_loop_and_goes_back_all_the_same() -> None:
@@ -107,7 +107,7 @@
     assert ended(day, within_ms=600_000.0) == "abandoned"
     assert (
         "ends that nobody asked for at 1 released nodes, 0 at"
-        in day.state().releases.releases["r1"].why
+        in day.state().releases.releases["r1"].reason
     )
     assert len(day.ever[NEW]) == 1
 
@@ -139,7 +139,7 @@
     day.boot(leader)
     assert ended(day) == "abandoned"
     assert len(day.ever[NEW]) == 1
-    assert "all are worse off" in day.state().releases.releases["r1"].why
+    assert "all are worse off" in day.state().releases.releases["r1"].reason
     all_on(day, OLD)
 
 
@@ -207,7 +207,7 @@
 
 
 def test_a_node_that_was_gone_during_a_release_catches_up_with_it() -> None:
-    day = releasing.usual(6, budgets=(Budget("all", "fleet", most_out=2),))
+    day = releasing.usual(6, budgets=(Budget("all", "fleet", max_unavailable=2),))
     day.plan(soak_ms=1000)
     day.kill("n7")
     day.kill("a-n7")
@@ -229,7 +229,7 @@
         day.ask(leader, "release", f"h{at}", "r1", what, seen, "race", f"op{at}")
     day.run(1000.0)
     held = day.state().releases.releases["r1"]
-    assert (held.state, held.was, [halt[0] for halt in held.halts]) == (
+    assert (held.state, held.halted_state, [halt[0] for halt in held.halts]) == (
         "halted",
         "going back",
         ["h3"],
@@ -256,7 +256,9 @@
         seated(day, voter)
     assert day.stands() == "halted" and len(day.moves) == moved
     # A halt keeps no node out.
-    day.until(lambda: not any(day.state().is_out(each) for each in day.state().members.values()))
+    day.until(
+        lambda: not any(day.state().is_unavailable(each) for each in day.state().members.values())
+    )
     day.word("r1", "resume", [halt[0] for halt in day.state().releases.releases["r1"].halts])
     assert ended(day) == "done"
 
@@ -266,7 +268,7 @@
     day.full.add("n4")
     day.plan()
     day.until(lambda: day.stands() == "halted")
-    assert "no space left" in day.state().releases.releases["r1"].why
+    assert "no space left" in day.state().releases.releases["r1"].reason
     assert day.processes["n4"].up
     day.full.clear()
     day.run(8000.0)
@@ -282,9 +284,9 @@
     day.word("r1", "back")
     day.until(lambda: day.stands() == "halted", 60_000.0)
     held = day.state().releases.releases["r1"]
-    assert held.was == "going back" and "start refused" in held.why
+    assert held.halted_state == "going back" and "start refused" in held.reason
     leader = day.processes[day.leader()].core
-    rows = {row["name"]: row for row in leader.reports().release_nodes(held)}  # type: ignore[union-attr]
+    rows = {row["name"]: row for row in leader.reports().one_release(held.name)["rows"]}  # type: ignore[union-attr]
     assert {row["runs"] for row in rows.values() if row["trouble"].startswith("start refused")} == {
         OLD
     }
@@ -313,9 +315,9 @@
 def test_too_little_traffic_is_not_known_and_a_person_is_asked() -> None:
     day = releasing.usual(13)
     day.load = 0.0
-    day.plan(soak_ms=1000, wait_ms=3000)
-    day.until(lambda: bool(day.state().releases.releases["r1"].asks), 60_000.0)
-    assert "not known" in day.state().releases.releases["r1"].asks
+    day.plan(soak_ms=1000, extra_soak_ms=3000)
+    day.until(lambda: bool(day.state().releases.releases["r1"].approval_reason), 60_000.0)
+    assert "not known" in day.state().releases.releases["r1"].approval_reason
     day.run(10_000.0)
     assert day.state().releases.releases["r1"].wave == 0
     day.word("r1", "approve")
@@ -334,7 +336,7 @@
     assert {runs["map"] for runs in day.runs.values()} == {"m2"} and not day.away, (
         "nobody was drained for it"
     )
-    lower = (Budget("all", "fleet", most_out=1),)
+    lower = (Budget("all", "fleet", max_unavailable=1),)
     day.plan("b", "b2", slot="budgets", budgets=lower, soak_ms=1000, waves=((),))
     assert day.state().budgets == lower
     day.word("b", "back")
@@ -360,7 +362,7 @@
     watched(day)
     day.kill("n3")  # of z0, and its agent with it
     day.kill("a-n3")
-    day.until(lambda: bool(day.state().members["n3"].against))
+    day.until(lambda: bool(day.state().members["n3"].failure))
     day.agreed("drain", "d1", ["n1", "n4"], "kernel", "op")
     day.plan(soak_ms=1000)
     day.run(20_000.0)
@@ -387,28 +389,30 @@
 def test_entries_above_the_level_are_refused_before_they_are_proposed(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(release_, "LEVEL", 1)  # all voters are of the program before releases
+    monkeypatch.setattr(
+        release_, "PROGRAM_LEVEL", 1
+    )  # all voters are of the program before releases
     day = fleets.usual(18, nodes=3, voters=3)
     said = day.agreed("release", "x", "r1", "halt", (), "why", "op")
     assert "is of level 2, and the fleet is at level 1" in said
-    monkeypatch.setattr(release_, "LEVEL", 2)
+    monkeypatch.setattr(release_, "PROGRAM_LEVEL", 2)
     day.until(lambda: day.state().releases.level == 2)
     assert "no release r1" in day.agreed("release", "y", "r1", "halt", (), "why", "op")
 
 
-def agreed(level: int = 2, nodes: int = 4) -> State:
+def agreed(level: int = 2, nodes: int = 4) -> FleetState:
     """A state by entries alone: nodes of two zones, with agents that have spoken."""
-    made = State()
+    made = FleetState()
     entries: list[tuple[Any, ...]] = [("begin", "f", ("v1",), (), ()), ("level", level)]
     for at in range(nodes):
         one = f"n{at}"
         entries += [
-            ("join", member_fields(Member(one, "0", zone=f"z{at % 2}"))),
+            ("join", member_to_wire(Member(one, "0", zone=f"z{at % 2}"))),
             ("serving", one, "0"),
             ("word", one, "a", (("program", OLD),), (OLD, NEW), "", ""),
         ]
     for at, entry in enumerate(entries, 1):
-        assert made.apply(at, entry).good, entry
+        assert made.apply(at, entry).ok, entry
     return made
 
 
@@ -420,13 +424,13 @@
         "level": 2,
         "waves": (("n0",), ("n2",), ("n1", "n3")),
         "soak_ms": 1,
-        "wait_ms": 1,
-        "back": True,
+        "extra_soak_ms": 1,
+        "rolls_back": True,
         "gate": 0,
         "urgent": False,
         "mixed": False,
     }
-    return plan_fields(Release(name=name, **{**usual, **more}))
+    return release_to_wire(Release(name=name, **{**usual, **more}))
 
 
 @pytest.mark.parametrize(
@@ -449,9 +453,9 @@
     made = agreed()
     said = made.apply(100, ("plan", "p", planned(**more), "op"))
     if word:
-        assert not said.good and word in said.text
+        assert not said.ok and word in said.text
         return
-    assert made.apply(101, ("release", "s", "r", "start", (), "x", "op")).good
+    assert made.apply(101, ("release", "s", "r", "start", (), "x", "op")).ok
 
 
 def test_the_same_entries_give_the_same_state_and_a_snapshot_holds_releases_whole() -> None:
@@ -482,13 +486,15 @@
 def test_a_word_that_takes_nobody_out_counts_nothing_anew() -> None:
     """Hundreds of agents speak; among 1,000 members to count takes milliseconds."""
     made = agreed()
-    made.apply(100, ("budget", "b", (Budget("all", "fleet", most_out=0),), "op"))
+    made.apply(100, ("budget", "b", (Budget("all", "fleet", max_unavailable=0),), "op"))
     made.apply(101, ("drain", "d", ("n0",), "x", "op"))
-    before = made.counted
+    before = made.cached_counts
     made.apply(102, ("word", "n1", "a", (("program", OLD),), (OLD, NEW, "v-new"), "", ""))
-    assert before is not None and made.counted is not None and made.counted[0] is before[0]
+    assert (
+        before is not None and made.cached_counts is not None and made.cached_counts[0] is before[0]
+    )
     made.apply(103, ("word", "n1", "a", (("program", OLD),), (OLD, NEW), "ended", ""))
-    assert made.counted[0] is not before[0]
+    assert made.cached_counts[0] is not before[0]
 
 
 def test_a_move_is_refused_unless_its_server_has_ended_and_the_release_goes_on() -> None:
@@ -508,16 +514,16 @@
     made.apply(110, ("halt", "H", "op", "x"))
     assert "halted" in made.apply(111, move).text
     made.apply(112, ("resume", "R", ("H",), "x", "op"))
-    assert made.apply(113, move).good
+    assert made.apply(113, move).ok
     assert made.apply(114, move).value == 113, "a repeat is the same permission"
-    assert not made.apply(115, ("move", "n2", "a", "program", NEW)).good, "its wave has not come"
+    assert not made.apply(115, ("move", "n2", "a", "program", NEW)).ok, "its wave has not come"
 
 
 def test_waves_begin_with_one_node_and_never_mix_zones_or_voters() -> None:
-    members = [Member(f"n{at}", "0", zone=f"z{at % 3}", standing=SERVING) for at in range(12)]
+    members = [Member(f"n{at}", "0", zone=f"z{at % 3}", status=SERVING) for at in range(12)]
     members += [Member(f"v{at}", "0", zone=f"z{at}", voter=True) for at in range(3)]
     members += [Member("db", "0", zone="z0", serves=("pg",))]
-    waves = waves_of(members, order="callers-first")
+    waves = plan_waves(members, order="callers-first")
     assert len(waves[0]) == 1 and sorted(one for wave in waves for one in wave) == sorted(
         m.name for m in members
     )
@@ -525,8 +531,8 @@
     assert all(len({zone[one] for one in wave}) == 1 for wave in waves)
     assert [wave for wave in waves if wave[0][0] == "v"] == list(waves[-3:])
     assert waves.index(("db",)) == len(waves) - 4
-    assert waves_of(members, order="below-first")[0] == ("db",)
-    assert max(len(wave) for wave in waves_of(members, mixed=True)) > max(
+    assert plan_waves(members, order="below-first")[0] == ("db",)
+    assert max(len(wave) for wave in plan_waves(members, mixed=True)) > max(
         len(wave) for wave in waves
     )
     assert isinstance(agreed().releases, Releases)
@@ -545,50 +551,52 @@
     assert not found.violation, f"{name}: {found.text()}"
 
 
-def goes_on_while_halted(release: Release, one: str) -> str:
+def goes_on_while_halted(release: Release, name: str) -> str:
     return RIGHT_WANTED(
-        release._replace(state="draining") if release.state == "halted" else release, one
+        release._replace(state="draining") if release.state == "halted" else release, name
     )
 
 
 def never_catches_up(self: Releases, one: str, slot: str) -> str:
-    return next((self.wanted(each, one) for each in self.active() if one in each.nodes), "")
+    return next(
+        (self.wanted_version(each, one) for each in self.active_releases() if one in each.nodes), ""
+    )
 
 
 def keeps_no_budget(self: Releases, node: Any) -> None:
-    due, member = self.due(node), self.fleet.members.get(node.name)
+    due, member = self.next_step(node), self.fleet.members.get(node.name)
     if (
         due.slot
-        and not self.down(node.name)
+        and not self.is_server_down(node.name)
         and member is not None
         and node.name not in self.fleet.permits
     ):
-        assert isinstance(self.fleet, State)
-        self.fleet.give(member, RELEASE_PERMIT, "release")
+        assert isinstance(self.fleet, FleetState)
+        self.fleet.give_permit(member, RELEASE_PERMIT, "release")
 
 
 def goes_back_half_way(self: Releases, release: Release) -> list[str]:
     return [] if release.state == "going back" else RIGHT_MISSING(self, release)
 
 
-def settles_once(self: Releases, one: str = "") -> None:
-    for release in self.active():
+def settles_once(self: Releases, name: str = "") -> None:
+    for release in self.active_releases():
         self.advance(release)
-    self.changed = False
-    for each in self.in_order():
+    self.has_advanced = False
+    for each in self.drain_order():
         self.queue_drain(self.nodes[each])
 
 
-RIGHT_WANTED, RIGHT_MISSING = Releases.wanted, Releases.missing
+RIGHT_WANTED, RIGHT_MISSING = Releases.wanted_version, Releases.missing_nodes
 
 
 @pytest.mark.parametrize(
     ("where", "seeded", "word"),
     [
-        ("wanted", staticmethod(goes_on_while_halted), "though it is halted"),
+        ("wanted_version", staticmethod(goes_on_while_halted), "though it is halted"),
         ("queue_drain", keeps_no_budget, "are away by permit"),
-        ("settle", settles_once, "no way leads on: release going back"),
-        ("target", never_catches_up, "no way leads on: release abandoned"),
+        ("advance_all", settles_once, "no way leads on: release going back"),
+        ("target_version", never_catches_up, "no way leads on: release abandoned"),
     ],
 )
 def test_seeded_bugs_are_found(
@@ -598,10 +606,10 @@
     if where == "queue_drain":
         monkeypatch.setattr(Releasing, "WAVES", (("a1", "a2"), ("b1",)))
         monkeypatch.setattr(
-            State, "over_with", lambda self, held, permit: ""
+            FleetState, "violation_with", lambda self, held, permit: ""
         )  # who would refuse it still
-    if where == "target":
-        monkeypatch.setattr(Releases, "missing", goes_back_half_way)
+    if where == "target_version":
+        monkeypatch.setattr(Releases, "missing_nodes", goes_back_half_way)
     found = [Releasing(bounds).explore(4000).violation for _, bounds in LONG]
     assert any(word in each for each in found), found
 
@@ -612,17 +620,19 @@
 def agent_at_its_move() -> tuple[Agent, int, float]:
     """Its server has ended by permit, and it has asked for the move: the number of that question."""
     made = Agent(
-        fleet="f",
-        node="n0",
-        life="a",
-        voters=["v1"],
-        runs={"program": OLD},
-        holds=[OLD, NEW],
-        child=True,
-        start_ms=1e4,
-        drain_ms=1e4,
-        now=0.0,
-        seed=1,
+        AgentSetup(
+            fleet="f",
+            node="n0",
+            incarnation="a",
+            voters=("v1",),
+            versions={"program": OLD},
+            stored=(OLD, NEW),
+            has_server=True,
+            start_timeout_ms=1e4,
+            drain_timeout_ms=1e4,
+            now_ms=0.0,
+            seed=1,
+        )
     )
     answer = {
         "due": ("program", NEW),
@@ -645,12 +655,12 @@
 
 def test_a_permission_that_its_agent_slept_through_is_none() -> None:
     made, number, until = agent_at_its_move()
-    assert effects.Swap("program", NEW) in made.step(
+    assert effects.ActivateVersion("program", NEW) in made.step(
         until - 1.0, "answered", number, None, {"value": 9}
     )
     made, number, until = agent_at_its_move()
     late = made.step(until, "answered", number, None, {"value": 9})
-    assert not [each for each in late if isinstance(each, effects.Swap)]
+    assert not [each for each in late if isinstance(each, effects.ActivateVersion)]
 
 
 def test_an_agent_without_its_fleet_starts_what_it_has_and_swaps_nothing() -> None:
@@ -658,5 +668,7 @@
     seen: list[Any] = []
     for at in range(1, 100):
         seen += made.step(4.0 + 100.0 * at, "time")
-    assert effects.Start() in seen and not [each for each in seen if isinstance(each, effects.Swap)]
-    assert made.runs == {"program": OLD}
+    assert effects.StartServer() in seen and not [
+        each for each in seen if isinstance(each, effects.ActivateVersion)
+    ]
+    assert made.versions == {"program": OLD}
