--- a/benchmarks/capacity/mechanisms.py
+++ b/benchmarks/capacity/mechanisms.py
@@ -93,7 +93,7 @@
         "server.membership", "", "", "`membership/swim.py` `Members.gossip`: 12 news a message"
     ),
     Mechanism(
-        "server.agreement", "", "", "`fleet/voter/node.py` `VoterNode.heartbeat_interval_ms`"
+        "server.agreement", "", "", "`fleet/voter/proposals.py` `ProposerNode.heartbeat_interval`"
     ),
     Mechanism(
         "voter.leader",
@@ -108,16 +108,16 @@
         "voter.leader",
         "",
         "",
-        "`fleet/voter/node.py` `heartbeat_interval_ms`; `consensus/voter.py`",
+        "`fleet/voter/proposals.py` `heartbeat_interval`; `consensus/voter.py`",
     ),
     Mechanism(
         "voter.follower",
         "",
         "",
-        "`consensus/voter.py` `Voter.take`; `fleet/replicated/state.py` `State.apply`",
+        "`consensus/replication.py` `LogReplication.on_append_entries`; `fleet/replicated/state.py` `FleetState.apply`",
     ),
     Mechanism(
-        "agent", "", "", "`fleet/agent/agent.py` `Agent.hear`: at the pace that the leader names"
+        "agent", "", "", "`fleet/agent/agent.py` `Agent.on_hint`: at the pace that the leader names"
     ),
     Mechanism(
         "router", "tenants_known", "start", "`cells/map.py` `load`, before the router serves"
--- a/pumicenotch/fleet/drains/budgets.py
+++ b/pumicenotch/fleet/drains/budgets.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterable, Iterator
 from typing import Any, NamedTuple
 
-from pumicenotch.errors import PumicenotchError
+from pumicenotch.errors import InputError
 
 # The kinds of groups that a budget may speak of, as files of ours name them.
 BUDGET_SCOPES = ("fleet", "zone", "region", "cell", "service", "callers")
@@ -21,13 +21,11 @@
 CAPACITY_TOLERANCE = 1e-9  # of sums of capacities, against rounding
 
 
-class InvalidBudgetError(PumicenotchError, ValueError):
+class InvalidBudgetError(InputError):
     """A budget that limits nothing, or sets what can never hold."""
 
-    code = "invalid-budget"
-
     def __init__(self, place: str, problem: str) -> None:
-        super().__init__(place, problem, "change the budget in its file")
+        super().__init__(problem, place=place, remedy="change the budget in its file")
 
 
 class Member(NamedTuple):
--- a/pumicenotch/fleet/replicated/fields.py
+++ b/pumicenotch/fleet/replicated/fields.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from pumicenotch.errors import PumicenotchError
+from pumicenotch.errors import InputError
 from pumicenotch.fleet.drains.budgets import Budget, InvalidBudgetError, Member, read_budget
 
 MAX_TEXT_LENGTH = 200
@@ -18,16 +18,16 @@
 FieldReader = Callable[[Any], Any]
 
 
-class InvalidCommandError(PumicenotchError, ValueError):
+class InvalidCommandError(InputError):
     """An entry that is none of this fleet's commands, or whose fields hold the wrong values.
 
     A leader refuses to propose such an entry; a voter skips one that is agreed all the same.
     """
 
-    code = "invalid-command"
-
     def __init__(self, problem: str, *, place: str = "fleet command") -> None:
-        super().__init__(place, problem, "send it with a command of the fleet's own version")
+        super().__init__(
+            problem, place=place, remedy="send it with a command of the fleet's own version"
+        )
 
 
 def read_text(value: Any) -> str:
--- a/pumicenotch/fleet/replicated/state.py
+++ b/pumicenotch/fleet/replicated/state.py
@@ -10,7 +10,6 @@
 from pumicenotch.fleet.drains.operator_requests import OperatorRequests
 from pumicenotch.fleet.releases.commands import ReleaseCommand
 from pumicenotch.fleet.replicated.commands import BootstrapFleet, RequestDrain
-from pumicenotch.fleet.replicated.fields import InvalidCommandError
 from pumicenotch.fleet.replicated.records import ApplyResult
 from pumicenotch.fleet.replicated.registry import (
     FIRST_LEVEL,
@@ -120,7 +119,5 @@
 
 def error_code(error: Exception) -> str | None:
     """Returns the code of an error that has a type of its own for operators."""
-    if isinstance(error, InvalidCommandError):
-        return None
     code = getattr(error, "code", None)
     return code if isinstance(code, str) else None
--- a/pumicenotch/fleet/replicated/subject.py
+++ b/pumicenotch/fleet/replicated/subject.py
@@ -7,7 +7,7 @@
 from collections.abc import Mapping
 from typing import Any, Protocol
 
-from pumicenotch.errors import PumicenotchError
+from pumicenotch.errors import InputError
 from pumicenotch.fleet.replicated.fields import FieldReader
 
 
@@ -55,16 +55,14 @@
         """Replaces the content by what `dump` gave; raises ValueError on anything else."""
 
 
-class UnknownSubjectError(PumicenotchError, ValueError):
+class UnknownSubjectError(InputError):
     """Another voter's state has a subject that this voter does not have."""
 
-    code = "unknown-subject"
-
     def __init__(self, name: str) -> None:
         super().__init__(
-            "the fleet's state",
             f"it has the subject {name!r}, which this voter does not have",
-            "give its file the block that the other voters' files have for it, or start it with a"
-            " newer program",
+            place="the fleet's state",
+            remedy="give its file the block that the other voters' files have for it, or start it"
+            " with a newer program",
         )
         self.name = name
--- a/pumicenotch/fleet/voter/node.py
+++ b/pumicenotch/fleet/voter/node.py
@@ -6,8 +6,14 @@
 
 from typing import Any
 
-from pumicenotch.consensus import messages as agree
-from pumicenotch.consensus.bootstrap import seated
+from pumicenotch.consensus.inputs import (
+    ChangeMembership,
+    RequestRead,
+    Tick,
+    TransferLeadership,
+)
+from pumicenotch.consensus.membership_changes import next_membership
+from pumicenotch.consensus.messages import UnknownVoterError
 from pumicenotch.fleet.canary.analysis import CanaryAnalysis
 from pumicenotch.fleet.canary.counts import read_counts, read_memory_mb
 from pumicenotch.fleet.member.effects import Exit, RequestError
@@ -74,15 +80,15 @@
 
     def wake_at_ms(self) -> float:
         """Returns when the next input `time` is due."""
-        return min(super().wake_at_ms(), self.voter.due, self.check_at_ms, self.exit_at_ms)
+        return min(super().wake_at_ms(), self.voter.deadline_ms, self.check_at_ms, self.exit_at_ms)
 
     def on_time(self) -> None:
         """Does what is due: the replica's timers, a leader's checks, its exit."""
         # In service is a voter whose replica has a vote: until then a majority may be without it.
-        self.set_serving(self.replica in self.voter.log.seats.voters, False)
+        self.set_serving(self.replica in self.voter.log.membership.voters, False)
         super().on_time()
-        if self.now_ms >= self.voter.due:
-            self.step_voter("time")
+        if self.now_ms >= self.voter.deadline_ms:
+            self.step_voter(Tick())
         if self.now_ms >= self.check_at_ms:
             self.check_at_ms = self.now_ms + self.LEADER_CHECK_MS
             self.find_fleet()
@@ -98,7 +104,7 @@
         name, incarnation, _ = sender
         match method:
             case "sees" if name not in self.voter_addresses:
-                raise agree.BadMessage(f"{name} is no voter of this fleet")
+                raise UnknownVoterError(method, name)
             case "sees":
                 dead = [item for item in params if isinstance(item, str)]
                 levels = [item for item in params if type(item) is int]
@@ -114,7 +120,7 @@
 
     def on_leader_changed(self) -> None:
         """Starts over as a new leader, or refuses what a former leader had under way."""
-        if self.voter.leader == self.replica:
+        if self.voter.leader_id == self.replica:
             self.joining_replicas = {}
             self.detector = FailureDetector(self.now_ms, self.state.members)
             self.voter_levels = VoterLevels()
@@ -149,7 +155,7 @@
             self.last_read += 1
             read = PendingRead(connection_id, message_id, verb, args)
             self.pending_reads[self.last_read] = read
-            self.step_voter("read", self.last_read)
+            self.step_voter(RequestRead(self.last_read))
         elif verb == HEARTBEAT_VERB:
             self._answer_heartbeat(connection_id, message_id, args)
         elif verb == AGENT_REPORT_VERB:
@@ -174,8 +180,8 @@
 
     def reports(self) -> Reports:
         """Returns what operators may read now."""
-        seats = self.voter.log.seats
-        leader = LeaderInfo(self.me.name, self.voter.term, seats.voters, seats.learners)
+        membership = self.voter.log.membership
+        leader = LeaderInfo(self.me.name, self.voter.term, membership.voters, membership.learners)
         return Reports(self.now_ms, Sources(self.state, leader, self.analysis, self.durations))
 
     def answer_read(self, key: int) -> None:
@@ -242,7 +248,7 @@
             self.notify(address, "sees", *dead, self.level)
 
     def _lead(self) -> None:
-        if not self.leads or not self.voter.settled():
+        if not self.leads or not self.voter.can_change_membership():
             return
         if not self.state.fleet:
             names = tuple(sorted(self.voter_addresses))
@@ -256,7 +262,7 @@
         self._raise_level()
         for finding in self.analysis.findings(self.now_ms, self.state):
             self.propose_command(finding)
-        self._change_seats()
+        self._change_membership()
 
     def _agree_on_halts(self) -> None:
         """Proposes a halt that members gossip, and ends the gossip of one that is over."""
@@ -282,21 +288,21 @@
         if common > releases.level and not releases.active_releases():
             self.propose_command(SetLevel(common))
 
-    def _change_seats(self) -> None:
-        seats = seated(self.voter, self.joining_replicas, self._is_replica_heard)
-        if seats is None:
+    def _change_membership(self) -> None:
+        membership = next_membership(self.voter, self.joining_replicas, self._is_replica_heard)
+        if membership is None:
             return
-        learners = ", ".join(seats.learners) or "none"
-        self.log(f"seats: {', '.join(seats.voters)}; learning: {learners}")
-        self.step_voter("change", seats)
+        learners = ", ".join(membership.learners) or "none"
+        self.log(f"voters: {', '.join(membership.voters)}; learners: {learners}")
+        self.step_voter(ChangeMembership(membership))
         self.joining_replicas = {
             name: replica
             for name, replica in self.joining_replicas.items()
-            if replica not in seats.voters
+            if replica not in membership.voters
         }
 
     def _is_replica_heard(self, replica: str) -> bool:
-        return self.now_ms - self.voter.answered_at.get(replica, NEVER_MS) < NAME_LEASE_MS
+        return self.now_ms - self.voter.responded_at_ms.get(replica, NEVER_MS) < NAME_LEASE_MS
 
     # Exit
 
@@ -305,5 +311,5 @@
         if not self.is_stopping:
             self.exit_at_ms = self.now_ms + self.TRANSFER_MS
             if self.leads:
-                self.step_voter("hand_over", "")
+                self.step_voter(TransferLeadership(""))
         super().stop()
--- a/pumicenotch/fleet/voter/proposals.py
+++ b/pumicenotch/fleet/voter/proposals.py
@@ -2,7 +2,8 @@
 
 from typing import Any
 
-from pumicenotch.consensus import messages as agree
+from pumicenotch.consensus.inputs import Propose
+from pumicenotch.consensus.messages import Entry, EntryKind, voter_name
 from pumicenotch.fleet.drains.durations import DrainDurations
 from pumicenotch.fleet.member.effects import RequestError
 from pumicenotch.fleet.member.voter_client import NO_MAJORITY, NOT_LEADER, REFUSED
@@ -11,7 +12,7 @@
 from pumicenotch.fleet.replicated.state import error_code
 from pumicenotch.fleet.voter.failure_detector import FailureDetector, VoterLevels
 from pumicenotch.fleet.voter.pending import NO_CONNECTION, PendingProposal
-from pumicenotch.fleet.voter.replica import COMMAND, ReplicaNode, VoterSetup
+from pumicenotch.fleet.voter.replica import ReplicaNode, VoterSetup
 
 
 class ProposerNode(ReplicaNode):
@@ -49,13 +50,15 @@
             return
         if entry[0] == "halt":  # in force for this process at once, whenever it is agreed
             self.gossip_halt(*entry[1:])
-        index = self.voter.log.last + 1
+        index = self.voter.log.last_index + 1
         expires_at_ms = self.now_ms + self.PROPOSAL_TIMEOUT_MS
         self.pending[index] = PendingProposal(
             self.voter.term, connection_id, message_id, expires_at_ms
         )
-        self.step_voter("propose", entry)
-        if self.voter.log.last < index and index in self.pending:  # leadership is being transferred
+        self.step_voter(Propose(entry))
+        if (
+            self.voter.log.last_index < index and index in self.pending
+        ):  # leadership is being transferred
             del self.pending[index]
             problem = "the leader hands over: ask again"
             self.refuse(connection_id, message_id, RequestError(NO_MAJORITY, problem, ""))
@@ -114,10 +117,10 @@
     # Answers
 
     def on_applied(
-        self, index: int, entry: agree.Entry, result: ApplyResult, permit_holders: set[str]
+        self, index: int, entry: Entry, result: ApplyResult, permit_holders: set[str]
     ) -> None:
         """Answers the client of an applied entry, and tells new holders of their permits."""
-        if entry.kind == COMMAND:
+        if entry.kind is EntryKind.COMMAND:
             self.durations.observe(
                 self.now_ms, permit_holders, self.state.permits, self.state.wait_reasons
             )
@@ -148,7 +151,7 @@
         """Answers a request that only a leader may answer with the leader's address."""
         address = self.leader_address()
         if address:
-            problem = f"{agree.name_of(self.voter.leader)} leads"
+            problem = f"{voter_name(self.voter.leader_id)} leads"
             error = RequestError(NOT_LEADER, problem, address)
         else:
             error = RequestError(NO_MAJORITY, "nobody leads just now", address)
--- a/pumicenotch/fleet/voter/replica.py
+++ b/pumicenotch/fleet/voter/replica.py
@@ -4,20 +4,32 @@
 from collections.abc import Callable, Mapping, Sequence
 from typing import Any, NamedTuple
 
-from pumicenotch.consensus import messages as agree
-from pumicenotch.consensus.bootstrap import Founding, Say
-from pumicenotch.consensus.messages import (
-    Commit,
-    Led,
-    Readable,
-    Restore,
-    Seats,
+from pumicenotch.consensus import messages
+from pumicenotch.consensus.bootstrap import Bootstrap, SendToName
+from pumicenotch.consensus.effects import (
+    ApplyEntry,
+    LeaderChanged,
+    Persist,
+    ReadFailed,
+    ReadReady,
+    RestoreSnapshot,
     Send,
-    Store,
-    Unreadable,
-    name_of,
 )
-from pumicenotch.consensus.voter import LEADER, Voter
+from pumicenotch.consensus.inputs import Input, MessageReceived, Persisted
+from pumicenotch.consensus.messages import (
+    ClusterMembership,
+    Discover,
+    Entry,
+    EntryKind,
+    UnknownVoterError,
+    VoterId,
+    decode_bootstrap_message,
+    decode_message,
+    encode_message,
+    voter_name,
+)
+from pumicenotch.consensus.state import Role
+from pumicenotch.consensus.voter import Voter
 from pumicenotch.fleet.drains.budgets import Budget, Member
 from pumicenotch.fleet.member.effects import Exit
 from pumicenotch.fleet.member.node import MemberNode, MemberSetup
@@ -28,7 +40,6 @@
 from pumicenotch.fleet.replicated.subject import ReplicatedSubject
 from pumicenotch.sender import Sender
 
-COMMAND = "do"  # the kind of log entries that hold a command; the others are the log's own
 NO_RESULT = ApplyResult(False, "")  # of entries that are the log's own
 
 
@@ -60,20 +71,20 @@
         super().__init__(setup.member)
         self.voter_addresses = dict(setup.voters)
         self.replica = f"{self.me.name}/{self.me.life}"
-        self.founding = Founding(self.replica, self.voter_addresses)
-        self.voter = self._new_voter(Seats())
+        self.bootstrap = Bootstrap(self.replica, self.voter_addresses)
+        self.voter = self._new_voter(ClusterMembership())
         self.joining_replicas: dict[str, str] = {}  # by name: replicas that want a vote
         self.make_subjects = setup.make_subjects
         self.state = FleetState(setup.make_subjects())
         self.cannot_read_state = False  # this program does not understand it: the process exits
 
-    def _new_voter(self, seats: Seats) -> Voter:
-        return Voter(self.replica, self.now_ms, seats, self.rng.uniform)
+    def _new_voter(self, membership: ClusterMembership) -> Voter:
+        return Voter(self.replica, self.now_ms, membership, self.rng.uniform)
 
     @property
     def leads(self) -> bool:
         """Whether this voter leads."""
-        return self.voter.role == LEADER
+        return self.voter.role is Role.LEADER
 
     @property
     def level(self) -> int:
@@ -83,97 +94,103 @@
 
     def leader_address(self) -> str:
         """Returns the leader's address; "" if nobody leads, as far as this process knows."""
-        return self.voter_addresses.get(name_of(self.voter.leader), "")
+        return self.voter_addresses.get(voter_name(self.voter.leader_id), "")
 
     def leadership(self) -> Leadership:
         """Returns who leads, for a carrier that hands it on to another reducer."""
         address = self.leader_address()
         if self.leads:
-            in_touch = self.voter.in_touch()
+            in_touch = self.voter.has_active_quorum()
         else:
-            in_touch = bool(address) and self.voter.hears_leader()
+            in_touch = bool(address) and self.voter.leader_is_alive()
         return Leadership(address, self.leads, in_touch)
 
     # Getting a vote
 
     def find_fleet(self) -> None:
         """Asks for a vote until the replica has one; then passes the bootstrap on for a while."""
-        if self.voter.log.last > 0:
-            self.founding.over = True
-            if self.replica in self.voter.log.seats.all:
+        if self.voter.log.last_index > 0:
+            self.bootstrap.has_log = True
+            if self.replica in self.voter.log.membership.members:
                 return
-        self._send_founding(self.founding.time(self.now_ms))
-        self._take_founded_seats()
+        self._send_bootstrap(self.bootstrap.on_tick(self.now_ms))
+        self._take_bootstrapped_membership()
 
-    def _take_founded_seats(self) -> None:
-        seats = self.founding.seats
-        if seats is not None and not self.voter.log.seats.voters and self.voter.log.last == 0:
-            self.voter = self._new_voter(seats)
-            self.log(f"the fleet is founded: {', '.join(seats.voters)}")
-            self._send_founding(self.founding.time(self.now_ms))
+    def _take_bootstrapped_membership(self) -> None:
+        membership = self.bootstrap.membership
+        log = self.voter.log
+        if membership is not None and not log.membership.voters and log.last_index == 0:
+            self.voter = self._new_voter(membership)
+            self.log(f"the fleet is founded: {', '.join(membership.voters)}")
+            self._send_bootstrap(self.bootstrap.on_tick(self.now_ms))
 
-    def _send_founding(self, founding_messages: list[Say]) -> None:
-        for message in founding_messages:
-            if message.to in self.voter_addresses:
-                self.notify(self.voter_addresses[message.to], "found", *message.told)
+    def _send_bootstrap(self, sends: list[SendToName]) -> None:
+        for name, message in sends:
+            if name in self.voter_addresses:
+                address = self.voter_addresses[name]
+                self.notify(address, messages.BOOTSTRAP_METHOD, *encode_message(message))
 
     def receive(self, sender: Sender, method: str, params: Any) -> None:
         """Handles a notification; raises ValueError if it is malformed."""
         name, incarnation, _ = sender
         match method:
-            case "agree" | "found" if name not in self.voter_addresses:
-                raise agree.BadMessage(f"{name} is no voter of this fleet")
-            case "agree":
-                message = agree.message_of(params)
-                self.step_voter("message", f"{name}/{incarnation}", message)
-            case "found":
-                self._receive_founding(name, f"{name}/{incarnation}", params)
+            case messages.CONSENSUS_METHOD | messages.BOOTSTRAP_METHOD if (
+                name not in self.voter_addresses
+            ):
+                raise UnknownVoterError(method, name)
+            case messages.CONSENSUS_METHOD:
+                message = decode_message(params)
+                self.step_voter(MessageReceived(f"{name}/{incarnation}", message))
+            case messages.BOOTSTRAP_METHOD:
+                self._receive_bootstrap(name, f"{name}/{incarnation}", params)
             case _:
                 super().receive(sender, method, params)
 
-    def _receive_founding(self, name: str, replica: str, params: Any) -> None:
-        wants_vote = bool(params) and params[0] == "who"
-        if wants_vote and self.leads and replica not in self.voter.log.seats.voters:
+    def _receive_bootstrap(self, name: str, replica: VoterId, params: Any) -> None:
+        message = decode_bootstrap_message(params)
+        wants_vote = isinstance(message, Discover)
+        if wants_vote and self.leads and replica not in self.voter.log.membership.voters:
             self.joining_replicas[name] = replica
-        self._send_founding(self.founding.said(replica, params))
-        self._take_founded_seats()
+        self._send_bootstrap(self.bootstrap.receive(replica, message))
+        self._take_bootstrapped_membership()
 
     # The replica
 
-    def step_voter(self, name: str, *details: Any) -> None:
+    def step_voter(self, event: Input) -> None:
         """Gives the replica an input, and carries out its effects."""
-        pending = self.voter.step(self.now_ms, name, *details)
+        pending = self.voter.step(self.now_ms, event)
         while pending and not self.cannot_read_state:
             effect = pending.pop(0)
             match effect:
-                case Store(serial):  # in memory: a process that exits returns as another replica
-                    pending += self.voter.step(self.now_ms, "stored", serial)
+                case Persist(serial):  # in memory: a process that exits returns as another replica
+                    pending += self.voter.step(self.now_ms, Persisted(serial))
                 case Send(to, message):
-                    if address := self.voter_addresses.get(name_of(to)):
-                        self.notify(address, "agree", *agree.plain(message))
-                case Commit(index, entry):
+                    if address := self.voter_addresses.get(voter_name(to)):
+                        self.notify(address, messages.CONSENSUS_METHOD, *encode_message(message))
+                case ApplyEntry(index, entry):
                     self._commit(index, entry)
-                case Restore(index, data):
+                case RestoreSnapshot(index, data):
                     self._restore(index, data)
-                case Readable(key, _):
+                case ReadReady(key, _):
                     self.answer_read(key)
-                case Unreadable(key):
+                case ReadFailed(key):
                     self.fail_read(key)
-                case Led(leader, term):
+                case LeaderChanged(leader, term):
                     self.log(f"{leader or 'nobody'} leads in term {term}")
                     self.on_leader_changed()
 
-    def _commit(self, index: int, entry: agree.Entry) -> None:
+    def _commit(self, index: int, entry: Entry) -> None:
         permit_holders = set(self.state.permits)
         result = NO_RESULT
-        if entry.kind == COMMAND:
+        if entry.kind is EntryKind.COMMAND:
             result = self.state.apply(index, entry.data)
             self._check_level()
         else:
             self.state.log_index = index
         self.on_applied(index, entry, result, permit_holders)
         log = self.voter.log
-        if log.last - log.base > self.COMPACT_AT and self.voter.commit == index:
+        entries = log.last_index - log.snapshot_index
+        if entries > self.COMPACT_AT and self.voter.commit_index == index:
             self.voter.compact(index, snapshot.dump(self.state))
 
     def _restore(self, index: int, data: bytes) -> None:
@@ -207,7 +224,7 @@
 
     @abstractmethod
     def on_applied(
-        self, index: int, entry: agree.Entry, result: ApplyResult, permit_holders: set[str]
+        self, index: int, entry: Entry, result: ApplyResult, permit_holders: set[str]
     ) -> None:
         """The entry is in the state; `permit_holders` held a permit before it."""
 
--- a/pumicenotch/fleet/voter/reports.py
+++ b/pumicenotch/fleet/voter/reports.py
@@ -5,7 +5,7 @@
 
 from typing import Any, NamedTuple
 
-from pumicenotch.errors import PumicenotchError
+from pumicenotch.errors import InputError
 from pumicenotch.fleet.canary.analysis import CanaryAnalysis
 from pumicenotch.fleet.drains.budgets import GroupOutages, Member
 from pumicenotch.fleet.drains.durations import DrainDurations
@@ -20,13 +20,12 @@
 Table = dict[str, Any]  # JSON, by the names that operators know
 
 
-class InvalidReadError(PumicenotchError, ValueError):
+class InvalidReadError(InputError):
     """What is read is not there, or the arguments are of another type."""
 
-    code = "invalid-read"
-
     def __init__(self, verb: str, problem: str) -> None:
-        super().__init__(verb, problem, "see `fleet status` and `release status` for what there is")
+        remedy = "see `fleet status` and `release status` for what there is"
+        super().__init__(problem, place=verb, remedy=remedy)
 
 
 class LeaderInfo(NamedTuple):
--- a/tests/compatibility/test_pools.py
+++ b/tests/compatibility/test_pools.py
@@ -10,13 +10,13 @@
 
 from pumicenotch.config import compiled
 from pumicenotch.config.file import ours_of
-from pumicenotch.interface import Effect, Stage
+from pumicenotch.interface import Idempotency, IncomingRequest, RequestClass, SlotQuery
 from pumicenotch.pools import Plan, Pool, Pools
 
 GOLDEN = Path(__file__).parent / "golden" / "pools"
 DEPLOYED = Path(__file__).parents[2] / "deploy" / "pools.hcl"
 FILES = {"full": GOLDEN / "full.hcl", "deploy": DEPLOYED}
-STAGE = Stage(2500.0, 0.0, 6300.0, Effect.RESTARTABLE, 0.0, 1.0, 0.0, 0.0)
+STAGE = RequestClass(2500.0, 0.0, 6300.0, Idempotency.IDEMPOTENT, 0.0, 1.0, 0.0, 0.0)
 
 
 @pytest.mark.parametrize("name", FILES)
@@ -72,37 +72,41 @@
         event = rng.choice(
             ("read", "read", "place", "on", "off", "ended", "tick", "next", "refuse")
         )
-        lane = pools.lane(rng.randrange(4))
+        lane = pools.pool_of(rng.randrange(4))
         waiting = [other for other in range(pools.count) if rng.random() < 0.5]
         mark = rng.randrange(40)
         answer: Any = None
         if event == "read":
             waited_ms = rng.expovariate(0.02)
             caller = rng.randrange(5)
-            answer = pools.read(
-                now, lane, rng.randrange(3), caller, rng.random() < 0.2, mark, waited_ms
+            tenant = rng.randrange(3)
+            marked = rng.random() < 0.2
+            incoming = IncomingRequest(
+                0, 0, tenant, waited_ms, None, None, 1.0, None, caller, marked, mark
             )
+            answer = pools.request_received(now, lane, incoming)
         elif event == "place":
             repeat, beyond, room = (rng.random() < 0.3 for _ in range(3))
-            answer = pools.place(now, lane, repeat, beyond, waiting, 100.0, room)
+            query = SlotQuery(lane, repeat, beyond, waiting, 100.0, room)
+            answer = pools.reserve_slot(now, query)
         elif event == "on" and len(running) < total:
-            chosen = pools.next(now, waiting)
+            chosen = pools.next_pool(now, waiting)
             answer = chosen
             if chosen is not None:
-                pools.on(now, chosen, True)
+                pools.slot_taken(now, chosen, True)
                 running.append(chosen)
         elif event == "off" and running:
             finished = running.pop(rng.randrange(len(running)))
-            pools.off(now, finished)
-            pools.ended(now, finished, rng.expovariate(0.005))
+            pools.slot_released(now, finished)
+            pools.request_finished(now, finished, rng.expovariate(0.005))
         elif event == "ended":
-            pools.spent(rng.randrange(3), rng.randrange(5))
+            pools.retry_admitted(rng.randrange(3), rng.randrange(5))
         elif event == "tick":
             pools.tick(now, total)
         elif event == "next":
-            answer = pools.next(now, waiting)
+            answer = pools.next_pool(now, waiting)
         elif event == "refuse":
-            pools.held_off(now, lane, mark)
+            pools.request_rejected(now, lane, mark)
         if isinstance(answer, tuple):
             answer = list(answer)
         digest.update(json.dumps([event, answer]).encode())
--- a/tests/test_fleet_days.py
+++ b/tests/test_fleet_days.py
@@ -193,7 +193,7 @@
     held = day.state().members["n0"]
     answer = day.agreed("join", held._replace(incarnation="other")[:9])
     assert "the name is taken" in answer
-    assert day.state().members["n0"].life == f"{life:04d}"
+    assert day.state().members["n0"].incarnation == f"{life:04d}"
     day.kill("n0")
     day.run(5000.0)
     assert day.agreed("join", held._replace(incarnation="other")[:9])["agreed"]
@@ -213,9 +213,9 @@
             core = day.processes[leader].core if leader else None
             return (
                 isinstance(core, VoterNode)
-                and len(core.voter.log.seats.voters) == 5
+                and len(core.voter.log.membership.voters) == 5
                 and all(
-                    f"{each}/{day.processes[each].life:04d}" in core.voter.log.seats.voters
+                    f"{each}/{day.processes[each].life:04d}" in core.voter.log.membership.voters
                     for each in day.voters
                 )
             )
@@ -325,7 +325,7 @@
     def seated(name: str) -> bool:
         core = day.processes[day.leader()].core if day.leader() else None
         seat = f"{name}/{day.processes[name].life:04d}"
-        return isinstance(core, VoterNode) and seat in core.voter.log.seats.voters
+        return isinstance(core, VoterNode) and seat in core.voter.log.membership.voters
 
     replaced = {"v1"}
     while replaced < {"v1", "v2", "v3"} or day.leader() != "v1":
@@ -356,4 +356,4 @@
                 and not day.state().unavailable_voters()
             )
         )
-    assert len(day.processes[day.leader()].core.voter.log.seats.voters) == 3  # type: ignore[union-attr]
+    assert len(day.processes[day.leader()].core.voter.log.membership.voters) == 3  # type: ignore[union-attr]
