--- a/pumicenotch/fleet/member/effects.py
+++ b/pumicenotch/fleet/member/effects.py
@@ -5,7 +5,7 @@
 
 from typing import Any, NamedTuple
 
-from pumicenotch.membership.messages import News
+from pumicenotch.membership.messages import Update
 
 
 class SendNotification(NamedTuple):
@@ -51,7 +51,7 @@
 class MemberChanged(NamedTuple):
     """The membership has another opinion of that process than before."""
 
-    news: News
+    update: Update
 
 
 class Log(NamedTuple):
--- a/pumicenotch/fleet/member/node.py
+++ b/pumicenotch/fleet/member/node.py
@@ -29,8 +29,22 @@
 from pumicenotch.fleet.replicated.fields import MAX_NAMES, MAX_TEXT_LENGTH
 from pumicenotch.fleet.replicated.registry import encode_command
 from pumicenotch.membership import messages
-from pumicenotch.membership.messages import Changed, Opinion, Refused, Send, Standing, Who
-from pumicenotch.membership.swim import Members
+from pumicenotch.membership.events import (
+    Event,
+    MemberUpdated,
+    MessageReceived,
+    NameConflict,
+    Send,
+    SetPhase,
+    Tick,
+)
+from pumicenotch.membership.messages import (
+    PHASE_LABELS,
+    MemberIdentity,
+    MemberPhase,
+    MemberState,
+)
+from pumicenotch.membership.swim import SwimMembership
 from pumicenotch.sender import Sender
 
 HALT_KEY = "halt"  # under which members gossip a halt
@@ -50,7 +64,7 @@
     """What a member's process is made from."""
 
     fleet: str
-    me: Who
+    me: MemberIdentity
     member: Member  # what the fleet counts of this process
     voters: tuple[str, ...]  # the addresses of all voters
     seeds: tuple[str, ...]  # addresses to join the membership by
@@ -87,7 +101,7 @@
         self.fleet = setup.fleet
         self.me = setup.me
         self.member = setup.member
-        self.members = Members(setup.me, setup.now_ms, setup.seeds, self.rng)
+        self.members = SwimMembership(setup.me, setup.now_ms, setup.seeds, self.rng)
         # What this process is.
         self.is_serving = False
         self.is_overloaded = False
@@ -114,35 +128,36 @@
 
     def wake_at_ms(self) -> float:
         """Returns when the next input `time` is due."""
-        return min(self.members.due(), self.request_due_ms())
+        return min(self.members.next_wake_at(), self.request_due_ms())
 
     def on_time(self) -> None:
         """Lets the membership and the request time out."""
-        self.step_members("time")
+        self.step_members(Tick())
         self.check_timeout()
 
     # Membership
 
-    def step_members(self, name: str, *details: Any) -> None:
+    def step_members(self, event: Event) -> None:
         """Gives the membership an input, and carries out its effects."""
-        for effect in self.members.step(self.now_ms, name, *details):
+        for effect in self.members.step(self.now_ms, event):
             match effect:
                 case Send(address, message):
-                    self.notify(address, "members", *messages.plain(message))
-                case Changed(news):
-                    self.on_member_changed(news)
-                case Refused(other):
+                    self.notify(address, "members", *messages.encode(message))
+                case MemberUpdated(update):
+                    self.on_member_changed(update)
+                case NameConflict(other):
                     self.counters["names_taken"] += 1
                     self.log(
                         f"another process goes by the name {other.name}: {other.address}"
-                        f" ({other.life})"
+                        f" ({other.process_id})"
                     )
 
-    def on_member_changed(self, news: messages.News) -> None:
+    def on_member_changed(self, update: messages.Update) -> None:
         """Reports another opinion of a member."""
-        self.effects.append(MemberChanged(news))
-        if news.opinion is not Opinion.ALIVE:
-            self.log(f"{news.who.name} is thought {news.opinion.name.lower()} by {news.by}")
+        self.effects.append(MemberChanged(update))
+        if update.state is not MemberState.ALIVE:
+            state = update.state.name.lower()
+            self.log(f"{update.member.name} is thought {state} by {update.reported_by}")
 
     def on_notification(self, sender: Sender, method: str, params: Any) -> None:
         """Takes a notification of another process of this fleet; a malformed one is counted."""
@@ -157,7 +172,7 @@
         _, _, address = sender
         match method:
             case "members":
-                self.step_members("message", address, messages.message_of(params))
+                self.step_members(MessageReceived(address, messages.decode(params)))
             case "permitted" if params and type(params[0]) is int:
                 self.permit_epoch = max(self.permit_epoch, params[0])
                 # Not at the next heartbeat only, which is due anyway.
@@ -169,7 +184,8 @@
 
     def halt_marker(self) -> HaltMarker:
         """Returns the halt that members gossip."""
-        rank, key, operator, reason = self.members.extras.get(HALT_KEY, (0, "", "", ""))
+        broadcasts = self.members.broadcasts.values
+        rank, key, operator, reason = broadcasts.get(HALT_KEY, (0, "", "", ""))
         return HaltMarker(rank, key, operator, reason)
 
     def halt_reason(self) -> str:
@@ -182,7 +198,7 @@
     def gossip_halt(self, key: str, operator: str, reason: str) -> None:
         """Has members gossip this halt in place of the last one; an empty key: there is none."""
         rank = self.halt_marker().rank + 1
-        self.members.hand(HALT_KEY, HaltMarker(rank, key, operator, reason))
+        self.members.broadcasts.put(HALT_KEY, HaltMarker(rank, key, operator, reason))
 
     # Requests of operators and of other processes
 
@@ -211,19 +227,19 @@
         rows = [
             {
                 "name": name,
-                "zone": news.who.zone,
-                "region": news.who.region,
-                "standing": news.standing.name.lower(),
-                "opinion": news.opinion.name.lower(),
-                "life": news.who.life,
-                "address": news.who.address,
+                "zone": update.member.zone,
+                "region": update.member.region,
+                "standing": PHASE_LABELS[update.phase],
+                "opinion": update.state.name.lower(),
+                "life": update.member.process_id,
+                "address": update.member.address,
             }
-            for name, news in sorted(self.members.table().items())
+            for name, update in sorted(self.members.members().items())
         ]
         return {
             "fleet": self.fleet,
             "name": self.me.name,
-            "life": self.me.life,
+            "life": self.me.process_id,
             "halted": self.halt_reason(),
             "permit": self.permit_epoch,
             "waits": self.wait_reason,
@@ -250,19 +266,19 @@
             return
         if self.is_stopping:
             if not self.stop_reported and self.has_joined:
-                self.send_command(ReportStopped(self.me.name, self.me.life))
+                self.send_command(ReportStopped(self.me.name, self.me.process_id))
             return
         command = self._next_command()
         if command is not None:
             self.send_command(command)
         elif self.now_ms >= self.heartbeat_at_ms:
             self.heartbeat_at_ms = self.now_ms + self.HEARTBEAT_MS
-            self.send_request("mine", self.me.name, self.me.life, self.is_overloaded)
+            self.send_request("mine", self.me.name, self.me.process_id, self.is_overloaded)
         else:
             self.next_request_at_ms = self.heartbeat_at_ms
 
     def _next_command(self) -> MemberCommand | None:
-        name, incarnation = self.me.name, self.me.life
+        name, incarnation = self.me.name, self.me.process_id
         if not self.has_joined:
             return JoinMember(self.member._replace(incarnation=incarnation))
         if self.is_draining:
@@ -345,7 +361,7 @@
             self.next_request_at_ms = min(self.next_request_at_ms, self.now_ms)
             self.is_serving = is_serving
             if not self.is_draining:
-                self.announce(Standing.SERVING if is_serving else Standing.JOINING)
+                self.announce(MemberPhase.SERVING if is_serving else MemberPhase.JOINING)
 
     def send_counts(self, rows: Any, memory_mb: float) -> None:
         """Tells the leader how requests have gone since this process started.
@@ -363,7 +379,7 @@
         if not self.is_draining:
             self.is_draining = True
             self.drain_reason = reason[:MAX_TEXT_LENGTH] or "asked to leave"
-            self.announce(Standing.DRAINING)
+            self.announce(MemberPhase.DRAINING)
             self.reset_request()
 
     def stop(self) -> None:
@@ -371,7 +387,7 @@
         if not self.is_stopping:
             self.is_draining = True
             self.is_stopping = True
-            self.announce(Standing.OUT)
+            self.announce(MemberPhase.LEFT)
             self.reset_request()
 
     def reset_request(self) -> None:
@@ -380,9 +396,9 @@
         self.next_request_at_ms = self.now_ms
         self.failures = 0
 
-    def announce(self, standing: Standing) -> None:
+    def announce(self, phase: MemberPhase) -> None:
         """Tells the membership what this process does."""
-        self.step_members("stand", standing)
+        self.step_members(SetPhase(phase))
 
     def notify(self, address: str, method: str, *params: Any) -> None:
         """Sends a notification to another process."""
--- a/pumicenotch/fleet/voter/failure_detector.py
+++ b/pumicenotch/fleet/voter/failure_detector.py
@@ -10,8 +10,8 @@
 from pumicenotch.fleet.drains.lifecycle import SILENT
 from pumicenotch.fleet.replicated.commands import SetFailure
 from pumicenotch.fleet.replicated.registry import FIRST_LEVEL
-from pumicenotch.membership.messages import Opinion
-from pumicenotch.membership.swim import Members
+from pumicenotch.membership.messages import MemberState
+from pumicenotch.membership.swim import SwimMembership
 
 OVERLOADED = "overloaded"  # the failure of a member that says so itself
 NEVER_MS = float("-inf")
@@ -49,7 +49,7 @@
         self.unknown_since_ms: dict[str, float] = {}  # counted members that no gossip speaks of
 
     def dead(
-        self, now_ms: float, me: str, counted: Mapping[str, Member], members: Members
+        self, now_ms: float, me: str, counted: Mapping[str, Member], members: SwimMembership
     ) -> list[str]:
         """Returns those that the fleet counts, without this voter and members without a process."""
         return sorted(
@@ -58,10 +58,10 @@
             if member.incarnation and name != me and self._is_dead(now_ms, name, members)
         )
 
-    def _is_dead(self, now_ms: float, name: str, members: Members) -> bool:
-        if name in members.news:
+    def _is_dead(self, now_ms: float, name: str, members: SwimMembership) -> bool:
+        if name in members.table:
             self.unknown_since_ms.pop(name, None)
-            return members.opinion(name) is Opinion.DEAD
+            return members.state_of(name) is MemberState.DEAD
         return now_ms - self.unknown_since_ms.setdefault(name, now_ms) > GOSSIP_TIMEOUT_MS
 
 
--- a/pumicenotch/fleet/voter/proposals.py
+++ b/pumicenotch/fleet/voter/proposals.py
@@ -143,8 +143,8 @@
         if not self.leads:
             return
         for name in sorted(self.state.permits.keys() - previous_holders):
-            if name in self.members.news:
-                address = self.members.news[name].who.address
+            if name in self.members.table:
+                address = self.members.table.updates[name].member.address
                 self.notify(address, "permitted", self.state.permits[name].epoch)
 
     def refuse_as_follower(self, connection_id: int, message_id: int) -> None:
--- a/pumicenotch/fleet/voter/replica.py
+++ b/pumicenotch/fleet/voter/replica.py
@@ -70,7 +70,7 @@
     def __init__(self, setup: VoterSetup) -> None:
         super().__init__(setup.member)
         self.voter_addresses = dict(setup.voters)
-        self.replica = f"{self.me.name}/{self.me.life}"
+        self.replica = f"{self.me.name}/{self.me.process_id}"
         self.bootstrap = Bootstrap(self.replica, self.voter_addresses)
         self.voter = self._new_voter(ClusterMembership())
         self.joining_replicas: dict[str, str] = {}  # by name: replicas that want a vote
--- a/pumicenotch/lab/fleets.py
+++ b/pumicenotch/lab/fleets.py
@@ -18,7 +18,7 @@
 from pumicenotch.fleet.voter.node import VoterNode
 from pumicenotch.fleet.voter.replica import VoterSetup
 from pumicenotch.lab.simulated_time import SimulatedTime
-from pumicenotch.membership.messages import Who
+from pumicenotch.membership.messages import MemberIdentity
 from pumicenotch.sender import Sender
 
 DRAIN_MS, RESTART_MS = (
@@ -98,7 +98,7 @@
         member = Member(name, life, spec.zone, voter=spec.voter, **spec.more)
         setup = MemberSetup(
             fleet="day",
-            me=Who(name, name, life, int(self.now) + 1, spec.zone, ""),
+            me=MemberIdentity(name, name, life, int(self.now) + 1, spec.zone, ""),
             member=member,
             voters=tuple(self.voters.values()),
             seeds=tuple(self.voters),
@@ -154,7 +154,7 @@
             case effects.SendNotification(address, method, params):
                 core = process.core
                 assert core is not None
-                sender = Sender(name, core.me.life, process.address)
+                sender = Sender(name, core.me.process_id, process.address)
                 self.send(process, address, "told", sender, method, self.wire(process, params))
             case effects.SendRequest(address, number, verb, args):
                 self.count += 1
--- a/pumicenotch/net/fleet.py
+++ b/pumicenotch/net/fleet.py
@@ -21,7 +21,7 @@
 from pumicenotch.fleet.replicated.subject import ReplicatedSubject
 from pumicenotch.fleet.voter.node import VoterNode
 from pumicenotch.fleet.voter.replica import VoterSetup
-from pumicenotch.membership.messages import Who
+from pumicenotch.membership.messages import MemberIdentity
 from pumicenotch.net import logs
 from pumicenotch.net.hub import Hub
 from pumicenotch.net.peers import PeerHub, ResettableTimer, open_listener, run_hub
@@ -44,7 +44,7 @@
 def member_setup(settings: FleetSettings, now_ms: float, seed: int) -> MemberSetup:
     """Returns what a node of this process is made from, with an incarnation of its own."""
     life = secrets.token_hex(6)
-    me = Who(
+    me = MemberIdentity(
         settings.name,
         settings.address,
         life,
