--- a/pumicenotch/pools/class_pools.py
+++ b/pumicenotch/pools/class_pools.py
@@ -186,7 +186,7 @@
         state = self.pools[pool]
         if not query.is_retry:
             state.arrivals.new_arrivals += 1
-        is_free = query.has_room and (not self._restricts_starts or self._may_start(now, pool))
+        is_free = query.has_capacity and (not self._restricts_starts or self._may_start(now, pool))
         return SlotOffer(
             pool,
             self._slots_of(pool, query.waiting_pools),
