--- a/pumicenotch/control/concurrency_limit.py
+++ b/pumicenotch/control/concurrency_limit.py
@@ -46,6 +46,8 @@
 
     def speed(self, now: float) -> float:
         """Return the fraction of its full speed that the server has at least."""
+        if self.initial_speed >= 1.0:
+            return 1.0
         return min(
             1.0,
             self.initial_speed
--- a/pumicenotch/control/controller.py
+++ b/pumicenotch/control/controller.py
@@ -11,11 +11,11 @@
 from pumicenotch.control.core_occupancy import CoreOccupancy
 from pumicenotch.control.dependency_calls import DependencyCalls
 from pumicenotch.control.fair_scheduler import FairScheduler
-from pumicenotch.control.gauges import Gauges, read_gauges
+from pumicenotch.control.gauges import Gauges
 from pumicenotch.control.idempotency_keys import IdempotencyKeys
 from pumicenotch.control.load_reporter import LoadReporter
 from pumicenotch.control.priority_shedder import PriorityShedder
-from pumicenotch.control.queue_admission import QueueAdmission, QueuePlace
+from pumicenotch.control.queue_admission import QueueAdmission
 from pumicenotch.control.request import Request
 from pumicenotch.control.run_estimates import RunEstimates
 from pumicenotch.control.settings import ControllerSettings
@@ -58,6 +58,7 @@
         self.max_retry_after_ms = 0.0
         if settings.retry_after_supported:
             self.max_retry_after_ms = settings.max_retry_after_ms
+        self.gauges = Gauges(settings.gauges)
         self.timers = TimerQueue()
         self.deadlines = AnswerDeadlines(
             self.timers, settings.drain_grace_ms, self._on_answer_deadline
@@ -163,12 +164,12 @@
         """Run what is scheduled, and close the control loops once a sample."""
         self.actions.schedule_tick(TICK_INTERVAL_MS)
         self.timers.run_expired(now)
-        gauges = read_gauges(self.settings.gauges, gauge_values)
-        self.limit.on_tick(now, bool(self.scheduler.waiting), gauges)
+        self.gauges.update(gauge_values)
+        self.limit.on_tick(now, bool(self.scheduler.waiting), self.gauges)
         self.pools.tick(now, self.limit.slots(now))
         if now - self.sampled_at >= SAMPLE_INTERVAL_MS:
             self.sampled_at = now
-            self._on_sample(now, gauges)
+            self._on_sample(now)
         self._use_free_capacity(now)
 
     def use_pools(self, now: float, pools: Pools | None) -> None:
@@ -224,24 +225,21 @@
 
     def enqueue(self, request: Request, now: float) -> None:
         """Queue a request, or reject it where its wait and run would take too long."""
-        place = self.admission.find_place(request, now, self.pools)
-        if not place.is_admitted:
-            self._reject_for_load(request, place, now)
-            return
-        self.scheduler.enqueue(request)
-        if request.is_retry and not place.has_free_slot:
-            self.pools.retry_admitted(request.tenant_index, request.caller_id)
-        self.timers.schedule(request.deadline, self.on_objective_missed, request)
+        wait_ms = self.admission.try_enqueue(request, now, self.pools)
+        if wait_ms is None:
+            self.timers.schedule(request.deadline, self.on_objective_missed, request)
+        else:
+            self._reject_for_load(request, wait_ms, now)
 
-    def _reject_for_load(self, request: Request, place: QueuePlace, now: float) -> None:
+    def _reject_for_load(self, request: Request, wait_ms: float, now: float) -> None:
         self.pools.request_rejected(now, request.pool, request.content_digest)
         unread_ms = now - request.arrived_at
         max_unread_ms = PriorityShedder.MAX_UNREAD_FRACTION * (
             request.deadline - request.arrived_at
         )
-        if place.wait_ms > 0.0 or unread_ms > max_unread_ms:
+        if wait_ms > 0.0 or unread_ms > max_unread_ms:
             self.reporter.shed += 1
-        self.reject(request, now, place.wait_ms)
+        self.reject(request, now, wait_ms)
 
     # Runs
 
@@ -291,7 +289,7 @@
                 self.calls.send(request, now)
         self.start_runs(now)
 
-    def _on_sample(self, now: float, gauges: Gauges) -> None:
+    def _on_sample(self, now: float) -> None:
         objective_ms = self.estimates.objective_ms
         self.limit.on_sample()
         self.shedder.on_sample(self.reporter.received)
@@ -300,7 +298,7 @@
         self.scheduler.on_sample(slots, slot_ms, objective_ms)
         self.reporter.on_sample(
             self.limit.speed(now),
-            gauges.open_connections,
+            self.gauges.open_connections,
             slots + self.scheduler.max_queue_length(slots, slot_ms, objective_ms),
             self.shedder.unread_fraction,
         )
--- a/pumicenotch/control/gauges.py
+++ b/pumicenotch/control/gauges.py
@@ -1,26 +1,32 @@
 """The values that the worker pool reports with each tick."""
 
+import sys
 from collections.abc import Sequence
-from typing import NamedTuple
 
 CORE_UTILIZATION = "core_utilization"  # 0 to 1, over all cores
 RUNNABLE = "runnable"  # runs that have a core or wait for one
 OPEN_CONNECTIONS = "open_connections"  # of callers
 
 
-class Gauges(NamedTuple):
-    """The values that the controller reads; 0 where a deployment reports none."""
+class Gauges:
+    """The latest values that the controller reads; 0 where a deployment reports none."""
 
-    core_utilization: float
-    runnable: float
-    open_connections: float
+    def __init__(self, names: Sequence[str]) -> None:
+        positions = {name: position for position, name in enumerate(names)}
+        self._core_utilization_at = positions.get(CORE_UTILIZATION, sys.maxsize)
+        self._runnable_at = positions.get(RUNNABLE, sys.maxsize)
+        self._open_connections_at = positions.get(OPEN_CONNECTIONS, sys.maxsize)
+        self.core_utilization = 0.0
+        self.runnable = 0.0
+        self.open_connections = 0.0
 
-
-def read_gauges(names: Sequence[str], values: Sequence[float]) -> Gauges:
-    """Pick the values by their names. Missing values are 0; values of other names are ignored."""
-    by_name = dict(zip(names, values, strict=False))
-    return Gauges(
-        by_name.get(CORE_UTILIZATION, 0.0),
-        by_name.get(RUNNABLE, 0.0),
-        by_name.get(OPEN_CONNECTIONS, 0.0),
-    )
+    def update(self, values: Sequence[float]) -> None:
+        """Take the values of a tick, which may be fewer than there are names."""
+        count = len(values)
+        self.core_utilization = (
+            values[self._core_utilization_at] if self._core_utilization_at < count else 0.0
+        )
+        self.runnable = values[self._runnable_at] if self._runnable_at < count else 0.0
+        self.open_connections = (
+            values[self._open_connections_at] if self._open_connections_at < count else 0.0
+        )
--- a/pumicenotch/control/queue_admission.py
+++ b/pumicenotch/control/queue_admission.py
@@ -1,7 +1,6 @@
 """Whether a request may wait in its queue: by the time that its wait and its run would take."""
 
 from bisect import bisect_left
-from typing import NamedTuple
 
 from pumicenotch.control.concurrency_limit import ConcurrencyLimit
 from pumicenotch.control.fair_scheduler import FairScheduler
@@ -10,22 +9,8 @@
 from pumicenotch.interface import Pools, SlotQuery
 
 
-class QueuePlace(NamedTuple):
-    """The place of a request in its queue.
-
-    Attributes:
-        wait_ms: the estimated wait for a slot.
-        has_free_slot: whether its pool has a slot for it now.
-        is_admitted: whether the request may take the place.
-    """
-
-    wait_ms: float
-    has_free_slot: bool
-    is_admitted: bool
-
-
 class QueueAdmission:
-    """Estimates a request's wait, and compares it with the time to its deadline."""
+    """Queues a request unless its wait and run would take too much of the time to its deadline."""
 
     # Of the time left, what wait and run may take together by a rough estimate:
     MAX_WAIT_FRACTION = 0.9
@@ -41,42 +26,48 @@
         self._estimates = estimates
         self._limit = limit
 
-    def find_place(self, request: Request, now: float, pools: Pools) -> QueuePlace:
-        """Find the request's place, and set its pool and sort key accordingly."""
+    def try_enqueue(self, request: Request, now: float, pools: Pools) -> float | None:
+        """Queue a request; return the estimated wait for which it is rejected, if it is."""
         scheduler = self._scheduler
-        queue = scheduler.queues[request.tenant_index]
-        run_ms = self._estimates.run_ms(request, now)
-        over_quota = queue.is_over_quota(now, takes_token=not request.is_retry)
+        estimates = self._estimates
+        tenant_index = request.tenant_index
+        queue = scheduler.queues[tenant_index]
+        run_ms = estimates.run_ms(request, now)
+        over_quota = queue.is_over_quota(now, not request.is_retry)
         query = SlotQuery(
             request.pool,
             request.is_retry,
             over_quota,
             scheduler.waiting,
-            self._estimates.mean_slot_ms(now),
+            estimates.mean_slot_ms(now),
             self._limit.has_capacity(now),
         )
         request.pool, pool_slots, slot_ms, is_free = pools.reserve_slot(now, query)
-        slots = scheduler.slots_of(request.tenant_index, request.pool, pool_slots)
+        slots = scheduler.slots_of(tenant_index, request.pool, pool_slots)
         queued = queue.by_pool.get(request.pool, ())
-        self._set_sort_key(request, run_ms, over_quota)
+        request.sort_key = self._sort_key(request, run_ms, over_quota)
         wait_ms = 0.0
+        max_fraction = self.MAX_RUN_FRACTION
         if not is_free:
             wait_ms = (1 + bisect_left(queued, request)) * slot_ms / slots
-        max_length = scheduler.max_queue_length(slots, slot_ms, self._estimates.objective_ms)
-        max_fraction = self.MAX_RUN_FRACTION
         if wait_ms:
             max_fraction = request.wait_fraction * self._max_wait_fraction(request, over_quota)
+        max_length = scheduler.max_queue_length(slots, slot_ms, estimates.objective_ms)
         max_ms = max_fraction * (request.deadline - now)
-        is_rejected = len(queued) >= max_length or wait_ms + run_ms > max_ms
-        return QueuePlace(wait_ms, is_free, not is_rejected)
+        if len(queued) >= max_length or wait_ms + run_ms > max_ms:
+            return wait_ms
+        scheduler.enqueue(request)
+        if request.is_retry and not is_free:
+            pools.retry_admitted(tenant_index, request.caller_id)
+        return None
 
-    def _set_sort_key(self, request: Request, run_ms: float, over_quota: bool) -> None:
-        """Sort by the latest start that meets the objective, closer to arrival with priority."""
-        slack_ms = max(0.0, request.deadline - request.arrived_at - run_ms)
-        slack_ms = slack_ms / request.request_class.priority_weight**0.5
+    def _sort_key(self, request: Request, run_ms: float, over_quota: bool) -> float:
+        """Return the latest start that meets the objective, closer to arrival with priority."""
+        slack_ms: float = max(0.0, request.deadline - request.arrived_at - run_ms)
+        slack_ms /= request.request_class.priority_weight**0.5
         if over_quota:
-            slack_ms = self.OVER_QUOTA_SLACK_FACTOR * slack_ms
-        request.sort_key = request.arrived_at + slack_ms
+            slack_ms *= self.OVER_QUOTA_SLACK_FACTOR
+        return request.arrived_at + slack_ms
 
     def _max_wait_fraction(self, request: Request, over_quota: bool) -> float:
         if over_quota:
--- a/pumicenotch/control/request.py
+++ b/pumicenotch/control/request.py
@@ -80,4 +80,6 @@
 
     def __lt__(self, other: "Request") -> bool:
         """Order by sort key, and by arrival where those are the same."""
-        return (self.sort_key, self.request_id) < (other.sort_key, other.request_id)
+        if self.sort_key != other.sort_key:
+            return self.sort_key < other.sort_key
+        return self.request_id < other.request_id
