--- a/pumicenotch/consensus/messages.py
+++ b/pumicenotch/consensus/messages.py
@@ -184,22 +184,17 @@
 class MessageDecodeError(InputError):
     """What was received is no message that voters send."""
 
-    code = "consensus-message-unreadable"
-
     def __init__(self, place: str, problem: str) -> None:
-        super().__init__(
-            problem, place=place, remedy="run programs of compatible versions in one fleet"
-        )
+        remedy = "run programs of compatible versions in one fleet"
+        super().__init__(problem, place=place, remedy=remedy)
 
 
 class UnknownVoterError(InputError):
     """A message among voters comes from a process that is none of this cluster's."""
 
-    code = "consensus-voter-unknown"
-
     def __init__(self, place: str, name: str) -> None:
-        problem = f"{name} is no voter of this fleet"
-        super().__init__(problem, place=place, remedy="name all voters in the file of each voter")
+        remedy = "name all voters in the file of each voter"
+        super().__init__(f"{name} is no voter of this fleet", place=place, remedy=remedy)
 
 
 def encode_message(message: Message | BootstrapMessage) -> list[Any]:
--- a/tests/compatibility/test_peers.py
+++ b/tests/compatibility/test_peers.py
@@ -85,7 +85,7 @@
 def test_frames_of_a_dialled_peer_are_read_as_before() -> None:
     frames = golden_bytes("peers/frames.json")
     hub = RecordingHub()
-    peer = OutboundPeer(hub, hub.put, LINK)
+    peer = OutboundPeer(hub, hub.deliver, LINK)
     for name in ("result", "result-alive", "error", "error-not-leader", "refused"):
         peer.feed(frames[name])
     assert hub.taken == [
