--- a/pumicenotch/control/concurrency_limit.py
+++ b/pumicenotch/control/concurrency_limit.py
@@ -4,6 +4,7 @@
 from pumicenotch.control.request import Request
 from pumicenotch.control.settings import ControllerSettings
 from pumicenotch.control.timers import SAMPLE_INTERVAL_MS, TICK_INTERVAL_MS
+from pumicenotch.interface import RequestState
 
 
 class ConcurrencyLimit:
@@ -88,6 +89,12 @@
         self.used_memory_kb += extra_kb if fits else 0.0
         return fits
 
+    def release_memory(self, request: Request, state: RequestState) -> None:
+        """Release what a request held that ended in that state."""
+        is_unreserved = state in (RequestState.QUEUED, RequestState.AWAITING_ORIGINAL)
+        factor = 1.0 if is_unreserved else self.run_memory_factor
+        self.used_memory_kb -= request.memory_kb * factor
+
     def on_tick(self, now: float, has_queued: bool, gauges: Gauges) -> None:
         """Grow where all slots are taken, requests are queued and yet cores idle."""
         smoothing = TICK_INTERVAL_MS / SAMPLE_INTERVAL_MS * 2.0
--- a/pumicenotch/control/controller.py
+++ b/pumicenotch/control/controller.py
@@ -31,9 +31,6 @@
     RequestState,
 )
 
-# Outcomes which prove that a call did not take effect.
-WITHOUT_EFFECT = (Outcome.REJECTED, Outcome.UNREACHABLE, Outcome.NOT_STARTED)
-
 
 class AdmissionController:
     """One server's decisions. Every method that takes `now` is an event; time never goes back."""
@@ -137,7 +134,7 @@
         if outcome is Outcome.OK:
             self.occupancy.return_from_call(request, now)
         elif not request.is_answered:
-            if self._may_retry_call(request, outcome) and self.calls.can_retry(request, now):
+            if self.calls.may_retry(request, now, outcome):
                 self.calls.retry_later(request, now)
             elif request.request_class.degraded_weight > 0.0:
                 self._skip_dependency(request, now)
@@ -305,16 +302,6 @@
 
     # Calls to the dependency
 
-    def _may_retry_call(self, request: Request, outcome: Outcome) -> bool:
-        """Return whether a call may be made again after that outcome."""
-        if outcome in WITHOUT_EFFECT:
-            return True
-        if request.request_class.idempotency is not Idempotency.IDEMPOTENT:
-            return False
-        # A reset connection says nothing of the dependency; anything else does.
-        can_skip = request.request_class.degraded_weight > 0.0 and outcome is not Outcome.RESET
-        return not can_skip and request.dependency_attempts < DependencyCalls.MAX_ATTEMPTS
-
     def _skip_dependency(self, request: Request, now: float) -> None:
         self.actions.skip_dependency(request.request_id)
         self.occupancy.return_from_call(request, now)
@@ -402,20 +389,7 @@
         elif state in (RequestState.RUNNING, RequestState.AWAITING_DEPENDENCY):
             self.scheduler.queues[request.tenant_index].running -= 1
             self.occupancy.finish(request, state, now)
-        if state in (RequestState.QUEUED, RequestState.AWAITING_ORIGINAL):
-            self.limit.used_memory_kb -= request.memory_kb * 1.0
-        else:
-            self.limit.used_memory_kb -= request.memory_kb * self.limit.run_memory_factor
+        self.limit.release_memory(request, state)
         del self.deadlines.requests[request.request_id]
         if request.waiting_retries:
-            self._promote_retry(request.waiting_retries, now)
-
-    def _promote_retry(self, retries: list[Request], now: float) -> None:
-        """Make the oldest of those retries the original of the others: none of them has run."""
-        original, *others = retries
-        original.state = RequestState.QUEUED
-        original.original = None
-        original.waiting_retries = others
-        for retry in others:
-            retry.original = original
-        self._admit(original, now)
+            self._admit(request.promote_retry(), now)
--- a/pumicenotch/control/dependency_calls.py
+++ b/pumicenotch/control/dependency_calls.py
@@ -8,6 +8,9 @@
 from pumicenotch.control.timers import TICK_INTERVAL_MS, TimerQueue
 from pumicenotch.interface import Actions, DependencyKind, Idempotency, Outcome, RequestState
 
+# Outcomes which prove that a call did not take effect.
+WITHOUT_EFFECT = (Outcome.REJECTED, Outcome.UNREACHABLE, Outcome.NOT_STARTED)
+
 
 class DependencyCalls:
     """The calls of all runs: those that are open, and those that wait to be sent.
@@ -151,8 +154,17 @@
         blocked_ms = max(0.0, self.blocked_until - now)
         return blocked_ms + max(0.0, ahead) * self.recent_ms / max(self.max_open, self.MIN_QUOTA)
 
-    def can_retry(self, request: Request, now: float) -> bool:
-        """Return whether there is time left for another attempt of a call."""
+    def may_retry(self, request: Request, now: float, outcome: Outcome) -> bool:
+        """Return whether a call may be made again after that outcome, and there is time for it."""
+        request_class = request.request_class
+        if outcome not in WITHOUT_EFFECT:
+            if request_class.idempotency is not Idempotency.IDEMPOTENT:
+                return False
+            # A reset connection says nothing of the dependency; anything else does.
+            if request_class.degraded_weight > 0.0 and outcome is not Outcome.RESET:
+                return False
+            if request.dependency_attempts >= self.MAX_ATTEMPTS:
+                return False
         return now + max(TICK_INTERVAL_MS, 2.0 * self.recent_ms) < request.deadline
 
     def retry_later(self, request: Request, now: float) -> None:
--- a/pumicenotch/control/request.py
+++ b/pumicenotch/control/request.py
@@ -54,7 +54,8 @@
         self.content_digest = incoming.content_digest
         self.memory_kb = incoming.memory_kb
         self.estimated_work = incoming.estimated_work
-        self.arrived_at = arrived_at = now - incoming.waited_ms
+        arrived_at = now - incoming.waited_ms
+        self.arrived_at = arrived_at
         expires_at = incoming.expires_at
         if expires_at is None:
             expires_at = arrived_at + request_class.timeout_ms
@@ -78,6 +79,16 @@
         self.wait_fraction = 1.0
         self.is_retry = False
 
+    def promote_retry(self) -> "Request":
+        """Make the oldest of its waiting retries the original of the others, and return it."""
+        original, *others = self.waiting_retries
+        original.state = RequestState.QUEUED
+        original.original = None
+        original.waiting_retries = others
+        for retry in others:
+            retry.original = original
+        return original
+
     def __lt__(self, other: "Request") -> bool:
         """Order by sort key, and by arrival where those are the same."""
         if self.sort_key != other.sort_key:
