--- a/pumicenotch/adapter/__main__.py
+++ b/pumicenotch/adapter/__main__.py
@@ -27,7 +27,7 @@
             elif name == "attach":
                 encoder = codec.Encoder(who, self.reply)
                 seed, text = arguments
-                settings = start.controller_settings(start.lines(text))
+                settings = start.controller_settings(start.parse_lines(text))
                 with faults(encoder):
                     self.instances[who] = (
                         AdmissionController(encoder, now, settings, seed),
--- a/pumicenotch/cli/app.py
+++ b/pumicenotch/cli/app.py
@@ -125,10 +125,10 @@
     if settings:
         try:
             with open(settings, encoding="utf-8") as opened:
-                pairs = start.nested(json.load(opened))
+                pairs = start.flatten(json.load(opened))
         except (OSError, ValueError) as error:
             wrong(f"{settings}:1: cannot be read: {error}")
-        stages = list(start.names(start.settings(pairs), "classes"))
+        stages = list(start.index_by_name(start.settings_of(pairs), "classes"))
     told = compiled.describe(ours, stages)
     if as_json:
         print(json.dumps(told))
--- a/pumicenotch/cli/session.py
+++ b/pumicenotch/cli/session.py
@@ -26,7 +26,7 @@
     """To one process of the fleet."""
 
     def __init__(self, name: str, address: str) -> None:
-        self.sock = socket.create_connection(start.address(address), timeout=ANSWER_S)
+        self.sock = socket.create_connection(start.parse_address(address), timeout=ANSWER_S)
         self.unpacker = msgpack.Unpacker(max_buffer_size=8 * 1024 * 1024, strict_map_key=False)
         self.number = 0
         self.sock.sendall(msgpack.packb([2, "hello", [name, "", "", ""]]))
--- a/pumicenotch/lab/hollow_instance.py
+++ b/pumicenotch/lab/hollow_instance.py
@@ -150,7 +150,7 @@
         """Until it is stopped: abruptly, as a process that is killed. `known` are those that it knows at its
         start, packed, none for a cold one, and `after_s` is until all of them are there.
         """
-        listener = await open_listener(start.address(self.place.address))
+        listener = await open_listener(start.parse_address(self.place.address))
         try:
             async with anyio.create_task_group() as group:
                 self.member, self.hub = self.made(group, known, after_s)
--- a/pumicenotch/lab/simulate.py
+++ b/pumicenotch/lab/simulate.py
@@ -74,8 +74,8 @@
         self.messages = count(1)
         self.database_ms = world.database_ms
         self.log: list[tuple[float, int, str]] = []
-        pairs = start.nested(world.settings())
-        self.stages = start.names(pairs, "classes")
+        pairs = start.flatten(world.settings())
+        self.stages = start.index_by_name(pairs, "classes")
         self.nodes = []
         for at in range(world.servers):
             controller = start.controller_settings(pairs)
@@ -83,7 +83,7 @@
             settings = ServerSettings(
                 controller=controller,
                 class_indexes=self.stages,
-                tenant_indexes=start.names(pairs, "tenants"),
+                tenant_indexes=start.index_by_name(pairs, "tenants"),
                 seed=seed + at,
                 shutdown_ms=world.stop_ms,
                 has_database=True,
--- a/pumicenotch/net/fleet.py
+++ b/pumicenotch/net/fleet.py
@@ -82,7 +82,7 @@
         node, timer, group, lambda why: hub.deliver(ShutdownRequested()), FRAME_MOST, most
     )
     try:
-        listener = await open_listener(start.address(settings.listen))
+        listener = await open_listener(start.parse_address(settings.listen))
     except OSError as error:
         logger.error(
             "fleet: cannot listen on {}: {}; this server serves without its fleet",
@@ -149,7 +149,7 @@
         books=books,
         **told,
     )
-    listener = await open_listener(start.address(settings.listen))
+    listener = await open_listener(start.parse_address(settings.listen))
     async with anyio.create_task_group() as group:
         peers = PeerHub(node, timer, group, lambda why: peers.put("left"))
         run_hub(peers, listener)
--- a/pumicenotch/net/peers.py
+++ b/pumicenotch/net/peers.py
@@ -352,7 +352,7 @@
 
     def dial(self, address: str, link: str) -> None:
         try:
-            to = start.address(address)
+            to = start.parse_address(address)
         except ValueError:
             self.unlinked(link, f"{address!r} is no address")
             return
--- a/pumicenotch/net/start_values.py
+++ b/pumicenotch/net/start_values.py
@@ -12,7 +12,11 @@
 MOVABLE_PARTIES = ("pool", "db", "registry")  # whose addresses a reload changes
 DEFAULT_MEMORY_MB = 192.0
 DEFAULT_DESCRIPTORS = 1024
-BOUNDS = {"stop_ms": (0.0, 1e9), "limits.memory_mb": (8.0, 1e9), "limits.sockets": (48.0, 1e9)}
+RANGES = {
+    "stop_ms": start.Range(0.0, 1e9),
+    "limits.memory_mb": start.Range(8.0, 1e9),
+    "limits.sockets": start.Range(48.0, 1e9),
+}
 
 Address = tuple[str, int]
 
@@ -37,36 +41,37 @@
 def read_start_values() -> StartValues:
     """Reads the file; raises ValueError with the place and the problem of what is wrong."""
     pairs = read_pairs()
-    settings = start.settings(pairs)
+    settings = start.settings_of(pairs)
     addresses = read_addresses(pairs)
-    listen = start.read("listen", pairs, start.address, None)
+    listen = start.read_value("listen", pairs, start.parse_address, None)
     if listen is None:
         raise start.InvalidStartValueError("missing start value listen")
     if "pool" not in addresses:
         raise start.InvalidStartValueError("missing start value pool")
+    shutdown_ms = start.read_value("stop_ms", pairs, float, None)
     values = StartValues(
         name=pairs.get("name", ""),
         listen=listen,
         addresses=addresses,
-        seed=start.read("seed", pairs, lambda text: int(text, 16), 0),
-        memory_mb=start.read("limits.memory_mb", pairs, float, DEFAULT_MEMORY_MB),
-        shutdown_ms=start.read("stop_ms", pairs, float, None),
-        max_descriptors=start.read("limits.sockets", pairs, int, DEFAULT_DESCRIPTORS),
-        hint_shape=start.shape(settings),
+        seed=start.read_value("seed", pairs, lambda text: int(text, 16), 0),
+        memory_mb=start.read_value("limits.memory_mb", pairs, float, DEFAULT_MEMORY_MB),
+        shutdown_ms=shutdown_ms or 0.0,
+        max_descriptors=start.read_value("limits.sockets", pairs, int, DEFAULT_DESCRIPTORS),
+        hint_shape=start.feedback_shape(settings),
         controller=start.controller_settings(settings),
-        class_indexes=start.named(settings, "classes"),
-        tenant_indexes=start.named(settings, "tenants"),
+        class_indexes=start.unique_index_by_name(settings, "classes"),
+        tenant_indexes=start.unique_index_by_name(settings, "tenants"),
         pairs=pairs,
     )
     if not values.class_indexes:
         raise start.InvalidStartValueError(
             "missing start value settings.classes: no task could be told from another"
         )
-    if values.shutdown_ms is None:
+    if shutdown_ms is None:
         raise start.InvalidStartValueError(
             "missing start value stop_ms: the time from the notice to the end, in ms"
         )
-    start.bounded(pairs, BOUNDS)
+    start.check_ranges(pairs, RANGES)
     return values
 
 
@@ -77,7 +82,7 @@
         raise start.InvalidStartValueError(f"{PATH_VARIABLE} is not set")
     try:
         with Path(path).open(encoding="utf-8") as file:
-            return start.nested(json.load(file))
+            return start.flatten(json.load(file))
     except (OSError, ValueError, RecursionError) as error:
         raise start.InvalidStartValueError(f"{PATH_VARIABLE} {path}: {error}") from None
 
@@ -86,7 +91,7 @@
     """Returns the addresses of the parties that are named."""
     addresses = {}
     for party in MOVABLE_PARTIES:
-        address = start.read(party, pairs, start.peer, None)
+        address = start.read_value(party, pairs, start.parse_peer_address, None)
         if address is not None:
             addresses[party] = address
     return addresses
--- a/pumicenotch/route/__main__.py
+++ b/pumicenotch/route/__main__.py
@@ -41,16 +41,16 @@
     cells, confirmed = cell_map(told.map)
     try:
         with open(told.settings, encoding="utf-8") as file:
-            pairs = start.nested(json.load(file))
+            pairs = start.flatten(json.load(file))
     except (OSError, ValueError) as error:
         raise start.InvalidStartValueError(f"{told.settings}:1: cannot be read: {error}") from None
-    inside = start.settings(pairs)
+    inside = start.settings_of(pairs)
     settings = start.controller_settings(inside)
     return Router(
         cells=cells,
         confirmed=confirmed,
         stages=settings.request_classes,
-        numbers=start.names(inside, "classes"),
+        numbers=start.index_by_name(inside, "classes"),
         seed=told.seed,
         stop_ms=told.stop_ms,
         sockets=told.sockets,
@@ -91,14 +91,14 @@
 
 async def serve(told: RouterFile, core: Router, clock: Clock) -> None:
     hub = Hub(core, clock)
-    host, port = start.address(told.listen)
+    host, port = start.parse_address(told.listen)
     listeners = await anyio.create_tcp_listener(
         local_host=host, local_port=port, backlog=gateway_listener.BACKLOG
     )
     listener = cast(SocketListener, listeners.listeners[0])
 
     def address_of(node: str) -> tuple[str, int]:
-        return start.address(core.cells.addresses()[node])
+        return start.parse_address(core.cells.addresses()[node])
 
     async with anyio.create_task_group() as group:
         group.start_soon(signals, hub)
--- a/pumicenotch/start.py
+++ b/pumicenotch/start.py
@@ -1,10 +1,12 @@
-"""Turns the values that a server is started with, as lines or as nested JSON, into keyword arguments:
-times in ms, absent keys left out.
+"""Reads the values that a server is started with, as lines or as nested JSON.
+
+This is where the settings' words are mapped to the program's own. Times are microseconds in the
+settings and milliseconds in what is read.
 """
 
 import re
-from collections.abc import Callable
-from typing import Any
+from collections.abc import Callable, Mapping
+from typing import Any, NamedTuple, TypeVar
 
 from pumicenotch.control import ControllerSettings
 from pumicenotch.control.gauges import CORE_UTILIZATION, OPEN_CONNECTIONS, RUNNABLE
@@ -18,85 +20,161 @@
     Tenant,
 )
 
-EFFECTS = {
+Parsed = TypeVar("Parsed")
+Default = TypeVar("Default")
+
+# The settings' words, and what they stand for.
+IDEMPOTENCY_WORDS = {
     "repeatable": Idempotency.IDEMPOTENT,
     "by_key": Idempotency.KEYED,
     "once": Idempotency.NONE,
 }
-HALTS = {"off": CancelMode.NONE, "drop": CancelMode.KILL, "pause": CancelMode.SUSPEND}
-SIGNALS = {
+CANCEL_MODE_WORDS = {
+    "off": CancelMode.NONE,
+    "drop": CancelMode.KILL,
+    "pause": CancelMode.SUSPEND,
+}
+LOAD_FEEDBACK_WORDS = {
     "off": LoadFeedback.NONE,
     "min_rank": LoadFeedback.MIN_PRIORITY,
     "tokens": LoadFeedback.TOKENS,
     "bias": LoadFeedback.WEIGHT,
 }
-BELOWS = {
+DEPENDENCY_WORDS = {
     "off": DependencyKind.NONE,
     "common": DependencyKind.SHARED,
     "next_hop": DependencyKind.NEXT_TIER,
 }
-GAUGES = {"core_use": CORE_UTILIZATION, "on_cores": RUNNABLE, "links": OPEN_CONNECTIONS}
-TRUTHS = {"true": True, "false": False}
-
+BOOLEAN_WORDS = {"true": True, "false": False}
+GAUGE_WORDS = {
+    "core_use": CORE_UTILIZATION,
+    "on_cores": RUNNABLE,
+    "links": OPEN_CONNECTIONS,
+}  # any other gauge keeps its name; nothing reads it
 
 HOST = re.compile(
     r"[0-9a-zA-Z_-]+(\.[0-9a-zA-Z_-]+)*|[0-9a-fA-F.]*:[0-9a-fA-F:.]*(%[0-9a-zA-Z]+)?", re.ASCII
 )
+MAX_PORT = 65535
+MIN_PRIORITY_WEIGHT = 1e-6  # of a class that is worth nothing: weights are divided by
+
+
+class InvalidStartValueError(InputError):
+    """A start value that cannot be read; the text names its path."""
+
+
+class SettingField(NamedTuple):
+    """A field of the controller's settings, and how its text is read."""
 
+    name: str
+    parse: Callable[[str], Any]
 
-def ms(text: str) -> float:
+
+class Range(NamedTuple):
+    """The least and the greatest value that makes sense in any deployment."""
+
+    minimum: float
+    maximum: float
+
+
+def microseconds(text: str) -> float:
+    """Read a time, and return it in milliseconds."""
     return float(text) / 1000.0
 
 
 def floats(text: str) -> list[float]:
-    return [float(part) for part in text.split(",")]
-
-
-# Path on the wire -> keyword of the control and how the text is read.
-KEYWORDS: dict[str, tuple[str, Callable[[str], Any]]] = {
-    "caps.max-retry-after": ("max_retry_after_ms", ms),
-    "caps.retry-after": ("retry_after_supported", TRUTHS.__getitem__),
-    "family-info.below": ("dependency_kind", BELOWS.__getitem__),
-    "family-info.call-share": ("dependency_quota", float),
-    "family-info.callers": ("callers", int),
-    "family-info.cold": ("starts_cold", TRUTHS.__getitem__),
-    "family-info.cores": ("cores", int),
-    "family-info.dep-window": ("dependency_window_ms", ms),
-    "family-info.entry-kb": ("key_memory_kb", float),
-    "family-info.halt": ("cancel_mode", HALTS.__getitem__),
-    "family-info.idle": ("idle_timeout_ms", ms),
-    "family-info.memory-kb": ("memory_kb", float),
-    "family-info.readiness": ("listed_by_health", TRUTHS.__getitem__),
-    "family-info.run-factor": ("run_memory_factor", float),
-    "family-info.signal": ("load_feedback", SIGNALS.__getitem__),
-    "family-info.stays-for": ("dependency_linger_ms", ms),
-    "rules.cold-share": ("initial_speed", float),
-    "rules.fall-multiple": ("crash_load_factor", float),
-    "rules.stop-sending-within": ("drain_grace_ms", ms),
-    "rules.warm-after": ("warm_up_ms", ms),
-    "servers": ("servers", int),
+    """Read numbers that are separated by commas."""
+    return [float(number) for number in text.split(",")]
+
+
+def one_of(words: Mapping[str, Parsed]) -> Callable[[str], Parsed]:
+    """Return what reads one of these words."""
+
+    def parse(text: str) -> Parsed:
+        if text not in words:
+            raise InputError(f"give one of {', '.join(words)}")
+        return words[text]
+
+    return parse
+
+
+SETTING_FIELDS = {
+    "caps.max-retry-after": SettingField("max_retry_after_ms", microseconds),
+    "caps.retry-after": SettingField("retry_after_supported", one_of(BOOLEAN_WORDS)),
+    "family-info.below": SettingField("dependency_kind", one_of(DEPENDENCY_WORDS)),
+    "family-info.call-share": SettingField("dependency_quota", float),
+    "family-info.callers": SettingField("callers", int),
+    "family-info.cold": SettingField("starts_cold", one_of(BOOLEAN_WORDS)),
+    "family-info.cores": SettingField("cores", int),
+    "family-info.dep-window": SettingField("dependency_window_ms", microseconds),
+    "family-info.entry-kb": SettingField("key_memory_kb", float),
+    "family-info.halt": SettingField("cancel_mode", one_of(CANCEL_MODE_WORDS)),
+    "family-info.idle": SettingField("idle_timeout_ms", microseconds),
+    "family-info.memory-kb": SettingField("memory_kb", float),
+    "family-info.readiness": SettingField("listed_by_health", one_of(BOOLEAN_WORDS)),
+    "family-info.run-factor": SettingField("run_memory_factor", float),
+    "family-info.signal": SettingField("load_feedback", one_of(LOAD_FEEDBACK_WORDS)),
+    "family-info.stays-for": SettingField("dependency_linger_ms", microseconds),
+    "rules.cold-share": SettingField("initial_speed", float),
+    "rules.fall-multiple": SettingField("crash_load_factor", float),
+    "rules.stop-sending-within": SettingField("drain_grace_ms", microseconds),
+    "rules.warm-after": SettingField("warm_up_ms", microseconds),
+    "servers": SettingField("servers", int),
 }
 
+FINITE = 1e15  # some thirty years in microseconds: sums and ratios of it stay numbers
+ABOVE_ZERO = 1e-9
+NOT_NEGATIVE = Range(0, FINITE)
+AT_LEAST_ONE = Range(1, FINITE)
+SETTING_RANGES = {
+    "caps.max-retry-after": NOT_NEGATIVE,
+    "family-info.call-share": NOT_NEGATIVE,
+    "family-info.callers": NOT_NEGATIVE,
+    "family-info.cores": AT_LEAST_ONE,
+    "family-info.dep-window": NOT_NEGATIVE,
+    "family-info.entry-kb": NOT_NEGATIVE,
+    "family-info.idle": NOT_NEGATIVE,
+    "family-info.memory-kb": Range(ABOVE_ZERO, FINITE),
+    "family-info.run-factor": AT_LEAST_ONE,
+    "family-info.stays-for": NOT_NEGATIVE,
+    "rules.cold-share": Range(0, 1),
+    "rules.fall-multiple": Range(ABOVE_ZERO, FINITE),
+    "rules.stop-sending-within": NOT_NEGATIVE,
+    "rules.warm-after": NOT_NEGATIVE,
+    "servers": AT_LEAST_ONE,
+}
+CLASS_RANGES = {
+    "aim-stretch": NOT_NEGATIVE,
+    "deadline": AT_LEAST_ONE,
+    "late-value": NOT_NEGATIVE,
+    "memory-span": NOT_NEGATIVE,
+    "target": AT_LEAST_ONE,
+    "worth": NOT_NEGATIVE,
+}
+TENANT_RANGES = {"allowance-per-s": NOT_NEGATIVE, "share": NOT_NEGATIVE}
 
-class InvalidStartValueError(InputError):
-    """A start value that cannot be read; the text names its path."""
 
+def read_value(
+    path: str, pairs: dict[str, str], parse: Callable[[str], Parsed], default: Default
+) -> Parsed | Default:
+    """Return the value of a path, or the default where it is absent.
 
-def read(path: str, pairs: dict[str, str], kind: Callable[[str], Any], absent: Any) -> Any:
+    Raises:
+        InvalidStartValueError: The text cannot be parsed.
+    """
     if path not in pairs:
-        return absent
+        return default
     try:
-        return kind(pairs[path])
-    except (ValueError, KeyError):
-        words = getattr(kind, "__self__", None)  # of a table that names what is allowed
-        allowed = f"; give one of {', '.join(words)}" if isinstance(words, dict) else ""
-        raise InvalidStartValueError(
-            f"malformed start value {path}={pairs[path]!r}{allowed}"
-        ) from None
+        return parse(pairs[path])
+    except InputError as error:
+        remedy = f"; {error}"
+    except ValueError:
+        remedy = ""
+    raise InvalidStartValueError(f"malformed start value {path}={pairs[path]!r}{remedy}")
 
 
-def lines(text: str) -> dict[str, str]:
-    """The pairs of path=value lines."""
+def parse_lines(text: str) -> dict[str, str]:
+    """Return the pairs of lines `path=value`."""
     pairs: dict[str, str] = {}
     for line in text.splitlines():
         if line.strip():
@@ -107,174 +185,177 @@
     return pairs
 
 
-def nested(value: Any, path: str = "") -> dict[str, str]:
-    """The same pairs from nested JSON: plain lists joined by commas, lists of objects numbered."""
-    parts: dict[str, Any]
+def flatten(value: Any, path: str = "") -> dict[str, str]:
+    """Return the same pairs from nested JSON.
+
+    Lists of plain values are joined by commas; the members of lists of objects are numbered from
+    0, and their number is the value of `count`.
+    """
+    members: dict[str, Any]
     if isinstance(value, dict):
-        parts = {f"{path}.{key}" if path else str(key): inner for key, inner in value.items()}
+        members = {f"{path}.{key}" if path else str(key): inner for key, inner in value.items()}
     elif isinstance(value, list) and (not value or isinstance(value[0], dict)):
-        parts = {f"{path}.{at}": inner for at, inner in enumerate(value)}
-        parts[f"{path}.count"] = len(value)
+        members = {f"{path}.{index}": inner for index, inner in enumerate(value)}
+        members[f"{path}.count"] = len(value)
     else:
-        return {path: ",".join(map(plain, value)) if isinstance(value, list) else plain(value)}
+        return {path: _join(value)}
     pairs: dict[str, str] = {}
-    for name, inner in parts.items():
+    for name, inner in members.items():
         if inner is not None:
-            pairs |= nested(inner, name)
+            pairs |= flatten(inner, name)
     return pairs
 
 
-def plain(value: Any) -> str:
+def _join(value: Any) -> str:
+    if isinstance(value, list):
+        return ",".join(map(_join, value))
     return str(value).lower() if isinstance(value, bool) else str(value)
 
 
-def settings(pairs: dict[str, str]) -> dict[str, str]:
-    """Of all that a program is told, the settings, by their paths inside."""
-    inside = "settings."
+def settings_of(pairs: dict[str, str]) -> dict[str, str]:
+    """Return the deployment's settings among a program's start values, by their paths in there."""
+    prefix = "settings."
     return {
-        path.removeprefix(inside): text for path, text in pairs.items() if path.startswith(inside)
+        path.removeprefix(prefix): text for path, text in pairs.items() if path.startswith(prefix)
     }
 
 
-def address(text: str) -> tuple[str, int]:
-    """Raises ValueError for what nothing can be dialled at."""
+def parse_address(text: str) -> tuple[str, int]:
+    """Return host and port of `host:port`, where the port may be 0.
+
+    Raises:
+        ValueError: Nothing can be dialled or listened at there.
+    """
     host, _, digits = text.rpartition(":")
-    name, port = host.strip("[]"), int(digits)
-    if not HOST.fullmatch(name) or not 0 <= port <= 65535:
+    name = host.strip("[]")
+    port = int(digits)
+    if not HOST.fullmatch(name) or not 0 <= port <= MAX_PORT:
         raise ValueError("no host:port")
     return name, port
 
 
-def peer(text: str) -> tuple[str, int]:
-    """An address to dial: port 0 is for listeners, which the system gives one."""
-    found = address(text)
-    if not found[1]:
+def parse_peer_address(text: str) -> tuple[str, int]:
+    """Return host and port of an address to dial: port 0 is for listeners."""
+    host, port = parse_address(text)
+    if not port:
         raise ValueError("no port to dial")
-    return found
+    return host, port
 
 
-def names(pairs: dict[str, str], what: str) -> dict[str, int]:
-    """The places of stages or tenants by their names."""
+def index_by_name(pairs: dict[str, str], kind: str) -> dict[str, int]:
+    """Return the indexes of the `classes` or `tenants` by their names."""
     return {
-        pairs.get(f"{what}.{at}.name", str(at)): at
-        for at in range(read(f"{what}.count", pairs, int, 0))
+        pairs.get(f"{kind}.{index}.name", str(index)): index for index in range(_count(pairs, kind))
     }
 
 
-# Path -> the least and the most that a value may be: beyond them no deployment makes sense, and the decisions
-# would divide by nothing or take no task at all.
-Bounds = dict[str, tuple[float, float]]
-FINITE = 1e15  # some thirty years in the wire's unit: sums and ratios of it stay numbers
-BOUNDS: Bounds = {
-    "caps.max-retry-after": (0, FINITE),
-    "family-info.call-share": (0, FINITE),
-    "family-info.callers": (0, FINITE),
-    "family-info.cores": (1, FINITE),
-    "family-info.dep-window": (0, FINITE),
-    "family-info.entry-kb": (0, FINITE),
-    "family-info.idle": (0, FINITE),
-    "family-info.memory-kb": (1e-9, FINITE),
-    "family-info.run-factor": (1, FINITE),
-    "family-info.stays-for": (0, FINITE),
-    "rules.cold-share": (0, 1),
-    "rules.fall-multiple": (1e-9, FINITE),
-    "rules.stop-sending-within": (0, FINITE),
-    "rules.warm-after": (0, FINITE),
-    "servers": (1, FINITE),
-}
-OF_STAGE: Bounds = {
-    "aim-stretch": (0, FINITE),
-    "deadline": (1, FINITE),
-    "late-value": (0, FINITE),
-    "memory-span": (0, FINITE),
-    "target": (1, FINITE),
-    "worth": (0, FINITE),
-}
-OF_TENANT: Bounds = {"allowance-per-s": (0, FINITE), "share": (0, FINITE)}
-UTILITY_LEAST = 1e-6  # of a stage that is worth nothing: it goes last, and is divided by
+def unique_index_by_name(pairs: dict[str, str], kind: str) -> dict[str, int]:
+    """Return the same where no name may be there twice: requests carry names."""
+    indexes = index_by_name(pairs, kind)
+    count = _count(pairs, kind)
+    if len(indexes) < count:
+        raise InvalidStartValueError(
+            f"a name is there twice among {count}; give each a name of its own", place=kind
+        )
+    return indexes
+
+
+def _count(pairs: dict[str, str], kind: str) -> int:
+    return read_value(f"{kind}.count", pairs, int, 0)
 
 
-def bounded(pairs: dict[str, str], bounds: Bounds = BOUNDS, prefix: str = "") -> None:
-    for name, (least, most) in bounds.items():
+def check_ranges(pairs: dict[str, str], ranges: Mapping[str, Range], prefix: str = "") -> None:
+    """Refuse values that no deployment has, with which decisions would divide by nothing.
+
+    Raises:
+        InvalidStartValueError: A value is out of its range.
+    """
+    for name, (minimum, maximum) in ranges.items():
         path = prefix + name
-        value = read(path, pairs, float, None)
-        if value is not None and not least <= value <= most:
+        value = read_value(path, pairs, float, None)
+        if value is not None and not minimum <= value <= maximum:
             raise InvalidStartValueError(
-                f"{path}={pairs[path]}: out of range; give a value from {least:g} to {most:g}"
+                f"out of range; give a value from {minimum:g} to {maximum:g}",
+                place=f"{path}={pairs[path]}",
             )
 
 
-def named(pairs: dict[str, str], what: str) -> dict[str, int]:
-    """`names`, where none may be there twice: their tasks could not be told apart."""
-    found, count = names(pairs, what), read(f"{what}.count", pairs, int, 0)
-    if len(found) < count:
-        raise InvalidStartValueError(
-            f"{what}: a name is there twice among {count}; give each a name of its own"
-        )
-    return found
+def feedback_shape(pairs: dict[str, str]) -> str:
+    """Return how callers are told of load, in the word of the operators' pages.
 
+    That is 'credit' where they are told how many requests each may have here, 'share' where they
+    are told a weight, a least priority or nothing.
 
-def shape(pairs: dict[str, str]) -> str:
-    """Which shape of deployment the settings describe: 'credit' where callers are told how many tasks each
-    may have out here (lagos-roster, delsol-avrakning), 'share' where they are told a share or a level, as
-    before the move. Settings that mix them (a credit without the number of callers) are refused by path.
+    Raises:
+        InvalidStartValueError: There is a credit, but nothing says among how many callers.
     """
-    credit = pairs.get("family-info.signal") == "tokens"
-    if credit and "family-info.callers" not in pairs:
+    is_credit = pairs.get("family-info.signal") == "tokens"
+    if is_credit and "family-info.callers" not in pairs:
         raise InvalidStartValueError(
-            "family-info.callers is missing: a credit (family-info.signal=tokens) is shared among the"
-            " callers; name how many there are, or tell a share (bias) or a level (min_rank)"
+            "family-info.callers is missing: a credit (family-info.signal=tokens) is shared among"
+            " the callers; name how many there are, or tell a share (bias) or a level (min_rank)"
         )
-    return "credit" if credit else "share"
+    return "credit" if is_credit else "share"
 
 
 def controller_settings(pairs: dict[str, str]) -> ControllerSettings:
-    shape(pairs)
-    bounded(pairs)
-    found: dict[str, Any] = {
-        word: read(path, pairs, kind, None)
-        for path, (word, kind) in KEYWORDS.items()
+    """Return a deployment's settings as the controller takes them.
+
+    Raises:
+        InvalidStartValueError: A value is missing, malformed or out of its range.
+    """
+    feedback_shape(pairs)
+    check_ranges(pairs, SETTING_RANGES)
+    given: dict[str, Any] = {
+        field.name: read_value(path, pairs, field.parse, None)
+        for path, field in SETTING_FIELDS.items()
         if path in pairs
     }
-    skips = read("family-info.class-skip-worth", pairs, floats, [])
-    found["request_classes"] = [
-        stage(pairs, at, skips) for at in range(read("classes.count", pairs, int, 0))
-    ]
-    found["tenants"] = [tenant(pairs, at) for at in range(read("tenants.count", pairs, int, 0))]
-    meters = pairs.get("family-info.meters", "")
-    words = meters.split(",") if meters else []
-    found["gauges"] = [GAUGES.get(word, word) for word in words]
-    return ControllerSettings(**found)
-
-
-def stage(pairs: dict[str, str], at: int, skips: list[float]) -> RequestClass:
-    prefix = f"classes.{at}."
-    bounded(pairs, OF_STAGE, prefix)
-    limit_ms = read(prefix + "deadline", pairs, ms, None)
-    if limit_ms is None:
+    degraded_weights = read_value("family-info.class-skip-worth", pairs, floats, [])
+    gauge_words = pairs.get("family-info.meters", "")
+    return ControllerSettings(
+        request_classes=[
+            _request_class(pairs, index, degraded_weights)
+            for index in range(_count(pairs, "classes"))
+        ],
+        tenants=[_tenant(pairs, index) for index in range(_count(pairs, "tenants"))],
+        gauges=[GAUGE_WORDS.get(word, word) for word in gauge_words.split(",") if gauge_words],
+        **given,
+    )
+
+
+def _request_class(
+    pairs: dict[str, str], index: int, degraded_weights: list[float]
+) -> RequestClass:
+    prefix = f"classes.{index}."
+    check_ranges(pairs, CLASS_RANGES, prefix)
+    timeout_ms = read_value(prefix + "deadline", pairs, microseconds, None)
+    if timeout_ms is None:
         raise InvalidStartValueError(f"missing start value {prefix}deadline")
-    effect = read(prefix + "effect", pairs, EFFECTS.__getitem__, Idempotency.NONE)
-    window_ms = read(prefix + "memory-span", pairs, ms, 0.0)
-    if effect is Idempotency.KEYED and not window_ms:
-        path = prefix + "memory-span"
+    idempotency = read_value(prefix + "effect", pairs, one_of(IDEMPOTENCY_WORDS), Idempotency.NONE)
+    window_path = prefix + "memory-span"
+    window_ms = read_value(window_path, pairs, microseconds, 0.0)
+    if idempotency is Idempotency.KEYED and not window_ms:
         raise InvalidStartValueError(
-            f"missing start value {path}: how long a task by_key may come again, above 0"
+            f"missing start value {window_path}: how long a task by_key may come again, above 0"
         )
+    weight = read_value(prefix + "worth", pairs, float, 1.0)
     return RequestClass(
-        latency_objective_ms=read(prefix + "target", pairs, ms, limit_ms),
-        objective_per_work=read(prefix + "aim-stretch", pairs, float, 0.0),
-        timeout_ms=limit_ms,
-        idempotency=effect,
+        latency_objective_ms=read_value(prefix + "target", pairs, microseconds, timeout_ms),
+        objective_per_work=read_value(prefix + "aim-stretch", pairs, float, 0.0),
+        timeout_ms=timeout_ms,
+        idempotency=idempotency,
         idempotency_window_ms=window_ms,
-        priority_weight=max(UTILITY_LEAST, read(prefix + "worth", pairs, float, 1.0)),
-        late_weight=read(prefix + "late-value", pairs, float, 0.0),
-        degraded_weight=skips[at] if at < len(skips) else 0.0,
+        priority_weight=max(MIN_PRIORITY_WEIGHT, weight),
+        late_weight=read_value(prefix + "late-value", pairs, float, 0.0),
+        degraded_weight=degraded_weights[index] if index < len(degraded_weights) else 0.0,
     )
 
 
-def tenant(pairs: dict[str, str], at: int) -> Tenant:
-    bounded(pairs, OF_TENANT, f"tenants.{at}.")
+def _tenant(pairs: dict[str, str], index: int) -> Tenant:
+    prefix = f"tenants.{index}."
+    check_ranges(pairs, TENANT_RANGES, prefix)
     return Tenant(
-        quota=read(f"tenants.{at}.share", pairs, float, 1.0),
-        rate_limit_per_s=read(f"tenants.{at}.allowance-per-s", pairs, float, None),
+        quota=read_value(prefix + "share", pairs, float, 1.0),
+        rate_limit_per_s=read_value(prefix + "allowance-per-s", pairs, float, None),
     )
--- a/tests/compatibility/test_adapter.py
+++ b/tests/compatibility/test_adapter.py
@@ -12,7 +12,12 @@
 READ: dict[str, Any] = json.loads((GOLDEN / "start_read.json").read_text())
 WORDS = {
     value: word
-    for table in (start.EFFECTS, start.HALTS, start.SIGNALS, start.BELOWS)
+    for table in (
+        start.IDEMPOTENCY_WORDS,
+        start.CANCEL_MODE_WORDS,
+        start.LOAD_FEEDBACK_WORDS,
+        start.DEPENDENCY_WORDS,
+    )
     for word, value in table.items()
 }
 
@@ -26,13 +31,14 @@
     """What start values are read as, by their paths."""
     found = start.controller_settings(pairs)
     by_path = {
-        path: on_the_wire(getattr(found, word)) for path, (word, _) in start.KEYWORDS.items()
+        path: on_the_wire(getattr(found, field.name))
+        for path, field in start.SETTING_FIELDS.items()
     }
     by_path["classes"] = [
         [on_the_wire(value) for value in stage] for stage in found.request_classes
     ]
     by_path["tenants"] = [list(tenant) for tenant in found.tenants]
-    words = {name: word for word, name in start.GAUGES.items()}
+    words = {name: word for word, name in start.GAUGE_WORDS.items()}
     by_path["family-info.meters"] = [words.get(name, name) for name in found.gauges]
     return by_path
 
@@ -48,14 +54,14 @@
 
 
 def test_start_values_as_lines_mean_what_they_meant() -> None:
-    assert meaning(start.lines((GOLDEN / "start_lines.txt").read_text())) == READ
+    assert meaning(start.parse_lines((GOLDEN / "start_lines.txt").read_text())) == READ
 
 
 def test_start_values_as_nested_json_mean_what_they_meant() -> None:
     told = json.loads((GOLDEN / "start_nested.json").read_text())
-    pairs = start.nested(told)
+    pairs = start.flatten(told)
     assert (
         "".join(f"{path}={text}\n" for path, text in pairs.items())
         == (GOLDEN / "start_nested_pairs.txt").read_text()
     )
-    assert meaning(start.settings(pairs)) == READ
+    assert meaning(start.settings_of(pairs)) == READ
--- a/tests/compatibility/test_net.py
+++ b/tests/compatibility/test_net.py
@@ -66,12 +66,12 @@
 
 
 def make_server() -> Server:
-    pairs = start.nested(SETTINGS)
+    pairs = start.flatten(SETTINGS)
     return Server(
         ServerSettings(
             controller=start.controller_settings(pairs),
-            class_indexes=start.names(pairs, "classes"),
-            tenant_indexes=start.names(pairs, "tenants"),
+            class_indexes=start.index_by_name(pairs, "classes"),
+            tenant_indexes=start.index_by_name(pairs, "tenants"),
             seed=1,
             shutdown_ms=3000.0,
             has_database=True,
--- a/tests/test_move.py
+++ b/tests/test_move.py
@@ -89,14 +89,14 @@
         "classes.0.effect": "once",
         "classes.0.deadline": "11000000",
     }
-    assert start.shape(old) == "share" and start.shape(new) == "credit"
-    assert start.shape({}) == "share"  # as before the move: nothing named, nothing told
+    assert start.feedback_shape(old) == "share" and start.feedback_shape(new) == "credit"
+    assert start.feedback_shape({}) == "share"  # as before the move: nothing named, nothing told
     with pytest.raises(start.InvalidStartValueError, match=r"family-info\.callers is missing"):
         start.controller_settings(
             {key: text for key, text in new.items() if key != "family-info.callers"}
         )
     assert (
-        start.shape(new | {"classes.0.memory-span": "26595000"}) == "credit"
+        start.feedback_shape(new | {"classes.0.memory-span": "26595000"}) == "credit"
     )  # as the wire gives it
     with pytest.raises(start.InvalidStartValueError, match=r"family-info\.callers=-1"):
         start.controller_settings(old | {"family-info.callers": "-1"})
