--- a/pumicenotch/adapter/__init__.py
+++ b/pumicenotch/adapter/__init__.py
@@ -1,1 +1,1 @@
-"""Hosts controls on a wire; it decides nothing."""
+"""Carries controllers on the simulator's wire; it decides nothing."""
--- a/pumicenotch/control/controller.py
+++ b/pumicenotch/control/controller.py
@@ -117,7 +117,7 @@
         if request is None or request.state is not RequestState.RUNNING:
             return
         self.estimates.on_dependency_needed(request)
-        self.occupancy.leave_for_call(request, now)
+        self.occupancy.suspend_for_call(request, now)
         request.dependency_attempts = 0
         self.calls.enqueue(now, request)
         if request.request_class.degraded_weight > 0.0:
@@ -132,7 +132,7 @@
             return
         self.calls.finish(request, now, outcome)
         if outcome is Outcome.OK:
-            self.occupancy.return_from_call(request, now)
+            self.occupancy.resume_after_call(request, now)
         elif not request.is_answered:
             if self.calls.may_retry(request, now, outcome):
                 self.calls.retry_later(request, now)
@@ -304,7 +304,7 @@
 
     def _skip_dependency(self, request: Request, now: float) -> None:
         self.actions.skip_dependency(request.request_id)
-        self.occupancy.return_from_call(request, now)
+        self.occupancy.resume_after_call(request, now)
 
     def _skip_waiting_call(self, now: float, request: Request) -> None:
         """Skip a call that still waits for its turn when the run could hardly end in time."""
--- a/pumicenotch/control/core_occupancy.py
+++ b/pumicenotch/control/core_occupancy.py
@@ -24,7 +24,7 @@
         request.state = RequestState.RUNNING
         request.started_at = now
 
-    def leave_for_call(self, request: Request, now: float) -> None:
+    def suspend_for_call(self, request: Request, now: float) -> None:
         """Take a run off the cores while its call is open."""
         request.state = RequestState.AWAITING_DEPENDENCY
         request.off_cores_ms -= now
@@ -32,7 +32,7 @@
         self._limit.on_cores -= 1
         self.pools.slot_released(now, request.pool)
 
-    def return_from_call(self, request: Request, now: float) -> None:
+    def resume_after_call(self, request: Request, now: float) -> None:
         """Put a run back onto the cores after its call."""
         request.state = RequestState.RUNNING
         request.off_cores_ms += now
