--- a/benchmarks/cold_start.py
+++ b/benchmarks/cold_start.py
@@ -31,7 +31,7 @@
 from pumicenotch.lab.cores import Cores, Work
 from pumicenotch.lab.peers import GatewayPeer, PoolPeer
 from pumicenotch.lab.world import Arrival, Stage
-from tests.play import rid
+from tests.request_ids import rid
 
 GATEWAYS, PLAY_S, AT_ONCE, SHARES = 30, 7.0, 4, (0.1, 0.21, 0.48)
 WARM_S, FALL_S, MULTIPLE = 12.0, 2.0, 8.0
--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -25,7 +25,7 @@
 from pumicenotch.control import AdmissionController, ControllerSettings
 from pumicenotch.interface import IncomingRequest, Outcome, Tenant
 from pumicenotch.pools import ClassPools
-from tests.record import KINDS, PLAN, STAGES, World
+from tests.control.decision_streams import KINDS, PLAN, STAGES, World
 
 KNOWN = (300, 3_000, 15_000, 54_000)
 ACTIVE = (20, 300)
--- a/benchmarks/returning.py
+++ b/benchmarks/returning.py
@@ -20,7 +20,7 @@
 from typing import Any
 
 from tests.net.parties import SETTINGS, WAIT_S, Gateway, Party, Program
-from tests.play import rid
+from tests.request_ids import rid
 
 TASKS, DOWN_S, SERVICE_S, PLAY_S = 6, 3.0, 0.1, 4.0
 HEAD = re.compile(rb"Q ([0-9a-f]{16}) \d+ (\d+)\r\n")
--- a/tests/controls.py
+++ b/tests/control/controllers.py
@@ -1,4 +1,4 @@
-"""Controls that a test drives by itself, with actions that nobody carries out."""
+"""Controllers that a test drives by itself, with actions that nobody carries out."""
 
 from typing import Any
 
@@ -13,7 +13,9 @@
         return lambda *_, **__: None
 
 
-def control(actions: IgnoredActions, stage: RequestClass, **more: Any) -> AdmissionController:
+def make_controller(
+    actions: IgnoredActions, stage: RequestClass, **more: Any
+) -> AdmissionController:
     """A server of two cores with that stage alone, begun at time 0."""
     return AdmissionController(
         actions,
--- a/tests/record.py
+++ b/tests/control/decision_streams.py
@@ -1,7 +1,7 @@
 """A drawn stream of events for one control, and the digest of every action it asked for on the way.
 
 The world reacts to the actions (runs end, calls come back), so one decision that differs changes all that
-follows. `digests` in tests/record.json were made by the module as it was before pools, those of `Shifting` by
+follows. `digests` in decision_digests.json were made by the module as it was before pools, those of `Shifting` by
 the module as it was before its samples followed the active tenants.
 """
 
--- a/tests/play.py
+++ b/tests/control/scenario_player.py
@@ -134,15 +134,6 @@
     return found
 
 
-def rid(name: str) -> str:
-    """A test's short name of a task, as the protocol wants it."""
-    return name.encode().hex().zfill(16)
-
-
-def short(rid: str) -> str:
-    return bytes.fromhex(rid).strip(b"\0").decode()
-
-
 def value(key: str, text: str) -> Any:
     if key in KINDS:
         return KINDS[key][text]
@@ -154,7 +145,7 @@
         return text
 
 
-class Play:
+class ControlScenario:
     def __init__(self) -> None:
         self.seen = Seen()
         self.stages: dict[str, RequestClass] = {}
--- a/tests/test_letter8.py
+++ b/tests/control/test_health.py
@@ -1,11 +1,10 @@
-"""Decisions that lindach-moebel and utrecht-centraal brought."""
+"""Health as the list of endpoints sees it: a server that reads too late leaves it for a while."""
 
 from itertools import pairwise
 
-from pumicenotch import start
 from pumicenotch.control import TICK_INTERVAL_MS
 from pumicenotch.interface import Idempotency, IncomingRequest, LoadFeedback, RequestClass
-from tests.controls import IgnoredActions, control
+from tests.control.controllers import IgnoredActions, make_controller
 
 STAGE = RequestClass(1000.0, 0.0, 3000.0, Idempotency.IDEMPOTENT, 0.0, 1.0, 0.0, 0.0)
 
@@ -24,7 +23,7 @@
 def late_for(listed: bool, until_s: float, then_s: float) -> list[tuple[float, bool]]:
     """Three tasks a tick are read after nine tenths of their time, then fresh ones."""
     heard, ident = Heard(), 0
-    server = control(
+    server = make_controller(
         heard, STAGE, memory_kb=1e6, load_feedback=LoadFeedback.WEIGHT, listed_by_health=listed
     )
     while heard.now < 1000.0 * (until_s + then_s):
@@ -39,7 +38,7 @@
     return heard.answers
 
 
-def test_a_server_that_reads_too_late_leaves_the_list_for_seconds_and_comes_back() -> None:
+def test_a_server_that_reads_too_late_is_unhealthy_for_seconds_and_recovers() -> None:
     """Seen at utrecht rough-2: one of fifteen servers read 80 tasks a second against 24 on the mean, all too
     late, and ran none; it looked idle to callers that go by measured reports, so more came.
     """
@@ -55,20 +54,15 @@
     assert health[-1][0] < 26_000.0
 
 
-def test_where_the_list_does_not_follow_health_a_late_server_says_nothing() -> None:
+def test_where_health_does_not_list_servers_a_late_one_stays_healthy() -> None:
     assert late_for(listed=False, until_s=20.0, then_s=0.0) == [(0.0, True)]
 
 
-def test_a_server_that_leaves_stays_out_of_the_list() -> None:
+def test_a_draining_server_stays_unhealthy() -> None:
     heard = Heard()
-    server = control(heard, STAGE, memory_kb=1e6, listed_by_health=True)
+    server = make_controller(heard, STAGE, memory_kb=1e6, listed_by_health=True)
     server.start_draining(0.0, 60_000.0)
     while heard.now < 20_000.0:
         heard.now += TICK_INTERVAL_MS
         server.on_tick(heard.now, ())
     assert [good for _, good in heard.answers] == [True, False]
-
-
-def test_readiness_comes_from_the_settings_and_is_off_without_them() -> None:
-    assert start.controller_settings({"family-info.readiness": "true"}).listed_by_health is True
-    assert start.controller_settings({}).listed_by_health is False
--- a/tests/test_caps.py
+++ b/tests/control/test_slot_shares.py
@@ -6,10 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from pumicenotch.control import ControllerSettings
-from pumicenotch.control.fair_scheduler import FairScheduler
 from pumicenotch.control.slot_shares import SlotShares
-from pumicenotch.interface import Tenant
 
 V_MOST = 6
 
@@ -42,7 +39,7 @@
         max_size=40,
     ),
 )
-def test_caps_are_those_of_the_whole_chain_to_the_last_bit(
+def test_shares_are_those_of_the_whole_chain_to_the_last_bit(
     known: int, steps: list[tuple[str, int, float]]
 ) -> None:
     total, vs = 4, [0.0] * known
@@ -67,23 +64,3 @@
     for tenant in range(1, len(vs)):
         caps.set_control_output(tenant, 6.0)
     assert all(map(same, [caps[tenant] for tenant in range(len(vs))], chain(3, vs)))
-
-
-def test_a_sample_looks_at_no_tenant_that_has_not_sent() -> None:
-    scheduler = FairScheduler(ControllerSettings([], [Tenant(1.0, None)] * 1000, []), 4)
-    scheduler.response_ms = {6: [100.0], 7: [300.0, 500.0], 9: [100.0]}
-    scheduler.on_sample(4, 100.0, 1000.0)
-    assert sorted(scheduler.queues) == [6, 7]  # the one pair
-    assert scheduler.queues[7].control_output > 0.0 == scheduler.queues[6].control_output
-    assert scheduler.shares[999] == scheduler.shares[7] > scheduler.shares[6] == scheduler.shares[0]
-
-
-def test_a_pair_that_lacks_completions_keeps_its_v() -> None:
-    scheduler = FairScheduler(ControllerSettings([], [Tenant(1.0, None)] * 10, []), 4)
-    scheduler.response_ms = {6: [100.0], 7: [130.0]}
-    scheduler.on_sample(4, 100.0, 1000.0)
-    v, error = scheduler.queues[7].control_output, scheduler.queues[7].control_error
-    for times in ({}, {6: [100.0]}, {7: [100.0], 8: [100.0]}):
-        scheduler.response_ms = dict(times)
-        scheduler.on_sample(5, 100.0, 1000.0)
-        assert (scheduler.queues[7].control_output, scheduler.queues[7].control_error) == (v, error)
--- a/tests/net/parties.py
+++ b/tests/net/parties.py
@@ -16,7 +16,7 @@
 
 import msgpack
 
-from tests.play import rid, short
+from tests.request_ids import rid, short
 
 WAIT_S = 20.0  # far above what anything here takes: reached only where something is wrong
 SETTINGS = {
--- a/tests/net/test_partial_input.py
+++ b/tests/net/test_partial_input.py
@@ -13,7 +13,7 @@
 from pumicenotch.net.clock import Clock
 from pumicenotch.net.outbox import Outbox
 from pumicenotch.server.messages import RequestServed
-from tests.play import rid
+from tests.request_ids import rid
 
 FIELDS = {"rid": rid("aa"), "t0": "1", "peer": "1", "acct": "acme", "mem": "2.5", "prio": "0.25"}
 TASK = msgpack.packb([0, 1, "read", [FIELDS, b"body"]])
--- a/tests/net/test_protocols.py
+++ b/tests/net/test_protocols.py
@@ -11,7 +11,7 @@
 import pytest
 
 from tests.net.parties import Gateway, Party, Program, blob, result
-from tests.play import rid
+from tests.request_ids import rid
 
 FINE = '{"listen": "127.0.0.1:0", "pool": "127.0.0.1:1", '
 CLASSES = '"stop_ms": 900, "settings": {"classes": [{%s}]}}'
--- a/tests/net/test_server_process.py
+++ b/tests/net/test_server_process.py
@@ -16,7 +16,7 @@
 import pytest
 
 from tests.net.parties import SETTINGS, WAIT_S, Gateway, Party, Pool, Program, blob, result
-from tests.play import rid
+from tests.request_ids import rid
 
 LEAVE, RELOAD = signal.SIGTERM, signal.SIGHUP
 MANY = {"cores": 1.0, "memory_mb": 192, "sockets": 1024}  # limits, for many gateways
--- a/tests/server/scenario_player.py
+++ b/tests/server/scenario_player.py
@@ -1,4 +1,4 @@
-"""Plays scenarios of the server's core, in the notation of play.py with these steps:
+"""Plays scenarios of the server's core, in the notation of tests/control/scenario_player.py with these steps:
 
 serve KEY=VALUE ...        a core that is linked, bound and warm, with connections 1 and 2 open; `stop` is
                            its notice to end, `cold=yes` leaves the pool unbound, `db=no` has no calls,
@@ -27,7 +27,8 @@
 from pumicenotch.server.core import Server
 from pumicenotch.server.effects import FinishReading, Wake, Write
 from pumicenotch.server.settings import ServerSettings
-from tests.play import Play, numbers, rid, short
+from tests.control.scenario_player import ControlScenario, numbers
+from tests.request_ids import rid, short
 
 RID = re.compile("[0-9a-f]{16}")
 ANSWERS = ("served", "rejected", "failed")
@@ -100,7 +101,7 @@
     return None if text == "None" else int(text) if text.lstrip("-").isdigit() else text
 
 
-class ServerScenario(Play):
+class ServerScenario(ControlScenario):
     core: Server
 
     def __init__(self) -> None:
--- a/tests/server/test_event_pairs.py
+++ b/tests/server/test_event_pairs.py
@@ -27,7 +27,7 @@
     SupplyReply,
 )
 from pumicenotch.server.settings import ServerSettings
-from tests.play import rid
+from tests.request_ids import rid
 
 STAGES = {"read": Idempotency.IDEMPOTENT, "put": Idempotency.KEYED, "pay": Idempotency.NONE}
 CUT = ConnectionFailure(FailureReach.BROKEN, "cut")
