--- a/pumicenotch/server/cell_admission.py
+++ b/pumicenotch/server/cell_admission.py
@@ -22,9 +22,7 @@
         self.fence = fence
         self.node = node
 
-    def rejection_reason(
-        self, request: PendingRequest, unix_ms: float, tenant: str, is_known: bool
-    ) -> str:
+    def rejection_reason(self, request: PendingRequest, unix_ms: float, is_known: bool) -> str:
         """Returns why the request may not run on this node; "" if it may.
 
         A caller that is no router stamps no epoch: it is judged by this node's own map. A request
@@ -34,9 +32,9 @@
         Args:
             request: The request.
             unix_ms: The Unix time.
-            tenant: The tenant's name.
             is_known: The request repeats one that this node has under its idempotency key.
         """
+        tenant = request.tenant_name
         epoch = request.map_epoch
         if not request.idempotency_key:
             return "" if self.fence.admits(self.node, tenant, epoch) else OUTDATED_MAP
--- a/pumicenotch/server/core.py
+++ b/pumicenotch/server/core.py
@@ -206,8 +206,7 @@
     ) -> bool:
         assert self.cells is not None
         unix_ms = self.now + event.clock_offset_ms
-        tenant = event.fields.get("acct", "")
-        reason = self.cells.rejection_reason(request, unix_ms, tenant, original_id is not None)
+        reason = self.cells.rejection_reason(request, unix_ms, original_id is not None)
         if not reason:
             return False
         self.counters.add(f"cells_{reason}")
--- a/pumicenotch/server/pending_request.py
+++ b/pumicenotch/server/pending_request.py
@@ -15,6 +15,7 @@
     request_class: RequestClass
     class_index = 0
     tenant_index = 0
+    tenant_name = ""
     caller_id = 0  # the gateway that sends it
     is_retry = False
     map_epoch: int | None = (
--- a/pumicenotch/server/request_decoder.py
+++ b/pumicenotch/server/request_decoder.py
@@ -16,19 +16,32 @@
 MAX_CLOCK_AHEAD_MS = 1000.0  # of a stamp: clocks of one machine differ by far less
 # The protocol's own grammar. Python's float() would take "1_0", " 1", "1e3" or "nan" as well.
 NUMBER = re.compile(r"[0-9]{1,15}(\.[0-9]{1,9})?", re.ASCII)
-# The fields of the gateways' protocol that are no decimal numbers.
+# The fields of the gateways' protocol.
+NAME = "rid"
+STAMPED_AT = "t0"
+CALLER = "peer"
+TENANT = "acct"
+MEMORY = "mem"
+ESTIMATED_WORK = "est"
+PRIORITY = "prio"
+IDEMPOTENCY_KEY = "token"
+RETRY_MARK = "again"
+OBJECT = "obj"
+MAP_EPOCH = "epoch"
+OWNERSHIP_QUERY = "ask"
+MARK = "1"  # the only value of a field that marks a request
 FIELD_FORMS = {
     name: re.compile(form, re.ASCII)
     for name, form in (
-        ("rid", "[0-9a-f]{16}"),
-        ("t0", "[0-9]{1,15}"),
-        ("peer", "[0-9]{1,15}"),
-        ("again", "1"),
-        ("epoch", "[0-9]{1,15}"),
-        ("ask", "1"),
-        ("token", "[0-9a-f]{32}"),
-        ("obj", "[0-9a-f]{16}"),
-        ("acct", ".{1,64}"),
+        (NAME, "[0-9a-f]{16}"),
+        (STAMPED_AT, "[0-9]{1,15}"),
+        (CALLER, "[0-9]{1,15}"),
+        (RETRY_MARK, MARK),
+        (MAP_EPOCH, "[0-9]{1,15}"),
+        (OWNERSHIP_QUERY, MARK),
+        (IDEMPOTENCY_KEY, "[0-9a-f]{32}"),
+        (OBJECT, "[0-9a-f]{16}"),
+        (TENANT, ".{1,64}"),
     )
 }
 
@@ -53,6 +66,11 @@
     return value
 
 
+def is_marked(fields: Mapping[str, str], name: str) -> bool:
+    """Returns whether the field is there; raises InvalidRequestError for any value but the mark."""
+    return name in fields and text_field(fields, name) == MARK
+
+
 class RequestDecoder:
     """Makes pending requests from what gateways send.
 
@@ -89,17 +107,18 @@
         request = self._begin(event)
         fields = event.fields
         self._decode_size(request, fields, unix_ms)
-        request.caller_id = int(text_field(fields, "peer"))
-        request.is_retry = "again" in fields and text_field(fields, "again") == "1"
-        if "obj" in fields:
-            text_field(fields, "obj")
-        if self.reads_map_epoch and "epoch" in fields:
-            request.map_epoch = int(text_field(fields, "epoch"))
-            request.is_ownership_query = "ask" in fields and text_field(fields, "ask") == "1"
+        request.caller_id = int(text_field(fields, CALLER))
+        request.is_retry = is_marked(fields, RETRY_MARK)
+        if OBJECT in fields:
+            text_field(fields, OBJECT)
+        if self.reads_map_epoch and MAP_EPOCH in fields:
+            request.map_epoch = int(text_field(fields, MAP_EPOCH))
+            request.is_ownership_query = is_marked(fields, OWNERSHIP_QUERY)
+        request.tenant_name = fields.get(TENANT, "")
         if self.tenant_indexes:
-            tenant = text_field(fields, "acct")
+            tenant = text_field(fields, TENANT)
             if tenant not in self.tenant_indexes:
-                raise InvalidRequestError("acct")
+                raise InvalidRequestError(TENANT)
             request.tenant_index = self.tenant_indexes[tenant]
         self._decode_idempotency_key(request, fields)
         return request
@@ -111,14 +130,14 @@
             raise InvalidRequestError("body")
         request = PendingRequest(
             next(self.next_ids),
-            text_field(event.fields, "rid"),
+            text_field(event.fields, NAME),
             event.connection_id,
             event.message_id,
             event.class_name,
             event.body,
         )
         if request.name in self.pending.by_name:
-            raise InvalidRequestError("rid")
+            raise InvalidRequestError(NAME)
         request.class_index = self.class_indexes[event.class_name]
         request.request_class = self.classes[request.class_index]
         return request
@@ -126,22 +145,22 @@
     def _decode_size(
         self, request: PendingRequest, fields: Mapping[str, str], unix_ms: float
     ) -> None:
-        request.stamped_at_ms = float(text_field(fields, "t0"))
+        request.stamped_at_ms = float(text_field(fields, STAMPED_AT))
         if request.stamped_at_ms > unix_ms + MAX_CLOCK_AHEAD_MS:
-            raise InvalidRequestError("t0")
-        request.memory_kb = number_field(fields, "mem", MAX_MEMORY_KB)
+            raise InvalidRequestError(STAMPED_AT)
+        request.memory_kb = number_field(fields, MEMORY, MAX_MEMORY_KB)
         if request.memory_kb <= 0.0:
-            raise InvalidRequestError("mem")
-        if "est" in fields:
-            request.estimated_work = number_field(fields, "est", MAX_WORK)
-        number_field(fields, "prio", 1.0)
+            raise InvalidRequestError(MEMORY)
+        if ESTIMATED_WORK in fields:
+            request.estimated_work = number_field(fields, ESTIMATED_WORK, MAX_WORK)
+        number_field(fields, PRIORITY, 1.0)
 
     def _decode_idempotency_key(self, request: PendingRequest, fields: Mapping[str, str]) -> None:
         if request.request_class.idempotency is Idempotency.KEYED:
-            request.idempotency_key = text_field(fields, "token")
+            request.idempotency_key = text_field(fields, IDEMPOTENCY_KEY)
             content = b"%d " % request.class_index + request.body
             request.body_digest = blake2b(content, digest_size=16).digest()
-            if "obj" in fields:
-                raise InvalidRequestError("obj")
-        elif "token" in fields:
-            raise InvalidRequestError("token")
+            if OBJECT in fields:
+                raise InvalidRequestError(OBJECT)
+        elif IDEMPOTENCY_KEY in fields:
+            raise InvalidRequestError(IDEMPOTENCY_KEY)
