--- a/pumicenotch/net/instance_file.py
+++ b/pumicenotch/net/instance_file.py
@@ -99,5 +99,5 @@
     classes = values.controller.request_classes
     class_indexes = values.class_indexes
     for name in unknown_classes(plan, list(class_indexes)):
-        logger.warning("{}: no stage of this server is called {}", path, name)
+        logger.warning("{}: no request class of this server is called {}", path, name)
     return lambda now: ClassPools(now, plan, classes, class_indexes)
--- a/pumicenotch/net/start_values.py
+++ b/pumicenotch/net/start_values.py
@@ -60,7 +60,7 @@
     )
     if not values.class_indexes:
         raise start.InvalidStartValueError(
-            "missing start value settings.classes: no task could be told from another"
+            "missing start value settings.classes: requests could not be told apart"
         )
     if values.shutdown_ms is None:
         raise start.InvalidStartValueError(
--- a/pumicenotch/server/gateway_side.py
+++ b/pumicenotch/server/gateway_side.py
@@ -135,7 +135,7 @@
             )
             return False
         if len(connection.open_requests) >= MAX_OPEN_REQUESTS:
-            text = f"over {MAX_OPEN_REQUESTS} tasks are open"
+            text = f"over {MAX_OPEN_REQUESTS} requests are open"
             self.violate_protocol(
                 ProtocolViolated(event.connection_id, "connections_overfull", text)
             )
@@ -145,7 +145,7 @@
 
     def answer_invalid(self, event: RequestReceived, error: InvalidRequestError) -> None:
         """Fails a message that is no request."""
-        self.count_problem("malformed", f"malformed task: {error}")
+        self.count_problem("malformed", f"malformed request: {error}")
         message = RequestFailed(event.message_id, self.load_hint)
         self.counters.add(ANSWER_COUNTERS[RequestFailed])
         self.effects.append(Write(event.connection_id, message))
--- a/pumicenotch/server/lifecycle.py
+++ b/pumicenotch/server/lifecycle.py
@@ -52,7 +52,7 @@
         self.timer_fired_at = server.now
         server.timers.run_expired(server.now)
         if server.controller is not None and server.worker_pool.has_timed_out(server.now):
-            server.count_problem("links_hung", "pool: no answer on a link that is up")
+            server.count_problem("links_hung", "pool: no answer on a connection that is up")
             server.worker_pool.reconnect()
         if server.controller is None:
             self.schedule_tick(SWEEP_INTERVAL_MS)
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -87,6 +87,6 @@
 def test_a_page_that_names_neither_file_nor_type_is_found(tmp_path: Path) -> None:
     page = tmp_path / "page.md"
     page.write_text(
-        "`net/nowhere`, `Nobody.step()`, docs/nothing.md; `net/link`, `Path`, `ValueError`"
+        "`net/nowhere`, `Nobody.step()`, docs/nothing.md; `net/outbox`, `Path`, `ValueError`"
     )
     assert missing(page) == ["docs/nothing.md", "net/nowhere", "Nobody", "Path"]
