--- a/pumicenotch/lab/consensus_model.py
+++ b/pumicenotch/lab/consensus_model.py
@@ -1,8 +1,8 @@
-"""A model of voters for the checker: elections, the log, snapshots, changes of seats, reads, with messages
-that are late, lost or come twice, stops and restarts. Everything that is decided is decided by `consensus/`.
+"""A model of voters for the explorer; everything that is decided is decided by `consensus/`.
 
-Time is left out on purpose: any voter may run out of patience at any moment, and forget that it heard a
-leader. What holds here holds whatever clocks do.
+It has elections, the log, snapshots, membership changes and reads, messages that are late, lost or
+delivered twice, stops and restarts. Time is left out on purpose: at any moment any voter may reach
+its election timeout, and forget that it heard a leader. What holds here holds whatever clocks do.
 """
 
 import argparse
@@ -74,7 +74,7 @@
     copies: int = 0
     changes: int = 0
     snapshots: int = 0
-    hand_overs: int = 0
+    transfers: int = 0
 
 
 def frozen(voter: Voter) -> tuple[Any, ...]:
@@ -98,13 +98,13 @@
     )
 
 
-class Agreement:
+class ConsensusModel:
     """`voter` is the class that decides; `cut` are pairs between which nothing comes through."""
 
     def __init__(
         self,
         names: list[str],
-        seats: ClusterMembership,
+        membership: ClusterMembership,
         bounds: Bounds,
         *,
         voter: type[Voter] = Voter,
@@ -113,17 +113,18 @@
         patient: frozenset[str] = frozenset(),
         narrow: bool = False,
     ) -> None:
-        self.names, self.seats, self.bounds, self.voter, self.cut = names, seats, bounds, voter, cut
-        self.changes, self.patient = (
-            changes,
-            patient,
-        )  # the patient never run for an election by themselves
-        self.narrow = (
-            narrow  # of one kind only the latest is on its way between two: the older is lost
-        )
+        self.names = names
+        self.membership = membership
+        self.bounds = bounds
+        self.voter = voter
+        self.cut = cut
+        self.changes = changes
+        self.patient = patient  # they never start an election by themselves
+        # Of one kind only the latest message is on its way between two: the older is lost.
+        self.narrow = narrow
 
     def new(self, name: str) -> Voter:
-        return self.voter(name, 0.0, self.seats, lambda low, high: low)
+        return self.voter(name, 0.0, self.membership, lambda low, high: low)
 
     def first(self, **prepared: dict[str, Any]) -> State:
         """`prepared` sets attributes of voters by name; `entries` of its log."""
@@ -144,7 +145,8 @@
         return State(tuple(map(frozen, voters)), frozenset(), agreed, led, (), tuple(self.bounds))
 
     def thawed(self, state: State, at: int) -> Voter:
-        voter, values = self.new(self.names[at]), state.voters[at]
+        voter = self.new(self.names[at])
+        values = state.voters[at]
         for name, value in zip(PERSISTED_FIELDS + VOLATILE_FIELDS, values, strict=False):
             setattr(voter, name, value)
         many = len(PERSISTED_FIELDS + VOLATILE_FIELDS)
@@ -212,15 +214,15 @@
                 f"{name} is asked for a read",
                 self.stepped(asked, at, RequestRead(len(asked.asked) - 1)),
             )
-        if left.hand_overs:
-            spent = self.spent(state, left, "hand_overs")
-            yield f"{name} hands over", self.stepped(spent, at, TransferLeadership(""))
+        if left.transfers:
+            spent = self.spent(state, left, "transfers")
+            yield f"{name} transfers leadership", self.stepped(spent, at, TransferLeadership(""))
         if left.changes:
             spent = self.spent(state, left, "changes")
-            for seats in self.changes:
+            for membership in self.changes:
                 yield (
-                    f"{name} wants the seats {seats.voters}",
-                    self.stepped(spent, at, ChangeMembership(seats)),
+                    f"{name} wants the voters {membership.voters}",
+                    self.stepped(spent, at, ChangeMembership(membership)),
                 )
         if left.snapshots:
             voter = self.thawed(state, at)
@@ -240,13 +242,12 @@
 
     def restarted(self, state: State, at: int) -> State:
         """What was stored is there again, and nothing else."""
-        old, voter = self.thawed(state, at), self.new(self.names[at])
-        voter.term, voter.voted_for, voter.log, voter.commit_index = (
-            old.term,
-            old.voted_for,
-            old.log,
-            old.log.snapshot_index,
-        )
+        old = self.thawed(state, at)
+        voter = self.new(self.names[at])
+        voter.term = old.term
+        voter.voted_for = old.voted_for
+        voter.log = old.log
+        voter.commit_index = old.log.snapshot_index
         reads = tuple(read for read in state.asked if read[0] != voter.voter_id)
         return self.put(state, at, voter)._replace(asked=reads if not state.asked else state.asked)
 
@@ -254,12 +255,10 @@
         voter = self.thawed(state, at)
         if heard_at is not None:
             voter.last_leader_contact_ms = heard_at
-        todo, wire, agreed, bad = (
-            voter.step(0.0, event),
-            set(state.wire),
-            list(state.agreed),
-            "",
-        )
+        todo = voter.step(0.0, event)
+        wire = set(state.wire)
+        agreed = list(state.agreed)
+        bad = ""
         while todo:
             effect = todo.pop(0)
             match effect:
@@ -323,25 +322,30 @@
 
 
 WALK_MOST = 120  # steps: some elections, each of a dozen letters
-SEATS = ClusterMembership(("a/1", "b/1", "c/1"))
+MEMBERSHIP = ClusterMembership(("a/1", "b/1", "c/1"))
 ROOT = Entry(1, EntryKind.NO_OP, None)
 LONG = (
     ("elections and the log", Bounds(timeouts=3, proposals=2, copies=1)),
     ("restarts", Bounds(timeouts=3, proposals=1, restarts=2)),
     ("reads", Bounds(timeouts=3, proposals=1, reads=2)),
-    ("changes of seats", Bounds(timeouts=3, proposals=1, changes=2)),
-    ("snapshots and hand-over", Bounds(timeouts=3, proposals=1, snapshots=1, hand_overs=1)),
+    ("membership changes", Bounds(timeouts=3, proposals=1, changes=2)),
+    (
+        "snapshots and leadership transfer",
+        Bounds(timeouts=3, proposals=1, snapshots=1, transfers=1),
+    ),
 )
 
 
-def three(bounds: Bounds, narrow: bool = False) -> Agreement:
+def three(bounds: Bounds, narrow: bool = False) -> ConsensusModel:
     """Three voters, or a fourth for changes; `a/1` leads in term 1 to begin with. Narrow goes deeper: one of
     them never runs for an election by itself, and of one kind only the latest letter is on its way.
     """
-    names = list(SEATS.voters) + (["d/1"] if bounds.changes else [])
-    changes = (ClusterMembership((*SEATS.voters, "d/1")), ClusterMembership(("b/1", "c/1")))
-    patient = frozenset(SEATS.voters[-1:] if narrow else ())
-    return Agreement(names, SEATS, bounds, changes=changes, narrow=narrow, patient=patient)
+    names = list(MEMBERSHIP.voters) + (["d/1"] if bounds.changes else [])
+    changes = (ClusterMembership((*MEMBERSHIP.voters, "d/1")), ClusterMembership(("b/1", "c/1")))
+    patient = frozenset(MEMBERSHIP.voters[-1:] if narrow else ())
+    return ConsensusModel(
+        names, MEMBERSHIP, bounds, changes=changes, narrow=narrow, patient=patient
+    )
 
 
 def long_form(bounds: Bounds, most: int, narrow: bool = False) -> Any:
@@ -349,16 +353,16 @@
     return model.explore(led(model), most)
 
 
-def led(model: Agreement) -> State:
+def led(model: ConsensusModel) -> State:
     """Its first voter leads in term 1, and the others have its first entry, agreed."""
     followers = {
         name: {"term": 1, "voted_for": model.names[0], "entries": (ROOT,), "commit_index": 1}
-        for name in model.seats.voters
+        for name in model.membership.voters
     }
-    numbers = dict.fromkeys(model.seats.voters, 1)
+    numbers = dict.fromkeys(model.membership.voters, 1)
     leads = {
         "role": Role.LEADER,
-        "next_index": dict.fromkeys(model.seats.voters, 2),
+        "next_index": dict.fromkeys(model.membership.voters, 2),
         "match_index": numbers,
     }
     followers[model.names[0]] |= leads
--- a/tests/compatibility/test_consensus.py
+++ b/tests/compatibility/test_consensus.py
@@ -1,4 +1,4 @@
-"""What voters wrote to each other before is read, and written again to the byte."""
+"""What voters wrote to result other before is read, and written again to the byte."""
 
 import hashlib
 from typing import Any
@@ -113,7 +113,7 @@
 
 
 def test_bootstrap_goes_on_as_before() -> None:
-    """Each message of a bootstrap, in order, as bytes: three voters that find each other."""
+    """Each message of a bootstrap, in order, as bytes: three voters that find result other."""
     sent = []
     bootstraps = {name: Bootstrap(f"{name}/1", ["a", "b", "c"]) for name in "abc"}
 
@@ -134,20 +134,20 @@
 class RecordedCluster(Cluster):
     """Keeps a digest of all that voters send and of all that they apply."""
 
-    def __init__(self, seed: int, many: int, loss: float) -> None:
-        super().__init__(seed, many, loss)
+    def __init__(self, seed: int, voter_count: int, loss: float) -> None:
+        super().__init__(seed, voter_count, loss)
         self.digest, self.messages = hashlib.sha256(), 0
 
-    def post(self, sender: str, to: str, message: Any) -> None:
+    def post(self, sender: str, recipient: str, message: Any) -> None:
         self.messages += 1
-        data = msgpack.packb([self.now, sender, to, encode_message(message)])
+        data = msgpack.packb([self.now_ms, sender, recipient, encode_message(message)])
         self.digest.update(data)
-        super().post(sender, to, message)
+        super().post(sender, recipient, message)
 
 
-def transcript(seed: int, many: int, loss: float) -> dict[str, Any]:
+def transcript(seed: int, voter_count: int, loss: float) -> dict[str, Any]:
     """What a seeded run with faults says, as a digest: it changes with any message, order or time."""
-    cluster = RecordedCluster(seed, many, loss)
+    cluster = RecordedCluster(seed, voter_count, loss)
     random, names = cluster.random, list(cluster.voters)
     for number in range(60):
         one, other = random.sample(names, 2)
@@ -162,12 +162,12 @@
                 cluster.cut.clear()
             case 5 if (leader := cluster.leader()) and cluster.voters[leader].commit_index:
                 voter = cluster.voters[leader]
-                voter.compact(voter.commit_index, cluster.state(voter.commit_index))
+                voter.compact(voter.commit_index, cluster.snapshot(voter.commit_index))
             case 6 if leader := cluster.leader():
                 cluster.put(leader, TransferLeadership(""))
             case 7 if leader := cluster.leader():
                 cluster.put(leader, RequestRead(number))
-                cluster.put(leader, ChangeMembership(cluster.seats))
+                cluster.put(leader, ChangeMembership(cluster.membership))
             case _:
                 if leader := cluster.leader():
                     cluster.put(leader, Propose(f"{number}"))
@@ -175,9 +175,9 @@
     return {
         "messages": cluster.messages,
         "digest": cluster.digest.hexdigest(),
-        "agreed": len(cluster.agreed),
+        "agreed": len(cluster.committed),
         "leaders": len(cluster.leaders),
-        "answers": len(cluster.answers),
+        "answers": len(cluster.read_results),
     }
 
 
--- a/tests/consensus/cluster.py
+++ b/tests/consensus/cluster.py
@@ -2,7 +2,7 @@
 
 import random
 from collections import deque
-from typing import Any
+from typing import NamedTuple
 
 import msgpack
 
@@ -24,6 +24,7 @@
 from pumicenotch.consensus.messages import (
     ClusterMembership,
     Entry,
+    Message,
     VoterId,
     decode_message,
     encode_message,
@@ -34,104 +35,140 @@
 ABC = ClusterMembership(("a/1", "b/1", "c/1"))
 
 
+class Delivery(NamedTuple):
+    """A message on its way."""
+
+    deliver_at_ms: float
+    number: int  # in the order of sending
+    sender: VoterId
+    recipient: VoterId
+    message: Message
+
+
 class Cluster:
-    """Voters in simulated time: messages with delays, lost, twice, cut; restarts of what was stored."""
-
-    def __init__(self, seed: int, many: int, loss: float = 0.0, voter: type[Voter] = Voter) -> None:
-        self.random, self.loss, self.type = random.Random(seed), loss, voter
-        self.seats = ClusterMembership(tuple(f"{letter}/1" for letter in "abcdefg"[:many]))
-        self.now, self.voters = 0.0, {seat: self.made(seat) for seat in self.seats.voters}
-        self.down: set[str] = set()
-        self.cut: set[tuple[str, str]] = set()
-        self.wire: list[tuple[float, int, str, str, Any]] = []
-        self.agreed: dict[int, Entry] = {}
-        self.applied: dict[str, int] = {}
-        self.leaders: dict[int, str] = {}
-        self.answers: list[Any] = []
-        self.changed = 0  # of leaders
-        self.number = 0
-
-    def made(self, seat: str) -> Voter:
-        return self.type(seat, getattr(self, "now", 0.0), self.seats, self.random.uniform)
-
-    def put(self, seat: VoterId, event: Input) -> None:
-        voter = self.voters[seat]
-        todo = deque(voter.step(self.now, event))
+    """Voters in simulated time, with a network that loses, delays and copies messages.
+
+    Attributes:
+        down: voters that are stopped, and keep everything.
+        cut: pairs of sender and recipient between which nothing is delivered.
+        committed: what any voter has applied, by index.
+        applied: the last index that each voter has applied.
+        leaders: by term.
+        read_results: in the order in which they came.
+    """
+
+    STEP_MS = 5.0
+
+    def __init__(
+        self, seed: int, voter_count: int, loss: float = 0.0, voter_type: type[Voter] = Voter
+    ) -> None:
+        self.random = random.Random(seed)
+        self.loss = loss
+        self.voter_type = voter_type
+        names = "abcdefg"[:voter_count]
+        self.membership = ClusterMembership(tuple(f"{name}/1" for name in names))
+        self.now_ms = 0.0
+        self.voters = {voter_id: self.new_voter(voter_id) for voter_id in self.membership.voters}
+        self.down: set[VoterId] = set()
+        self.cut: set[tuple[VoterId, VoterId]] = set()
+        self.in_flight: list[Delivery] = []
+        self.committed: dict[int, Entry] = {}
+        self.applied: dict[VoterId, int] = {}
+        self.leaders: dict[int, VoterId] = {}
+        self.read_results: list[ReadReady | ReadFailed] = []
+        self.leader_changes = 0
+        self.sent = 0
+
+    def new_voter(self, voter_id: VoterId) -> Voter:
+        return self.voter_type(voter_id, self.now_ms, self.membership, self.random.uniform)
+
+    def put(self, voter_id: VoterId, event: Input) -> None:
+        """Gives the voter an input and carries its effects out."""
+        voter = self.voters[voter_id]
+        todo = deque(voter.step(self.now_ms, event))
         while todo:
             match todo.popleft():
                 case Persist(serial):
-                    todo += voter.step(self.now, Persisted(serial))
-                case Send(to, message):
-                    self.post(seat, to, message)
+                    todo += voter.step(self.now_ms, Persisted(serial))
+                case Send(recipient, message):
+                    self.post(voter_id, recipient, message)
                 case ApplyEntry(index, entry):
-                    assert self.agreed.setdefault(index, entry) == entry
-                    assert index == self.applied.get(seat, 0) + 1
-                    self.applied[seat] = index
-                case RestoreSnapshot(index, state):
-                    assert state == self.state(index)
-                    self.applied[seat] = index
-                case ReadReady() | ReadFailed() as answer:
-                    self.answers.append(answer)
-                case LeaderChanged(leader, term) if leader == seat:
-                    assert self.leaders.setdefault(term, seat) == seat
-                    self.changed += 1
+                    assert self.committed.setdefault(index, entry) == entry
+                    assert index == self.applied.get(voter_id, 0) + 1
+                    self.applied[voter_id] = index
+                case RestoreSnapshot(index, data):
+                    assert data == self.snapshot(index)
+                    self.applied[voter_id] = index
+                case ReadReady() | ReadFailed() as result:
+                    self.read_results.append(result)
+                case LeaderChanged(leader, term) if leader == voter_id:
+                    assert self.leaders.setdefault(term, voter_id) == voter_id
+                    self.leader_changes += 1
 
     @staticmethod
-    def state(index: int) -> bytes:
-        return b"%d " % index * 6000  # several pieces
+    def snapshot(index: int) -> bytes:
+        return b"%d " % index * 6000  # several chunks
 
-    def post(self, sender: str, to: str, message: Any) -> None:
-        if to not in self.voters or (sender, to) in self.cut:
+    def post(self, sender: VoterId, recipient: VoterId, message: Message) -> None:
+        if recipient not in self.voters or (sender, recipient) in self.cut:
             return
         for _ in range(2 if self.random.random() < self.loss else 1):
             if self.random.random() >= self.loss:
-                self.number += 1
-                late = self.random.expovariate(1 / 5.0)
-                self.wire.append((self.now + 1.0 + late, self.number, sender, to, message))
-
-    def run(self, for_ms: float) -> None:
-        until = self.now + for_ms
-        while self.now < until:
-            self.now += 5.0
-            due = sorted(
-                (each for each in self.wire if each[0] <= self.now), key=lambda each: each[:2]
-            )
-            self.wire = [each for each in self.wire if each[0] > self.now]
-            for _, _, sender, to, message in due:
-                if to not in self.down:
-                    packed = msgpack.unpackb(msgpack.packb(encode_message(message)), use_list=False)
-                    self.put(to, MessageReceived(sender, decode_message(packed)))
-            for seat in list(self.voters):
-                if seat not in self.down:
-                    self.put(seat, Tick())
-
-    def leader(self) -> str:
-        found = [
-            seat
-            for seat, voter in self.voters.items()
-            if voter.role is Role.LEADER and seat not in self.down
+                self.sent += 1
+                delay_ms = 1.0 + self.random.expovariate(1 / 5.0)
+                deliver_at_ms = self.now_ms + delay_ms
+                self.in_flight.append(
+                    Delivery(deliver_at_ms, self.sent, sender, recipient, message)
+                )
+
+    def run(self, duration_ms: float) -> None:
+        end_ms = self.now_ms + duration_ms
+        while self.now_ms < end_ms:
+            self.now_ms += self.STEP_MS
+            self.deliver_due()
+            for voter_id in list(self.voters):
+                if voter_id not in self.down:
+                    self.put(voter_id, Tick())
+
+    def deliver_due(self) -> None:
+        due = [item for item in self.in_flight if item.deliver_at_ms <= self.now_ms]
+        self.in_flight = [item for item in self.in_flight if item.deliver_at_ms > self.now_ms]
+        for item in sorted(due, key=lambda item: (item.deliver_at_ms, item.number)):
+            if item.recipient not in self.down:
+                data = msgpack.packb(encode_message(item.message))
+                message = decode_message(msgpack.unpackb(data, use_list=False))
+                self.put(item.recipient, MessageReceived(item.sender, message))
+
+    def leader(self) -> VoterId:
+        """Of those that lead and are not down, the one of the latest term; "" if there is none."""
+        leaders = [
+            voter_id
+            for voter_id, voter in self.voters.items()
+            if voter.role is Role.LEADER and voter_id not in self.down
         ]
-        return max(found, key=lambda seat: self.voters[seat].term, default="")
+        return max(leaders, key=lambda voter_id: self.voters[voter_id].term, default="")
 
-    def await_leader(self, within_ms: float = 20_000.0) -> str:
-        until = self.now + within_ms
+    def await_leader(self, within_ms: float = 20_000.0) -> VoterId:
+        """Runs until somebody leads with a majority and has committed an entry."""
+        deadline_ms = self.now_ms + within_ms
         while not (
-            (seat := self.leader())
-            and self.voters[seat].has_active_quorum()
-            and self.voters[seat].commit_index
+            (voter_id := self.leader())
+            and self.voters[voter_id].has_active_quorum()
+            and self.voters[voter_id].commit_index
         ):
-            assert self.now < until, "no leader"
+            assert self.now_ms < deadline_ms, "no leader"
             self.run(50.0)
-        return seat
-
-    def restart(self, seat: str) -> None:
-        old, new = self.voters[seat], self.made(seat)
-        new.term, new.voted_for, new.log, new.commit_index = (
-            old.term,
-            old.voted_for,
-            old.log,
-            old.log.snapshot_index,
-        )
+        return voter_id
+
+    def restart(self, voter_id: VoterId) -> None:
+        """What was persisted is there again, and nothing else."""
+        old = self.voters[voter_id]
+        new = self.new_voter(voter_id)
+        new.term = old.term
+        new.voted_for = old.voted_for
+        new.log = old.log
+        new.commit_index = old.log.snapshot_index
         new.persistence.persisted_index = old.log.last_index
-        self.voters[seat], self.applied[seat] = new, old.log.snapshot_index
-        self.down.discard(seat)
+        self.voters[voter_id] = new
+        self.applied[voter_id] = old.log.snapshot_index
+        self.down.discard(voter_id)
--- a/tests/consensus/test_explorer.py
+++ b/tests/consensus/test_explorer.py
@@ -16,7 +16,15 @@
 )
 from pumicenotch.consensus.state import Role
 from pumicenotch.consensus.voter import Voter
-from pumicenotch.lab.consensus_model import LONG, ROOT, Agreement, Bounds, led, long_form, three
+from pumicenotch.lab.consensus_model import (
+    LONG,
+    ROOT,
+    Bounds,
+    ConsensusModel,
+    led,
+    long_form,
+    three,
+)
 from pumicenotch.lab.explore import Explorer
 from tests.consensus.cluster import ABC
 
@@ -86,15 +94,15 @@
 WITHOUT_A = ClusterMembership(("b/1", "c/1", "d/1"))
 
 
-def elections(voter: type[Voter]) -> tuple[Agreement, Any]:
-    model = Agreement(list(ABC.voters), ABC, Bounds(timeouts=2, proposals=0), voter=voter)
+def elections(voter: type[Voter]) -> tuple[ConsensusModel, Any]:
+    model = ConsensusModel(list(ABC.voters), ABC, Bounds(timeouts=2, proposals=0), voter=voter)
     return model, model.first()
 
 
-def older_entry(voter: type[Voter]) -> tuple[Agreement, Any]:
+def older_entry(voter: type[Voter]) -> tuple[ConsensusModel, Any]:
     """Figure 8 of the thesis: a leads again with an entry of term 2, c has another of term 3."""
     bounds = Bounds(timeouts=2, proposals=0)
-    model = Agreement(
+    model = ConsensusModel(
         list(ABC.voters),
         ABC,
         bounds,
@@ -122,9 +130,9 @@
     )
 
 
-def reads(voter: type[Voter]) -> tuple[Agreement, Any]:
+def reads(voter: type[Voter]) -> tuple[ConsensusModel, Any]:
     cut = frozenset({("a/1", "b/1"), ("a/1", "c/1"), ("b/1", "a/1"), ("c/1", "a/1")})
-    model = Agreement(
+    model = ConsensusModel(
         list(ABC.voters),
         ABC,
         Bounds(timeouts=1, proposals=0, reads=1),
@@ -135,7 +143,7 @@
     return model, led(model)
 
 
-def changes(voter: type[Voter]) -> tuple[Agreement, Any]:
+def changes(voter: type[Voter]) -> tuple[ConsensusModel, Any]:
     """The case behind the correction of 2015: a has added e in term 1, heard by nobody; b leads term 2 and
     takes a out.
     """
@@ -149,7 +157,7 @@
         ("c/1", "b/1"),
     }
     cut = frozenset((one, other) for one in names for other in names) - reach
-    model = Agreement(
+    model = ConsensusModel(
         names,
         FOUR,
         Bounds(timeouts=1, proposals=0, changes=1),
--- a/tests/consensus/test_faults.py
+++ b/tests/consensus/test_faults.py
@@ -19,14 +19,18 @@
 
 @settings(max_examples=30, deadline=None)
 @given(
-    seed=st.integers(0, 10_000), many=st.sampled_from([3, 5]), loss=st.sampled_from([0.0, 0.1, 0.3])
+    seed=st.integers(0, 10_000),
+    voter_count=st.sampled_from([3, 5]),
+    loss=st.sampled_from([0.0, 0.1, 0.3]),
 )
-def test_committed_entries_agree_through_random_faults(seed: int, many: int, loss: float) -> None:
-    cluster = Cluster(seed, many, loss)
-    chance, seats = cluster.random, list(cluster.voters)
+def test_committed_entries_agree_through_random_faults(
+    seed: int, voter_count: int, loss: float
+) -> None:
+    cluster = Cluster(seed, voter_count, loss)
+    rng, voter_ids = cluster.random, list(cluster.voters)
     for number in range(40):
-        one, other = chance.sample(seats, 2)
-        match chance.randrange(9):
+        one, other = rng.sample(voter_ids, 2)
+        match rng.randrange(9):
             case 0:
                 cluster.down.add(one)
             case 1 | 2:
@@ -38,23 +42,23 @@
                 cluster.cut.clear()
             case 5 if (leader := cluster.leader()) and cluster.voters[leader].commit_index:
                 voter = cluster.voters[leader]
-                voter.compact(voter.commit_index, cluster.state(voter.commit_index))
+                voter.compact(voter.commit_index, cluster.snapshot(voter.commit_index))
             case 6 if leader := cluster.leader():
                 cluster.put(leader, TransferLeadership(""))
             case 7 if leader := cluster.leader():
                 cluster.put(leader, RequestRead(number))
             case _:
-                for seat in seats:
-                    if cluster.voters[seat].role is Role.LEADER:
-                        cluster.put(seat, Propose(f"{number} by {seat}"))
-        cluster.run(chance.uniform(10.0, 600.0))
+                for voter_id in voter_ids:
+                    if cluster.voters[voter_id].role is Role.LEADER:
+                        cluster.put(voter_id, Propose(f"{number} by {voter_id}"))
+        cluster.run(rng.uniform(10.0, 600.0))
     cluster.cut.clear()
-    for seat in sorted(cluster.down):
-        cluster.restart(seat)
+    for voter_id in sorted(cluster.down):
+        cluster.restart(voter_id)
     for _ in range(10):  # a leader may be about to hand over, or lose its place
         cluster.put(cluster.await_leader(60_000.0), Propose("last"))
         cluster.run(3000.0)
-    assert any(entry.data == "last" for entry in cluster.agreed.values())
+    assert any(entry.data == "last" for entry in cluster.committed.values())
     assert len(set(cluster.applied.values())) == 1 or loss > 0.0
     cluster.loss = 0.0
     cluster.run(10_000.0)
@@ -64,25 +68,27 @@
 def test_flapping_connection_changes_no_leader() -> None:
     cluster = Cluster(4, 5)
     leader = cluster.await_leader()
-    other = next(seat for seat in cluster.voters if seat != leader)
+    other = next(voter_id for voter_id in cluster.voters if voter_id != leader)
     for _ in range(
         20
     ):  # the link of one voter to all comes and goes, longer than an election takes
-        cluster.cut |= {(other, seat) for seat in cluster.voters} | {
-            (seat, other) for seat in cluster.voters
+        cluster.cut |= {(other, voter_id) for voter_id in cluster.voters} | {
+            (voter_id, other) for voter_id in cluster.voters
         }
         cluster.run(2500.0)
         cluster.cut.clear()
         cluster.run(700.0)
-    assert cluster.leader() == leader and cluster.changed == 1
+    assert cluster.leader() == leader and cluster.leader_changes == 1
 
 
 @pytest.mark.parametrize("way", ["deaf", "mute"])
 def test_leader_cut_off_one_way_steps_down(way: str) -> None:
     cluster = Cluster(5, 5)
     leader = cluster.await_leader()
-    others = [seat for seat in cluster.voters if seat != leader]
-    cluster.cut = {(leader, seat) if way == "mute" else (seat, leader) for seat in others}
+    others = [voter_id for voter_id in cluster.voters if voter_id != leader]
+    cluster.cut = {
+        (leader, voter_id) if way == "mute" else (voter_id, leader) for voter_id in others
+    }
     cluster.run(8000.0)
     assert cluster.voters[leader].role is not Role.LEADER
     assert cluster.leader() in others
@@ -101,8 +107,8 @@
     cluster.put(leader, RequestRead("stale?"))  # before it hears of anything
     cluster.put(leader, Propose("lost"))
     cluster.run(3000.0)
-    assert [type(each) for each in cluster.answers] == [ReadFailed]
-    assert "lost" not in [entry.data for entry in cluster.agreed.values()]
+    assert [type(result) for result in cluster.read_results] == [ReadFailed]
+    assert "lost" not in [entry.data for entry in cluster.committed.values()]
 
 
 def test_read_sees_what_was_committed_before() -> None:
@@ -110,10 +116,10 @@
     leader = cluster.await_leader()
     cluster.put(leader, Propose("x"))
     cluster.run(500.0)
-    agreed = max(cluster.agreed)
+    agreed = max(cluster.committed)
     cluster.put(leader, RequestRead(1))
     cluster.run(500.0)
-    assert cluster.answers == [ReadReady(1, agreed)]
+    assert cluster.read_results == [ReadReady(1, agreed)]
 
 
 def test_leadership_transfer_is_faster_than_an_election() -> None:
--- a/tests/consensus/test_voter.py
+++ b/tests/consensus/test_voter.py
@@ -24,13 +24,15 @@
     voter = Voter("a/1", 0.0, ABC, lambda low, high: low)
     request = RequestVote(1, 0, 0, False, False)
     effects = voter.step(5000.0, MessageReceived("b/1", request))
-    stores = [each for each in effects if isinstance(each, Persist)]
-    assert len(stores) == 1 and stores[0].voted_for == "b/1"
-    assert not [each for each in effects if isinstance(each, Send)]
+    writes = [effect for effect in effects if isinstance(effect, Persist)]
+    assert len(writes) == 1 and writes[0].voted_for == "b/1"
+    assert not [effect for effect in effects if isinstance(effect, Send)]
     sent = [
-        each for each in voter.step(5001.0, Persisted(stores[0].serial)) if isinstance(each, Send)
+        effect
+        for effect in voter.step(5001.0, Persisted(writes[0].serial))
+        if isinstance(effect, Send)
     ]
-    assert [each.recipient for each in sent] == ["b/1"]
+    assert [effect.recipient for effect in sent] == ["b/1"]
 
 
 def test_replaced_entry_counts_only_once_persisted_again() -> None:
