--- a/pumicenotch/__main__.py
+++ b/pumicenotch/__main__.py
@@ -127,10 +127,10 @@
     instance = running.instance
     if instance is None or instance.fleet is None:
         return None
-    from pumicenotch.net import fleet
+    from pumicenotch.net import fleet_member
 
     values = running.values
-    return await fleet.member(
+    return await fleet_member.join_fleet(
         hub, group, instance.fleet, instance.distribution, values.seed, values.max_descriptors
     )
 
@@ -174,9 +174,9 @@
     """Returns what the core may use: less than is named where a fleet or the system takes some."""
     descriptors = values.max_descriptors
     if instance is not None and instance.fleet is not None:
-        from pumicenotch.net.fleet import links
+        from pumicenotch.net.fleet_member import max_fleet_connections
 
-        descriptors -= links(values.max_descriptors, instance.distribution)
+        descriptors -= max_fleet_connections(values.max_descriptors, instance.distribution)
     soft_limit, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
     if soft_limit != resource.RLIM_INFINITY:
         descriptors = min(descriptors, soft_limit)
--- a/pumicenotch/lab/hollow_configuration.py
+++ b/pumicenotch/lab/hollow_configuration.py
@@ -12,7 +12,7 @@
 from pumicenotch.lab.published import Dataset
 from pumicenotch.lab.world import Configuration
 from pumicenotch.membership.messages import Update
-from pumicenotch.net.configuration import InstanceCarrier, self_of
+from pumicenotch.net.configuration import InstanceDistributionService, self_of
 
 if TYPE_CHECKING:
     from pumicenotch.lab.hollow_instance import HollowHub
@@ -20,7 +20,7 @@
 LOOK_MS = 200.0  # between looks for a newer version, of an instance that takes each whole
 
 
-class HollowConfiguration(InstanceCarrier):
+class HollowConfiguration(InstanceDistributionService):
     """The real carrier; the timer's steps are measured as the hub's are."""
 
     def __init__(self, watched: Watched, hub: "HollowHub", *rest: Any) -> None:
--- a/pumicenotch/lab/hollow_instance.py
+++ b/pumicenotch/lab/hollow_instance.py
@@ -20,8 +20,10 @@
 from pumicenotch.membership.full_state import MAX_EXCHANGE_PERIODS, SEED_EXCHANGES
 from pumicenotch.membership.messages import MemberIdentity, MemberPhase, MemberState, Update
 from pumicenotch.membership.swim import PERIOD_MS
-from pumicenotch.net.fleet import FRAME_MOST, LOOK_S, links
-from pumicenotch.net.peers import PeerHub, ResettableTimer, open_listener, run_hub
+from pumicenotch.net.fleet_member import MAX_FRAME_BYTES, REPORT_INTERVAL_S, max_fleet_connections
+from pumicenotch.net.peer_frames import PeerMessage
+from pumicenotch.net.peers import PeerHub, open_listener, run_hub
+from pumicenotch.net.resettable_timer import ResettableTimer
 
 SOCKETS = 1024  # descriptors that the platform gives a server: the fleet's part follows from it
 GONE_S = 3.0  # for an orderly end to be agreed, before the instance stops all the same
@@ -97,7 +99,7 @@
 
     def __init__(self, meter: Meter, partition: Partition, *rest: Any) -> None:
         super().__init__(*rest)
-        self.meter, self.partition, self.address = meter, partition, self.hello[3]
+        self.meter, self.partition, self.address = meter, partition, self.hello.address
 
     def put(self, name: str, *details: Any) -> None:
         if name == "told":
@@ -111,7 +113,7 @@
         with self.meter.step(name):
             super().put(name, *details)
 
-    def send(self, address: str, message: tuple[Any, ...]) -> None:
+    def send(self, address: str, message: PeerMessage) -> None:
         if self.partition.between(self.address, address):
             self.meter.dropped += 1
             return
@@ -200,15 +202,17 @@
             timer,
             group,
             lambda _: None,
-            FRAME_MOST,
-            links(SOCKETS, InstanceSettings() if self.spec.configuration is not None else None),
+            MAX_FRAME_BYTES,
+            max_fleet_connections(
+                SOCKETS, InstanceSettings() if self.spec.configuration is not None else None
+            ),
         )
         return member, hub
 
     async def serve(self, hub: HollowHub) -> None:
         """What a server's watch tells its member, of one that is well."""
         while True:
-            await anyio.sleep(LOOK_S)
+            await anyio.sleep(REPORT_INTERVAL_S)
             hub.put("serve", True, False)
 
     async def leave(self) -> None:
--- a/pumicenotch/lab/releaserun.py
+++ b/pumicenotch/lab/releaserun.py
@@ -25,7 +25,7 @@
 from pumicenotch.lab.fleetrun import FORMED_S, LOOK_S, FleetRun
 from pumicenotch.lab.peers import GatewayPeer
 from pumicenotch.lab.server_process import Launch, Node
-from pumicenotch.net.agent import ticks
+from pumicenotch.net.server_process import process_start_ticks
 
 OLD = "old"
 # Beside the program in a version's folder: each waits until the server's own process is at its start.
@@ -52,10 +52,10 @@
     "refuses": "    sys.exit(2)\n",
     "no-agent": "    pass\nif 'pumicenotch.net.agent' in sys.orig_argv:\n    sys.exit(1)\n",
     "mute": """\
-    from pumicenotch.net import fleet
-    async def member(*_):
+    from pumicenotch.net import fleet_member
+    async def join_fleet(*_):
         return None
-    fleet.member = member
+    fleet_member.join_fleet = join_fleet
 """,
     "mute-voter": """\
     pass
@@ -91,10 +91,10 @@
     returncode = None
 
     def __init__(self, pid: int) -> None:
-        self.pid, self.began = pid, ticks(pid)
+        self.pid, self.began = pid, process_start_ticks(pid)
 
     def poll(self) -> int | None:
-        return None if self.began and ticks(self.pid) == self.began else 0
+        return None if self.began and process_start_ticks(self.pid) == self.began else 0
 
     def send_signal(self, number: int) -> None:
         if self.poll() is None:
@@ -193,7 +193,7 @@
         before = node.process.pid if isinstance(node.process, Led) else 0
         while not self.stopped:
             disk = self.disk(node)
-            if disk["pid"] not in (0, before) and ticks(disk["pid"]):
+            if disk["pid"] not in (0, before) and process_start_ticks(disk["pid"]):
                 node.process = Led(disk["pid"])  # type: ignore[assignment]
                 self.had[disk["runs"]["program"]].add(node.number)
                 return
--- a/pumicenotch/net/configuration.py
+++ b/pumicenotch/net/configuration.py
@@ -1,18 +1,15 @@
-"""Carries the distribution of configuration between a process's hub among instances and its reducer: a
-`Node` in a server; `net/voter_configuration` has what is a voter's alone.
+"""The distribution of configuration, between a process's hub among instances and its reducer.
 
-Messages travel as notices of one method on the hub's links. The reducer has a timer of its own, so that a
-large publication is applied in slices between everything else that the process does.
+In a server the reducer is a `Node`; `net/voter_configuration` has what is a voter's alone.
+Messages travel as notices of one method on the hub's connections. The reducer has a timer of its
+own, so that a large publication is applied in slices between everything else that the process does.
 """
 
 import gc
 import json
 import math
 import random
-import time
 from abc import ABC, abstractmethod
-from collections.abc import Iterator
-from contextlib import contextmanager
 from typing import Any, ClassVar
 
 from loguru import logger
@@ -29,15 +26,20 @@
 from pumicenotch.errors import PumicenotchError
 from pumicenotch.fleet.voter_client import NO_MAJORITY, NOT_LEADER, REFUSED
 from pumicenotch.membership.messages import MemberIdentity, Update
-from pumicenotch.net.peers import PeerHub, ResettableTimer
+from pumicenotch.net.peer_frames import ErrorResponse, Notice, Result
+from pumicenotch.net.peers import PeerHub
+from pumicenotch.net.resettable_timer import ResettableTimer
+from pumicenotch.net.step_times import StepTimes
 from pumicenotch.sender import Sender
 
-LOOKUP, STATUS = "lookup", "configuration"
-VERBS = (LOOKUP, STATUS)
-MEMBERSHIP_LINKS = 16  # of a server's links each way that its children never take
+LOOKUP_VERB = "lookup"
+STATUS_VERB = "configuration"
+VERBS = (LOOKUP_VERB, STATUS_VERB)
+MEMBERSHIP_CONNECTIONS = 16  # of a server's connections each way that its children never take
 
 
 def peer_of(update: Update) -> events.Peer:
+    """Returns a member as the distribution knows it."""
     member = update.member
     return events.Peer(
         member.name,
@@ -50,40 +52,11 @@
 
 
 def self_of(member: MemberIdentity) -> events.Peer:
+    """Returns this process as the distribution knows it."""
     return events.Peer(member.name, member.zone, member.region, member.address, member.process_id)
 
 
-class StepTimes:
-    """Processor time of the steps by which the distribution holds the event loop: what else the machine does
-    meanwhile is not in it.
-    """
-
-    BOUND_MS = 1.0
-
-    def __init__(self) -> None:
-        self.count = self.over_bound = 0
-        self.longest_ms = 0.0
-
-    @contextmanager
-    def measured(self) -> Iterator[None]:
-        began = time.thread_time()
-        try:
-            yield
-        finally:
-            took_ms = (time.thread_time() - began) * 1000.0
-            self.count += 1
-            self.over_bound += took_ms > self.BOUND_MS
-            self.longest_ms = max(self.longest_ms, took_ms)
-
-    def plain(self) -> dict[str, Any]:
-        return {
-            "count": self.count,
-            "over_1_ms": self.over_bound,
-            "longest_ms": round(self.longest_ms, 2),
-        }
-
-
-class Carrier(ABC):
+class DistributionService(ABC):
     """What instances and voters have in common: messages, the timer, effects and requests."""
 
     verbs: ClassVar[tuple[str, ...]] = VERBS
@@ -94,32 +67,33 @@
         self.step_times = StepTimes()
 
     def run(self) -> None:
-        """Begins, in the hub's task group."""
+        """Starts, in the hub's task group."""
         self.hub.extension = self
         self.put(events.Started())
         self.hub.group.start_soon(self.timer.run, self.tick)
 
     def tick(self) -> None:
+        """The timer is due."""
         with self.step_times.measured():
             self.put(events.Ticked())
 
     # Inputs
 
     def put(self, event: events.NodeEvent | events.VoterEvent) -> None:
-        """One event. A fault in it is logged and counted, and ends neither the connection nor the process."""
+        """Has the reducer take an event; a fault ends neither the connection nor the process."""
         try:
-            found = self.step(self.timer.now(), event)
-        except Exception as error:
+            reducer_effects = self.step(self.timer.now(), event)
+        except Exception as error:  # noqa: BLE001 - one event must not end the process
             self.hub.on_fault(f"configuration {type(event).__name__}", error)
             return
-        for effect in found:
+        for effect in reducer_effects:
             try:
                 self.carry_out(effect)
-            except Exception as error:
+            except Exception as error:  # noqa: BLE001 - nor one effect the others
                 self.hub.on_fault(f"configuration {type(effect).__name__}", error)
 
     def notice(self, sender: Sender, method: str, params: Any) -> bool:
-        """Whether the notice was one of the distribution's."""
+        """Takes a notice; returns whether it was one of the distribution's."""
         if method != METHOD:
             return False
         with self.step_times.measured():
@@ -127,38 +101,35 @@
         return True
 
     def receive(self, sender: Sender, params: Any) -> None:
+        """Decodes a message and gives it to the reducer."""
         try:
             message = message_of(params)
         except MalformedMessageError as error:
-            self.hub.count_trouble("configuration_unreadable", f"{sender.name}: {error}")
+            self.hub.count_problem("configuration_unreadable", f"{sender.name}: {error}")
             return
         self.put(events.Received(sender, message))
 
-    def request(self, conn: int, message: int, verb: str, args: Any) -> bool:
-        """Whether the request was one of the distribution's."""
+    def request(self, connection_id: int, request_id: int, verb: str, args: Any) -> bool:
+        """Answers a request; returns whether it was one of the distribution's."""
         if verb not in self.verbs:
             return False
+        response: Result | ErrorResponse
         try:
-            result = self.answer(verb, args)
+            response = Result(request_id, self.answer(verb, args))
         except NotLeaderError as error:
-            code, text = (
-                (NOT_LEADER, f"{error.leader} leads")
-                if error.leader
-                else (NO_MAJORITY, "nobody leads")
-            )
-            self.hub.write(conn, ("error", message, (code, text, error.leader)))
+            response = ErrorResponse(request_id, error.as_response())
         except PumicenotchError as error:
-            self.hub.write(conn, ("error", message, (REFUSED, str(error), error.code)))
-        else:
-            self.hub.write(conn, ("result", message, result))
+            response = ErrorResponse(request_id, (REFUSED, str(error), error.code))
+        self.hub.write(connection_id, response)
         return True
 
     # Effects
 
     def carry_out(self, effect: effects.Effect) -> None:
+        """Carries out one effect of the reducer."""
         match effect:
             case effects.SendTo(address, message):
-                self.hub.send(address, ("notice", METHOD, plain(message)))
+                self.hub.send(address, Notice(METHOD, plain(message)))
             case effects.WakeAt(at_ms):
                 self.timer.wake(max(0.0, at_ms - self.timer.now()))
             case effects.Log(text):
@@ -169,37 +140,43 @@
     # Requests
 
     def answer(self, verb: str, args: Any) -> dict[str, Any]:
-        """Raises PumicenotchError."""
+        """Returns the result of a request.
+
+        Raises:
+            PumicenotchError: It cannot be answered.
+        """
         match [verb, *args]:
-            case ["lookup", str(table), str(key)]:
-                return self.looked_up(table, key)
-            case ["configuration"]:
-                return {**self.status(), "steps": self.step_times.plain()}
+            case [_, str(table), str(key)] if verb == LOOKUP_VERB:
+                return self.look_up(table, key)
+            case [_] if verb == STATUS_VERB:
+                return {**self.status(), "steps": self.step_times.as_json()}
         raise InvalidArgumentsError(
             "other values are wanted",
             place=verb,
             remedy="lookup: a table and a key; configuration: nothing",
         )
 
-    def looked_up(self, table: str, key: str) -> dict[str, Any]:
+    def look_up(self, table: str, key: str) -> dict[str, Any]:
+        """Returns a record as it is in force here."""
         table_of(TABLES, table)
         scope, _ = split_key(f"record {table}:{key}", key)
-        if not self.holds(table, scope):
+        if not self.has_scope(table, scope):
             raise RecordNotHeldError(
                 f"{self.hub.hello.name} does not hold the scope {scope}",
                 place=f"record {table}:{key}",
-                remedy="ask a process that subscribes to it, or a voter; one that has just started: ask again",
+                remedy="ask a process that subscribes to it, or a voter; one that has just started:"
+                " ask again",
             )
         value = self.view.lookup(table, key)
         return {
             "instance": self.hub.hello.name,
-            "life": self.hub.hello.life,
+            "life": self.hub.hello.process_id,
             "version": self.view.version,
             "value": None if value is None else json.loads(value),
             "age_ms": finite(self.age_ms()),
         }
 
-    # What the two differ in
+    # What instances and voters differ in
 
     @abstractmethod
     def after_put(self) -> None:
@@ -211,11 +188,11 @@
 
     @abstractmethod
     def step(self, now_ms: float, event: Any) -> list[effects.Effect]:
-        """Of the reducer."""
+        """Has the reducer take an event."""
 
     @abstractmethod
-    def holds(self, table: str, scope: str) -> bool:
-        """Whether the view has that scope, with or without records in it."""
+    def has_scope(self, table: str, scope: str) -> bool:
+        """Returns whether the view has that scope, with or without records in it."""
 
     @property
     @abstractmethod
@@ -224,11 +201,11 @@
 
     @abstractmethod
     def age_ms(self) -> float:
-        """How long ago the view was known to be current."""
+        """Returns how long ago the view was known to be current."""
 
     @abstractmethod
     def status(self) -> dict[str, Any]:
-        """For operators."""
+        """Returns what operators are told."""
 
 
 class InvalidArgumentsError(PumicenotchError):
@@ -247,24 +224,40 @@
     """A voter that does not lead is asked for what only the leader knows."""
 
     def __init__(self, leader: str) -> None:
-        """`leader` is its address, if it is known."""
         super().__init__(leader)
-        self.leader = leader
+        self.leader = leader  # its address; "" if it is not known
+
+    def as_response(self) -> tuple[str, str, str]:
+        """Returns the error as it is answered: with the leader's address, to be asked instead."""
+        if self.leader:
+            return NOT_LEADER, f"{self.leader} leads", self.leader
+        return NO_MAJORITY, "nobody leads", self.leader
 
 
 def finite(value: float) -> float | None:
+    """Returns the value, or None where JSON has no number for it."""
     return value if math.isfinite(value) else None
 
 
-class InstanceCarrier(Carrier):
-    """Of a server."""
+class InstanceDistributionService(DistributionService):
+    """The distribution's part in a server.
+
+    Args:
+        hub: Carries its messages.
+        settings: To what the server subscribes, and its bounds.
+        voters: The addresses of all voters.
+        seed: Of the reducer's random choices.
+    """
 
     def __init__(
         self, hub: PeerHub, settings: InstanceSettings, voters: tuple[str, ...], seed: int
     ) -> None:
         super().__init__(hub)
         self.voters = frozenset(voters)
-        children = min(settings.settings.children_most, max(1, hub.links_most - MEMBERSHIP_LINKS))
+        children = min(
+            settings.settings.children_most,
+            max(1, hub.max_connections_each_way - MEMBERSHIP_CONNECTIONS),
+        )
         self.node = Node(
             self_of(hub.node.me),
             voters,
@@ -276,36 +269,43 @@
         )
 
     def run(self) -> None:
-        # A full collection over all that the program has loaded would hold the loop for some 25 ms, and a
-        # large publication brings one about.
+        """Starts, and tells the reducer of the members that are known already."""
+        # A full collection over all that the program has loaded would hold the loop for some 25 ms,
+        # and a large publication brings one about.
         gc.freeze()
         super().run()
         for update in self.hub.node.members.table.updates.values():
             self.member_changed(update)
 
     def step(self, now_ms: float, event: events.NodeEvent) -> list[effects.Effect]:
+        """Has the reducer take an event."""
         return self.node.step(now_ms, event)
 
     def after_put(self) -> None:
-        """Nothing of the node matters here beside `member_changed`."""
+        """Does nothing: of the node only `member_changed` matters here."""
 
     def member_changed(self, update: Update) -> None:
+        """Tells the reducer, unless the process is a voter: those serve whoever asks."""
         if update.member.address not in self.voters:
             self.put(events.PeerChanged(peer_of(update)))
 
     def reload(self, settings: InstanceSettings) -> None:
-        """The server's file says something else now: the subscription follows it, the rest at a restart."""
+        """Subscribes as the server's file says now; the rest of it takes a restart."""
         self.put(events.SubscriptionChanged(settings.subscribed()))
 
-    def holds(self, table: str, scope: str) -> bool:
+    def has_scope(self, table: str, scope: str) -> bool:
+        """Returns whether the server subscribes to that scope and has it."""
         return self.node.holds(table, scope)
 
     @property
     def view(self) -> View:
+        """What is in force here."""
         return self.node.view
 
     def age_ms(self) -> float:
+        """Returns how long ago the view was known to be current."""
         return self.node.age_ms(self.timer.now())
 
     def status(self) -> dict[str, Any]:
+        """Returns what operators are told."""
         return self.node.status(self.timer.now())
--- a/pumicenotch/net/fleet.py
+++ b/pumicenotch/net/fleet.py
@@ -1,191 +1,109 @@
-"""A process's place in its fleet, wired to sockets: a server's beside its work, or a voter's own process
-(`python -m pumicenotch.net.fleet FILE`, or `pumicenotch voter --config FILE`).
+"""A voter's own process, wired to sockets.
+
+It is run by `python -m pumicenotch.net.fleet FILE`, or `pumicenotch voter --config FILE`.
 """
 
-import resource
-import secrets
 import signal
 import sys
-import time
 from collections.abc import Callable, Sequence
 from functools import partial
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING
 
 import anyio
-from anyio.abc import TaskGroup
 from loguru import logger
 
 from pumicenotch import start
 from pumicenotch.fleet.book import Book
-from pumicenotch.fleet.member_node import MemberNode
 from pumicenotch.fleet.settings import FleetSettings
 from pumicenotch.fleet.voter_node import VoterNode
-from pumicenotch.membership.messages import MemberIdentity
 from pumicenotch.net import logs
-from pumicenotch.net.hub import Hub
-from pumicenotch.net.peers import PeerHub, ResettableTimer, open_listener, run_hub
-from pumicenotch.server.core import Server
-from pumicenotch.server.events import ShutdownRequested
-from pumicenotch.server.request_counters import RequestCounters
+from pumicenotch.net.fleet_member import new_identity
+from pumicenotch.net.peers import PeerHub, open_listener, run_hub
+from pumicenotch.net.resettable_timer import ResettableTimer
 
 if TYPE_CHECKING:  # nothing of the distribution is loaded where it is off
     from pumicenotch.distribution.instance_settings import InstanceSettings
 
-LOOK_S = 0.25  # between looks at how the server does
-WINDOW_LOOKS = 12  # over which it is judged: three seconds, above any burst's queue
-TASKS_LEAST = 20  # in such a time, to judge it at all
-# of the tasks rejected or failed in that time: what it takes in costs callers more than it helps
-PAST_USE = 0.5
-FLUSH_S = 0.05  # for the last words to leave
-LINKS_PART = 0.0625  # of a server's descriptors: each talks to a few others at a time
-RELAY_LINKS_PART = 0.1875  # and of one that may serve configuration to others of its zone
-FRAME_MOST = 128 * 1024  # to a server: a page of news has some 10 KB
-
-
-def who(settings: FleetSettings) -> tuple[MemberIdentity, dict[str, Any]]:
-    """This process as others know it, with a life of its own, and what every node is made from."""
-    life = secrets.token_hex(6)
-    me = MemberIdentity(
-        settings.name,
-        settings.address,
-        life,
-        int(time.time() * 1000),
-        settings.zone,
-        settings.region,
-    )
-    seeds = settings.seeds or settings.voters
-    return me, {"fleet": settings.fleet, "me": me, "member": settings.member(life), "seeds": seeds}
-
-
-def links(sockets: int, distribution: "InstanceSettings | None") -> int:
-    """How many of a server's descriptors its fleet takes; the core has the others."""
-    found = max(16, int(LINKS_PART * sockets))
-    if distribution is not None and distribution.relay:
-        found += int(RELAY_LINKS_PART * sockets)
-    return found
-
-
-async def member(
-    hub: Hub[Server],
-    group: TaskGroup,
-    settings: FleetSettings,
-    distribution: "InstanceSettings | None",
-    seed: int,
-    sockets: int,
-) -> PeerHub | None:
-    """A server's. A listener that cannot be had is logged, and the server goes on without its fleet."""
-    timer = ResettableTimer()
-    _, told = who(settings)
-    node = MemberNode(voters=settings.voters, now=timer.now(), seed=seed, **told)
-    most = links(sockets, distribution)
-    peers = PeerHub(
-        node, timer, group, lambda why: hub.deliver(ShutdownRequested()), FRAME_MOST, most
-    )
-    try:
-        listener = await open_listener(start.address(settings.listen))
-    except OSError as error:
-        logger.error(
-            "fleet: cannot listen on {}: {}; this server serves without its fleet",
-            settings.listen,
-            error,
-        )
-        return None
-    hub.core.request_counters = RequestCounters()
-    run_hub(peers, listener)
-    if distribution is not None:
-        from pumicenotch.net.configuration import InstanceCarrier
-
-        InstanceCarrier(peers, distribution, settings.voters, seed).run()
-    group.start_soon(watch, hub, peers)
-    return peers
-
-
-async def watch(hub: Hub[Server], peers: PeerHub) -> None:
-    """Tells the fleet what the server does: that it is bound, that it leaves, that it is past use."""
-    core, before = hub.core, [(0, 0)]
-    while True:
-        await anyio.sleep(LOOK_S)
-        counts = core.counters.counts
-        before = [
-            *before[-WINDOW_LOOKS:],
-            (counts["tasks"], counts["answered_rejected"] + counts["answered_failed"]),
-        ]
-        tasks, turned = (last - first for first, last in zip(before[0], before[-1], strict=True))
-        if core.lifecycle.draining:
-            peers.put("leave", "its platform asks" if not peers.node.began else "by permit")
-        if core.request_counters is not None:
-            peers.put("counted", core.request_counters.rows(), memory_mb())
-        peers.put(
-            "serve", core.controller is not None, tasks >= TASKS_LEAST and turned > PAST_USE * tasks
-        )
-
-
-def memory_mb() -> float:
-    """That this process holds just now."""
-    try:
-        with open("/proc/self/statm") as file:
-            return int(file.read().split()[1]) * resource.getpagesize() / 1048576.0
-    except (OSError, ValueError, IndexError):
-        return 0.0
+FLUSH_TIMEOUT_S = 0.05  # for the last messages to leave
+EXIT_INVALID_FILE = 2
 
 
-async def voter(
+async def run_voter(
     settings: FleetSettings, seed: int, distribution: "InstanceSettings | None"
 ) -> None:
-    """A voter's whole process, until it is asked to end or its drain is agreed."""
+    """Runs a voter until it is asked to end or its drain is agreed.
+
+    Raises:
+        OSError: Its address cannot be had.
+    """
     timer = ResettableTimer()
     books: Callable[[], Sequence[Book]] = tuple
     if distribution is not None:
         from pumicenotch.net.voter_configuration import books_of
 
         books = partial(books_of, distribution)
-    _, told = who(settings)
-    node = VoterNode(
-        names=dict(settings.names),
-        budgets=settings.budgets,
-        manual_members=settings.manual_members,
-        now=timer.now(),
-        seed=seed,
-        books=books,
-        **told,
-    )
+    node = new_voter_node(settings, seed, timer.now(), books)
     listener = await open_listener(start.address(settings.listen))
     async with anyio.create_task_group() as group:
-        peers = PeerHub(node, timer, group, lambda why: peers.put("left"))
+        peers = PeerHub(node, timer, group, on_shutdown=lambda reason: peers.put("left"))
         run_hub(peers, listener)
         if distribution is not None:
-            from pumicenotch.net.voter_configuration import VoterCarrier
+            from pumicenotch.net.voter_configuration import VoterDistributionService
 
-            VoterCarrier(peers, node, distribution, seed).run()
-        group.start_soon(signals, peers)
+            VoterDistributionService(peers, node, distribution, seed).run()
+        group.start_soon(hand_over_on_signal, peers)
         await peers.exit.wait()
-        await peers.flush(FLUSH_S)
-        logger.info(
-            "counters: {}", " ".join(f"{name}={many}" for name, many in sorted(node.counts.items()))
-        )
+        await peers.flush(FLUSH_TIMEOUT_S)
+        counters = " ".join(f"{name}={count}" for name, count in sorted(node.counts.items()))
+        logger.info("counters: {}", counters)
         group.cancel_scope.cancel()
 
 
-async def signals(peers: PeerHub) -> None:
+def new_voter_node(
+    settings: FleetSettings, seed: int, now_ms: float, books: Callable[[], Sequence[Book]]
+) -> VoterNode:
+    """Returns the node of a voter that starts now."""
+    identity = new_identity(settings)
+    return VoterNode(
+        fleet=settings.fleet,
+        me=identity.me,
+        member=identity.member,
+        seeds=identity.seeds,
+        names=dict(settings.names),
+        budgets=settings.budgets,
+        manual_members=settings.manual_members,
+        now=now_ms,
+        seed=seed,
+        books=books,
+    )
+
+
+async def hand_over_on_signal(peers: PeerHub) -> None:
+    """Has the voter hand over and end on a signal, until it is cancelled."""
     with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as received:
         async for _ in received:
             peers.put("left")
 
 
 def main() -> None:
-    signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})  # nothing is read again
+    """Runs the voter of the file that the command line names."""
+    signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})  # its file is not read again
     logs.to_stderr()
     from pumicenotch.config.fleet import voter_of
     from pumicenotch.config.hcl import InvalidFileError
 
     try:
-        told = voter_of(sys.argv[1])
+        file = voter_of(sys.argv[1])
     except InvalidFileError as error:
         print(error, file=sys.stderr)
-        sys.exit(2)
+        sys.exit(EXIT_INVALID_FILE)
     try:
         anyio.run(
-            voter, told.fleet, told.seed, told.distribution, backend_options={"use_uvloop": True}
+            run_voter,
+            file.fleet,
+            file.seed,
+            file.distribution,
+            backend_options={"use_uvloop": True},
         )
     except (OSError, ValueError) as error:
         sys.exit(f"pumicenotch voter: {error}")
--- /dev/null
+++ b/pumicenotch/net/fleet_member.py
@@ -0,0 +1,174 @@
+"""A server's place in its fleet: the node beside its work, and the reports that it gets."""
+
+import resource
+import secrets
+import time
+from collections import deque
+from pathlib import Path
+from typing import TYPE_CHECKING, NamedTuple
+
+import anyio
+from anyio.abc import TaskGroup
+from loguru import logger
+
+from pumicenotch import start
+from pumicenotch.fleet.budgets import Member
+from pumicenotch.fleet.member_node import MemberNode
+from pumicenotch.fleet.settings import FleetSettings
+from pumicenotch.membership.messages import MemberIdentity
+from pumicenotch.net.hub import Hub
+from pumicenotch.net.peers import PeerHub, open_listener, run_hub
+from pumicenotch.net.resettable_timer import ResettableTimer
+from pumicenotch.server.core import Server
+from pumicenotch.server.events import ShutdownRequested
+from pumicenotch.server.request_counters import RequestCounters
+
+if TYPE_CHECKING:  # nothing of the distribution is loaded where it is off
+    from pumicenotch.distribution.instance_settings import InstanceSettings
+
+REPORT_INTERVAL_S = 0.25  # between reports to the node of how the server does
+OVERLOAD_WINDOW_REPORTS = 12  # three seconds, above any burst's queue
+MIN_REQUESTS_TO_JUDGE = 20  # in that window
+# Of the requests rejected or failed in that window: what it takes in costs callers more than it
+# helps.
+MAX_FAILED_FRACTION = 0.5
+MIN_CONNECTIONS = 16
+CONNECTIONS_FRACTION = 0.0625  # of a server's descriptors: each talks to a few others at a time
+RELAY_CONNECTIONS_FRACTION = 0.1875  # of one that may serve configuration to others of its zone
+MAX_FRAME_BYTES = 128 * 1024  # to a server: a page of members has some 10 KB
+PROCESS_ID_BYTES = 6  # drawn at each start
+BYTES_PER_MB = 1_048_576.0
+
+
+class NodeIdentity(NamedTuple):
+    """This process as its fleet knows it."""
+
+    me: MemberIdentity
+    member: Member
+    seeds: tuple[str, ...]  # addresses of those that it asks for the others first
+
+
+def new_identity(settings: FleetSettings) -> NodeIdentity:
+    """Returns the identity of a process that starts now, with a process id of its own."""
+    process_id = secrets.token_hex(PROCESS_ID_BYTES)
+    me = MemberIdentity(
+        settings.name,
+        settings.address,
+        process_id,
+        int(time.time() * 1000),
+        settings.zone,
+        settings.region,
+    )
+    seeds = settings.seeds or settings.voters
+    return NodeIdentity(me, settings.member(process_id), tuple(seeds))
+
+
+def max_fleet_connections(descriptors: int, distribution: "InstanceSettings | None") -> int:
+    """Returns how many of a server's descriptors its fleet takes; the core has the others."""
+    connections = max(MIN_CONNECTIONS, int(CONNECTIONS_FRACTION * descriptors))
+    if distribution is not None and distribution.relay:
+        connections += int(RELAY_CONNECTIONS_FRACTION * descriptors)
+    return connections
+
+
+async def join_fleet(
+    hub: Hub[Server],
+    group: TaskGroup,
+    settings: FleetSettings,
+    distribution: "InstanceSettings | None",
+    seed: int,
+    descriptors: int,
+) -> PeerHub | None:
+    """Starts a server's node in the task group, and returns what carries it.
+
+    Returns None where the listener cannot be had: that is logged, and the server goes on without
+    its fleet.
+    """
+    timer = ResettableTimer()
+    peers = PeerHub(
+        new_member_node(settings, seed, timer.now()),
+        timer,
+        group,
+        on_shutdown=lambda reason: hub.deliver(ShutdownRequested()),
+        max_frame_bytes=MAX_FRAME_BYTES,
+        max_connections=max_fleet_connections(descriptors, distribution),
+    )
+    try:
+        listener = await open_listener(start.address(settings.listen))
+    except OSError as error:
+        logger.error(
+            "fleet: cannot listen on {}: {}; this server serves without its fleet",
+            settings.listen,
+            error,
+        )
+        return None
+    hub.core.request_counters = RequestCounters()
+    run_hub(peers, listener)
+    if distribution is not None:
+        from pumicenotch.net.configuration import InstanceDistributionService
+
+        InstanceDistributionService(peers, distribution, settings.voters, seed).run()
+    group.start_soon(report_server, hub.core, peers)
+    return peers
+
+
+def new_member_node(settings: FleetSettings, seed: int, now_ms: float) -> MemberNode:
+    """Returns the node of a server that starts now."""
+    identity = new_identity(settings)
+    return MemberNode(
+        fleet=settings.fleet,
+        me=identity.me,
+        member=identity.member,
+        voters=settings.voters,
+        seeds=identity.seeds,
+        now=now_ms,
+        seed=seed,
+    )
+
+
+class RequestTotals(NamedTuple):
+    """Requests of a server since its start."""
+
+    received: int
+    failed: int  # or rejected
+
+
+class OverloadDetector:
+    """Judges by a sliding window of requests whether a server takes in more than it can serve."""
+
+    def __init__(self) -> None:
+        self.window: deque[RequestTotals] = deque(
+            [RequestTotals(0, 0)], maxlen=OVERLOAD_WINDOW_REPORTS + 1
+        )
+
+    def observe(self, totals: RequestTotals) -> bool:
+        """Takes the newest totals; returns whether too many requests of the window have failed."""
+        self.window.append(totals)
+        oldest = self.window[0]
+        received = totals.received - oldest.received
+        failed = totals.failed - oldest.failed
+        return received >= MIN_REQUESTS_TO_JUDGE and failed > MAX_FAILED_FRACTION * received
+
+
+async def report_server(core: Server, peers: PeerHub) -> None:
+    """Reports how the server does to the node, until it is cancelled."""
+    detector = OverloadDetector()
+    while True:
+        await anyio.sleep(REPORT_INTERVAL_S)
+        counts = core.counters.counts
+        failed = counts["answered_rejected"] + counts["answered_failed"]
+        is_overloaded = detector.observe(RequestTotals(counts["tasks"], failed))
+        if core.lifecycle.draining:
+            peers.put("leave", "its platform asks" if not peers.node.began else "by permit")
+        if core.request_counters is not None:
+            peers.put("counted", core.request_counters.rows(), resident_memory_mb())
+        peers.put("serve", core.controller is not None, is_overloaded)
+
+
+def resident_memory_mb() -> float:
+    """Returns what this process holds just now; 0.0 where the system does not say."""
+    try:
+        resident_pages = int(Path("/proc/self/statm").read_text().split()[1])
+    except (OSError, ValueError, IndexError):
+        return 0.0
+    return resident_pages * resource.getpagesize() / BYTES_PER_MB
--- /dev/null
+++ b/pumicenotch/net/peer_frames.py
@@ -0,0 +1,152 @@
+"""The frames among instances: MessagePack-RPC, typed here and encoded in this one place."""
+
+from collections.abc import Callable
+from typing import Any, NamedTuple
+
+import msgpack
+
+from pumicenotch.errors import InputError
+from pumicenotch.net.outbox import Encoders
+
+MAX_ARRAY_LENGTH = 65_536
+MAX_MAP_LENGTH = 4096
+MAX_ERROR_LENGTH = 200  # of the decoder's own text, in letters
+
+# Kinds of MessagePack-RPC messages.
+REQUEST_KIND = 0
+RESPONSE_KIND = 1
+NOTIFICATION_KIND = 2
+
+HELLO_METHOD = "hello"
+REFUSAL_METHOD = "refused"
+PROBE_VERB = "alive"
+PROBE_REQUEST_ID = 0  # of every probe: nodes count their requests from 1
+
+
+class Hello(NamedTuple):
+    """What one that dials says first; an operator's command has only the fleet."""
+
+    fleet: str
+    name: str
+    process_id: str
+    address: str
+
+
+class Notice(NamedTuple):
+    """A one-way message."""
+
+    method: str
+    params: Any
+
+
+class Request(NamedTuple):
+    """A request, answered by `Result` or `ErrorResponse` on the connection that it came by."""
+
+    request_id: int
+    verb: str
+    args: Any
+
+
+class Result(NamedTuple):
+    """Answers a request that succeeded."""
+
+    request_id: int
+    result: Any
+
+
+class ErrorResponse(NamedTuple):
+    """Answers a request that failed: with a code, a text, and what else the code brings."""
+
+    request_id: int
+    error: tuple[str, str, Any]
+
+
+class Refusal(NamedTuple):
+    """Tells one that dials why its hello does not fit, before its connection is closed."""
+
+    reason: str
+
+
+PeerMessage = Hello | Notice | Request | Result | ErrorResponse | Refusal
+PROBE = Request(PROBE_REQUEST_ID, PROBE_VERB, ())
+
+_pack: Callable[[Any], bytes] = msgpack.Packer(autoreset=True).pack
+
+
+def _encode_hello(message: Hello) -> bytes:
+    return _pack([NOTIFICATION_KIND, HELLO_METHOD, list(message)])
+
+
+def _encode_notice(message: Notice) -> bytes:
+    return _pack([NOTIFICATION_KIND, message.method, message.params])
+
+
+def _encode_request(message: Request) -> bytes:
+    return _pack([REQUEST_KIND, message.request_id, message.verb, message.args])
+
+
+def _encode_result(message: Result) -> bytes:
+    return _pack([RESPONSE_KIND, message.request_id, None, message.result])
+
+
+def _encode_error(message: ErrorResponse) -> bytes:
+    return _pack([RESPONSE_KIND, message.request_id, message.error, None])
+
+
+def _encode_refusal(message: Refusal) -> bytes:
+    return _pack([NOTIFICATION_KIND, REFUSAL_METHOD, [message.reason]])
+
+
+ENCODERS: Encoders = {
+    Hello: _encode_hello,
+    Notice: _encode_notice,
+    Request: _encode_request,
+    Result: _encode_result,
+    ErrorResponse: _encode_error,
+    Refusal: _encode_refusal,
+}
+
+
+class FrameDecodeError(InputError):
+    """Bytes that are no MessagePack, or a frame that no instance sends."""
+
+
+class DecodedFrame(NamedTuple):
+    """One frame as MessagePack has it."""
+
+    content: Any
+    size_bytes: int  # of what came with the last read: a frame may have begun before
+
+
+class FrameDecoder:
+    """Puts frames of a limited size together from the bytes of one connection."""
+
+    def __init__(self, max_frame_bytes: int) -> None:
+        self._unpacker = msgpack.Unpacker(
+            max_buffer_size=2 * max_frame_bytes,
+            max_str_len=max_frame_bytes,
+            max_bin_len=max_frame_bytes,
+            max_array_len=MAX_ARRAY_LENGTH,
+            max_map_len=MAX_MAP_LENGTH,
+            max_ext_len=0,
+            use_list=False,
+        )
+
+    def decode(self, data: bytes) -> list[DecodedFrame]:
+        """Returns the frames that are complete with the data.
+
+        Raises:
+            FrameDecodeError: The bytes are no MessagePack, or a frame is too large.
+        """
+        frames = []
+        try:
+            self._unpacker.feed(data)
+            start = self._unpacker.tell()
+            for content in self._unpacker:
+                end = self._unpacker.tell()
+                frames.append(DecodedFrame(content, end - start))
+                start = end
+        except (msgpack.UnpackException, ValueError, TypeError) as error:
+            problem = f"{type(error).__name__} {error}"[:MAX_ERROR_LENGTH]
+            raise FrameDecodeError(problem) from None
+        return frames
--- a/pumicenotch/net/reloads.py
+++ b/pumicenotch/net/reloads.py
@@ -19,7 +19,7 @@
 if TYPE_CHECKING:  # nothing of a fleet is loaded where there is none
     from pumicenotch.cells.map import CellMap
     from pumicenotch.config.compiled import Ours
-    from pumicenotch.net.configuration import InstanceCarrier
+    from pumicenotch.net.configuration import InstanceDistributionService
     from pumicenotch.net.peers import PeerHub
 
 
@@ -124,7 +124,7 @@
         if peers is None or peers.extension is None or settings is None:
             logger.info("reload: the block distribution is switched on and off by a restart")
         else:
-            cast("InstanceCarrier", peers.extension).reload(settings)
+            cast("InstanceDistributionService", peers.extension).reload(settings)
             meaning = settings.meaning()
             logger.info("reload: this server takes published configuration of {}", meaning)
         self.running.instance = current._replace(distribution=settings)
--- /dev/null
+++ b/pumicenotch/net/step_times.py
@@ -0,0 +1,37 @@
+"""How long single steps hold the event loop."""
+
+import time
+from collections.abc import Iterator
+from contextlib import contextmanager
+from typing import Any
+
+
+class StepTimes:
+    """Processor time of the steps: what else the machine does meanwhile is not in it."""
+
+    BOUND_MS = 1.0
+
+    def __init__(self) -> None:
+        self.count = 0
+        self.count_over_bound = 0
+        self.longest_ms = 0.0
+
+    @contextmanager
+    def measured(self) -> Iterator[None]:
+        """Measures the block as one step."""
+        started_at_s = time.thread_time()
+        try:
+            yield
+        finally:
+            elapsed_ms = (time.thread_time() - started_at_s) * 1000.0
+            self.count += 1
+            self.count_over_bound += elapsed_ms > self.BOUND_MS
+            self.longest_ms = max(self.longest_ms, elapsed_ms)
+
+    def as_json(self) -> dict[str, Any]:
+        """Returns the figures under the keys of status answers."""
+        return {
+            "count": self.count,
+            "over_1_ms": self.count_over_bound,
+            "longest_ms": round(self.longest_ms, 2),
+        }
--- a/pumicenotch/net/voter_configuration.py
+++ b/pumicenotch/net/voter_configuration.py
@@ -1,5 +1,6 @@
-"""A voter's part in the distribution, between its hub and a `VoterSource`: it serves relays from the book of
-publications, and tells operators who is current.
+"""A voter's part in the distribution, between its hub and a `VoterSource`.
+
+It serves relays from the publications that are agreed, and tells operators who is current.
 """
 
 import random
@@ -14,7 +15,7 @@
 from pumicenotch.fleet.book import Book
 from pumicenotch.fleet.voter_node import VoterNode
 from pumicenotch.membership.messages import Update
-from pumicenotch.net.configuration import STATUS, Carrier, NotLeaderError, self_of
+from pumicenotch.net.configuration import STATUS_VERB, DistributionService, NotLeaderError, self_of
 from pumicenotch.net.peers import PeerHub
 
 
@@ -23,13 +24,19 @@
     return (Publications(tables=settings.tables(), log=log_of(settings.settings)),)
 
 
-class VoterCarrier(Carrier):
-    """Of a voter."""
+class VoterDistributionService(DistributionService):
+    """The distribution's part in a voter.
+
+    Args:
+        hub: Carries its messages.
+        node: The voter's node, whose state holds the publications.
+        settings: The tables, and the bounds.
+        seed: Of the reducer's random choices.
+    """
 
     def __init__(
         self, hub: PeerHub, node: VoterNode, settings: InstanceSettings, seed: int
     ) -> None:
-        """The book of publications is among the node's."""
         super().__init__(hub)
         self.node = node
         self.source = VoterSource(
@@ -44,41 +51,49 @@
         return cast(Publications, self.node.state.books[Publications.name])
 
     def step(self, now_ms: float, event: events.VoterEvent) -> list[effects.Effect]:
+        """Has the reducer take an event."""
         return self.source.step(now_ms, event)
 
     def run(self) -> None:
+        """Starts, and tells the reducer who leads."""
         super().run()
         self.put(events.LeaderChanged(*self.leadership))
 
     def after_put(self) -> None:
+        """Tells the reducer of another leader, and of what was published."""
         if (leadership := self.node.leadership()) != self.leadership:
             self.leadership = leadership
             self.put(events.LeaderChanged(*leadership))
         publications = self.publications
         if publications is not self.source.publications or publications.version != self.version:
-            self.source.publications, self.version = publications, publications.version
+            self.source.publications = publications
+            self.version = publications.version
             self.put(events.Published(self.version))
 
     def member_changed(self, update: Update) -> None:
-        """A voter serves whoever subscribes."""
+        """Does nothing: a voter serves whoever subscribes."""
 
     def answer(self, verb: str, args: Any) -> dict[str, Any]:
-        """Only the leader knows who is current."""
-        if verb == STATUS and not self.node.leads:
+        """Returns the result of a request; only the leader knows who is current."""
+        if verb == STATUS_VERB and not self.node.leads:
             raise NotLeaderError(self.node.leadership().address)
         return super().answer(verb, args)
 
-    def holds(self, table: str, scope: str) -> bool:
+    def has_scope(self, table: str, scope: str) -> bool:
+        """Returns True: a voter has all that is published."""
         return True
 
     @property
     def view(self) -> View:
+        """What is published."""
         return self.publications.view
 
     def age_ms(self) -> float:
+        """Returns how long ago the view was known to be current."""
         return self.source.age_ms(self.timer.now())
 
     def status(self) -> dict[str, Any]:
+        """Returns what operators are told."""
         members = self.node.state.members.values()
-        names = [each.name for each in members if each.life and not each.voter]
+        names = [member.name for member in members if member.life and not member.voter]
         return self.source.status(self.timer.now(), names)
--- a/tests/compatibility/test_consensus.py
+++ b/tests/compatibility/test_consensus.py
@@ -38,7 +38,7 @@
     decode_message,
     encode_message,
 )
-from pumicenotch.net.peers import FRAMES, Unpacker
+from pumicenotch.net.peer_frames import ENCODERS, FrameDecoder, Notice
 from tests.compatibility.golden_files import golden_bytes, golden_json
 from tests.consensus.cluster import Cluster
 
@@ -79,9 +79,9 @@
 
 def only_frame(data: bytes) -> Any:
     """The one frame that the bytes are."""
-    ((frame, size),) = Unpacker(len(data)).frames(data)
-    assert size == len(data)
-    return frame
+    (frame,) = FrameDecoder(len(data)).decode(data)
+    assert frame.size_bytes == len(data)
+    return frame.content
 
 
 @pytest.mark.parametrize("name", MESSAGES)
@@ -90,7 +90,7 @@
     kind, method, params = only_frame(data)
     message = decode_message(params)
     assert (kind, method, message) == (2, CONSENSUS_METHOD, MESSAGES[name])
-    assert FRAMES["notice"](CONSENSUS_METHOD, encode_message(message)) == data
+    assert ENCODERS[Notice](Notice(CONSENSUS_METHOD, encode_message(message))) == data
 
 
 def test_every_kind_of_message_has_a_golden_example() -> None:
@@ -104,7 +104,7 @@
     kind, method, params = only_frame(data)
     assert (kind, method) == (2, BOOTSTRAP_METHOD)
     assert decode_bootstrap_message(params) == BOOTSTRAP[name]
-    assert FRAMES["notice"](BOOTSTRAP_METHOD, encode_message(BOOTSTRAP[name])) == data
+    assert ENCODERS[Notice](Notice(BOOTSTRAP_METHOD, encode_message(BOOTSTRAP[name]))) == data
 
 
 def test_every_kind_of_bootstrap_message_has_a_golden_example() -> None:
@@ -119,7 +119,7 @@
 
     def deliver(sender: str, sends: list[SendToName]) -> None:
         for name, message in sends:
-            frame = FRAMES["notice"](BOOTSTRAP_METHOD, encode_message(message))
+            frame = ENCODERS[Notice](Notice(BOOTSTRAP_METHOD, encode_message(message)))
             sent.append(f"{sender} {name} {frame.hex()}")
             received = decode_bootstrap_message(only_frame(frame)[2])
             deliver(bootstraps[name].voter_id, bootstraps[name].receive(sender, received))
--- a/tests/fleet/test_alone.py
+++ b/tests/fleet/test_alone.py
@@ -39,7 +39,7 @@
     """The bench's run has no such file: it lives in 32 MB and a part of a core."""
     script = (
         "import sys, pumicenotch.__main__\n"
-        "rooms = ('membership', 'consensus', 'fleet', 'cells', 'config', 'distribution', 'net.peers', 'net.fleet')\n"
+        "rooms = ('membership', 'consensus', 'fleet', 'cells', 'config', 'distribution', 'net.peer', 'net.outbound', 'net.fleet')\n"
         "whole = tuple(f'pumicenotch.{room}' for room in rooms)\n"
         "print([name for name in sys.modules if name.startswith(whole)])"
     )
