--- a/pumicenotch/route/decide.py
+++ b/pumicenotch/route/decide.py
@@ -134,7 +134,7 @@
         self.effects.append(Wake(self.TICK_MS))
 
     def on_timer(self, _: events.TimerFired) -> None:
-        self.timers.run_due(self.now)
+        self.timers.run_expired(self.now)
         self.connections.sweep(self.now)
         for link, way in list(self.ways.items()):
             if way.up and not way.open and self.now - way.used_at > self.IDLE_MS:
--- a/tests/play.py
+++ b/tests/play.py
@@ -15,9 +15,11 @@
 forget-seen                   what was asked for so far counts no more
 """
 
+from pathlib import Path
 from typing import Any
 
 from pumicenotch.control import AdmissionController, ControllerSettings
+from pumicenotch.control.gauges import CORE_UTILIZATION, OPEN_CONNECTIONS, RUNNABLE
 from pumicenotch.interface import (
     CancelMode,
     DependencyKind,
@@ -78,6 +80,11 @@
     "linger_ms": "dependency_linger_ms",
     "idle_ms": "idle_timeout_ms",
 }
+GAUGES = {
+    "core_use": CORE_UTILIZATION,
+    "on_cores": RUNNABLE,
+    "links": OPEN_CONNECTIONS,
+}
 ACTIONS = {
     "start": "run",
     "reject": "reject",
@@ -158,6 +165,17 @@
         self.gauges: dict[str, float] = {"on_cores": 0.0}
         self.control: AdmissionController
 
+    def run(self, path: Path) -> None:
+        """Plays a whole file; an AssertionError names the line and the step."""
+        for number, line in enumerate(path.read_text().splitlines(), 1):
+            for step in line.partition("#")[0].split(";"):
+                if step.strip():
+                    try:
+                        self.line(step)
+                    except AssertionError as error:
+                        raise AssertionError(f"{path.name}:{number}: {step}: {error}") from None
+        self.end()
+
     def line(self, text: str) -> None:
         verb, *words = text.split()
         pairs = {key: val for key, _, val in (word.partition("=") for word in words if "=" in word)}
@@ -201,7 +219,7 @@
         return ControllerSettings(
             request_classes=list(self.stages.values()),
             tenants=list(self.tenants.values()),
-            gauges=list(self.gauges),
+            gauges=[GAUGES.get(word, word) for word in self.gauges],
             **{SETTINGS.get(word, word): value for word, value in pairs.items()},
         )
 
@@ -288,7 +306,7 @@
         assert float(plain[0]) <= self.seen.patience_ms <= float(plain[1]), self.seen.patience_ms
 
     def do_cap(self, plain: list[str], pairs: dict[str, Any]) -> None:
-        caps = [self.control.queues.caps[at] for at in range(len(self.tenants))]
+        caps = [self.control.scheduler.shares[at] for at in range(len(self.tenants))]
         cap = caps[list(self.tenants).index(plain[0])]
         assert float(plain[1]) <= cap <= float(plain[2]), f"cap {cap} of {caps}"
 
