--- a/pumicenotch/fleet/settings.py
+++ b/pumicenotch/fleet/member/settings.py
@@ -5,7 +5,7 @@
 from typing import Any, NamedTuple
 
 from pumicenotch.errors import InputError
-from pumicenotch.fleet.budgets import Budget, Member
+from pumicenotch.fleet.drains.budgets import Budget, Member
 
 
 class InvalidSettingsError(InputError):
--- a/pumicenotch/net/agent.py
+++ b/pumicenotch/net/agent.py
@@ -22,8 +22,8 @@
 from pumicenotch.config import agent as config
 from pumicenotch.config import versions
 from pumicenotch.config.hcl import InvalidFileError
-from pumicenotch.fleet import effects
-from pumicenotch.fleet.agent import Agent
+from pumicenotch.fleet.agent.agent import Agent, AgentSetup
+from pumicenotch.fleet.member import effects
 from pumicenotch.membership.messages import MemberIdentity
 from pumicenotch.net import logs
 from pumicenotch.net.peers import PeerHub
@@ -64,7 +64,7 @@
         clock: ResettableTimer,
         group: TaskGroup,
     ) -> None:
-        core.me = MemberIdentity("", "", core.life, 0, "", "")  # type: ignore[attr-defined]
+        core.me = MemberIdentity("", "", core.incarnation, 0, "", "")  # type: ignore[attr-defined]
         super().__init__(
             cast(Any, core),
             clock,
@@ -83,19 +83,19 @@
     def carry_out(self, effect: Any) -> None:
         """Carries out one effect of the agent."""
         match effect:
-            case effects.Hold(version):
+            case effects.FetchVersion(version):
                 self.group.start_soon(self.fetch_version, version)
-            case effects.Swap(slot, version):
+            case effects.ActivateVersion(slot, version):
                 self.group.start_soon(self.install_version, slot, version)
-            case effects.Start():
+            case effects.StartServer():
                 self.start_server()
-            case effects.End(force):
+            case effects.StopServer(force):
                 self.signal_server(signal.SIGKILL if force else signal.SIGTERM)
-            case effects.Reread():
+            case effects.ReloadServer():
                 self.signal_server(signal.SIGHUP)
-            case effects.Anew():
+            case effects.RestartAgent():
                 self.restart_as_installed_version()
-            case effects.Proven(slots):
+            case effects.ConfirmVersions(slots):
                 self.record_good_versions(slots)
             case effects.Log(text):
                 logger.info("agent: {}", text)
@@ -148,7 +148,7 @@
 
     def remove_unused_versions(self) -> None:
         """Removes the oldest versions that nothing names, beyond those that are kept."""
-        used = {*self.disk.runs.values(), *self.disk.good.values(), *self.agent.wanted}
+        used = {*self.disk.runs.values(), *self.disk.good.values(), *self.agent.wanted_versions}
         unused = sorted(
             (path.stat().st_mtime, path)
             for path in self.versions.iterdir()
@@ -157,7 +157,7 @@
         for _, path in unused[: max(0, len(unused) - MAX_UNUSED_VERSIONS)]:
             versions.remove(path)
             with contextlib.suppress(ValueError):
-                self.agent.holds.remove(path.name)
+                self.agent.stored.remove(path.name)
 
     # Its server
 
@@ -217,20 +217,21 @@
 async def run(file: config.AgentFile, disk: config.Disk) -> None:
     """Runs the agent until it is asked to end; its server goes on, for the next agent."""
     timer = ResettableTimer()
-    core = Agent(
+    setup = AgentSetup(
         fleet=file.fleet,
         node=file.member,
-        life=secrets.token_hex(6),
-        voters=file.voters,
-        runs=disk.runs,
-        holds=versions.held(Path(file.home) / VERSIONS_FOLDER),
-        child=is_running(disk.pid, disk.began),
-        start_ms=file.start_ms,
-        drain_ms=file.drain_ms,
-        now=timer.now(),
+        incarnation=secrets.token_hex(6),
+        voters=tuple(file.voters),
+        versions=disk.runs,
+        stored=tuple(versions.held(Path(file.home) / VERSIONS_FOLDER)),
+        has_server=is_running(disk.pid, disk.began),
+        start_timeout_ms=file.start_ms,
+        drain_timeout_ms=file.drain_ms,
+        now_ms=timer.now(),
         seed=file.seed,
-        trouble=disk.trouble,
+        problem=disk.trouble,
     )
+    core = Agent(setup)
     async with anyio.create_task_group() as group:
         hub = AgentHub(file, core, disk, timer, group)
         group.start_soon(hub.watch_server)
--- a/pumicenotch/net/fleet.py
+++ b/pumicenotch/net/fleet.py
@@ -13,11 +13,12 @@
 from loguru import logger
 
 from pumicenotch import start
-from pumicenotch.fleet.book import Book
-from pumicenotch.fleet.settings import FleetSettings
-from pumicenotch.fleet.voter_node import VoterNode
+from pumicenotch.fleet.member.settings import FleetSettings
+from pumicenotch.fleet.replicated.subject import ReplicatedSubject
+from pumicenotch.fleet.voter.node import VoterNode
+from pumicenotch.fleet.voter.replica import VoterSetup
 from pumicenotch.net import logs
-from pumicenotch.net.fleet_member import new_identity
+from pumicenotch.net.fleet_member import new_member_setup
 from pumicenotch.net.peers import PeerHub, open_listener, run_hub
 from pumicenotch.net.resettable_timer import ResettableTimer
 
@@ -37,12 +38,19 @@
         OSError: Its address cannot be had.
     """
     timer = ResettableTimer()
-    books: Callable[[], Sequence[Book]] = tuple
+    make_subjects: Callable[[], Sequence[ReplicatedSubject]] = tuple
     if distribution is not None:
-        from pumicenotch.net.voter_configuration import books_of
+        from pumicenotch.net.voter_configuration import make_subjects_of
 
-        books = partial(books_of, distribution)
-    node = new_voter_node(settings, seed, timer.now(), books)
+        make_subjects = partial(make_subjects_of, distribution)
+    setup = VoterSetup(
+        member=new_member_setup(settings, timer.now(), seed),
+        voters=dict(settings.names),
+        budgets=settings.budgets,
+        manual_members=settings.manual_members,
+        make_subjects=make_subjects,
+    )
+    node = VoterNode(setup)
     listener = await open_listener(start.address(settings.listen))
     async with anyio.create_task_group() as group:
         peers = PeerHub(node, timer, group, on_shutdown=lambda reason: peers.put("left"))
@@ -54,30 +62,11 @@
         group.start_soon(hand_over_on_signal, peers)
         await peers.exit.wait()
         await peers.flush(FLUSH_TIMEOUT_S)
-        counters = " ".join(f"{name}={count}" for name, count in sorted(node.counts.items()))
+        counters = " ".join(f"{name}={count}" for name, count in sorted(node.counters.items()))
         logger.info("counters: {}", counters)
         group.cancel_scope.cancel()
 
 
-def new_voter_node(
-    settings: FleetSettings, seed: int, now_ms: float, books: Callable[[], Sequence[Book]]
-) -> VoterNode:
-    """Returns the node of a voter that starts now."""
-    identity = new_identity(settings)
-    return VoterNode(
-        fleet=settings.fleet,
-        me=identity.me,
-        member=identity.member,
-        seeds=identity.seeds,
-        names=dict(settings.names),
-        budgets=settings.budgets,
-        manual_members=settings.manual_members,
-        now=now_ms,
-        seed=seed,
-        books=books,
-    )
-
-
 async def hand_over_on_signal(peers: PeerHub) -> None:
     """Has the voter hand over and end on a signal, until it is cancelled."""
     with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as received:
--- a/pumicenotch/net/fleet_member.py
+++ b/pumicenotch/net/fleet_member.py
@@ -12,9 +12,8 @@
 from loguru import logger
 
 from pumicenotch import start
-from pumicenotch.fleet.budgets import Member
-from pumicenotch.fleet.member_node import MemberNode
-from pumicenotch.fleet.settings import FleetSettings
+from pumicenotch.fleet.member.node import MemberNode, MemberSetup
+from pumicenotch.fleet.member.settings import FleetSettings
 from pumicenotch.membership.messages import MemberIdentity
 from pumicenotch.net.hub import Hub
 from pumicenotch.net.peers import PeerHub, open_listener, run_hub
@@ -40,16 +39,8 @@
 BYTES_PER_MB = 1_048_576.0
 
 
-class NodeIdentity(NamedTuple):
-    """This process as its fleet knows it."""
-
-    me: MemberIdentity
-    member: Member
-    seeds: tuple[str, ...]  # addresses of those that it asks for the others first
-
-
-def new_identity(settings: FleetSettings) -> NodeIdentity:
-    """Returns the identity of a process that starts now, with a process id of its own."""
+def new_member_setup(settings: FleetSettings, now_ms: float, seed: int) -> MemberSetup:
+    """Returns what the node of a process that starts now is made from."""
     process_id = secrets.token_hex(PROCESS_ID_BYTES)
     me = MemberIdentity(
         settings.name,
@@ -59,8 +50,15 @@
         settings.zone,
         settings.region,
     )
-    seeds = settings.seeds or settings.voters
-    return NodeIdentity(me, settings.member(process_id), tuple(seeds))
+    return MemberSetup(
+        fleet=settings.fleet,
+        me=me,
+        member=settings.member(process_id),
+        voters=settings.voters,
+        seeds=settings.seeds or settings.voters,
+        now_ms=now_ms,
+        seed=seed,
+    )
 
 
 def max_fleet_connections(descriptors: int, distribution: "InstanceSettings | None") -> int:
@@ -86,7 +84,7 @@
     """
     timer = ResettableTimer()
     peers = PeerHub(
-        new_member_node(settings, seed, timer.now()),
+        MemberNode(new_member_setup(settings, timer.now(), seed)),
         timer,
         group,
         on_shutdown=lambda reason: hub.deliver(ShutdownRequested()),
@@ -112,20 +110,6 @@
     return peers
 
 
-def new_member_node(settings: FleetSettings, seed: int, now_ms: float) -> MemberNode:
-    """Returns the node of a server that starts now."""
-    identity = new_identity(settings)
-    return MemberNode(
-        fleet=settings.fleet,
-        me=identity.me,
-        member=identity.member,
-        voters=settings.voters,
-        seeds=identity.seeds,
-        now=now_ms,
-        seed=seed,
-    )
-
-
 class RequestTotals(NamedTuple):
     """Requests of a server since its start."""
 
@@ -159,7 +143,7 @@
         failed = counts["answered_rejected"] + counts["answered_failed"]
         is_overloaded = detector.observe(RequestTotals(counts["tasks"], failed))
         if core.lifecycle.draining:
-            peers.put("leave", "its platform asks" if not peers.node.began else "by permit")
+            peers.put("leave", "its platform asks" if not peers.node.drain_started else "by permit")
         if core.request_counters is not None:
             peers.put("counted", core.request_counters.rows(), resident_memory_mb())
         peers.put("serve", core.controller is not None, is_overloaded)
--- a/pumicenotch/net/outbound_peers.py
+++ b/pumicenotch/net/outbound_peers.py
@@ -135,7 +135,7 @@
         """The connection is lost, or could not be made: what has waited is lost with it."""
         peer = self.peers[connection]
         if not peer.is_up:
-            self.hub.node.counts["mates_unreached"] += 1
+            self.hub.node.counters["mates_unreached"] += 1
         peer.is_up = False
         peer.is_dialing = False
         peer.queue = []
--- a/pumicenotch/net/peer_protocol.py
+++ b/pumicenotch/net/peer_protocol.py
@@ -2,7 +2,7 @@
 
 from typing import TYPE_CHECKING, Any
 
-from pumicenotch.fleet.voter_client import REFUSED
+from pumicenotch.fleet.member.voter_client import REFUSED
 from pumicenotch.net.dialer import Deliver
 from pumicenotch.net.peer_frames import (
     HELLO_METHOD,
--- a/pumicenotch/net/peers.py
+++ b/pumicenotch/net/peers.py
@@ -13,8 +13,8 @@
 from anyio.abc import SocketAttribute, SocketListener, TaskGroup
 from loguru import logger
 
-from pumicenotch.fleet import effects
-from pumicenotch.fleet.member_node import MemberNode
+from pumicenotch.fleet.member import effects
+from pumicenotch.fleet.member.node import MemberNode
 from pumicenotch.membership.messages import Update
 from pumicenotch.net.gateway_listener import BACKLOG, AcceptedProtocol, GatewayListener
 from pumicenotch.net.hub import MAX_LOGGED_FAULTS, Hub
@@ -158,8 +158,8 @@
 
     def on_fault(self, place: str, error: Exception) -> list[Any]:
         """Logs and counts a fault, and returns the effects that were asked for before it."""
-        self.node.counts["faults"] += 1
-        if self.node.counts["faults"] <= MAX_LOGGED_FAULTS:
+        self.node.counters["faults"] += 1
+        if self.node.counters["faults"] <= MAX_LOGGED_FAULTS:
             logger.opt(exception=error).error("fault in {}", place)
         node_effects: list[Any] = list(self.node.effects)
         self.node.effects = []
@@ -167,9 +167,9 @@
 
     def count_problem(self, counter: str, text: str = "") -> None:
         """Counts a problem, and logs the first, tenth, hundredth and so on of its kind."""
-        self.node.counts[counter] += 1
-        if text and str(self.node.counts[counter]).rstrip("0") == "1":
-            logger.info("{} ({}={})", text, counter, self.node.counts[counter])
+        self.node.counters[counter] += 1
+        if text and str(self.node.counters[counter]).rstrip("0") == "1":
+            logger.info("{} ({}={})", text, counter, self.node.counters[counter])
 
     # Those that dial this side
 
@@ -222,32 +222,32 @@
     def carry_out(self, effect: Any) -> None:
         """Carries out one effect of the node."""
         match effect:
-            case effects.Post(address, method, params):
+            case effects.SendNotification(address, method, params):
                 self.send(address, Notice(method, params))
-            case effects.Ask(address, request_id, verb, args):
+            case effects.SendRequest(address, request_id, verb, args):
                 self.send(address, Request(request_id, verb, args))
-            case effects.Reply():
+            case effects.SendResponse():
                 self.reply(effect)
             case effects.MemberChanged(update) if self.extension is not None:
                 self.extension.member_changed(update)
-            case effects.Leave(reason):
+            case effects.StartDraining(reason):
                 logger.info("leaves {}", reason)
                 self.on_shutdown(reason)
-            case effects.Wake(wake_at_ms):
+            case effects.WakeAt(wake_at_ms):
                 self.clock.wake(max(0.0, wake_at_ms - self.clock.now()))
             case effects.Log(text):
                 logger.info("fleet: {}", text)
             case effects.Exit():
                 self.exit.set()
 
-    def reply(self, reply: effects.Reply) -> None:
+    def reply(self, reply: effects.SendResponse) -> None:
         """Answers a request with its result or its error."""
         response: Result | ErrorResponse
         if reply.error is None:
-            response = Result(reply.message, reply.result)
+            response = Result(reply.message_id, reply.result)
         else:
-            response = ErrorResponse(reply.message, reply.error)
-        self.write(reply.conn, response)
+            response = ErrorResponse(reply.message_id, reply.error)
+        self.write(reply.connection_id, response)
 
 
 async def open_listener(address: tuple[str, int]) -> SocketListener:
--- a/tests/net/test_outbound_peers.py
+++ b/tests/net/test_outbound_peers.py
@@ -27,7 +27,7 @@
     def __init__(self) -> None:
         self.now_ms = 10_000.0
         self.clock = SimpleNamespace(now=lambda: self.now_ms)
-        self.node = SimpleNamespace(counts=Counter[str]())
+        self.node = SimpleNamespace(counters=Counter[str]())
         self.hello = HELLO
         self.outboxes: dict[str, Any] = {}
         self.written: list[tuple[str, PeerMessage]] = []
@@ -98,7 +98,7 @@
 ) -> None:
     peers.send(ADDRESS, notice(1))
     peers.on_down(CONNECTION)
-    assert hub.node.counts == {"mates_unreached": 1}
+    assert hub.node.counters == {"mates_unreached": 1}
     hub.now_ms += REDIAL_DELAY_MS - 1.0
     peers.send(ADDRESS, notice(2))
     assert peers.dialed == [ADDRESS]
