--- a/tests/compatibility/test_peers.py
+++ b/tests/compatibility/test_peers.py
@@ -109,7 +109,7 @@
         ["answered", 9, ("Refused", "drain: no such member", None), None],
         ["answered", 2**31, ("NotLeader", "10.0.0.3:7000 leads", "10.0.0.3:7000"), None],
         [
-            "trouble",
+            "problem",
             "mates_refuse",
             f"{CONNECTION} refuses this process: this is a process of the fleet 'accra', not of 'lagos'",
         ],
