--- a/benchmarks/capacity/spread.py
+++ b/benchmarks/capacity/spread.py
@@ -20,7 +20,7 @@
 from pumicenotch.distribution.data.tables import canonical
 from pumicenotch.distribution.events import Peer
 from pumicenotch.distribution.node import Node
-from pumicenotch.distribution.protocol.codec import message_of, plain
+from pumicenotch.distribution.protocol.codec import decode, encode
 from pumicenotch.distribution.publications.book import Publications
 from pumicenotch.distribution.publications.uploads import entries_of
 from pumicenotch.distribution.settings import DEFAULTS
@@ -229,9 +229,9 @@
 
     def wired(self, sender: Meter | None, receiver: Meter | None, message: Any) -> Any:
         began = cpu_ns()
-        packed = msgpack.packb(plain(message))
+        packed = msgpack.packb(encode(message))
         packed_at = cpu_ns()
-        made = message_of(msgpack.unpackb(packed, use_list=False))
+        made = decode(msgpack.unpackb(packed, use_list=False))
         read_at = cpu_ns()
         kind = type(message).__name__
         if sender is not None:
--- a/pumicenotch/config/compiled.py
+++ b/pumicenotch/config/compiled.py
@@ -44,9 +44,9 @@
     cells = {"node": ours.node, "map": ours.map}
     distribution = None
     if ours.distribution is not None:
-        from pumicenotch.distribution.instance_settings import plain
+        from pumicenotch.distribution.instance_settings import encode
 
-        distribution = plain(ours.distribution)
+        distribution = encode(ours.distribution)
     return json.dumps(
         {"form": FORM, "plan": plan, "cells": cells, "fleet": fleet, "distribution": distribution}
     )
@@ -70,9 +70,9 @@
             fleet = settings_of(told["fleet"])
         distribution = None
         if told.get("distribution") is not None:
-            from pumicenotch.distribution.instance_settings import instance_settings_of
+            from pumicenotch.distribution.instance_settings import decode_instance_settings
 
-            distribution = instance_settings_of(told["distribution"])
+            distribution = decode_instance_settings(told["distribution"])
         if told["plan"] is None:
             return Ours(None, node, map_file, fleet, distribution)
         plan = decode_plan(told["plan"])
--- a/pumicenotch/config/distribution.py
+++ b/pumicenotch/config/distribution.py
@@ -5,8 +5,8 @@
 from pydantic import Field, field_validator, model_validator
 
 from pumicenotch.config.schema import Schema
-from pumicenotch.distribution.data.records import KEY_PART_MOST
-from pumicenotch.distribution.data.subscription import SCOPES_MOST
+from pumicenotch.distribution.data.records import MAX_KEY_PART_LENGTH
+from pumicenotch.distribution.data.subscription import MAX_SCOPES
 from pumicenotch.distribution.data.tables import TABLES
 from pumicenotch.distribution.instance_settings import InstanceSettings, NewestForm, ScopesOfTable
 from pumicenotch.distribution.settings import DEFAULTS, Settings
@@ -14,7 +14,7 @@
 SERVICE_TABLES = ("routes", "policies")  # keyed by service
 CELL_TABLES = ("homes", "tenants")  # keyed by cell
 
-Scope = Annotated[str, Field(pattern=rf"^[A-Za-z0-9._-]{{1,{KEY_PART_MOST}}}$")]
+Scope = Annotated[str, Field(pattern=rf"^[A-Za-z0-9._-]{{1,{MAX_KEY_PART_LENGTH}}}$")]
 
 
 def known_table(name: str) -> str:
@@ -39,7 +39,7 @@
     """`subscribe "TABLE" { scopes = [...] }`, or `all = true`."""
 
     name: str
-    scopes: Annotated[tuple[Scope, ...], Field(max_length=SCOPES_MOST)] = ()
+    scopes: Annotated[tuple[Scope, ...], Field(max_length=MAX_SCOPES)] = ()
     all: bool = False
 
     @field_validator("name")
--- a/pumicenotch/distribution/data/changelog.py
+++ b/pumicenotch/distribution/data/changelog.py
@@ -1,4 +1,4 @@
-"""A bounded log of changes, from which those who have missed some versions are served without a snapshot."""
+"""A bounded log of changes: it serves those that have missed some versions without a snapshot."""
 
 from bisect import bisect_left
 from collections.abc import Iterable, Mapping
@@ -7,18 +7,20 @@
 from pumicenotch.distribution.data.records import Change, ScopeId, scope_of
 from pumicenotch.distribution.data.subscription import Subscription
 from pumicenotch.distribution.protocol.messages import (
-    PAGE_BYTES_MOST,
-    PAGE_CHANGES_MOST,
+    MAX_PAGE_BYTES,
+    MAX_PAGE_CHANGES,
     START,
     Cursor,
     ScopeDigest,
 )
 
-ENTRIES_MOST = 4096
-BYTES_MOST = 8 * 1024 * 1024
-ENTRIES_A_PAGE = 256  # looked at for one page
+MAX_LOG_ENTRIES = 4096
+MAX_LOG_BYTES = 8 * 1024 * 1024
+# Entries that are considered for one page.
+MAX_MERGED_ENTRIES = 256
 DIGEST_OVERHEAD_BYTES = 24
-FEW_CHANGES = 16  # in one entry: not worth counting by scope
+# An entry with as few changes is not worth counting by scope.
+FEW_CHANGES = 16
 
 
 class ChangeSet:
@@ -35,6 +37,7 @@
             self.add(scope_of(change), change)
 
     def add(self, scope_id: ScopeId, change: Change) -> None:
+        """Add a change of that scope."""
         size = change.size
         self.scopes.setdefault(scope_id, []).append(change)
         self.sizes[scope_id] = self.sizes.get(scope_id, DIGEST_OVERHEAD_BYTES) + size
@@ -43,9 +46,9 @@
 
 
 class LogEntry:
-    """What led from version `previous` to `version`, by scope, with the scopes' digests after it."""
+    """What led from version `previous` to `version`, by scope, with the digests after it."""
 
-    __slots__ = ("count", "digests", "dumped", "previous", "scopes", "size", "sizes", "version")
+    __slots__ = ("count", "digests", "encoded", "previous", "scopes", "size", "sizes", "version")
 
     def __init__(
         self, previous: int, version: int, changes: ChangeSet, digests: Mapping[ScopeId, int]
@@ -57,7 +60,7 @@
         self.digests = digests
         self.size = changes.size
         self.count = changes.count
-        self.dumped: bytes | None = None
+        self.encoded: bytes | None = None  # cached by the book's snapshot
 
 
 class Page(NamedTuple):
@@ -73,23 +76,34 @@
 
 
 class ChangeLog:
-    """Entries in order, each beginning where the one before ended."""
+    """Entries in order, each beginning where the one before ended.
+
+    Attributes:
+        base: the oldest version from which the log leads on.
+        entries: from the oldest to the newest.
+        size: of all entries, in bytes.
+    """
 
     def __init__(
-        self, version: int = 0, *, entries_most: int = ENTRIES_MOST, bytes_most: int = BYTES_MOST
+        self,
+        version: int = 0,
+        *,
+        max_entries: int = MAX_LOG_ENTRIES,
+        max_bytes: int = MAX_LOG_BYTES,
     ) -> None:
-        self.base = version  # the oldest version from which it leads on
+        self.base = version
         self.entries: list[LogEntry] = []
         self.size = 0
-        self._entries_most = entries_most
-        self._bytes_most = bytes_most
+        self._max_entries = max_entries
+        self._max_bytes = max_bytes
 
     @property
     def version(self) -> int:
+        """The version to which the log leads."""
         return self.entries[-1].version if self.entries else self.base
 
     def append(self, entry: LogEntry) -> None:
-        """The next entry; one that does not follow on makes the log begin anew after it."""
+        """Append the next entry. One that does not follow on restarts the log after it."""
         if entry.previous != self.version:
             self.reset(entry.version)
             return
@@ -98,22 +112,25 @@
         self._compact()
 
     def reset(self, version: int) -> None:
-        self.base, self.entries, self.size = version, [], 0
+        """Drop all entries and start at that version."""
+        self.base = version
+        self.entries = []
+        self.size = 0
 
     def _compact(self) -> None:
         dropped = 0
-        while self.size > self._bytes_most or len(self.entries) - dropped > self._entries_most:
+        while self.size > self._max_bytes or len(self.entries) - dropped > self._max_entries:
             entry = self.entries[dropped]
             self.size -= entry.size
             self.base = entry.version
             dropped += 1
         del self.entries[:dropped]
 
-    def position(self, have: int) -> int | None:
-        """Of the entry that leads on from that version; None if there is none."""
-        at = bisect_left(self.entries, have, key=lambda entry: entry.previous)
-        if at < len(self.entries) and self.entries[at].previous == have:
-            return at
+    def index_after(self, version: int) -> int | None:
+        """Return the index of the entry that leads on from that version; None if there is none."""
+        index = bisect_left(self.entries, version, key=lambda entry: entry.previous)
+        if index < len(self.entries) and self.entries[index].previous == version:
+            return index
         return None
 
     def page(
@@ -121,76 +138,108 @@
         have: int,
         start: Cursor,
         subscription: Subscription,
-        bytes_most: int = PAGE_BYTES_MOST,
+        max_bytes: int = MAX_PAGE_BYTES,
     ) -> Page | None:
-        """What comes after version `have`, as far as a page holds; None if the log does not lead on from
-        there.
+        """Return what comes after version `have`, as far as a page holds.
+
+        Args:
+            have: the version that the receiver has.
+            start: where the page begins in the changes of the next version.
+            subscription: changes of other scopes are left out.
+            max_bytes: the size of the page; it has one change at least.
+
+        Returns:
+            The page; None if the log does not lead on from that version.
         """
-        at = self.position(have)
-        if at is None:
+        index = self.index_after(have)
+        if index is None:
             return None
-        whole = self.whole_page(have, subscription, bytes_most) if start == START else None
-        return whole or entry_page(self.entries[at], start, subscription, bytes_most)
+        merged = self.complete_page(have, subscription, max_bytes) if start == START else None
+        return merged or entry_page(self.entries[index], start, subscription, max_bytes)
 
-    def whole_page(self, have: int, subscription: Subscription, bytes_most: int) -> Page | None:
-        """One or more whole versions after that one in so many bytes; None if not even one fits."""
-        at = self.position(have)
-        if at is None or self._filtered_size(self.entries[at], subscription) > bytes_most:
+    def complete_page(self, have: int, subscription: Subscription, max_bytes: int) -> Page | None:
+        """Return one or more complete versions after that one; None if not even one fits."""
+        index = self.index_after(have)
+        if index is None or self._filtered_size(self.entries[index], subscription) > max_bytes:
             return None
-        return self._merged_page(at, subscription, bytes_most)
+        return self._merged_page(index, subscription, max_bytes)
 
     @staticmethod
     def _filtered_size(entry: LogEntry, subscription: Subscription) -> int:
-        """In bytes, or beyond any page where there are too many changes."""
+        """Return an entry's bytes, or more than any page holds where it has too many changes."""
         if entry.count <= FEW_CHANGES:
             return entry.size
-        count = size = 0
+        count = 0
+        size = 0
         for scope_id, changes in entry.scopes.items():
             if subscription.contains(*scope_id):
                 count += len(changes)
                 size += entry.sizes[scope_id]
-                if size > PAGE_BYTES_MOST or count > PAGE_CHANGES_MOST:
-                    return PAGE_BYTES_MOST + 1
+                if size > MAX_PAGE_BYTES or count > MAX_PAGE_CHANGES:
+                    return MAX_PAGE_BYTES + 1
         return size
 
-    def _merged_page(self, at: int, subscription: Subscription, bytes_most: int) -> Page:
-        """Several versions in one, of each record the last change."""
-        found: dict[tuple[str, str], Change] = {}
+    def _merged_page(self, index: int, subscription: Subscription, max_bytes: int) -> Page:
+        """Return several versions in one page, of each record the last change."""
+        changes: dict[tuple[str, str], Change] = {}
         digests: dict[ScopeId, int] = {}
-        size, version, previous = 0, self.entries[at].version, self.entries[at].previous
-        for entry in self.entries[at : at + ENTRIES_A_PAGE]:
-            taken = self._filtered_size(entry, subscription)
-            fits = size + taken <= bytes_most and len(found) + entry.count <= PAGE_CHANGES_MOST
+        size = 0
+        previous = self.entries[index].previous
+        version = self.entries[index].version
+        for entry in self.entries[index : index + MAX_MERGED_ENTRIES]:
+            entry_size = self._filtered_size(entry, subscription)
+            fits = size + entry_size <= max_bytes
+            fits = fits and len(changes) + entry.count <= MAX_PAGE_CHANGES
             if entry.previous != previous and not fits:
                 break
-            size, version = size + taken, entry.version
-            for scope_id, changes in entry.scopes.items():
+            size += entry_size
+            version = entry.version
+            for scope_id, scope_changes in entry.scopes.items():
                 if subscription.contains(*scope_id):
-                    found.update(((change.table, change.key), change) for change in changes)
+                    changes.update(((change.table, change.key), change) for change in scope_changes)
                     digests[scope_id] = entry.digests[scope_id]
-        told = tuple(ScopeDigest(*scope_id, digest) for scope_id, digest in digests.items())
-        return Page(previous, version, START, START, True, tuple(found.values()), told)
+        scope_digests = tuple(
+            ScopeDigest(*scope_id, digest) for scope_id, digest in digests.items()
+        )
+        return Page(previous, version, START, START, True, tuple(changes.values()), scope_digests)
+
 
+def entry_page(entry: LogEntry, start: Cursor, subscription: Subscription, max_bytes: int) -> Page:
+    """Return a page of one entry from that cursor on.
 
-def entry_page(entry: LogEntry, start: Cursor, subscription: Subscription, bytes_most: int) -> Page:
-    """A page of one entry from that place on. The place is the same at every source that has the entry."""
+    A cursor means the same at every source that has the entry.
+    """
     changes: list[Change] = []
     digests: list[ScopeDigest] = []
-    size, end, done = 0, start, True
-    for scope_id, found in entry.scopes.items():
-        if scope_id < (start.table, start.scope) or not subscription.contains(*scope_id):
+    size = 0
+    end = start
+    start_scope = (start.table, start.scope)
+    for scope_id, scope_changes in entry.scopes.items():
+        if scope_id < start_scope or not subscription.contains(*scope_id):
             continue
-        offset = start.offset if scope_id == (start.table, start.scope) else 0
-        for at in range(offset, len(found)):
-            size += found[at].size
-            if changes and (size > bytes_most or len(changes) >= PAGE_CHANGES_MOST):
-                done = False
+        offset = start.offset if scope_id == start_scope else 0
+        remaining = scope_changes[offset:]
+        added = 0
+        for change in remaining:
+            size += change.size
+            if changes and (size > max_bytes or len(changes) >= MAX_PAGE_CHANGES):
                 break
-            changes.append(found[at])
-            end = Cursor(*scope_id, at + 1)
-        if len(found) > offset and end.scope == scope_id.scope and end.table == scope_id.table:
+            changes.append(change)
+            added += 1
+        if added:
+            end = Cursor(*scope_id, offset + added)
             digests.append(ScopeDigest(*scope_id, entry.digests[scope_id]))
-        if not done:
-            break
-    told = tuple(digests)
-    return Page(entry.previous, entry.version, start, end, done, tuple(changes), told)
+        if added < len(remaining):
+            return _page_of(entry, start, end, False, changes, digests)
+    return _page_of(entry, start, end, True, changes, digests)
+
+
+def _page_of(
+    entry: LogEntry,
+    start: Cursor,
+    end: Cursor,
+    done: bool,
+    changes: Iterable[Change],
+    digests: Iterable[ScopeDigest],
+) -> Page:
+    return Page(entry.previous, entry.version, start, end, done, tuple(changes), tuple(digests))
--- a/pumicenotch/distribution/data/records.py
+++ b/pumicenotch/distribution/data/records.py
@@ -1,4 +1,4 @@
-"""Records and changes: keys, digests, and the bounds that every part keeps."""
+"""Records and changes: keys, digests and the bounds that every module keeps."""
 
 import re
 from hashlib import blake2b
@@ -6,17 +6,24 @@
 
 from pumicenotch.distribution.errors import InvalidRecordError
 
-KEY_PART_MOST = 64  # characters of a scope, and of a name
-VALUE_BYTES_MOST = 4096
-SCOPE_RECORDS_MOST = 4096
-TABLE_SCOPES_MOST = 8192
+# In characters, of a scope and of a name.
+MAX_KEY_PART_LENGTH = 64
+MAX_VALUE_BYTES = 4096
+MAX_SCOPE_RECORDS = 4096
+MAX_TABLE_SCOPES = 8192
 DIGEST_BYTES = 16
 DIGEST_MODULUS = 1 << (8 * DIGEST_BYTES)
-KEY_PART = re.compile(rf"[A-Za-z0-9._-]{{1,{KEY_PART_MOST}}}\Z")
+KEY_PART_PATTERN = re.compile(rf"[A-Za-z0-9._-]{{1,{MAX_KEY_PART_LENGTH}}}\Z")
 
 
 class Change(NamedTuple):
-    """One record's new value, a canonical JSON text; None deletes it. The key is SCOPE/NAME."""
+    """One record's new value.
+
+    Attributes:
+        table: the record's table.
+        key: SCOPE/NAME.
+        value: canonical JSON; None deletes the record.
+    """
 
     table: str
     key: str
@@ -24,7 +31,7 @@
 
     @property
     def size(self) -> int:
-        """About its bytes on the wire: values are ASCII as canonical JSON is."""
+        """Its approximate bytes on the wire: values are ASCII, as canonical JSON is."""
         return len(self.table) + len(self.key) + len(self.value or "") + RECORD_OVERHEAD_BYTES
 
 
@@ -32,36 +39,42 @@
 
 
 class ScopeId(NamedTuple):
-    """The unit of subscription, of digests and of repair."""
+    """A scope of a table: the unit of subscription, of digests and of repair."""
 
     table: str
     scope: str
 
 
 def split_key(place: str, key: str) -> tuple[str, str]:
-    """The scope and the name of a record. Raises InvalidRecordError."""
+    """Return the scope and the name of a record.
+
+    Raises:
+        InvalidRecordError: the key is not SCOPE/NAME.
+    """
     scope, slash, name = key.partition("/")
-    if not slash or not KEY_PART.match(scope) or not KEY_PART.match(name):
+    if not slash or not KEY_PART_PATTERN.match(scope) or not KEY_PART_PATTERN.match(name):
         raise InvalidRecordError(
             place,
             f"key {key!r:.140} is not SCOPE/NAME",
-            f"use 1 to {KEY_PART_MOST} of the characters A-Z a-z 0-9 . _ - for each",
+            f"use 1 to {MAX_KEY_PART_LENGTH} of the characters A-Z a-z 0-9 . _ - for each",
         )
     return scope, name
 
 
 def scope_of(change: Change) -> ScopeId:
-    """Of a change whose key has been checked."""
+    """Return the scope of a change whose key has been checked."""
     return ScopeId(change.table, change.key.partition("/")[0])
 
 
 def record_digest(table: str, key: str, value: str) -> int:
-    """One record's part of its scope's digest, which is the sum of these: it guards against faults, not
-    against forgery.
+    """Return one record's summand of its scope's digest.
+
+    The digest guards against faults, not against forgery.
     """
     text = f"{table}\0{key}\0{value}".encode()
     return int.from_bytes(blake2b(text, digest_size=DIGEST_BYTES).digest(), "big")
 
 
 def digest_bytes(digest: int) -> bytes:
+    """Return a digest as it stands on the wire."""
     return digest.to_bytes(DIGEST_BYTES, "big")
--- a/pumicenotch/distribution/data/subscription.py
+++ b/pumicenotch/distribution/data/subscription.py
@@ -1,17 +1,22 @@
-"""Which scopes an instance needs. Its state, its traffic and its work follow this, not the fleet's total."""
+"""Which scopes an instance needs.
+
+Its state, its traffic and its work follow the subscription, not the fleet's total.
+"""
 
 from bisect import bisect_right
 from collections.abc import Iterable, Mapping
 from typing import Any
 
-from pumicenotch.distribution.data.records import KEY_PART, ScopeId
+from pumicenotch.distribution.data.records import KEY_PART_PATTERN, ScopeId
 from pumicenotch.distribution.errors import InvalidSubscriptionError
 
-SCOPES_MOST = 1024  # named in one subscription: beyond that, a whole table is asked for
-TABLES_MOST = 16
-ALL = None  # in place of a table's scopes: every scope that it has or will have
+# Named in one subscription; instead of more, a complete table is subscribed to.
+MAX_SCOPES = 1024
+MAX_TABLES = 16
+# In place of a table's scopes: every scope that it has or will have.
+ALL = None
 
-PLACE = "subscription"
+ERROR_PLACE = "subscription"
 
 
 class Subscription:
@@ -29,47 +34,56 @@
 
     @property
     def tables(self) -> Mapping[str, frozenset[str] | None]:
+        """The scopes by table; None stands for all of a table."""
         return self._tables
 
     def contains(self, table: str, scope: str) -> bool:
+        """Whether the scope is subscribed to."""
         if table not in self._tables:
             return False
         scopes = self._tables[table]
         return scopes is None or scope in scopes
 
-    def covers(self, other: "Subscription") -> bool:
-        """Whether every scope of the other is one of this, now and later."""
-        return all(self._covers_table(table, scopes) for table, scopes in other._tables.items())
+    def covers(self, subscription: "Subscription") -> bool:
+        """Whether every scope of that subscription is one of this, now and later."""
+        return all(
+            self._covers_table(table, scopes) for table, scopes in subscription.tables.items()
+        )
 
     def _covers_table(self, table: str, scopes: frozenset[str] | None) -> bool:
         if table not in self._tables:
             return False
-        held = self._tables[table]
-        return held is None or (scopes is not None and scopes <= held)
+        own_scopes = self._tables[table]
+        return own_scopes is None or (scopes is not None and scopes <= own_scopes)
 
     def named_after(self, table: str, after: str) -> list[str]:
-        """The scopes that it names of that table and that come after that one, in order."""
-        ordered = self._ordered.get(table)
-        if ordered is None:
-            ordered = self._ordered[table] = sorted(self._tables.get(table) or ())
+        """Return the scopes that it names of a table and that come after that one, in order."""
+        if table not in self._ordered:
+            self._ordered[table] = sorted(self._tables.get(table) or ())
+        ordered = self._ordered[table]
         return ordered[bisect_right(ordered, after) :]
 
-    def union(self, other: "Subscription") -> "Subscription":
-        """Both; a table of which that names too many scopes is taken whole."""
-        return union_of((self, other))
+    def union(self, subscription: "Subscription") -> "Subscription":
+        """Return the union of both; see `union_of`."""
+        return union_of((self, subscription))
 
-    def intersection(self, other: "Subscription") -> "Subscription":
-        """What both contain."""
+    def intersection(self, subscription: "Subscription") -> "Subscription":
+        """Return what both contain."""
         shared: dict[str, frozenset[str] | None] = {}
         for table, scopes in self._tables.items():
-            if table in other._tables:
-                others = other._tables[table]
-                both = others if scopes is None else scopes if others is None else scopes & others
-                shared[table] = both
+            if table not in subscription.tables:
+                continue
+            second_scopes = subscription.tables[table]
+            if scopes is None:
+                shared[table] = second_scopes
+            elif second_scopes is None:
+                shared[table] = scopes
+            else:
+                shared[table] = scopes & second_scopes
         return Subscription(shared)
 
     def scopes(self) -> list[ScopeId]:
-        """The scopes that it names; those of tables taken whole are not among them."""
+        """Return the scopes that it names; those of tables with ALL are not among them."""
         return [
             ScopeId(table, scope)
             for table, scopes in self._tables.items()
@@ -77,7 +91,8 @@
             for scope in sorted(scopes)
         ]
 
-    def plain(self) -> list[list[Any]]:
+    def encode(self) -> list[object]:
+        """Return it as a list of tables and lists of scopes, as JSON and MessagePack carry it."""
         return [
             [table, None if scopes is None else sorted(scopes)]
             for table, scopes in self._tables.items()
@@ -94,14 +109,16 @@
 
 
 class _Everything(Subscription):
-    """Of a voter: whatever tables there are or will be."""
+    """A voter's: whatever tables there are or will be."""
 
     __slots__ = ()
 
     def contains(self, table: str, scope: str) -> bool:
+        """Return True."""
         return True
 
-    def covers(self, other: Subscription) -> bool:
+    def covers(self, subscription: Subscription) -> bool:
+        """Return True."""
         return True
 
 
@@ -110,16 +127,16 @@
 
 
 def union_of(subscriptions: Iterable[Subscription]) -> Subscription:
-    """All of them; tables of which they name too many scopes are taken whole."""
+    """Return the union; tables of which too many scopes would be named are taken completely."""
     merged: dict[str, set[str] | None] = {}
     for subscription in subscriptions:
         for table, scopes in subscription.tables.items():
-            held = merged.setdefault(table, set())
-            if scopes is None or held is None:
+            merged_scopes = merged.setdefault(table, set())
+            if scopes is None or merged_scopes is None:
                 merged[table] = ALL
             else:
-                held.update(scopes)
-    while sum(len(scopes) for scopes in merged.values() if scopes is not None) > SCOPES_MOST:
+                merged_scopes.update(scopes)
+    while sum(len(scopes) for scopes in merged.values() if scopes is not None) > MAX_SCOPES:
         largest = max(
             (len(scopes), table) for table, scopes in merged.items() if scopes is not None
         )[1]
@@ -127,27 +144,33 @@
     return Subscription(merged)
 
 
-def subscription_of(told: Any) -> Subscription:
-    """From what `plain` gives. Raises InvalidSubscriptionError."""
-    if not isinstance(told, list | tuple) or len(told) > TABLES_MOST:
+def decode_subscription(encoded: Any) -> Subscription:
+    """Return the subscription that `encode` gave.
+
+    Raises:
+        InvalidSubscriptionError: it is none, or names too many scopes.
+    """
+    if not isinstance(encoded, list | tuple) or len(encoded) > MAX_TABLES:
         raise InvalidSubscriptionError(
-            PLACE, "no list of tables", f"name up to {TABLES_MOST} tables"
+            ERROR_PLACE, "no list of tables", f"name up to {MAX_TABLES} tables"
         )
     tables: dict[str, Iterable[str] | None] = {}
     count = 0
-    for pair in told:
+    for pair in encoded:
         if not isinstance(pair, list | tuple) or len(pair) != 2 or not _is_key_part(pair[0]):
             raise InvalidSubscriptionError(
-                PLACE, f"{pair!r:.80} is no table with its scopes", "give a pair of them"
+                ERROR_PLACE, f"{pair!r:.80} is no table with its scopes", "give a pair of them"
             )
         table, scopes = pair
         if scopes is not None:
             _check_scopes(table, scopes)
             count += len(scopes)
         tables[table] = scopes
-    if count > SCOPES_MOST:
+    if count > MAX_SCOPES:
         raise InvalidSubscriptionError(
-            PLACE, f"{count} scopes are named", f"name up to {SCOPES_MOST}, or take a table whole"
+            ERROR_PLACE,
+            f"{count} scopes are named",
+            f"name up to {MAX_SCOPES}, or subscribe to the complete table",
         )
     return Subscription(tables)
 
@@ -155,11 +178,11 @@
 def _check_scopes(table: str, scopes: Any) -> None:
     if not isinstance(scopes, list | tuple | set | frozenset) or not all(map(_is_key_part, scopes)):
         raise InvalidSubscriptionError(
-            PLACE,
+            ERROR_PLACE,
             f"the scopes of {table} are no list of names",
             "use the characters A-Z a-z 0-9 . _ -",
         )
 
 
-def _is_key_part(told: Any) -> bool:
-    return isinstance(told, str) and KEY_PART.match(told) is not None
+def _is_key_part(value: Any) -> bool:
+    return isinstance(value, str) and KEY_PART_PATTERN.match(value) is not None
--- a/pumicenotch/distribution/data/tables.py
+++ b/pumicenotch/distribution/data/tables.py
@@ -4,7 +4,7 @@
 from collections.abc import Mapping
 from typing import Any, NamedTuple
 
-from pumicenotch.distribution.data.records import VALUE_BYTES_MOST, Change, split_key
+from pumicenotch.distribution.data.records import MAX_VALUE_BYTES, Change, split_key
 from pumicenotch.distribution.errors import (
     InvalidRecordError,
     OversizedRecordError,
@@ -43,14 +43,18 @@
 
 
 def canonical(value: Mapping[str, Any]) -> str:
-    """The one text of a record's value: keys in order, no spaces, ASCII."""
+    """Return the one text of a record's value: keys in order, no spaces, ASCII."""
     return json.dumps(
         value, sort_keys=True, separators=(",", ":"), ensure_ascii=True, allow_nan=False
     )
 
 
 def table_of(tables: Mapping[str, Table], name: str) -> Table:
-    """Raises UnknownTableError."""
+    """Return the table of that name.
+
+    Raises:
+        UnknownTableError: there is none.
+    """
     table = tables.get(name)
     if table is None:
         raise UnknownTableError(
@@ -60,7 +64,12 @@
 
 
 def check_change(tables: Mapping[str, Table], change: Change) -> None:
-    """What a publisher's change must be. Raises the error that fits."""
+    """Check a publisher's change.
+
+    Raises:
+        UnknownTableError, InvalidRecordError, OversizedRecordError, UnreadableFormError: it cannot
+            be published.
+    """
     table = table_of(tables, change.table)
     place = f"record {change.table}:{change.key!s:.140}"
     split_key(place, change.key)
@@ -74,15 +83,18 @@
 
 
 def read_value(table: Table, key: str, text: str) -> Mapping[str, Any]:
-    """The value of a record, of a form that this program reads. Raises InvalidRecordError, OversizedRecordError and
-    UnreadableFormError.
+    """Return the value of a record.
+
+    Raises:
+        InvalidRecordError, OversizedRecordError: it is no value of its table.
+        UnreadableFormError: its form is newer than this program reads.
     """
     place = f"record {table.name}:{key}"
-    if len(text) > VALUE_BYTES_MOST:
+    if len(text) > MAX_VALUE_BYTES:
         raise OversizedRecordError(
             place,
             f"the value has {len(text)} bytes",
-            f"keep it within {VALUE_BYTES_MOST}, or divide it",
+            f"keep it within {MAX_VALUE_BYTES}, or divide it",
         )
     try:
         value = json.loads(text)
--- a/pumicenotch/distribution/data/view.py
+++ b/pumicenotch/distribution/data/view.py
@@ -1,5 +1,6 @@
-"""What is in force, as immutable views that share what did not change, and the builder that makes the next
-view in bounded slices, for a switch at one instant.
+"""Immutable views of the configuration, which share what did not change.
+
+A `Builder` stages the next view in bounded slices, for a switch at one instant.
 """
 
 from bisect import bisect_right
@@ -8,8 +9,8 @@
 
 from pumicenotch.distribution.data.records import (
     DIGEST_MODULUS,
-    SCOPE_RECORDS_MOST,
-    TABLE_SCOPES_MOST,
+    MAX_SCOPE_RECORDS,
+    MAX_TABLE_SCOPES,
     Change,
     ScopeId,
     record_digest,
@@ -17,28 +18,29 @@
 from pumicenotch.distribution.data.subscription import Subscription
 from pumicenotch.distribution.errors import OversizedScopeError
 
-COPIED_RECORDS_A_CHANGE = 32  # copying so many records of a scope counts as one change in a slice
+# Copying so many records of a scope costs as much as one change in a slice.
+COPIED_RECORDS_PER_CHANGE = 32
 
 
 class Scope:
     """The records of one scope by name, with their digest. Never changed once it is in a view."""
 
-    __slots__ = ("_names", "digest", "dumped", "records")
+    __slots__ = ("_names", "digest", "encoded", "records")
 
     def __init__(self, records: dict[str, str], digest: int) -> None:
         self.records = records
         self.digest = digest
-        self.dumped: bytes | None = None  # kept by the book, so that a dump costs what has changed
+        self.encoded: bytes | None = None  # cached by the book's snapshot
         self._names: list[str] | None = None
 
     def names_after(self, after: str) -> list[str]:
-        """The names that come after that one, in order."""
+        """Return the record names that come after that one, in order."""
         if self._names is None:
             self._names = sorted(self.records)
         return self._names[bisect_right(self._names, after) :] if after else self._names
 
     def recomputed(self, scope_id: ScopeId) -> int:
-        """The digest made anew of the records."""
+        """Return the digest computed from the records."""
         table, scope = scope_id
         return (
             sum(
@@ -59,10 +61,11 @@
         self._names: list[str] | None = None
 
     def names_after(self, after: str) -> Iterator[str]:
+        """Yield the scope names that come after that one, in order."""
         if self._names is None:
             self._names = list(self.scopes)
-        for at in range(bisect_right(self._names, after), len(self._names)):
-            yield self._names[at]
+        for index in range(bisect_right(self._names, after), len(self._names)):
+            yield self._names[index]
 
 
 NO_RECORDS: Mapping[str, str] = MappingProxyType({})
@@ -70,7 +73,7 @@
 
 
 class View:
-    """The configuration at one version, as far as it is held. Immutable."""
+    """The configuration at one version, as far as this process has it. Immutable."""
 
     __slots__ = ("_tables", "version")
 
@@ -80,65 +83,73 @@
 
     @property
     def tables(self) -> Mapping[str, TableView]:
+        """The tables by name."""
         return self._tables
 
     def lookup(self, table: str, key: str) -> str | None:
-        """The value of a record, a JSON text; None where there is none."""
+        """Return the value of a record, a JSON text; None where there is none."""
         scope, _, name = key.partition("/")
         return self.scope(table, scope).get(name)
 
     def scope(self, table: str, scope: str) -> Mapping[str, str]:
-        held = self.held(ScopeId(table, scope))
-        return NO_RECORDS if held is None else MappingProxyType(held.records)
+        """Return the values of a scope's records by name."""
+        known_scope = self.find(ScopeId(table, scope))
+        return NO_RECORDS if known_scope is None else MappingProxyType(known_scope.records)
 
     def digest(self, table: str, scope: str) -> int:
-        """0 where there are no records."""
-        held = self.held(ScopeId(table, scope))
-        return 0 if held is None else held.digest
+        """Return a scope's digest; 0 where there are no records."""
+        known_scope = self.find(ScopeId(table, scope))
+        return 0 if known_scope is None else known_scope.digest
 
-    def held(self, scope_id: ScopeId) -> Scope | None:
+    def find(self, scope_id: ScopeId) -> Scope | None:
+        """Return a scope; None where there are no records."""
         return self._tables.get(scope_id.table, NO_TABLE).scopes.get(scope_id.scope)
 
     def scope_ids(self) -> Iterator[ScopeId]:
+        """Yield all scopes, by table and name."""
         for table in sorted(self._tables):
             for scope in self._tables[table].scopes:
                 yield ScopeId(table, scope)
 
     def subscribed_after(self, subscription: Subscription, after: ScopeId) -> Iterator[ScopeId]:
-        """The scopes of a subscription that come after that one, by table and name."""
-        for table, wanted in subscription.tables.items():
+        """Yield the scopes of a subscription that come after that one, by table and name."""
+        for table, wanted_scopes in subscription.tables.items():
             if table < after.table:
                 continue
             first = after.scope if table == after.table else ""
-            held = self._tables.get(table, NO_TABLE)
+            table_view = self._tables.get(table, NO_TABLE)
             names = (
-                held.names_after(first)
-                if wanted is None
+                table_view.names_after(first)
+                if wanted_scopes is None
                 else subscription.named_after(table, first)
             )
             for scope in names:
-                if scope in held.scopes:
+                if scope in table_view.scopes:
                     yield ScopeId(table, scope)
 
     def record_count(self) -> int:
+        """Return how many records there are in all."""
         return sum(
             len(scope.records) for table in self._tables.values() for scope in table.scopes.values()
         )
 
 
 class Builder:
-    """Stages changes onto copies of scopes. The view that it began from stays as it is."""
+    """Stages changes onto copies of scopes; the view that it starts from remains as it is."""
 
     def __init__(self, view: View) -> None:
         self.base = view
         self._drafts: dict[ScopeId, Scope] = {}
-        self._shared: set[ScopeId] = (
-            set()
-        )  # drafts that are somebody's whole scope: copied before a change
+        # Drafts that are a scope in use elsewhere: copied before a change.
+        self._shared: set[ScopeId] = set()
         self._new_scopes: dict[str, int] = {}
 
     def put(self, change: Change) -> int:
-        """Stages one change, and says what it cost in changes. Raises OversizedScopeError."""
+        """Stage one change, and return its cost in changes.
+
+        Raises:
+            OversizedScopeError: the scope or the table would have too many records or scopes.
+        """
         scope_name, _, name = change.key.partition("/")
         scope_id = ScopeId(change.table, scope_name)
         draft, cost = self._draft(scope_id)
@@ -153,21 +164,22 @@
         return cost
 
     def replace(self, scope_id: ScopeId, scope: Scope) -> None:
-        """The whole scope, as it came from a source."""
+        """Stage a complete scope, as it came from a source."""
         self._drafts[scope_id] = scope
         self._shared.add(scope_id)
 
     def drop(self, scope_id: ScopeId) -> None:
-        if self.base.held(scope_id) is not None or scope_id in self._drafts:
+        """Stage the removal of a scope."""
+        if self.base.find(scope_id) is not None or scope_id in self._drafts:
             self.replace(scope_id, Scope({}, 0))
 
     def digest(self, scope_id: ScopeId) -> int:
-        """As it would be after what is staged."""
-        draft = self._drafts.get(scope_id) or self.base.held(scope_id)
+        """Return a scope's digest after what is staged."""
+        draft = self._drafts.get(scope_id) or self.base.find(scope_id)
         return 0 if draft is None else draft.digest
 
     def finish(self, version: int) -> View:
-        """The next view, at once: the work was done while it was staged."""
+        """Return the next view; the work was done while it was staged."""
         tables = dict(self.base.tables)
         for table in {scope_id.table for scope_id in self._drafts}:
             scopes = dict(tables.get(table, NO_TABLE).scopes)
@@ -190,30 +202,30 @@
         draft = self._drafts.get(scope_id)
         if draft is not None and scope_id not in self._shared:
             return draft, 1
-        held = draft or self.base.held(scope_id)
-        if held is None:
+        original = draft or self.base.find(scope_id)
+        if original is None:
             self._count_new_scope(scope_id.table)
-            held = Scope({}, 0)
-        draft = Scope(dict(held.records), held.digest)
+            original = Scope({}, 0)
+        draft = Scope(dict(original.records), original.digest)
         self._drafts[scope_id] = draft
         self._shared.discard(scope_id)
-        return draft, 1 + len(draft.records) // COPIED_RECORDS_A_CHANGE
+        return draft, 1 + len(draft.records) // COPIED_RECORDS_PER_CHANGE
 
     def _count_new_scope(self, table: str) -> None:
         count = self._new_scopes.get(table, 0) + 1
-        if count + len(self.base.tables.get(table, NO_TABLE).scopes) > TABLE_SCOPES_MOST:
+        if count + len(self.base.tables.get(table, NO_TABLE).scopes) > MAX_TABLE_SCOPES:
             raise OversizedScopeError(
                 f"table {table}",
-                f"it would have more than {TABLE_SCOPES_MOST} scopes",
+                f"it would have more than {MAX_TABLE_SCOPES} scopes",
                 "delete scopes in a publication before, or use fewer and larger ones",
             )
         self._new_scopes[table] = count
 
     @staticmethod
     def _check_size(scope_id: ScopeId, draft: Scope) -> None:
-        if len(draft.records) > SCOPE_RECORDS_MOST:
+        if len(draft.records) > MAX_SCOPE_RECORDS:
             raise OversizedScopeError(
                 f"scope {scope_id.table}:{scope_id.scope}",
-                f"it would hold more than {SCOPE_RECORDS_MOST} records",
+                f"it would hold more than {MAX_SCOPE_RECORDS} records",
                 "delete records first, or divide it into scopes",
             )
--- a/pumicenotch/distribution/instance_settings.py
+++ b/pumicenotch/distribution/instance_settings.py
@@ -1,4 +1,4 @@
-"""What a configuration file says of one process's part in the distribution, as plain values."""
+"""What a configuration file says of one process's part in the distribution."""
 
 from collections.abc import Mapping
 from typing import Any, NamedTuple
@@ -10,19 +10,21 @@
 
 
 class ScopesOfTable(NamedTuple):
+    """The scopes of a table that an instance needs; None stands for all of them."""
+
     table: str
-    scopes: tuple[str, ...] | None  # None: all of them
+    scopes: tuple[str, ...] | None
 
 
 class NewestForm(NamedTuple):
-    """Records of that table are taken up to this form, whatever the program knows by itself."""
+    """Records of that table are read up to this form, whatever the program knows by itself."""
 
     table: str
     form: int
 
 
 class InstanceSettings(NamedTuple):
-    """A voter has no subscription: it holds all."""
+    """One process's part. A voter has no subscription: it has everything."""
 
     subscription: tuple[ScopesOfTable, ...] = ()
     relay: bool = True
@@ -30,10 +32,11 @@
     settings: Settings = DEFAULTS
 
     def subscribed(self) -> Subscription:
+        """Return the scopes that the instance needs."""
         return Subscription(dict(self.subscription))
 
     def meaning(self) -> str:
-        """For a person."""
+        """Return the subscription as a text for a person."""
         parts = [
             f"{table} (all)" if scopes is None else f"{table} ({', '.join(scopes)})"
             for table, scopes in self.subscription
@@ -41,6 +44,7 @@
         return ", ".join(parts) or "no table"
 
     def tables(self) -> Mapping[str, Table]:
+        """Return the tables, with the newest forms that the instance reads."""
         newest = dict(self.newest_forms)
         return {
             name: table._replace(form=newest.get(name, table.form))
@@ -52,25 +56,29 @@
     """The compiled plan was not written by this program's own reader."""
 
 
-def plain(settings: InstanceSettings) -> dict[str, Any]:
-    """What JSON carries: the limits by name, so that another version of the program may have others."""
+def encode(settings: InstanceSettings) -> dict[str, object]:
+    """Return what JSON carries: limits by name, as other versions of the program may have more."""
     return {**settings._asdict(), "settings": settings.settings._asdict()}
 
 
-def instance_settings_of(told: Any) -> InstanceSettings | None:
-    """What `plain` gave, read from JSON again; None as it is. Raises InvalidInstanceSettingsError."""
-    if told is None:
+def decode_instance_settings(encoded: Any) -> InstanceSettings | None:
+    """Return what `encode` gave, read from JSON again; None stays None.
+
+    Raises:
+        InvalidInstanceSettingsError: it is something else.
+    """
+    if encoded is None:
         return None
     try:
         limits = {
-            name: value for name, value in told["settings"].items() if name in Settings._fields
+            name: value for name, value in encoded["settings"].items() if name in Settings._fields
         }
         if not all(isinstance(value, int | float) for value in limits.values()):
             raise TypeError("limits are numbers")
         return InstanceSettings(
-            tuple(scopes_of_table(each) for each in told["subscription"]),
-            bool(told["relay"]),
-            tuple(NewestForm(str(table), int(form)) for table, form in told["newest_forms"]),
+            tuple(map(_scopes_of_table, encoded["subscription"])),
+            bool(encoded["relay"]),
+            tuple(NewestForm(str(table), int(form)) for table, form in encoded["newest_forms"]),
             DEFAULTS._replace(**limits),
         )
     except (TypeError, ValueError, KeyError, AttributeError) as error:
@@ -79,6 +87,6 @@
         ) from None
 
 
-def scopes_of_table(told: Any) -> ScopesOfTable:
-    table, scopes = told
+def _scopes_of_table(encoded: Any) -> ScopesOfTable:
+    table, scopes = encoded
     return ScopesOfTable(str(table), None if scopes is None else tuple(map(str, scopes)))
--- a/pumicenotch/distribution/node.py
+++ b/pumicenotch/distribution/node.py
@@ -137,7 +137,7 @@
             "relay": self.relay,
             "sources": [link.address for link in self._upstreams.links if link.accepted],
             "children": len(self._source.children),
-            "subscription": self._replica.subscription.plain(),
+            "subscription": self._replica.subscription.encode(),
             "error": None if error is None else {"code": error.code, "text": str(error)},
             "counts": dict(self.counts),
         }
--- a/pumicenotch/distribution/protocol/codec.py
+++ b/pumicenotch/distribution/protocol/codec.py
@@ -1,186 +1,197 @@
-"""Messages as plain values and back. What comes is checked field by field and bounded before it is used."""
+"""The form of messages on the wire: `[kind, *fields]`.
+
+What is received is checked field by field, and bounded, before it is used.
+"""
 
 from collections.abc import Callable
 from typing import Any
 
 from pumicenotch.distribution.data.records import (
     DIGEST_BYTES,
-    VALUE_BYTES_MOST,
+    MAX_VALUE_BYTES,
     Change,
     ScopeId,
     digest_bytes,
 )
-from pumicenotch.distribution.data.subscription import Subscription, subscription_of
+from pumicenotch.distribution.data.subscription import Subscription, decode_subscription
 from pumicenotch.distribution.errors import DistributionError, MalformedMessageError
 from pumicenotch.distribution.protocol import messages as m
-from pumicenotch.distribution.protocol.reports import TROUBLES_MOST, Report, Trouble
+from pumicenotch.distribution.protocol.reports import MAX_NAMED_PROBLEMS, CopyProblem, Report
 
-TEXT_MOST = 128
-PLACE = "configuration message"
-REMEDY = "run programs that speak one version of this protocol, and see which instance sends it"
+MAX_TEXT_LENGTH = 128
+ERROR_PLACE = "configuration message"
+ERROR_REMEDY = (
+    "run programs that speak one version of this protocol, and see which instance sends it"
+)
 Reader = Callable[[Any], Any]
 
 
-def plain(message: m.Message) -> list[Any]:
-    """[kind, *fields], of what MessagePack carries: texts, whole numbers, truth values, bytes, lists."""
-    return [m.NAMES[type(message)], *map(_plain_value, message)]
+def encode(message: m.Message) -> list[object]:
+    """Return the message as MessagePack carries it: lists of texts, numbers, booleans, bytes."""
+    return [m.KINDS_BY_TYPE[type(message)], *map(_encode_value, message)]
 
 
-def _plain_value(value: Any) -> Any:
+def _encode_value(value: Any) -> Any:
     if isinstance(value, Subscription):
-        return value.plain()
+        return value.encode()
     if isinstance(value, m.ScopeDigest):
         return [value.table, value.scope, digest_bytes(value.digest)]
     if isinstance(value, tuple):
-        return [_plain_value(each) for each in value]
+        return [_encode_value(each) for each in value]
     return value
 
 
-def message_of(params: Any) -> m.Message:
-    """The message of [kind, *fields]. Raises MalformedMessageError."""
-    if not isinstance(params, list | tuple) or not params or not isinstance(params[0], str):
+def decode(payload: Any) -> m.Message:
+    """Return the message that `encode` gave.
+
+    Raises:
+        MalformedMessageError: the payload is no message that a source or a replica sends.
+    """
+    if not isinstance(payload, list | tuple) or not payload or not isinstance(payload[0], str):
         raise _malformed("no kind and fields")
-    name, *fields = params
-    readers = FIELDS.get(name)
+    kind, *fields = payload
+    readers = FIELD_READERS.get(kind)
     if readers is None:
-        raise _malformed(f"unknown kind {name!r:.40}")
+        raise _malformed(f"unknown kind {kind!r:.40}")
     if len(fields) != len(readers):
-        raise _malformed(f"{name} has {len(readers)} fields, not {len(fields)}")
+        raise _malformed(f"{kind} has {len(readers)} fields, not {len(fields)}")
     try:
-        message: m.Message = m.KINDS[name]._make(
+        message: m.Message = m.MESSAGE_TYPES[kind]._make(
             reader(field) for reader, field in zip(readers, fields, strict=True)
         )
     except MalformedMessageError:
         raise
     except DistributionError as error:
-        raise _malformed(f"{name}: {error.problem}") from None
+        raise _malformed(f"{kind}: {error.problem}") from None
     except (TypeError, ValueError) as error:
-        raise _malformed(f"{name}: {error}") from None
+        raise _malformed(f"{kind}: {error}") from None
     return message
 
 
 def _malformed(problem: str) -> MalformedMessageError:
-    return MalformedMessageError(PLACE, problem[:200], REMEDY)
+    return MalformedMessageError(ERROR_PLACE, problem[:200], ERROR_REMEDY)
 
 
-def _number(told: Any) -> int:
-    if type(told) is not int or told < 0:
-        raise _malformed(f"{told!r:.40} is no whole number")
-    return told
+def _number(value: Any) -> int:
+    if type(value) is not int or value < 0:
+        raise _malformed(f"{value!r:.40} is no whole number")
+    return value
 
 
-def _truth(told: Any) -> bool:
-    if not isinstance(told, bool):
-        raise _malformed(f"{told!r:.40} is no truth value")
-    return told
+def _boolean(value: Any) -> bool:
+    if not isinstance(value, bool):
+        raise _malformed(f"{value!r:.40} is no boolean")
+    return value
 
 
-def _text(told: Any) -> str:
-    if not isinstance(told, str) or len(told) > TEXT_MOST:
-        raise _malformed(f"{told!r:.40} is no text of up to {TEXT_MOST} characters")
-    return told
+def _text(value: Any) -> str:
+    if not isinstance(value, str) or len(value) > MAX_TEXT_LENGTH:
+        raise _malformed(f"{value!r:.40} is no text of up to {MAX_TEXT_LENGTH} characters")
+    return value
 
 
-def _value(told: Any) -> str:
-    if not isinstance(told, str) or len(told) > VALUE_BYTES_MOST:
-        raise _malformed(f"a value is no text of up to {VALUE_BYTES_MOST} bytes")
-    return told
+def _value(value: Any) -> str:
+    if not isinstance(value, str) or len(value) > MAX_VALUE_BYTES:
+        raise _malformed(f"a value is no text of up to {MAX_VALUE_BYTES} bytes")
+    return value
 
 
-def _digest(told: Any) -> int:
-    if not isinstance(told, bytes) or len(told) != DIGEST_BYTES:
+def _digest(value: Any) -> int:
+    if not isinstance(value, bytes) or len(value) != DIGEST_BYTES:
         raise _malformed(f"a digest is no {DIGEST_BYTES} bytes")
-    return int.from_bytes(told, "big")
+    return int.from_bytes(value, "big")
 
 
-def _list(told: Any, most: int, reader: Reader) -> tuple[Any, ...]:
-    if not isinstance(told, list | tuple) or len(told) > most:
-        raise _malformed(f"a list of up to {most} is wanted")
-    return tuple(map(reader, told))
+def _list(value: Any, max_length: int, reader: Reader) -> tuple[Any, ...]:
+    if not isinstance(value, list | tuple) or len(value) > max_length:
+        raise _malformed(f"a list of up to {max_length} is wanted")
+    return tuple(map(reader, value))
 
 
-def _row(told: Any, *readers: Reader) -> list[Any]:
-    if not isinstance(told, list | tuple) or len(told) != len(readers):
+def _row(value: Any, *readers: Reader) -> list[Any]:
+    if not isinstance(value, list | tuple) or len(value) != len(readers):
         raise _malformed(f"{len(readers)} fields are wanted")
-    return [reader(field) for reader, field in zip(readers, told, strict=True)]
+    return [reader(field) for reader, field in zip(readers, value, strict=True)]
 
 
-def _cursor(told: Any) -> m.Cursor:
-    return m.Cursor(*_row(told, _text, _text, _number))
+def _cursor(value: Any) -> m.Cursor:
+    return m.Cursor(*_row(value, _text, _text, _number))
 
 
-def _scope_id(told: Any) -> ScopeId:
-    return ScopeId(*_row(told, _text, _text))
+def _scope_id(value: Any) -> ScopeId:
+    return ScopeId(*_row(value, _text, _text))
 
 
-def _scope_digest(told: Any) -> m.ScopeDigest:
-    return m.ScopeDigest(*_row(told, _text, _text, _digest))
+def _scope_digest(value: Any) -> m.ScopeDigest:
+    return m.ScopeDigest(*_row(value, _text, _text, _digest))
 
 
-def _want(told: Any) -> m.Want:
-    return m.Want(*_row(told, _text, _text, _text))
+def _want(value: Any) -> m.Want:
+    return m.Want(*_row(value, _text, _text, _text))
 
 
-def _name_and_value(told: Any) -> tuple[str, str]:
-    name, value = _row(told, _text, _value)
+def _name_and_value(value: Any) -> tuple[str, str]:
+    name, value = _row(value, _text, _value)
     return name, value
 
 
-def _part(told: Any) -> m.ScopePart:
-    return m.ScopePart(*_row(told, _text, _text, _records, _truth))
+def _scope_page(value: Any) -> m.ScopePage:
+    return m.ScopePage(*_row(value, _text, _text, _records, _boolean))
 
 
-def _records(told: Any) -> tuple[tuple[str, str], ...]:
-    return _list(told, m.PAGE_CHANGES_MOST, _name_and_value)
+def _records(value: Any) -> tuple[tuple[str, str], ...]:
+    return _list(value, m.MAX_PAGE_CHANGES, _name_and_value)
 
 
-def _parts(told: Any) -> tuple[m.ScopePart, ...]:
-    parts = _list(told, m.WANTS_MOST, _part)
-    if sum(len(part.records) for part in parts) > m.PAGE_CHANGES_MOST:
-        raise _malformed(f"more than {m.PAGE_CHANGES_MOST} records")
+def _parts(value: Any) -> tuple[m.ScopePage, ...]:
+    parts = _list(value, m.MAX_WANTS, _scope_page)
+    if sum(len(part.records) for part in parts) > m.MAX_PAGE_CHANGES:
+        raise _malformed(f"more than {m.MAX_PAGE_CHANGES} records")
     return parts
 
 
-def _change(told: Any) -> Change:
-    return Change(*_row(told, _text, _text, lambda value: None if value is None else _value(value)))
+def _change(value: Any) -> Change:
+    return Change(
+        *_row(value, _text, _text, lambda value: None if value is None else _value(value))
+    )
 
 
-def _trouble(told: Any) -> Trouble:
-    return Trouble(*_row(told, _text, _number, _text))
+def _problem(value: Any) -> CopyProblem:
+    return CopyProblem(*_row(value, _text, _number, _text))
 
 
-def _troubles(told: Any) -> tuple[Trouble, ...]:
-    return _list(told, TROUBLES_MOST, _trouble)
+def _problems(value: Any) -> tuple[CopyProblem, ...]:
+    return _list(value, MAX_NAMED_PROBLEMS, _problem)
 
 
-def _report(told: Any) -> Report:
-    return Report(*_row(told, _number, _number, _number, _number, _troubles, _number))
+def _report(value: Any) -> Report:
+    return Report(*_row(value, _number, _number, _number, _number, _problems, _number))
 
 
-def _changes(told: Any) -> tuple[Change, ...]:
-    return _list(told, m.PAGE_CHANGES_MOST, _change)
+def _changes(value: Any) -> tuple[Change, ...]:
+    return _list(value, m.MAX_PAGE_CHANGES, _change)
 
 
-def _digests(told: Any) -> tuple[m.ScopeDigest, ...]:
-    return _list(told, m.PAGE_CHANGES_MOST, _scope_digest)
+def _digests(value: Any) -> tuple[m.ScopeDigest, ...]:
+    return _list(value, m.MAX_PAGE_CHANGES, _scope_digest)
 
 
-def _wants(told: Any) -> tuple[m.Want, ...]:
-    return _list(told, m.WANTS_MOST, _want)
+def _wants(value: Any) -> tuple[m.Want, ...]:
+    return _list(value, m.MAX_WANTS, _want)
 
 
-def _names(told: Any) -> tuple[str, ...]:
-    return _list(told, m.ROSTER_MOST, _text)
+def _names(value: Any) -> tuple[str, ...]:
+    return _list(value, m.MAX_ROSTER_NAMES, _text)
 
 
-def _candidates(told: Any) -> tuple[str, ...]:
-    return _list(told, m.CANDIDATES_MOST, _text)
+def _candidates(value: Any) -> tuple[str, ...]:
+    return _list(value, m.MAX_CANDIDATES, _text)
 
 
-FIELDS: dict[str, tuple[Reader, ...]] = {
-    "subscribe": (_number, _number, _number, _truth, subscription_of),
+FIELD_READERS: dict[str, tuple[Reader, ...]] = {
+    "subscribe": (_number, _number, _number, _boolean, decode_subscription),
     "unsubscribe": (),
-    "acknowledge": (_number, _truth, _report),
+    "acknowledge": (_number, _boolean, _report),
     "pull": (_number, _number, _number, _cursor),
     "compare": (_number, _number, _number, _scope_id),
     "fetch": (_number, _number, _wants),
@@ -197,11 +208,11 @@
         _number,
         _cursor,
         _cursor,
-        _truth,
+        _boolean,
         _changes,
         _digests,
     ),
-    "scopes": (_number, _number, _number, _number, _digests, _truth),
+    "scopes": (_number, _number, _number, _number, _digests, _boolean),
     "records": (_number, _number, _parts),
     "mismatch": (_number, _text, _text),
     "progress": (_report,),
--- a/pumicenotch/distribution/protocol/messages.py
+++ b/pumicenotch/distribution/protocol/messages.py
@@ -1,6 +1,4 @@
-"""What sources, replicas and voters send each other. `codec` makes plain values of them, and reads those
-again within bounds.
-"""
+"""What sources, replicas and voters send each other. `codec` has their form on the wire."""
 
 from typing import Any, NamedTuple
 
@@ -8,26 +6,29 @@
 from pumicenotch.distribution.data.subscription import Subscription
 from pumicenotch.distribution.protocol.reports import Report
 
-METHOD = "configuration"  # of the notices that carry these messages
-PAGE_BYTES_MOST = 32 * 1024  # of records in one message
-PAGE_CHANGES_MOST = 160  # read and staged within 1 ms
-PAGE_SCOPES_MOST = 256
-WANTS_MOST = 64  # scopes named in one Fetch
-CANDIDATES_MOST = 8
-ROSTER_MOST = 1024
-AGE_UNKNOWN_MS = (1 << 31) - 1  # of whoever never knew what is current
-
-# Why a source refuses
-NOT_A_RELAY = "not-a-relay"  # it has no voters as sources, or can't read what is in force
-UNKNOWN_CHILD = "unknown-child"  # subscribe first: it has restarted or forgotten
-BUSY = "busy"  # come back later: admission, or too many children or transfers
-NOT_READY = "not-ready"  # it does not hold all of the subscription yet
+METHOD = "configuration"  # the method of the notifications that carry these messages
+# Of records in one message.
+MAX_PAGE_BYTES = 32 * 1024
+# As many as are read and staged within 1 ms.
+MAX_PAGE_CHANGES = 160
+MAX_PAGE_SCOPES = 256
+MAX_WANTS = 64
+MAX_CANDIDATES = 8
+MAX_ROSTER_NAMES = 1024
+# The age of a copy that was never known to be current.
+AGE_UNKNOWN_MS = (1 << 31) - 1
+
+# Why a source refuses a request.
+NOT_A_RELAY = "not-a-relay"  # it has no voters as sources, or cannot read the current version
+UNKNOWN_CHILD = "unknown-child"  # subscribe first: it has restarted or dropped the child
+BUSY = "busy"  # retry later: its rate limit, or too many children or transfers
+NOT_READY = "not-ready"  # it does not have all of the subscription yet
 COMPACTED = "compacted"  # its log does not reach back so far: compare scopes
-NO_TRANSFER = "no-transfer"  # it no longer keeps that transfer: begin anew
+NO_TRANSFER = "no-transfer"  # it no longer keeps that transfer: start another
 
 
 class Cursor(NamedTuple):
-    """A place in the changes of one publication, ordered by table and scope; `offset` counts in the scope."""
+    """A position in the changes of one version; `offset` counts the changes in the scope."""
 
     table: str = ""
     scope: str = ""
@@ -35,25 +36,28 @@
 
 
 START = Cursor()
-FIRST_SCOPE = ScopeId("", "")  # comes before all scopes
+# Comes before all scopes.
+BEFORE_ALL_SCOPES = ScopeId("", "")
 
 
 class ScopeDigest(NamedTuple):
+    """The digest of a scope's records."""
+
     table: str
     scope: str
     digest: int
 
 
 class Want(NamedTuple):
-    """The records of a scope whose names come after `after`."""
+    """Asks for the records of a scope whose names come after `after`."""
 
     table: str
     scope: str
     after: str = ""
 
 
-class ScopePart(NamedTuple):
-    """Some records of a scope, in the order of their names: (name, value) pairs; `done` with the last."""
+class ScopePage(NamedTuple):
+    """Records of a scope as (name, value) pairs, by name; `done` with the last of the scope."""
 
     table: str
     scope: str
@@ -65,12 +69,20 @@
 
 
 class Subscribe(NamedTuple):
-    """`generation` numbers the child's subscriptions: what is filtered by another one it can't use."""
+    """Asks to be served.
+
+    Attributes:
+        request: numbers the child's requests.
+        generation: numbers its subscriptions; it cannot use what is filtered by another one.
+        version: in force at the child.
+        primary: whether it wants pushes, or announcements alone.
+        subscription: the scopes that it needs.
+    """
 
     request: int
     generation: int
-    version: int  # in force at the child
-    primary: bool  # whether pushes are wanted, or announcements alone
+    version: int
+    primary: bool
     subscription: Subscription
 
 
@@ -79,7 +91,7 @@
 
 
 class Acknowledge(NamedTuple):
-    """What the child and all that it serves have in force. Also what says that it is alive."""
+    """What the child and all that it serves have in force; also its heartbeat."""
 
     version: int
     primary: bool
@@ -87,7 +99,7 @@
 
 
 class Pull(NamedTuple):
-    """The changes after version `have`; of the next version alone, from `start` on."""
+    """Asks for the changes after version `have`, of the next one from `start` on."""
 
     request: int
     generation: int
@@ -96,18 +108,19 @@
 
 
 class Compare(NamedTuple):
-    """The digests of the subscribed scopes that come after `after`. The first one of a transfer fixes its
-    version at the source.
+    """Asks for the digests of the subscribed scopes that come after `after`.
+
+    The first one of a transfer fixes the transfer's version at the source.
     """
 
     request: int
     generation: int
     transfer: int
-    after: ScopeId = FIRST_SCOPE
+    after: ScopeId = BEFORE_ALL_SCOPES
 
 
 class Fetch(NamedTuple):
-    """Records of scopes as of the transfer's version."""
+    """Asks for records of scopes at the transfer's version."""
 
     request: int
     transfer: int
@@ -115,13 +128,13 @@
 
 
 class EndTransfer(NamedTuple):
-    """The source need not keep that transfer's view any longer."""
+    """The source may drop that transfer's view."""
 
     transfer: int
 
 
 class Check(NamedTuple):
-    """Is this the digest of that scope at that version?"""
+    """Asks whether this is the digest of that scope at that version."""
 
     version: int
     scope: ScopeDigest
@@ -131,13 +144,15 @@
 
 
 class Accepted(NamedTuple):
+    """Answers Subscribe. `age_ms`: how long ago the version was known to be current."""
+
     request: int
     version: int
     age_ms: int
 
 
 class Refused(NamedTuple):
-    """`request` is that of the message refused, or 0. `candidates` are addresses of better sources."""
+    """Refuses a request, or everything with request 0; `candidates` are other sources."""
 
     request: int
     reason: str
@@ -146,16 +161,17 @@
 
 
 class Announce(NamedTuple):
-    """The source has this version in force, and knew it to be current so long ago."""
+    """The source has this version in force, and knew it to be current `age_ms` ago."""
 
     version: int
     age_ms: int
 
 
 class Delta(NamedTuple):
-    """The changes that lead from `previous` to `version`, filtered by the child's subscription: whole, or a
-    page of them from `start` to `end`. `digests` are those of the scopes that this page changes, as of
-    `version`. Pushed with request 0.
+    """Changes that lead from `previous` to `version`, filtered by the child's subscription.
+
+    All of them, or a page from `start` to `end`. `digests` are those of the scopes that the page
+    changes, at `version`. Pushed with request 0.
     """
 
     request: int
@@ -182,15 +198,15 @@
 
 
 class Records(NamedTuple):
-    """Answers Fetch; at least one part, not necessarily all that was wanted."""
+    """Answers Fetch with at least one page of a scope, not necessarily all that was wanted."""
 
     request: int
     transfer: int
-    parts: tuple[ScopePart, ...]
+    parts: tuple[ScopePage, ...]
 
 
 class Mismatch(NamedTuple):
-    """Answers Check where the digest is another one; a match is not answered."""
+    """Answers Check where the digest differs; a match is not answered."""
 
     version: int
     table: str
@@ -198,14 +214,15 @@
 
 
 class Progress(NamedTuple):
-    """From a voter to the leader: all that it serves, aggregated."""
+    """From a voter to the leader: the aggregated report of all that it serves."""
 
     report: Report
 
 
 class Roster(NamedTuple):
-    """Whom a relay or a voter serves as their primary source, by name: from a relay to its voter, and from
-    there to the leader, when it changes and now and then.
+    """The names of those that a relay or a voter serves as their primary source.
+
+    From a relay to its voter, and from there to the leader, on changes and periodically.
     """
 
     owner: str
@@ -231,7 +248,8 @@
     | Progress
     | Roster
 )
-KINDS: dict[str, type[Any]] = {
+# The words on the wire.
+MESSAGE_TYPES: dict[str, type[Any]] = {
     "subscribe": Subscribe,
     "unsubscribe": Unsubscribe,
     "acknowledge": Acknowledge,
@@ -250,4 +268,4 @@
     "progress": Progress,
     "roster": Roster,
 }
-NAMES: dict[type[Any], str] = {kind: name for name, kind in KINDS.items()}
+KINDS_BY_TYPE: dict[type[Any], str] = {type_: kind for kind, type_ in MESSAGE_TYPES.items()}
--- a/pumicenotch/distribution/protocol/reports.py
+++ b/pumicenotch/distribution/protocol/reports.py
@@ -1,14 +1,16 @@
-"""Acknowledgements in aggregate: how many copies there are below, how many are current, and who is not."""
+"""Aggregated acknowledgements: how many copies there are, how many are current, which are not."""
 
 from collections.abc import Iterable
 from typing import NamedTuple
 
-TROUBLES_MOST = 64  # named in one report; of more, the count is told
-BEHIND = "behind"  # the code of a copy that is only late
+# Of further ones a report has only the count.
+MAX_NAMED_PROBLEMS = 64
+# The code of a copy that is late, without an error.
+BEHIND = "behind"
 
 
-class Trouble(NamedTuple):
-    """A copy that is behind the newest version, and why: an error's code, or BEHIND."""
+class CopyProblem(NamedTuple):
+    """A copy that has not the newest version in force, and why: an error's code, or BEHIND."""
 
     name: str
     version: int
@@ -16,40 +18,49 @@
 
 
 class Report(NamedTuple):
-    """Of a copy and all that it serves."""
+    """The state of a copy and of all that it serves.
+
+    Attributes:
+        copies: how many there are.
+        lowest: the lowest version in force at any of them.
+        newest: the newest version that any of them knows of.
+        current: how many have the newest in force.
+        problems: those that have not, as far as they are named.
+        unnamed: how many more have not.
+    """
 
     copies: int
-    lowest: int  # version in force at any of them
-    newest: int  # version that any of them knows of
-    current: int  # how many have the newest in force
-    troubles: tuple[Trouble, ...] = ()
-    unnamed: int = 0  # further ones behind or in trouble
+    lowest: int
+    newest: int
+    current: int
+    problems: tuple[CopyProblem, ...] = ()
+    unnamed: int = 0
 
 
 EMPTY = Report(0, 0, 0, 0)
 
 
 def own_report(name: str, version: int, newest: int, code: str) -> Report:
-    """Of one copy alone."""
+    """Return the report of one copy alone."""
     newest = max(version, newest)
     if version == newest and not code:
         return Report(1, version, newest, 1)
-    return Report(1, version, newest, 0, (Trouble(name, version, code or BEHIND),))
+    return Report(1, version, newest, 0, (CopyProblem(name, version, code or BEHIND),))
 
 
 def merged(reports: Iterable[Report]) -> Report:
-    """Of all of them together."""
-    found = [report for report in reports if report.copies]
-    if not found:
+    """Return the report of all of them together."""
+    counted = [report for report in reports if report.copies]
+    if not counted:
         return EMPTY
-    newest = max(report.newest for report in found)
-    troubles = sorted({trouble for report in found for trouble in report.troubles})
-    unnamed = sum(report.unnamed for report in found) + max(0, len(troubles) - TROUBLES_MOST)
+    newest = max(report.newest for report in counted)
+    problems = sorted({problem for report in counted for problem in report.problems})
+    unnamed = sum(report.unnamed for report in counted) + max(0, len(problems) - MAX_NAMED_PROBLEMS)
     return Report(
-        copies=sum(report.copies for report in found),
-        lowest=min(report.lowest for report in found),
+        copies=sum(report.copies for report in counted),
+        lowest=min(report.lowest for report in counted),
         newest=newest,
-        current=sum(report.current for report in found if report.newest == newest),
-        troubles=tuple(troubles[:TROUBLES_MOST]),
+        current=sum(report.current for report in counted if report.newest == newest),
+        problems=tuple(problems[:MAX_NAMED_PROBLEMS]),
         unnamed=unnamed,
     )
--- a/pumicenotch/distribution/publications/entries.py
+++ b/pumicenotch/distribution/publications/entries.py
@@ -6,9 +6,9 @@
 from typing import Any
 
 from pumicenotch.distribution.data.records import (
-    KEY_PART,
-    KEY_PART_MOST,
-    VALUE_BYTES_MOST,
+    KEY_PART_PATTERN,
+    MAX_KEY_PART_LENGTH,
+    MAX_VALUE_BYTES,
     Change,
     split_key,
 )
@@ -25,9 +25,9 @@
 
 
 def identifier(told: Any) -> str:
-    if not isinstance(told, str) or not KEY_PART.match(told):
+    if not isinstance(told, str) or not KEY_PART_PATTERN.match(told):
         raise InvalidPublicationError(
-            PLACE, f"{told!r:.80} is no id", f"use 1 to {KEY_PART_MOST} of A-Z a-z 0-9 . _ -"
+            PLACE, f"{told!r:.80} is no id", f"use 1 to {MAX_KEY_PART_LENGTH} of A-Z a-z 0-9 . _ -"
         )
     return told
 
@@ -51,7 +51,7 @@
 
 
 def digest_text(told: Any) -> str:
-    if not isinstance(told, str) or len(told) > KEY_PART_MOST:
+    if not isinstance(told, str) or len(told) > MAX_KEY_PART_LENGTH:
         raise InvalidPublicationError(
             PLACE, "its digest is no text", "use changes_digest of its changes"
         )
@@ -65,7 +65,7 @@
             PLACE, f"a part is no list of up to {PART_CHANGES_MOST} changes", ADVICE
         )
     changes = tuple(map(change_of, told))
-    if sum(change.size for change in changes) > PART_BYTES_MOST + VALUE_BYTES_MOST:
+    if sum(change.size for change in changes) > PART_BYTES_MOST + MAX_VALUE_BYTES:
         raise OversizedPublicationError(
             PLACE, f"a part has more than {PART_BYTES_MOST} bytes", ADVICE
         )
@@ -80,16 +80,16 @@
         )
     table, key, value = told
     split_key(f"record {table:.64}:{key:.140}", key)
-    if not KEY_PART.match(table):
+    if not KEY_PART_PATTERN.match(table):
         raise InvalidRecordError(
             PLACE, f"{table!r:.80} is no name of a table", "use A-Z a-z 0-9 . _ -"
         )
     if value is not None and (
-        not _is_text(value) or not value.isascii() or len(value) > VALUE_BYTES_MOST
+        not _is_text(value) or not value.isascii() or len(value) > MAX_VALUE_BYTES
     ):
         raise InvalidRecordError(
             f"record {table}:{key}",
-            f"its value is no ASCII text of up to {VALUE_BYTES_MOST} bytes",
+            f"its value is no ASCII text of up to {MAX_VALUE_BYTES} bytes",
             "publish canonical JSON, or divide it",
         )
     return Change(table, key, value)
--- a/pumicenotch/distribution/publications/snapshot.py
+++ b/pumicenotch/distribution/publications/snapshot.py
@@ -44,19 +44,19 @@
 
 
 def _scope_line(scope_id: ScopeId, view: View) -> bytes:
-    scope = view.held(scope_id)
+    scope = view.find(scope_id)
     assert scope is not None, scope_id
-    if scope.dumped is None:
-        scope.dumped = _line("scope", *scope_id, dict(sorted(scope.records.items())))
-    return scope.dumped
+    if scope.encoded is None:
+        scope.encoded = _line("scope", *scope_id, dict(sorted(scope.records.items())))
+    return scope.encoded
 
 
 def _entry_line(entry: LogEntry) -> bytes:
-    if entry.dumped is None:
+    if entry.encoded is None:
         changes = [change for changes in entry.scopes.values() for change in changes]
         digests = [[*scope_id, f"{digest:x}"] for scope_id, digest in sorted(entry.digests.items())]
-        entry.dumped = _line("entry", entry.previous, entry.version, changes, digests)
-    return entry.dumped
+        entry.encoded = _line("entry", entry.previous, entry.version, changes, digests)
+    return entry.encoded
 
 
 def loaded(told: bytes) -> Loaded:
--- a/pumicenotch/distribution/replica/audit.py
+++ b/pumicenotch/distribution/replica/audit.py
@@ -6,7 +6,7 @@
 
 from pumicenotch.distribution.data.records import DIGEST_MODULUS, ScopeId, record_digest
 from pumicenotch.distribution.data.view import Scope, View
-from pumicenotch.distribution.protocol.messages import FIRST_SCOPE
+from pumicenotch.distribution.protocol.messages import BEFORE_ALL_SCOPES
 from pumicenotch.distribution.settings import Settings
 
 
@@ -44,14 +44,14 @@
         self.due = first_at
         self.current: Audit | None = None
         self._settings = settings
-        self._last = FIRST_SCOPE
+        self._last = BEFORE_ALL_SCOPES
 
     def begin(self, now_ms: float, view: View) -> None:
         """The next scope, if none is being looked at."""
         self.due = now_ms + self._settings.audit_ms
         if self.current is None:
             self.current = _next_audit(view, self._last)
-            self._last = FIRST_SCOPE if self.current is None else self.current.scope_id
+            self._last = BEFORE_ALL_SCOPES if self.current is None else self.current.scope_id
 
     def work(self, view: View) -> Audit | None:
         """One slice; the audit when it is done, if its scope is still the one in force."""
@@ -62,7 +62,7 @@
         if not audit.done:
             return None
         self.current = None
-        return audit if view.held(audit.scope_id) is audit.scope else None
+        return audit if view.find(audit.scope_id) is audit.scope else None
 
 
 def _next_audit(view: View, after: ScopeId) -> Audit | None:
@@ -74,5 +74,5 @@
             following = scope_id
             break
     chosen = following or first
-    scope = None if chosen is None else view.held(chosen)
+    scope = None if chosen is None else view.find(chosen)
     return None if chosen is None or scope is None else Audit(chosen, scope)
--- a/pumicenotch/distribution/replica/fetching.py
+++ b/pumicenotch/distribution/replica/fetching.py
@@ -11,9 +11,9 @@
 from pumicenotch.distribution.data.view import Builder, Scope, View
 from pumicenotch.distribution.errors import DigestMismatchError
 from pumicenotch.distribution.protocol.messages import (
-    FIRST_SCOPE,
-    WANTS_MOST,
-    ScopePart,
+    BEFORE_ALL_SCOPES,
+    MAX_WANTS,
+    ScopePage,
     Scopes,
     Want,
 )
@@ -35,7 +35,7 @@
         self.address = address
         self.subscription = subscription
         self.version = -1  # not known yet
-        self.listed_to = FIRST_SCOPE  # digests up to there have come
+        self.listed_to = BEFORE_ALL_SCOPES  # digests up to there have come
         self.listed_all = False
         self.complete: dict[ScopeId, Scope] = dict(
             kept
@@ -46,7 +46,7 @@
         self._wanted: deque[Want] = deque()
         self._missing: set[ScopeId] = set()
         self._partial: dict[ScopeId, Scope] = {}
-        self._inbox: deque[tuple[ScopePart, int]] = deque()  # with how far it has been read
+        self._inbox: deque[tuple[ScopePage, int]] = deque()  # with how far it has been read
 
     def list_page(self, page: Scopes, view: View) -> None:
         """Compares a page of digests with what is here."""
@@ -69,7 +69,7 @@
 
     def next_wants(self) -> tuple[Want, ...]:
         """Scopes for one more request."""
-        count = min(WANTS_MOST, len(self._wanted))
+        count = min(MAX_WANTS, len(self._wanted))
         return tuple(self._wanted.popleft() for _ in range(count))
 
     @property
@@ -84,7 +84,7 @@
     def done(self) -> bool:
         return self.listed_all and not self._missing and not self._inbox
 
-    def add(self, asked: Iterable[Want], parts: Iterable[ScopePart]) -> None:
+    def add(self, asked: Iterable[Want], parts: Iterable[ScopePage]) -> None:
         """What came of a request: parts to be read, and the rest is asked for again."""
         came = {ScopeId(part.table, part.scope): part for part in parts}
         for want in asked:
--- a/pumicenotch/distribution/replica/placement.py
+++ b/pumicenotch/distribution/replica/placement.py
@@ -71,7 +71,7 @@
         self._choose_at = NEVER
         self._take_role(now_ms)
         self._source.accepting = self.relay and self._zone.makes_me_relay() and readable
-        self._source.candidates = tuple(self._zone.relays()[: m.CANDIDATES_MOST])
+        self._source.candidates = tuple(self._zone.relays()[: m.MAX_CANDIDATES])
         if not readable:
             self._source.dismiss(m.NOT_A_RELAY)
         preferred: Sequence[str] = self._voters
--- a/pumicenotch/distribution/settings.py
+++ b/pumicenotch/distribution/settings.py
@@ -2,8 +2,8 @@
 
 from typing import NamedTuple
 
-from pumicenotch.distribution.data.changelog import BYTES_MOST, ENTRIES_MOST
-from pumicenotch.distribution.protocol.messages import PAGE_BYTES_MOST, PAGE_SCOPES_MOST
+from pumicenotch.distribution.data.changelog import MAX_LOG_BYTES, MAX_LOG_ENTRIES
+from pumicenotch.distribution.protocol.messages import MAX_PAGE_BYTES, MAX_PAGE_SCOPES
 
 NEVER = float("inf")  # a time that does not come
 
@@ -43,8 +43,8 @@
 
     # Deltas and transfers
     push_bytes_most: int = 16 * 1024  # a larger delta is announced, and pulled in pages
-    page_bytes: int = PAGE_BYTES_MOST  # of records in the answer to one request
-    page_scopes: int = PAGE_SCOPES_MOST  # digests in the answer to one comparison
+    page_bytes: int = MAX_PAGE_BYTES  # of records in the answer to one request
+    page_scopes: int = MAX_PAGE_SCOPES  # digests in the answer to one comparison
     push_window: int = 64  # versions pushed to a child and not acknowledged
     retry_ms: float = (
         400.0  # of a request without an answer, and again by chance up to half as much
@@ -65,8 +65,8 @@
     busy_ms: float = 300.0  # the shortest time to come back, and again by chance up to as much
 
     # The log of changes: whoever has missed more compares scopes
-    log_versions_most: int = ENTRIES_MOST
-    log_bytes_most: int = BYTES_MOST
+    log_versions_most: int = MAX_LOG_ENTRIES
+    log_bytes_most: int = MAX_LOG_BYTES
 
     # Work in one step
     slice_changes: int = 32  # read, hashed and staged in half a millisecond
--- a/pumicenotch/distribution/source/source.py
+++ b/pumicenotch/distribution/source/source.py
@@ -23,7 +23,7 @@
 
 def log_of(settings: Settings) -> ChangeLog:
     """An empty one, within its bounds."""
-    return ChangeLog(entries_most=settings.log_versions_most, bytes_most=settings.log_bytes_most)
+    return ChangeLog(max_entries=settings.log_versions_most, max_bytes=settings.log_bytes_most)
 
 
 class Source:
@@ -171,7 +171,7 @@
             return
         kept = self._transfers.get(child.name)
         if kept is None or kept.number != message.transfer:
-            if message.after != m.FIRST_SCOPE:
+            if message.after != m.BEFORE_ALL_SCOPES:
                 self._refuse(child.address, message.request, m.NO_TRANSFER, 0)
                 return
             if kept is None and len(self._transfers) >= self._settings.transfers_most:
@@ -248,7 +248,9 @@
         ):
             if not self.held.covers(child.subscription):
                 break
-            page = self.log.whole_page(child.pushed, child.subscription, settings.push_bytes_most)
+            page = self.log.complete_page(
+                child.pushed, child.subscription, settings.push_bytes_most
+            )
             if page is None:
                 break  # it is announced, and pulled
             pushed += page_bytes(page)
--- a/pumicenotch/distribution/source/transfers.py
+++ b/pumicenotch/distribution/source/transfers.py
@@ -10,9 +10,9 @@
 from pumicenotch.distribution.data.subscription import Subscription
 from pumicenotch.distribution.data.view import View
 from pumicenotch.distribution.protocol.messages import (
-    PAGE_CHANGES_MOST,
+    MAX_PAGE_CHANGES,
     ScopeDigest,
-    ScopePart,
+    ScopePage,
     Want,
 )
 
@@ -42,14 +42,14 @@
 
 def record_page(
     kept: KeptTransfer, wants: Sequence[Want], most: int
-) -> tuple[tuple[ScopePart, ...], int]:
+) -> tuple[tuple[ScopePage, ...], int]:
     """Records of the wanted scopes as far as a page holds, and their size."""
-    parts: list[ScopePart] = []
+    parts: list[ScopePage] = []
     size = count = 0
     for want in wants:
         if not kept.subscription.contains(want.table, want.scope):
             continue
-        room = PAGE_CHANGES_MOST - count
+        room = MAX_PAGE_CHANGES - count
         part, part_size = _scope_part(kept.view, want, most - size, room, first=not parts)
         if parts and not part.records and not part.done:
             break
@@ -61,18 +61,18 @@
 
 
 def _scope_part(
-    view: View, want: Want, bytes_most: int, records_most: int, first: bool
-) -> tuple[ScopePart, int]:
+    view: View, want: Want, max_bytes: int, records_most: int, first: bool
+) -> tuple[ScopePage, int]:
     """The first part of a page has one record at least, however large."""
-    held = view.held(ScopeId(want.table, want.scope))
+    held = view.find(ScopeId(want.table, want.scope))
     records: list[tuple[str, str]] = []
     size = len(want.table) + len(want.scope) + RECORD_OVERHEAD_BYTES
     if held is None:
-        return ScopePart(want.table, want.scope, (), True), size
+        return ScopePage(want.table, want.scope, (), True), size
     for name in held.names_after(want.after):
         value = held.records[name]
         size += len(name) + len(value) + RECORD_OVERHEAD_BYTES
-        if (size > bytes_most or len(records) >= records_most) and (records or not first):
-            return ScopePart(want.table, want.scope, tuple(records), False), size
+        if (size > max_bytes or len(records) >= records_most) and (records or not first):
+            return ScopePage(want.table, want.scope, tuple(records), False), size
         records.append((name, value))
-    return ScopePart(want.table, want.scope, tuple(records), True), size
+    return ScopePage(want.table, want.scope, tuple(records), True), size
--- a/pumicenotch/distribution/source/voter_source.py
+++ b/pumicenotch/distribution/source/voter_source.py
@@ -130,7 +130,7 @@
 
     def _take_roster(self, sender: Sender, owner: str, names: tuple[str, ...]) -> None:
         self._rosters.pop(owner, None)
-        while len(self._rosters) >= m.ROSTER_MOST:
+        while len(self._rosters) >= m.MAX_ROSTER_NAMES:
             del self._rosters[next(iter(self._rosters))]  # not heard of for the longest time
         self._rosters[owner] = frozenset(names)
         own_child = sender.name == owner and owner in self._source.children
@@ -183,7 +183,7 @@
             "copies": report.copies,
             "in_force": report.current if report.newest == version else 0,
             "lowest": report.lowest if report.copies else None,
-            "behind": [trouble._asdict() for trouble in report.troubles],
+            "behind": [problem._asdict() for problem in report.problems],
             "behind_unnamed": report.unnamed,
             "missing": missing[:MISSING_MOST],
             "missing_count": len(missing),
--- a/pumicenotch/lab/spreading_model.py
+++ b/pumicenotch/lab/spreading_model.py
@@ -101,7 +101,7 @@
         self.voters: dict[str, VoterSource] = {}
         self.nodes: dict[str, Node] = {}
         for name in VOTERS[:1] if relayed else VOTERS:
-            book = Publications(tables=TABLES, log=ChangeLog(entries_most=log_most))
+            book = Publications(tables=TABLES, log=ChangeLog(max_entries=log_most))
             self.voters[name] = VoterSource(peer(name), book, Steady(), settings=SETTINGS)
             self.step(name, events.LeaderChanged("", False, True))
         self.sources = RELAYS if relayed else VOTERS  # of the replica
--- a/pumicenotch/net/configuration.py
+++ b/pumicenotch/net/configuration.py
@@ -24,7 +24,7 @@
 from pumicenotch.distribution.errors import MalformedMessageError
 from pumicenotch.distribution.instance_settings import InstanceSettings
 from pumicenotch.distribution.node import Node
-from pumicenotch.distribution.protocol.codec import message_of, plain
+from pumicenotch.distribution.protocol.codec import decode, encode
 from pumicenotch.distribution.protocol.messages import METHOD
 from pumicenotch.errors import PumicenotchError
 from pumicenotch.fleet.voter_client import NO_MAJORITY, NOT_LEADER, REFUSED
@@ -128,7 +128,7 @@
 
     def receive(self, sender: Sender, params: Any) -> None:
         try:
-            message = message_of(params)
+            message = decode(params)
         except MalformedMessageError as error:
             self.hub.count_trouble("configuration_unreadable", f"{sender.name}: {error}")
             return
@@ -158,7 +158,7 @@
     def carry_out(self, effect: effects.Effect) -> None:
         match effect:
             case effects.SendTo(address, message):
-                self.hub.send(address, ("notice", METHOD, plain(message)))
+                self.hub.send(address, ("notice", METHOD, encode(message)))
             case effects.WakeAt(at_ms):
                 self.timer.wake(max(0.0, at_ms - self.timer.now()))
             case effects.Log(text):
--- a/tests/compatibility/test_distribution.py
+++ b/tests/compatibility/test_distribution.py
@@ -12,8 +12,8 @@
 from pumicenotch.distribution.data.changelog import ChangeLog
 from pumicenotch.distribution.data.records import Change
 from pumicenotch.distribution.data.subscription import Subscription
-from pumicenotch.distribution.protocol.codec import message_of, plain
-from pumicenotch.distribution.protocol.messages import KINDS
+from pumicenotch.distribution.protocol.codec import decode, encode
+from pumicenotch.distribution.protocol.messages import MESSAGE_TYPES
 from pumicenotch.distribution.publications.book import Publications
 from pumicenotch.distribution.publications.uploads import entries_of
 from tests.distribution.network import Network, Weather, tenant
@@ -28,11 +28,11 @@
 @pytest.mark.parametrize("name", MESSAGES)
 def test_a_message_is_read_and_written_again_to_the_byte(name: str) -> None:
     payload = bytes.fromhex(MESSAGES[name])
-    assert msgpack.packb(plain(message_of(msgpack.unpackb(payload)))) == payload
+    assert msgpack.packb(encode(decode(msgpack.unpackb(payload)))) == payload
 
 
 def test_each_kind_of_message_is_among_the_golden_ones() -> None:
-    assert set(MESSAGES) == set(KINDS)
+    assert set(MESSAGES) == set(MESSAGE_TYPES)
 
 
 def test_a_publisher_writes_the_same_log_entries() -> None:
@@ -45,7 +45,7 @@
 
 
 def test_old_log_entries_come_to_the_same_outcomes_and_the_same_snapshot() -> None:
-    book = Publications(log=ChangeLog(entries_most=3))
+    book = Publications(log=ChangeLog(max_entries=3))
     for index, row in enumerate(LOG, 1):
         verb, *fields = row["entry"]
         readers = book.verbs[verb]
@@ -56,16 +56,16 @@
 
 def test_an_old_snapshot_is_read_and_written_again_to_the_byte() -> None:
     snapshot = (GOLDEN / "snapshot.jsonl").read_bytes()
-    book = Publications(log=ChangeLog(entries_most=3))
+    book = Publications(log=ChangeLog(max_entries=3))
     book.load(snapshot)
     assert book.dump() == snapshot
 
 
 def test_settings_of_a_compiled_plan_are_read_and_written_again() -> None:
     line = (GOLDEN / "instance_settings.json").read_text()
-    settings = instance_settings.instance_settings_of(json.loads(line))
+    settings = instance_settings.decode_instance_settings(json.loads(line))
     assert settings is not None
-    assert json.dumps(instance_settings.plain(settings)) + "\n" == line
+    assert json.dumps(instance_settings.encode(settings)) + "\n" == line
 
 
 class RecordingNetwork(Network):
@@ -90,7 +90,7 @@
         zones=2,
         instances=8,
         weather=Weather(delay_ms=(0.5, 30.0), loss=0.05, doubled=0.05),
-        log=lambda: ChangeLog(entries_most=6),
+        log=lambda: ChangeLog(max_entries=6),
         subscription=lambda number: Subscription(
             {"tenants": [None, ["c0"], ["c1", "c2"]][number % 3]}
         ),
--- a/tests/distribution/network.py
+++ b/tests/distribution/network.py
@@ -18,7 +18,7 @@
 from pumicenotch.distribution.data.tables import TABLES, Table, canonical
 from pumicenotch.distribution.data.view import View
 from pumicenotch.distribution.node import Node
-from pumicenotch.distribution.protocol.codec import message_of, plain
+from pumicenotch.distribution.protocol.codec import decode, encode
 from pumicenotch.distribution.publications.book import Outcome, Publications
 from pumicenotch.distribution.publications.uploads import entries_of
 from pumicenotch.distribution.settings import DEFAULTS, Settings
@@ -179,7 +179,7 @@
         for effect in reducer.step(self.now, event):
             match effect:
                 case fx.SendTo(address, message):
-                    self.send(name, address, msgpack.packb(plain(message)))
+                    self.send(name, address, msgpack.packb(encode(message)))
                 case fx.WakeAt(at):
                     self.wake(name, at)
                 case fx.InForce(version):
@@ -216,9 +216,7 @@
                 if address not in self.cut and address in self.reducers:
                     self.step(
                         address,
-                        ev.Received(
-                            ev.Sender(sender, life, sender), message_of(msgpack.unpackb(told))
-                        ),
+                        ev.Received(ev.Sender(sender, life, sender), decode(msgpack.unpackb(told))),
                     )
         self.now = max(self.now, until_ms)
 
--- a/tests/distribution/test_explorer.py
+++ b/tests/distribution/test_explorer.py
@@ -87,11 +87,11 @@
 
 
 def page_with_gap(
-    self: ChangeLog, have: int, start: m.Cursor, subscription: Subscription, bytes_most: int = 0
+    self: ChangeLog, have: int, start: m.Cursor, subscription: Subscription, max_bytes: int = 0
 ) -> Page | None:
     """From the oldest that there is, where the log does not reach back far enough."""
     first = self.base if have < self.base else have
-    page = REAL_PAGE(self, first, start, subscription, bytes_most)
+    page = REAL_PAGE(self, first, start, subscription, max_bytes)
     return None if page is None else page._replace(previous=have)
 
 
--- a/tests/distribution/test_faults.py
+++ b/tests/distribution/test_faults.py
@@ -81,7 +81,7 @@
 def spoil(node: Node, key: str, value: str) -> None:
     """Memory changes by itself."""
     scope, _, name = key.partition("/")
-    held = node.view.held(ScopeId("tenants", scope))
+    held = node.view.find(ScopeId("tenants", scope))
     assert held is not None
     held.records[name] = value
 
@@ -104,7 +104,7 @@
     network.run(5_000)
     node = network.node("i2")
     spoil(node, "c/t4", '{"weight":666}')
-    held = node.view.held(ScopeId("tenants", "c"))
+    held = node.view.find(ScopeId("tenants", "c"))
     assert held is not None
     held.digest = held.recomputed(ScopeId("tenants", "c"))  # wrong, and consistent
     network.run(20_000)
--- a/tests/distribution/test_messages.py
+++ b/tests/distribution/test_messages.py
@@ -10,17 +10,17 @@
 
 from pumicenotch.distribution.data.records import Change, ScopeId
 from pumicenotch.distribution.data.subscription import (
+    MAX_SCOPES,
     NOTHING,
-    SCOPES_MOST,
     Subscription,
-    subscription_of,
+    decode_subscription,
 )
 from pumicenotch.distribution.errors import InvalidSubscriptionError, MalformedMessageError
 from pumicenotch.distribution.protocol import messages as m
-from pumicenotch.distribution.protocol.codec import FIELDS, message_of, plain
+from pumicenotch.distribution.protocol.codec import FIELD_READERS, decode, encode
 from pumicenotch.distribution.protocol.reports import (
     BEHIND,
-    TROUBLES_MOST,
+    MAX_NAMED_PROBLEMS,
     Report,
     merged,
     own_report,
@@ -44,7 +44,7 @@
     m.Announce(1, 2),
     m.Delta(1, 2, 3, 4, 5, m.START, m.START, True, (Change("tenants", "c/t", None),), (DIGEST,)),
     m.Scopes(1, 2, 3, 4, (DIGEST,), False),
-    m.Records(1, 2, (m.ScopePart("tenants", "c", (("t", "{}"),), True),)),
+    m.Records(1, 2, (m.ScopePage("tenants", "c", (("t", "{}"),), True),)),
     m.Mismatch(1, "tenants", "c"),
     m.Progress(REPORT),
     m.Roster("i1", ("i2", "i3")),
@@ -53,17 +53,17 @@
 
 @pytest.mark.parametrize("message", MESSAGES, ids=lambda each: type(each).__name__)
 def test_a_message_is_the_same_after_the_wire(message: m.Message) -> None:
-    told = msgpack.unpackb(msgpack.packb(plain(message)))
-    found = message_of(told)
+    told = msgpack.unpackb(msgpack.packb(encode(message)))
+    found = decode(told)
     assert found == message and type(found) is type(message)
     with pytest.raises(MalformedMessageError):
-        message_of([*told, 1])
+        decode([*told, 1])
 
 
 def test_every_kind_has_its_fields() -> None:
-    assert {type(message) for message in MESSAGES} == set(m.NAMES)
-    assert {name: len(readers) for name, readers in FIELDS.items()} == {
-        name: len(kind._fields) for name, kind in m.KINDS.items()
+    assert {type(message) for message in MESSAGES} == set(m.KINDS_BY_TYPE)
+    assert {name: len(readers) for name, readers in FIELD_READERS.items()} == {
+        name: len(kind._fields) for name, kind in m.MESSAGE_TYPES.items()
     }
 
 
@@ -75,12 +75,12 @@
 
 
 @settings(max_examples=200, deadline=None, derandomize=True)
-@given(st.sampled_from(sorted(m.KINDS)), st.integers(0, 10), VALUES)
+@given(st.sampled_from(sorted(m.MESSAGE_TYPES)), st.integers(0, 10), VALUES)
 def test_a_spoilt_message_is_malformed_and_nothing_else(kind: str, at: int, value: Any) -> None:
-    told = plain(next(message for message in MESSAGES if m.NAMES[type(message)] == kind))
+    told = encode(next(message for message in MESSAGES if m.KINDS_BY_TYPE[type(message)] == kind))
     told[min(at, len(told) - 1)] = value
     try:
-        message_of(told)
+        decode(told)
     except MalformedMessageError as error:
         assert error.remedy
 
@@ -88,7 +88,7 @@
 @pytest.mark.parametrize("told", [None, [], "pull", [7], ["nothing"], ["pull", 1], {"pull": 1}])
 def test_what_is_no_message_is_malformed(told: Any) -> None:
     with pytest.raises(MalformedMessageError):
-        message_of(told)
+        decode(told)
 
 
 def test_subscriptions() -> None:
@@ -102,8 +102,8 @@
     assert one.union(other) == Subscription({"tenants": ["a", "b", "c"], "routes": None})
     assert one.intersection(other) == Subscription({"tenants": ["b"]})
     assert one.union(other).covers(one) and not one.covers(other) and one.covers(NOTHING)
-    assert subscription_of(one.plain()) == one
-    many = Subscription({"tenants": [f"c{at}" for at in range(SCOPES_MOST)]})
+    assert decode_subscription(one.encode()) == one
+    many = Subscription({"tenants": [f"c{at}" for at in range(MAX_SCOPES)]})
     assert many.union(one).tables["tenants"] is None  # taken whole where it would name too many
 
 
@@ -121,20 +121,20 @@
 )
 def test_a_wrong_subscription_is_refused(told: Any) -> None:
     with pytest.raises(InvalidSubscriptionError):
-        subscription_of(told)
+        decode_subscription(told)
 
 
 def test_reports_add_up_and_name_a_bounded_number() -> None:
-    late = [own_report(f"i{at}", 1, 2, "") for at in range(TROUBLES_MOST + 6)]
+    late = [own_report(f"i{at}", 1, 2, "") for at in range(MAX_NAMED_PROBLEMS + 6)]
     report = merged([own_report("ok", 2, 2, ""), *late])
     assert (report.copies, report.lowest, report.newest, report.current) == (
-        TROUBLES_MOST + 7,
+        MAX_NAMED_PROBLEMS + 7,
         1,
         2,
         1,
     )
-    assert len(report.troubles) == TROUBLES_MOST and report.unnamed == 6
-    assert report.troubles[0].code == BEHIND
+    assert len(report.problems) == MAX_NAMED_PROBLEMS and report.unnamed == 6
+    assert report.problems[0].code == BEHIND
     assert (
         merged([Report(2, 5, 5, 2), Report(3, 4, 4, 3)]).current == 2
     )  # current is of the newest alone
--- a/tests/distribution/test_network.py
+++ b/tests/distribution/test_network.py
@@ -33,7 +33,7 @@
 
 
 def test_who_comes_back_after_two_hundred_versions_is_current_within_five_seconds() -> None:
-    network = Network(3, instances=6, log=lambda: ChangeLog(entries_most=50))
+    network = Network(3, instances=6, log=lambda: ChangeLog(max_entries=50))
     network.run(3_000)
     network.cut = {"i0", "i1", "i2"}
     for at in range(200):
@@ -65,7 +65,7 @@
         voters=2,
         instances=5,
         weather=weather,
-        log=lambda: ChangeLog(entries_most=4),
+        log=lambda: ChangeLog(max_entries=4),
         subscription=lambda at: SUBSCRIPTIONS[at % 3],
     )
     network.run(1_500)
--- a/tests/distribution/test_publications.py
+++ b/tests/distribution/test_publications.py
@@ -6,7 +6,7 @@
 
 from pumicenotch.distribution import errors
 from pumicenotch.distribution.data.changelog import ChangeLog
-from pumicenotch.distribution.data.records import SCOPE_RECORDS_MOST, Change
+from pumicenotch.distribution.data.records import MAX_SCOPE_RECORDS, Change
 from pumicenotch.distribution.data.subscription import EVERYTHING, Subscription
 from pumicenotch.distribution.data.tables import canonical
 from pumicenotch.distribution.protocol.messages import START
@@ -99,7 +99,7 @@
 
 def test_a_scope_has_room_for_so_many_records() -> None:
     book = Publications()
-    for at in range(0, SCOPE_RECORDS_MOST, 1024):
+    for at in range(0, MAX_SCOPE_RECORDS, 1024):
         publish(book, [tenant("c", f"t{at + each}", 1) for each in range(1024)])
     outcome = small(book, [tenant("c", "one-more", 1)])
     assert not outcome.good and outcome.value == errors.OversizedScopeError.code
@@ -157,12 +157,12 @@
 
 
 def test_a_dump_gives_the_same_book_again() -> None:
-    book = Publications(log=ChangeLog(entries_most=3))
+    book = Publications(log=ChangeLog(max_entries=3))
     for at in range(6):
         publish(book, [tenant(f"c{at % 2}", f"t{at}", at)])
     entry(book, "stage", "open", 0, 6, [list(tenant("c", "staged", 1))])
     dump = book.dump()
-    other = Publications(log=ChangeLog(entries_most=3))
+    other = Publications(log=ChangeLog(max_entries=3))
     other.load(dump)
     assert other.dump() == dump == book.dump()
     assert (other.version, other.log.base, other.log.version) == (6, 3, 6)
@@ -183,7 +183,7 @@
 
 
 def test_the_log_leads_on_from_what_it_has() -> None:
-    book = Publications(log=ChangeLog(entries_most=3))
+    book = Publications(log=ChangeLog(max_entries=3))
     for at in range(5):
         publish(book, [tenant("c", "same", at), tenant(f"d{at}", "x", at)])
     assert book.log.page(1, START, EVERYTHING) is None
--- a/tests/test_distribution_config.py
+++ b/tests/test_distribution_config.py
@@ -18,8 +18,8 @@
     InvalidInstanceSettingsError,
     NewestForm,
     ScopesOfTable,
-    instance_settings_of,
-    plain,
+    decode_instance_settings,
+    encode,
 )
 from pumicenotch.distribution.settings import DEFAULTS
 
@@ -100,10 +100,12 @@
 
 
 def test_limits_of_another_version_of_the_program_are_passed_over() -> None:
-    told = json.loads(json.dumps(plain(InstanceSettings(newest_forms=(NewestForm("homes", 3),)))))
+    told = json.loads(json.dumps(encode(InstanceSettings(newest_forms=(NewestForm("homes", 3),)))))
     told["settings"]["of_a_later_program"] = 1
     del told["settings"]["relays"]
-    assert instance_settings_of(told) == InstanceSettings(newest_forms=(NewestForm("homes", 3),))
+    assert decode_instance_settings(told) == InstanceSettings(
+        newest_forms=(NewestForm("homes", 3),)
+    )
     wrongs: list[Any] = [
         [],
         {},
@@ -112,7 +114,7 @@
     ]
     for wrong in wrongs:
         with pytest.raises(InvalidInstanceSettingsError, match="distribution"):
-            instance_settings_of(wrong)
+            decode_instance_settings(wrong)
 
 
 def test_a_voters_file_has_its_limits(tmp_path: Path) -> None:
