--- a/pumicenotch/distribution/publications/book.py
+++ b/pumicenotch/distribution/publications/book.py
@@ -1,5 +1,6 @@
-"""The voters' book of publications: what the entries of their log make of the configuration. The same entries
-give the same book at every voter.
+"""The voters' book of publications: what the entries of their log make of the configuration.
+
+The same entries lead to the same book at every voter.
 """
 
 from collections.abc import Mapping, Sequence
@@ -14,18 +15,30 @@
     DistributionError,
     InvalidPublicationError,
 )
-from pumicenotch.distribution.publications import snapshot as dumping
-from pumicenotch.distribution.publications.entries import VERBS, Reader
-from pumicenotch.distribution.publications.uploads import UPLOADS_MOST, Upload, changes_digest
+from pumicenotch.distribution.publications import snapshot
+from pumicenotch.distribution.publications.entries import (
+    FIELD_READERS,
+    FieldReader,
+    PublishEntry,
+    StageEntry,
+    entry_of,
+)
+from pumicenotch.distribution.publications.uploads import MAX_UPLOADS, Upload, changes_digest
 
-LEVEL = 3  # of the fleet's entries, from which on voters read these
-REQUESTS_MOST = 1000  # answered requests remembered, so that a repeat changes nothing
-HISTORY_MOST = 200  # publications whose who and why are kept
+# The level of the fleet's entries from which on voters read these.
+LEVEL = 3
+# Requests whose outcomes are kept, so that a retry changes nothing.
+MAX_REQUESTS = 1000
+MAX_HISTORY = 200
 
 
 class Outcome(NamedTuple):
-    """What an entry came to, in the form of `fleet.entries.Said`. The value is a version, or an error's
-    code.
+    """What an entry came to, as the fleet's state passes it on.
+
+    Attributes:
+        good: whether it was applied.
+        text: for whoever sent it.
+        value: a version or the number of a part; of a refused entry the error's code.
     """
 
     good: bool
@@ -34,7 +47,10 @@
 
 
 class Publication(NamedTuple):
-    """What is told of a publication; its changes are in the log while that reaches back to it."""
+    """One publication in the history; its changes are in the log while that reaches back to it.
+
+    The field names are those of status answers.
+    """
 
     version: int
     by: str
@@ -44,13 +60,11 @@
 
 
 class Publications:
-    """Entries: `stage` (upload, part, previous, changes) and `publish` (request, upload, parts, digest,
-    previous, by, why, at_ms, changes). A small publication carries its changes itself, with 0 parts.
-    """
+    """The configuration, its log of changes, and what is being uploaded."""
 
     name: ClassVar[str] = "configuration"
     level: ClassVar[int] = LEVEL
-    verbs: ClassVar[Mapping[str, tuple[Reader, ...]]] = VERBS
+    verbs: ClassVar[Mapping[str, tuple[FieldReader, ...]]] = FIELD_READERS
 
     def __init__(
         self, *, tables: Mapping[str, Table] = TABLES, log: ChangeLog | None = None
@@ -64,22 +78,29 @@
 
     @property
     def version(self) -> int:
+        """The present version of the configuration."""
         return self.view.version
 
     def admit(self, verb: str, args: tuple[Any, ...]) -> None:
-        """Called before an entry is proposed: whether its records are of the tables' form. Not where it is
-        applied, so that voters with programs of different tables agree. Raises the error that fits.
+        """Check an entry before it is proposed: whether its records are of their tables' form.
+
+        That is not checked where it is applied, so that voters with other tables agree.
+
+        Raises:
+            DistributionError: it cannot be published.
         """
-        if verb == "publish" and args[0] in self.requests:
-            return  # asked again, as its answer was lost: it hears the same
-        for change in args[-1]:
+        entry = entry_of(verb, args)
+        if isinstance(entry, PublishEntry) and entry.request in self.requests:
+            return  # a retry: it has the same answer again
+        for change in entry.changes:
             check_change(self.tables, change)
-        self._check_previous(args[2] if verb == "stage" else args[4])
+        self._check_previous(entry.previous)
 
     def apply(self, index: int, verb: str, args: tuple[Any, ...]) -> Outcome:
-        """An entry of the log, its fields read by the readers of `verbs`."""
+        """Apply the entry at that log index, its fields as the readers of `verbs` gave them."""
+        entry = entry_of(verb, args)
         try:
-            return self._stage(*args) if verb == "stage" else self._publish(*args)
+            return self._stage(entry) if isinstance(entry, StageEntry) else self._publish(entry)
         except DistributionError as error:
             return Outcome(False, str(error), error.code)
 
@@ -91,70 +112,67 @@
                 "look at what has changed since, and publish again",
             )
 
-    def _stage(self, name: str, part: int, previous: int, changes: Sequence[Change]) -> Outcome:
-        self._check_previous(previous)
-        upload = self.uploads.get(name)
+    def _stage(self, entry: StageEntry) -> Outcome:
+        self._check_previous(entry.previous)
+        upload = self.uploads.get(entry.upload)
         if upload is None:
-            upload = self._begin_upload(name)
-        if part < upload.parts:
-            return Outcome(True, "staged already", part)
-        if part > upload.parts:
+            upload = self._start_upload(entry.upload)
+        if entry.part < upload.parts:
+            return Outcome(True, "staged already", entry.part)
+        if entry.part > upload.parts:
             raise InvalidPublicationError(
-                f"upload {name}",
+                f"upload {entry.upload}",
                 f"part {upload.parts} is missing",
                 "stage its parts in order, from 0",
             )
         try:
-            upload.add(changes)
+            upload.add(entry.changes)
         except DistributionError:
-            del self.uploads[name]
+            del self.uploads[entry.upload]
             raise
-        return Outcome(True, "staged", part)
+        return Outcome(True, "staged", entry.part)
 
-    def _begin_upload(self, name: str) -> Upload:
-        while len(self.uploads) >= UPLOADS_MOST:
+    def _start_upload(self, name: str) -> Upload:
+        while len(self.uploads) >= MAX_UPLOADS:
             del self.uploads[next(iter(self.uploads))]
         self.uploads[name] = Upload(self.view)
         return self.uploads[name]
 
-    def _publish(
-        self,
-        request: str,
-        name: str,
-        parts: int,
-        digest: str,
-        previous: int,
-        by: str,
-        why: str,
-        at_ms: int,
-        changes: Sequence[Change],
-    ) -> Outcome:
-        if request in self.requests:
-            return self.requests[request]
-        self._check_previous(previous)
-        upload = (
-            self._complete_upload(name, parts, digest) if parts else self._small(digest, changes)
-        )
-        self.view, entry = upload.finish()
-        self.log.append(entry)
+    def _publish(self, entry: PublishEntry) -> Outcome:
+        if entry.request in self.requests:
+            return self.requests[entry.request]
+        self._check_previous(entry.previous)
+        if entry.parts:
+            upload = self._finished_upload(entry)
+        else:
+            upload = self._small_upload(entry.digest, entry.changes)
+        self.view, log_entry = upload.finish()
+        self.log.append(log_entry)
         self.uploads.clear()  # they were made against the former version
-        self.history.append(Publication(self.version, by, why, at_ms, entry.count))
-        del self.history[:-HISTORY_MOST]
+        publication = Publication(
+            self.version,
+            entry.published_by,
+            entry.reason,
+            entry.published_at_ms,
+            log_entry.count,
+        )
+        self.history.append(publication)
+        del self.history[:-MAX_HISTORY]
         outcome = Outcome(True, f"version {self.version}", self.version)
-        self._remember(request, outcome)
+        self._remember(entry.request, outcome)
         return outcome
 
-    def _complete_upload(self, name: str, parts: int, digest: str) -> Upload:
-        upload = self.uploads.get(name)
-        if upload is None or upload.parts != parts or upload.digest != digest:
+    def _finished_upload(self, entry: PublishEntry) -> Upload:
+        upload = self.uploads.get(entry.upload)
+        if upload is None or upload.parts != entry.parts or upload.digest != entry.digest:
             raise InvalidPublicationError(
-                f"upload {name}",
+                f"upload {entry.upload}",
                 "its parts are not all here, or are others",
                 "stage and publish it again",
             )
         return upload
 
-    def _small(self, digest: str, changes: Sequence[Change]) -> Upload:
+    def _small_upload(self, digest: str, changes: Sequence[Change]) -> Upload:
         if not changes or changes_digest(changes) != digest:
             raise InvalidPublicationError(
                 "publication", "it has no changes, or its digest is not theirs", "publish it again"
@@ -165,17 +183,21 @@
 
     def _remember(self, request: str, outcome: Outcome) -> None:
         self.requests[request] = outcome
-        while len(self.requests) > REQUESTS_MOST:
+        while len(self.requests) > MAX_REQUESTS:
             del self.requests[next(iter(self.requests))]
 
     def dump(self) -> bytes:
-        """All of it; what has not changed since the last time is not written anew."""
-        head = dumping.Head(self.version, self.log.base, self.requests, self.history)
-        return dumping.dumped(head, self.view, self.log, self.uploads)
+        """Return a snapshot; what has not changed since the last one is not encoded again."""
+        head = snapshot.Head(self.version, self.log.base, self.requests, self.history)
+        return snapshot.encode(head, self.view, self.log, self.uploads)
+
+    def load(self, data: bytes) -> None:
+        """Replace everything by a snapshot.
 
-    def load(self, told: bytes) -> None:
-        """In place of all that is here. Raises DistributionError, and then changes nothing."""
-        loaded = dumping.loaded(told)
+        Raises:
+            DistributionError: the data is none; then nothing is changed.
+        """
+        loaded = snapshot.decode(data)
         self.view = loaded.view
         self.log.reset(loaded.head.base)
         for entry in loaded.entries:
--- a/pumicenotch/distribution/publications/entries.py
+++ b/pumicenotch/distribution/publications/entries.py
@@ -1,9 +1,11 @@
-"""The fields of the entries by which the voters' log publishes: read before an entry is proposed, and again
-where it is applied. What is checked here is the same in every program of one level.
+"""The log entries by which the voters publish: `(verb, *fields)`.
+
+Fields are read before an entry is proposed, and again where it is applied. What is checked here is
+the same in every program of one level.
 """
 
 from collections.abc import Callable, Mapping
-from typing import Any
+from typing import Any, NamedTuple
 
 from pumicenotch.distribution.data.records import (
     KEY_PART_PATTERN,
@@ -17,99 +19,168 @@
     InvalidRecordError,
     OversizedPublicationError,
 )
-from pumicenotch.distribution.publications.uploads import ADVICE, PART_BYTES_MOST, PART_CHANGES_MOST
+from pumicenotch.distribution.publications.uploads import (
+    MAX_PART_BYTES,
+    MAX_PART_CHANGES,
+    OVERSIZED_REMEDY,
+)
+
+MAX_REASON_LENGTH = 200
+ERROR_PLACE = "publication"
+
+FieldReader = Callable[[Any], Any]
+
+
+class StageEntry(NamedTuple):
+    """Stages one part of an upload.
+
+    Attributes:
+        upload: the upload's id.
+        part: the number of the part, from 0.
+        previous: the version that the publication was made against.
+        changes: those of the part.
+    """
+
+    upload: str
+    part: int
+    previous: int
+    changes: tuple[Change, ...]
+
 
-Reader = Callable[[Any], Any]
-WHY_MOST = 200
-PLACE = "publication"
+class PublishEntry(NamedTuple):
+    """Publishes an upload or, with 0 parts, the changes that it carries itself.
 
+    Attributes:
+        request: an id, so that a retry changes nothing.
+        upload: the upload's id; empty if there is none.
+        parts: how many parts the upload has.
+        digest: of all changes.
+        previous: the version that the publication was made against.
+        published_by: who publishes.
+        reason: why.
+        published_at_ms: Unix time.
+        changes: those of a small publication.
+    """
 
-def identifier(told: Any) -> str:
-    if not isinstance(told, str) or not KEY_PART_PATTERN.match(told):
+    request: str
+    upload: str
+    parts: int
+    digest: str
+    previous: int
+    published_by: str
+    reason: str
+    published_at_ms: int
+    changes: tuple[Change, ...]
+
+
+PublicationEntry = StageEntry | PublishEntry
+
+
+def entry_of(verb: str, fields: tuple[Any, ...]) -> PublicationEntry:
+    """Return the entry with those fields, as the readers of `FIELD_READERS` have read them."""
+    return StageEntry._make(fields) if verb == "stage" else PublishEntry._make(fields)
+
+
+def read_identifier(value: Any) -> str:
+    """Read an id."""
+    if not isinstance(value, str) or not KEY_PART_PATTERN.match(value):
         raise InvalidPublicationError(
-            PLACE, f"{told!r:.80} is no id", f"use 1 to {MAX_KEY_PART_LENGTH} of A-Z a-z 0-9 . _ -"
+            ERROR_PLACE,
+            f"{value!r:.80} is no id",
+            f"use 1 to {MAX_KEY_PART_LENGTH} of A-Z a-z 0-9 . _ -",
         )
-    return told
+    return value
 
 
-def identifier_or_none(told: Any) -> str:
-    return identifier(told) if told != "" else ""
+def read_optional_identifier(value: Any) -> str:
+    """Read an id, or an empty text."""
+    return read_identifier(value) if value != "" else ""
 
 
-def whole_number(told: Any) -> int:
-    if type(told) is not int or told < 0:
-        raise InvalidPublicationError(PLACE, f"{told!r:.40} is no whole number from 0", "give one")
-    return told
+def read_number(value: Any) -> int:
+    """Read a whole number from 0."""
+    if type(value) is not int or value < 0:
+        raise InvalidPublicationError(
+            ERROR_PLACE, f"{value!r:.40} is no whole number from 0", "give one"
+        )
+    return value
 
 
-def reason(told: Any) -> str:
-    if not isinstance(told, str) or not told.strip() or len(told) > WHY_MOST:
+def read_reason(value: Any) -> str:
+    """Read who publishes, or why."""
+    if not isinstance(value, str) or not value.strip() or len(value) > MAX_REASON_LENGTH:
         raise InvalidPublicationError(
-            PLACE, "it says nothing of who or why", f"give texts of 1 to {WHY_MOST} characters"
+            ERROR_PLACE,
+            "it does not say who publishes, or why",
+            f"give texts of 1 to {MAX_REASON_LENGTH} characters",
         )
-    return told
+    return value
 
 
-def digest_text(told: Any) -> str:
-    if not isinstance(told, str) or len(told) > MAX_KEY_PART_LENGTH:
+def read_digest(value: Any) -> str:
+    """Read the digest of a publication."""
+    if not isinstance(value, str) or len(value) > MAX_KEY_PART_LENGTH:
         raise InvalidPublicationError(
-            PLACE, "its digest is no text", "use changes_digest of its changes"
+            ERROR_PLACE, "its digest is no text", "use changes_digest of its changes"
         )
-    return told
+    return value
 
 
-def change_list(told: Any) -> tuple[Change, ...]:
-    """The changes of one part."""
-    if not isinstance(told, list | tuple) or len(told) > PART_CHANGES_MOST:
+def read_changes(value: Any) -> tuple[Change, ...]:
+    """Read the changes of one part."""
+    if not isinstance(value, list | tuple) or len(value) > MAX_PART_CHANGES:
         raise OversizedPublicationError(
-            PLACE, f"a part is no list of up to {PART_CHANGES_MOST} changes", ADVICE
+            ERROR_PLACE,
+            f"a part is no list of up to {MAX_PART_CHANGES} changes",
+            OVERSIZED_REMEDY,
         )
-    changes = tuple(map(change_of, told))
-    if sum(change.size for change in changes) > PART_BYTES_MOST + MAX_VALUE_BYTES:
+    changes = tuple(map(read_change, value))
+    if sum(change.size for change in changes) > MAX_PART_BYTES + MAX_VALUE_BYTES:
         raise OversizedPublicationError(
-            PLACE, f"a part has more than {PART_BYTES_MOST} bytes", ADVICE
+            ERROR_PLACE, f"a part has more than {MAX_PART_BYTES} bytes", OVERSIZED_REMEDY
         )
     return changes
 
 
-def change_of(told: Any) -> Change:
-    """One change, as any program reads it; its table's form is checked before it is proposed."""
-    if not isinstance(told, list | tuple) or len(told) != 3 or not all(map(_is_text, told[:2])):
+def read_change(value: Any) -> Change:
+    """Read one change, as every program does; its table's form is checked before it is proposed."""
+    if not isinstance(value, list | tuple) or len(value) != 3 or not all(map(_is_text, value[:2])):
         raise InvalidRecordError(
-            PLACE, f"{told!r:.80} is no change", "give [table, SCOPE/NAME, value]"
+            ERROR_PLACE, f"{value!r:.80} is no change", "give [table, SCOPE/NAME, value]"
         )
-    table, key, value = told
+    table, key, text = value
     split_key(f"record {table:.64}:{key:.140}", key)
     if not KEY_PART_PATTERN.match(table):
         raise InvalidRecordError(
-            PLACE, f"{table!r:.80} is no name of a table", "use A-Z a-z 0-9 . _ -"
+            ERROR_PLACE, f"{table!r:.80} is no name of a table", "use A-Z a-z 0-9 . _ -"
         )
-    if value is not None and (
-        not _is_text(value) or not value.isascii() or len(value) > MAX_VALUE_BYTES
+    if text is not None and (
+        not _is_text(text) or not text.isascii() or len(text) > MAX_VALUE_BYTES
     ):
         raise InvalidRecordError(
             f"record {table}:{key}",
             f"its value is no ASCII text of up to {MAX_VALUE_BYTES} bytes",
             "publish canonical JSON, or divide it",
         )
-    return Change(table, key, value)
+    return Change(table, key, text)
 
 
-def _is_text(told: Any) -> bool:
-    return isinstance(told, str)
+def _is_text(value: Any) -> bool:
+    return isinstance(value, str)
 
 
-VERBS: Mapping[str, tuple[Reader, ...]] = {
-    "stage": (identifier, whole_number, whole_number, change_list),
+# By verb, a reader for each field of the entry.
+FIELD_READERS: Mapping[str, tuple[FieldReader, ...]] = {
+    "stage": (read_identifier, read_number, read_number, read_changes),
     "publish": (
-        identifier,
-        identifier_or_none,
-        whole_number,
-        digest_text,
-        whole_number,
-        reason,
-        reason,
-        whole_number,
-        change_list,
+        read_identifier,
+        read_optional_identifier,
+        read_number,
+        read_digest,
+        read_number,
+        read_reason,
+        read_reason,
+        read_number,
+        read_changes,
     ),
 }
--- a/pumicenotch/distribution/publications/snapshot.py
+++ b/pumicenotch/distribution/publications/snapshot.py
@@ -1,5 +1,7 @@
-"""The book as bytes, for the voters' snapshots: JSON, a line a scope, an entry or an upload, each line kept
-with what it tells until that changes.
+"""The book as bytes, for the voters' snapshots.
+
+JSON, with a line for each scope, log entry and upload. A line is cached with what it describes
+until that changes.
 """
 
 import json
@@ -12,25 +14,38 @@
 from pumicenotch.distribution.errors import DistributionError, InvalidPublicationError
 from pumicenotch.distribution.publications.uploads import Upload
 
-FORM = 1  # of a dump
+FORMAT_VERSION = 1
+MAX_ERROR_LENGTH = 200
 
 
 class Head(NamedTuple):
+    """The first line.
+
+    Attributes:
+        version: of the configuration.
+        base: of the change log.
+        requests: outcomes of requests, by their ids.
+        history: publications.
+    """
+
     version: int
-    base: int  # of the log of changes
+    base: int
     requests: Mapping[str, Sequence[Any]]
     history: Sequence[Sequence[Any]]
 
 
-class Loaded(NamedTuple):
+class Snapshot(NamedTuple):
+    """All that a snapshot contains."""
+
     head: Head
     view: View
     entries: list[LogEntry]
     uploads: dict[str, Upload]
 
 
-def dumped(head: Head, view: View, log: ChangeLog, uploads: Mapping[str, Upload]) -> bytes:
-    lines = [_line("head", FORM, *head)]
+def encode(head: Head, view: View, log: ChangeLog, uploads: Mapping[str, Upload]) -> bytes:
+    """Return a snapshot; the same content gives the same bytes."""
+    lines = [_line("head", FORMAT_VERSION, *head)]
     lines += [_scope_line(scope_id, view) for scope_id in view.scope_ids()]
     lines += [_entry_line(entry) for entry in log.entries]
     lines += [
@@ -39,7 +54,7 @@
     return b"\n".join(lines)
 
 
-def _line(*fields: Any) -> bytes:
+def _line(*fields: object) -> bytes:
     return json.dumps(fields, separators=(",", ":")).encode()
 
 
@@ -59,38 +74,41 @@
     return entry.encoded
 
 
-def loaded(told: bytes) -> Loaded:
-    """Raises DistributionError for what is no dump."""
+def decode(data: bytes) -> Snapshot:
+    """Return what `encode` was given.
+
+    Raises:
+        DistributionError: the data is no snapshot.
+    """
     try:
-        return _loaded([json.loads(line) for line in told.split(b"\n")])
+        return _decode_lines([json.loads(line) for line in data.split(b"\n")])
     except DistributionError:
         raise
     except (ValueError, TypeError, KeyError, IndexError) as error:
         raise InvalidPublicationError(
-            "dump of the configuration",
-            f"it is not readable: {error}"[:200],
+            "snapshot of the configuration",
+            f"it is not readable: {error}"[:MAX_ERROR_LENGTH],
             "start this voter without its state: it takes that of the others",
         ) from None
 
 
-def _loaded(lines: list[Any]) -> Loaded:
-    (kind, form, version, base, requests, history), *rest = lines
-    if kind != "head" or form != FORM:
-        raise ValueError(f"form {form}, not {FORM}")
-    scopes = [line[1:] for line in rest if line[0] == "scope"]
-    view = _view(version, scopes)
-    entries = [_entry(*line[1:]) for line in rest if line[0] == "entry"]
+def _decode_lines(rows: Sequence[Any]) -> Snapshot:
+    (kind, format_version, version, base, requests, history), *rest = rows
+    if kind != "head" or format_version != FORMAT_VERSION:
+        raise ValueError(f"form {format_version}, not {FORMAT_VERSION}")
+    view = _decode_view(version, _lines_of(rest, "scope"))
+    entries = [_decode_entry(*fields) for fields in _lines_of(rest, "entry")]
     uploads = {
-        name: _upload(view, parts, rows) for _, name, parts, rows in _of_kind(rest, "upload")
+        name: _decode_upload(view, parts, rows) for name, parts, rows in _lines_of(rest, "upload")
     }
-    return Loaded(Head(version, base, requests, history), view, entries, uploads)
+    return Snapshot(Head(version, base, requests, history), view, entries, uploads)
 
 
-def _of_kind(lines: list[Any], kind: str) -> Iterable[Any]:
-    return (line for line in lines if line[0] == kind)
+def _lines_of(rows: Iterable[Any], kind: str) -> Iterable[Any]:
+    return (row[1:] for row in rows if row[0] == kind)
 
 
-def _view(version: int, scopes: Iterable[Any]) -> View:
+def _decode_view(version: int, scopes: Iterable[Any]) -> View:
     builder = Builder(View())
     for table, name, records in scopes:
         scope = Scope(records, 0)
@@ -100,13 +118,15 @@
     return builder.finish(version)
 
 
-def _entry(previous: int, version: int, rows: list[Any], digests: list[Any]) -> LogEntry:
+def _decode_entry(
+    previous: int, version: int, rows: Iterable[Any], digest_rows: Iterable[Any]
+) -> LogEntry:
     changes = ChangeSet(Change(*row) for row in rows)
-    told = {ScopeId(table, scope): int(digest, 16) for table, scope, digest in digests}
-    return LogEntry(previous, version, changes, told)
+    digests = {ScopeId(table, scope): int(digest, 16) for table, scope, digest in digest_rows}
+    return LogEntry(previous, version, changes, digests)
 
 
-def _upload(view: View, parts: int, rows: list[Any]) -> Upload:
+def _decode_upload(view: View, parts: int, rows: Iterable[Any]) -> Upload:
     upload = Upload(view)
     upload.add([Change(*row) for row in rows])
     upload.parts = parts
--- a/pumicenotch/distribution/publications/uploads.py
+++ b/pumicenotch/distribution/publications/uploads.py
@@ -1,4 +1,4 @@
-"""Publications on their way into the book: the parts of a large one are staged before it is published."""
+"""Publications on their way into the book: the parts of a large one are staged one by one."""
 
 from collections.abc import Sequence
 from typing import Any
@@ -13,22 +13,28 @@
 from pumicenotch.distribution.data.view import Builder, View
 from pumicenotch.distribution.errors import InvalidPublicationError, OversizedPublicationError
 
-PART_CHANGES_MOST = 200
-PART_BYTES_MOST = 32 * 1024
-CHANGES_MOST = 100_000
-BYTES_MOST = 32 * 1024 * 1024
-UPLOADS_MOST = 4  # at once; the oldest gives way
-ADVICE = "divide it into several publications"
+MAX_PART_CHANGES = 200
+MAX_PART_BYTES = 32 * 1024
+MAX_CHANGES = 100_000
+MAX_BYTES = 32 * 1024 * 1024
+# At one time; a further one replaces the oldest.
+MAX_UPLOADS = 4
+OVERSIZED_REMEDY = "divide it into several publications"
 
 
 def changes_digest(changes: Sequence[Change]) -> str:
-    """Of all changes of a publication, in any order: whether what is staged is what was meant."""
+    """Return the digest of all changes of a publication, whatever their order."""
     total = sum(record_digest(change.table, change.key, change.value or "") for change in changes)
     return f"{total % DIGEST_MODULUS:032x}"
 
 
 class Upload:
-    """What is staged of one publication, onto the version that it was made against."""
+    """What is staged of one publication.
+
+    Attributes:
+        previous: the version that the publication was made against.
+        parts: how many have been staged.
+    """
 
     def __init__(self, view: View) -> None:
         self.previous = view.version
@@ -40,11 +46,15 @@
 
     @property
     def digest(self) -> str:
+        """The digest of what is staged."""
         return f"{self._digest % DIGEST_MODULUS:032x}"
 
     def add(self, changes: Sequence[Change]) -> None:
-        """The next part. Raises OversizedPublicationError, OversizedScopeError and InvalidPublicationError; the upload is
-        of no use after that.
+        """Stage the next part. The upload is of no use after an error.
+
+        Raises:
+            InvalidPublicationError: a record is named twice.
+            OversizedPublicationError, OversizedScopeError: there is too much of it.
         """
         for change in changes:
             if (change.table, change.key) in self._keys:
@@ -58,44 +68,62 @@
             self._changes.add(scope_of(change), change)
             self._digest += record_digest(change.table, change.key, change.value or "")
         self.parts += 1
-        if self._changes.count > CHANGES_MOST or self._changes.size > BYTES_MOST:
+        if self._changes.count > MAX_CHANGES or self._changes.size > MAX_BYTES:
             raise OversizedPublicationError(
-                "publication", f"more than {CHANGES_MOST} changes or {BYTES_MOST} bytes", ADVICE
+                "publication",
+                f"more than {MAX_CHANGES} changes or {MAX_BYTES} bytes",
+                OVERSIZED_REMEDY,
             )
 
     def finish(self) -> tuple[View, LogEntry]:
-        """The view with all of it in force, and what the log of changes keeps."""
+        """Return the view with all of it in force, and its entry of the change log."""
         view = self._builder.finish(self.previous + 1)
         digests = {scope_id: self._builder.digest(scope_id) for scope_id in self._changes.scopes}
         return view, LogEntry(self.previous, view.version, self._changes, digests)
 
     def changes(self) -> list[Change]:
+        """Return all staged changes, by scope."""
         return [change for changes in self._changes.scopes.values() for change in changes]
 
 
 def entries_of(
-    request: str, previous: int, by: str, why: str, at_ms: int, changes: Sequence[Change]
+    request: str,
+    previous: int,
+    published_by: str,
+    reason: str,
+    published_at_ms: int,
+    changes: Sequence[Change],
 ) -> list[tuple[Any, ...]]:
-    """The entries by which a publisher has a list of changes published: one, or parts and one. `request` is
-    an id of its own for each publication.
+    """Return the log entries by which a publisher has changes published.
+
+    Args:
+        request: an id of its own for each publication.
+        previous: the version that the publication is made against.
+        published_by: who publishes.
+        reason: why.
+        published_at_ms: Unix time.
+        changes: all of them.
+
+    Returns:
+        One `publish`, or a `stage` for each part and a `publish`, as (verb, *fields).
     """
-    parts = _divided(changes)
-    told = [[list(change) for change in part] for part in parts]
+    parts = [[list(change) for change in part] for part in _divide(changes)]
     digest = changes_digest(changes)
-    if len(told) == 1:
-        return [("publish", request, "", 0, digest, previous, by, why, at_ms, told[0])]
+    publication = (digest, previous, published_by, reason, published_at_ms)
+    if len(parts) == 1:
+        return [("publish", request, "", 0, *publication, parts[0])]
     staged: list[tuple[Any, ...]] = [
-        ("stage", request, number, previous, part) for number, part in enumerate(told)
+        ("stage", request, number, previous, part) for number, part in enumerate(parts)
     ]
-    return [*staged, ("publish", request, request, len(told), digest, previous, by, why, at_ms, [])]
+    return [*staged, ("publish", request, request, len(parts), *publication, [])]
 
 
-def _divided(changes: Sequence[Change]) -> list[list[Change]]:
+def _divide(changes: Sequence[Change]) -> list[list[Change]]:
     parts: list[list[Change]] = [[]]
     size = 0
     for change in changes:
         size += change.size
-        if parts[-1] and (size > PART_BYTES_MOST or len(parts[-1]) >= PART_CHANGES_MOST):
+        if parts[-1] and (size > MAX_PART_BYTES or len(parts[-1]) >= MAX_PART_CHANGES):
             parts.append([])
             size = change.size
         parts[-1].append(change)
--- a/tests/distribution/test_publications.py
+++ b/tests/distribution/test_publications.py
@@ -12,7 +12,7 @@
 from pumicenotch.distribution.protocol.messages import START
 from pumicenotch.distribution.publications.book import Outcome, Publications
 from pumicenotch.distribution.publications.uploads import (
-    PART_CHANGES_MOST,
+    MAX_PART_CHANGES,
     changes_digest,
     entries_of,
 )
@@ -65,7 +65,7 @@
 
 def test_a_large_publication_comes_in_parts_and_into_force_at_once() -> None:
     book = Publications()
-    changes = [tenant(f"c{at % 9}", f"t{at}", at) for at in range(3 * PART_CHANGES_MOST)]
+    changes = [tenant(f"c{at % 9}", f"t{at}", at) for at in range(3 * MAX_PART_CHANGES)]
     *parts, last = entries_of("big", 0, "me", "why", 1, changes)
     assert len(parts) == 3
     for verb, *told in parts:
@@ -78,7 +78,7 @@
 
 def test_a_part_that_is_missing_or_superseded_refuses_the_whole() -> None:
     book = Publications()
-    changes = [tenant("c", f"t{at}", at) for at in range(2 * PART_CHANGES_MOST)]
+    changes = [tenant("c", f"t{at}", at) for at in range(2 * MAX_PART_CHANGES)]
     first, second, last = entries_of("big", 0, "me", "why", 1, changes)
     outcome = entry(book, second[0], *second[1:])
     assert not outcome.good and "part 0 is missing" in outcome.text
@@ -138,7 +138,7 @@
         [["tenants", "c/a"]],
         [7],
         "changes",
-        [["tenants", f"c/{at}", None] for at in range(PART_CHANGES_MOST + 1)],
+        [["tenants", f"c/{at}", None] for at in range(MAX_PART_CHANGES + 1)],
         [["tenants", f"c/{at}", "x" * 4000] for at in range(12)],
     ],
 )
