--- a/pumicenotch/config/distribution.py
+++ b/pumicenotch/config/distribution.py
@@ -57,14 +57,14 @@
 class LimitsBlock(Schema):
     """What one process spends on serving others."""
 
-    children: Annotated[int, Field(ge=1, le=4096)] = DEFAULTS.children_most
-    transfers: Annotated[int, Field(ge=1, le=1024)] = DEFAULTS.transfers_most
+    children: Annotated[int, Field(ge=1, le=4096)] = DEFAULTS.max_children
+    transfers: Annotated[int, Field(ge=1, le=1024)] = DEFAULTS.max_transfers
     bytes_per_second: Annotated[float, Field(ge=10_000.0, le=1e9)] = DEFAULTS.bytes_per_second
     bytes_burst: Annotated[float, Field(ge=100_000.0, le=1e9)] = DEFAULTS.bytes_burst
-    push_bytes: Annotated[int, Field(ge=0, le=32 * 1024)] = DEFAULTS.push_bytes_most
+    push_bytes: Annotated[int, Field(ge=0, le=32 * 1024)] = DEFAULTS.max_push_bytes
     push_window: Annotated[int, Field(ge=1, le=1024)] = DEFAULTS.push_window
-    log_versions: Annotated[int, Field(ge=1, le=100_000)] = DEFAULTS.log_versions_most
-    log_bytes: Annotated[int, Field(ge=100_000, le=256 * 1024 * 1024)] = DEFAULTS.log_bytes_most
+    log_versions: Annotated[int, Field(ge=1, le=100_000)] = DEFAULTS.max_log_versions
+    log_bytes: Annotated[int, Field(ge=100_000, le=256 * 1024 * 1024)] = DEFAULTS.max_log_bytes
 
 
 class SourceBlock(Schema):
@@ -83,14 +83,14 @@
         limits = self.limits
         return DEFAULTS._replace(
             relays=self.relays,
-            children_most=limits.children,
-            transfers_most=limits.transfers,
+            max_children=limits.children,
+            max_transfers=limits.transfers,
             bytes_per_second=limits.bytes_per_second,
             bytes_burst=limits.bytes_burst,
-            push_bytes_most=limits.push_bytes,
+            max_push_bytes=limits.push_bytes,
             push_window=limits.push_window,
-            log_versions_most=limits.log_versions,
-            log_bytes_most=limits.log_bytes,
+            max_log_versions=limits.log_versions,
+            max_log_bytes=limits.log_bytes,
         )
 
     def newest_forms(self) -> tuple[NewestForm, ...]:
--- a/pumicenotch/distribution/instance_settings.py
+++ b/pumicenotch/distribution/instance_settings.py
@@ -56,9 +56,31 @@
     """The compiled plan was not written by this program's own reader."""
 
 
+# The keys of a compiled plan where they differ from the fields of `Settings`.
+_LIMIT_KEYS: Mapping[str, str] = {
+    "max_children": "children_most",
+    "source_lag_ms": "source_behind_ms",
+    "min_leave_ms": "leave_least_ms",
+    "max_leave_ms": "leave_most_ms",
+    "min_announce_ms": "announce_least_ms",
+    "min_acknowledge_ms": "acknowledge_least_ms",
+    "max_push_bytes": "push_bytes_most",
+    "max_retry_ms": "retry_most_ms",
+    "max_attempts": "tries_most",
+    "max_fetches": "fetches_most",
+    "max_transfers": "transfers_most",
+    "max_log_versions": "log_versions_most",
+    "max_log_bytes": "log_bytes_most",
+    "max_queue_bytes": "queue_bytes_most",
+}
+
+
 def encode(settings: InstanceSettings) -> dict[str, object]:
     """Return what JSON carries: limits by name, as other versions of the program may have more."""
-    return {**settings._asdict(), "settings": settings.settings._asdict()}
+    limits = {
+        _LIMIT_KEYS.get(field, field): value for field, value in settings.settings._asdict().items()
+    }
+    return {**settings._asdict(), "settings": limits}
 
 
 def decode_instance_settings(encoded: Any) -> InstanceSettings | None:
@@ -70,9 +92,9 @@
     if encoded is None:
         return None
     try:
-        limits = {
-            name: value for name, value in encoded["settings"].items() if name in Settings._fields
-        }
+        values = dict(encoded["settings"].items())
+        keys = {field: _LIMIT_KEYS.get(field, field) for field in Settings._fields}
+        limits = {field: values[key] for field, key in keys.items() if key in values}
         if not all(isinstance(value, int | float) for value in limits.values()):
             raise TypeError("limits are numbers")
         return InstanceSettings(
--- a/pumicenotch/distribution/node.py
+++ b/pumicenotch/distribution/node.py
@@ -52,7 +52,7 @@
         me: Peer,
         voters: Sequence[str],
         subscription: Subscription,
-        chance: random.Random,
+        rng: random.Random,
         *,
         settings: Settings = DEFAULTS,
         tables: Mapping[str, Table] = TABLES,
@@ -63,25 +63,25 @@
         self._settings = settings
         self._own = subscription  # what this instance needs for itself
         self._now = 0.0
-        self._out = Outbox()
+        self._outbox = Outbox()
         numbers = itertools.count(1)
-        self._upstreams = Upstreams(settings, chance, self._out, self.counts, numbers)
+        self._upstreams = Upstreams(settings, rng, self._outbox, self.counts, numbers)
         self._replica = Replica(
             subscription,
-            chance,
+            rng,
             settings,
             tables,
-            self._out,
+            self._outbox,
             self.counts,
             self._upstreams,
             numbers,
             self._switched,
         )
-        self._source = Source(settings, chance, self._out, self.counts, self._told_age_ms)
+        self._source = Source(settings, rng, self._outbox, self.counts, self._told_age_ms)
         self._placement = Placement(
-            me, voters, settings, self._upstreams, self._source, self._out, relay_eligible
+            me, voters, settings, self._upstreams, self._source, self._outbox, relay_eligible
         )
-        self._acknowledger = Acknowledger(me.name, settings, self._out)
+        self._acknowledger = Acknowledger(me.name, settings, self._outbox)
         self._started_at = NEVER
         self._widen_at = NEVER
         self._narrow_at = settings.narrow_ms
@@ -129,7 +129,8 @@
 
     def status(self, now_ms: float) -> dict[str, Any]:
         """For operators: version, age, sources, role, error with remedy."""
-        age, error = self.age_ms(now_ms), self.error
+        age = self.age_ms(now_ms)
+        error = self.error
         return {
             "version": self.view.version,
             "newest": self._replica.copy.newest,
@@ -158,7 +159,8 @@
 
     def step(self, now_ms: float, event: NodeEvent) -> list[Effect]:
         """Takes one event, and gives the effects that are wanted."""
-        now = self._now = max(self._now, now_ms)
+        now = max(self._now, now_ms)
+        self._now = now
         match event:
             case Received(sender, message):
                 self._received(now, sender, message)
@@ -174,16 +176,16 @@
             case Ticked():
                 pass
         self._go_on(now)
-        return [*self._out.take(), WakeAt(self._due(now))]
+        return [*self._outbox.take(), WakeAt(self._due(now))]
 
     def _go_on(self, now: float) -> None:
         """What is due, a slice of each."""
-        if now >= self._placement.due(now):
+        if now >= self._placement.next_choice_at(now):
             self._choose(now)
         self._replica.tick(now)
         self._follow_upstreams(now)
         self._update_subscription(now)
-        if now >= self._source.due(now):
+        if now >= self._source.next_tick_at(now):
             self._source.tick(now)
         self._acknowledge(now)
 
@@ -206,8 +208,12 @@
             self._acknowledger.at_once(now)
 
     def _due(self, now: float) -> float:
-        parts = (self._placement.due(now), self._replica.due(now), self._source.due(now))
-        return min(*parts, self._widen_at, self._narrow_at, self._acknowledger.due())
+        parts = (
+            self._placement.next_choice_at(now),
+            self._replica.next_tick_at(now),
+            self._source.next_tick_at(now),
+        )
+        return min(*parts, self._widen_at, self._narrow_at, self._acknowledger.next_send_at())
 
     # Messages
 
@@ -217,7 +223,7 @@
             self._after_child(now, message)
         elif self._upstreams.link(sender.address) is None:
             if isinstance(message, m.Announce | m.Delta):
-                self._out.send(sender.address, m.Unsubscribe())
+                self._outbox.send(sender.address, m.Unsubscribe())
         else:
             self._from_source(now, sender.address, message)
             self._find_age()
@@ -231,7 +237,8 @@
             self._widen_at = min(self._widen_at, now + self._settings.widen_ms)
 
     def _from_source(self, now: float, address: str, message: m.Message) -> None:
-        replica, upstreams = self._replica, self._upstreams
+        replica = self._replica
+        upstreams = self._upstreams
         match message:
             case m.Accepted(_, version, age_ms):
                 upstreams.heard(now, address, version, age_ms)
@@ -285,7 +292,8 @@
         if subscription == self._replica.subscription:
             return
         self._replica.subscribe(now, subscription)
-        self._source.view, self._source.held = self.view, self._replica.copy.coverage
+        self._source.view = self.view
+        self._source.coverage = self._replica.copy.coverage
         self._upstreams.subscribe_anew(now)
         self._placement.choose_soon(now)
 
@@ -293,12 +301,14 @@
 
     def _switched(self, entry: LogEntry | None) -> None:
         """The replica has another view in force."""
-        source, view = self._source, self.view
+        source = self._source
+        view = self.view
         if entry is None or not self.relay:
             source.log.reset(view.version)
         else:
             source.log.append(entry)
-        source.view, source.held = view, self._replica.copy.coverage
+        source.view = view
+        source.coverage = self._replica.copy.coverage
         source.published(self._now)
         self._find_age()
         self._acknowledger.changed(self._now, serves=bool(source.children))
@@ -333,7 +343,7 @@
             self._error_code = code
             self._acknowledger.changed(now, serves=bool(self._source.children))
             self._placement.choose_soon(now)  # whether it accepts children
-        if now < self._acknowledger.due():
+        if now < self._acknowledger.next_send_at():
             return
         links = self._upstreams.links
         self._acknowledger.send(now, links, self.view.version, self.report())
--- a/pumicenotch/distribution/replica/acknowledgements.py
+++ b/pumicenotch/distribution/replica/acknowledgements.py
@@ -14,8 +14,10 @@
 class Acknowledger:
     """For one replica with all that it serves."""
 
-    def __init__(self, name: str, settings: Settings, out: Outbox) -> None:
-        self._name, self._settings, self._out = name, settings, out
+    def __init__(self, name: str, settings: Settings, outbox: Outbox) -> None:
+        self._name = name
+        self._settings = settings
+        self._outbox = outbox
         self._sent_at = -NEVER
         self._due = 0.0
         self._roster: tuple[str, ...] = ()
@@ -23,14 +25,14 @@
 
     def changed(self, now_ms: float, serves: bool) -> None:
         """There is something new to tell."""
-        least = self._settings.aggregate_ms if serves else self._settings.acknowledge_least_ms
+        least = self._settings.aggregate_ms if serves else self._settings.min_acknowledge_ms
         self._due = min(self._due, max(now_ms, self._sent_at + least))
 
     def at_once(self, now_ms: float) -> None:
         """Another source is the primary one: both are to know."""
         self._due = now_ms
 
-    def due(self) -> float:
+    def next_send_at(self) -> float:
         return self._due
 
     def send(self, now_ms: float, links: Sequence[Upstream], version: int, report: Report) -> None:
@@ -43,7 +45,7 @@
             if link.accepted:
                 primary = link is links[0]
                 told = report if primary else EMPTY
-                self._out.send(link.address, Acknowledge(version, primary, told))
+                self._outbox.send(link.address, Acknowledge(version, primary, told))
 
     def tell_roster(self, now_ms: float, links: Sequence[Upstream], names: Sequence[str]) -> None:
         """Whom this one serves, where that has changed, and now and then."""
@@ -55,5 +57,6 @@
         ):
             return
         if told or self._roster:
-            self._out.send(links[0].address, Roster(self._name, told))
-        self._roster, self._roster_at = told, now_ms + self._settings.roster_ms
+            self._outbox.send(links[0].address, Roster(self._name, told))
+        self._roster = told
+        self._roster_at = now_ms + self._settings.roster_ms
--- a/pumicenotch/distribution/replica/audit.py
+++ b/pumicenotch/distribution/replica/audit.py
@@ -67,7 +67,8 @@
 
 def _next_audit(view: View, after: ScopeId) -> Audit | None:
     """Of the scope that comes after that one, or of the first."""
-    following = first = None
+    following = None
+    first = None
     for scope_id in view.scope_ids():
         first = first or scope_id
         if scope_id > after:
--- a/pumicenotch/distribution/replica/copy.py
+++ b/pumicenotch/distribution/replica/copy.py
@@ -28,7 +28,7 @@
         self,
         settings: Settings,
         tables: Mapping[str, Table],
-        out: Outbox,
+        outbox: Outbox,
         counts: Counter[str],
         on_switch: Callable[[LogEntry | None], None],
     ) -> None:
@@ -40,7 +40,10 @@
         self.suspects: set[ScopeId] = set()  # scopes to be fetched whatever their digest is
         self.staging: Staging | None = None
         self.blocked = NONE_BLOCKED  # version that this program could not apply
-        self._settings, self._tables, self._out, self._counts = settings, tables, out, counts
+        self._settings = settings
+        self._tables = tables
+        self._outbox = outbox
+        self._counts = counts
         self._on_switch = on_switch
         self._pending: dict[int, m.Delta] = {}  # by the version that they lead on from
         self._pending_bytes = 0
@@ -62,7 +65,7 @@
     def keep(self, delta: m.Delta) -> None:
         """A whole delta that follows on later: it waits for its turn, within bounds."""
         size = page_bytes(delta)
-        fits = self._pending_bytes + size <= self._settings.queue_bytes_most
+        fits = self._pending_bytes + size <= self._settings.max_queue_bytes
         if not delta.done or delta.start != m.START or delta.previous in self._pending or not fits:
             return
         self._pending[delta.previous] = delta
@@ -89,18 +92,19 @@
     def switch(self, view: View, coverage: Subscription, entry: LogEntry | None) -> None:
         """The one place where another version comes into force."""
         assert view.version >= self.view.version, (view.version, self.view.version)
-        self.view, self.coverage = view, coverage
+        self.view = view
+        self.coverage = coverage
         self.newest = max(self.newest, view.version)
         if view.version > self.blocked:
             self.blocked = NONE_BLOCKED
         if self.error is not None:
-            self._out.log(
+            self._outbox.log(
                 f"configuration version {view.version} is in force: {self.error.place} is mended"
             )
             self.error = None
         self._counts["switched"] += 1
         self._drop_pending(view.version)
-        self._out.in_force(view.version)
+        self._outbox.in_force(view.version)
         self._on_switch(entry)
         self._stage_following()
 
@@ -141,7 +145,7 @@
         self.compare = True
         self._counts[error.code] += 1
         if str(error) != str(self.error):
-            self._out.log(str(error))
+            self._outbox.log(str(error))
         self.error = error
 
     def suspect(self, scopes: Iterable[ScopeId]) -> None:
--- a/pumicenotch/distribution/replica/placement.py
+++ b/pumicenotch/distribution/replica/placement.py
@@ -24,14 +24,17 @@
         settings: Settings,
         upstreams: Upstreams,
         source: Source,
-        out: Outbox,
+        outbox: Outbox,
         eligible: bool = True,
     ) -> None:
         self.relay = False
         self.hints: tuple[str, ...] = ()  # relays that others have named
         self._me = me
         self._voters = tuple(ranked(me.name, voters, lambda address: address))
-        self._settings, self._upstreams, self._source, self._out = settings, upstreams, source, out
+        self._settings = settings
+        self._upstreams = upstreams
+        self._source = source
+        self._outbox = outbox
         self._zone = Zone(me, settings.relays, eligible)
         self._started_at = NEVER
         self._choose_at = NEVER
@@ -52,12 +55,12 @@
     def choose_soon(self, now_ms: float) -> None:
         self._choose_at = now_ms
 
-    def due(self, now_ms: float) -> float:
+    def next_choice_at(self, now_ms: float) -> float:
         if self._started_at == NEVER:
             return NEVER
         if not self._is_settled(now_ms):
             return self._started_at + self._settings.settle_ms
-        return min(self._choose_at, self._upstreams.due(), self._step_down_at)
+        return min(self._choose_at, self._upstreams.next_tick_at(), self._step_down_at)
 
     def _is_settled(self, now_ms: float) -> bool:
         """Whether enough is known of the zone to choose sources."""
@@ -78,7 +81,8 @@
         fallback: Sequence[str] = ()
         if not self.relay:
             hints = [address for address in self.hints if address != self._me.address]
-            preferred, fallback = self._zone.relays(), [*hints, *self._voters]
+            preferred = self._zone.relays()
+            fallback = [*hints, *self._voters]
         alive = {*self._voters, *self._zone.addresses(), *self.hints}
         self._upstreams.choose(now_ms, preferred, fallback, alive)
 
@@ -99,7 +103,7 @@
         self.relay = relay
         self._step_down_at = NEVER
         role = "a relay" if relay else "no relay any more"
-        self._out.log(f"this instance is {role} of zone {self._me.zone}")
+        self._outbox.log(f"this instance is {role} of zone {self._me.zone}")
         if not relay:
             self._source.dismiss(m.NOT_A_RELAY)
         self._source.log.reset(self._source.view.version)
--- a/pumicenotch/distribution/replica/replica.py
+++ b/pumicenotch/distribution/replica/replica.py
@@ -41,34 +41,37 @@
     def __init__(
         self,
         subscription: Subscription,
-        chance: random.Random,
+        rng: random.Random,
         settings: Settings,
         tables: Mapping[str, Table],
-        out: Outbox,
+        outbox: Outbox,
         counts: Counter[str],
         sources: Sources,
         numbers: Iterator[int],
         on_switch: Callable[[LogEntry | None], None],
     ) -> None:
-        self.copy = Copy(settings, tables, out, counts, on_switch)
+        self.copy = Copy(settings, tables, outbox, counts, on_switch)
         self.subscription = subscription  # what the copy should cover
-        self.generation = chance.getrandbits(30)
-        self._settings, self._tables, self._out, self._counts = settings, tables, out, counts
+        self.generation = rng.getrandbits(30)
+        self._settings = settings
+        self._tables = tables
+        self._outbox = outbox
+        self._counts = counts
         self._sources = sources
-        self._requests = Requests(settings, chance, out, numbers)
+        self._requests = Requests(settings, rng, outbox, numbers)
         self._transfer: Transfer | None = None
-        self._transfer_number = chance.getrandbits(30)
+        self._transfer_number = rng.getrandbits(30)
         self._kept: dict[ScopeId, Scope] = {}  # of a transfer that was broken off
         self._begin_at = 0.0  # no pull and no transfer begins before
-        self._auditor = Auditor(settings, settings.audit_ms * (1.0 + chance.random()))
+        self._auditor = Auditor(settings, settings.audit_ms * (1.0 + rng.random()))
 
     # What its owner asks
 
-    def due(self, now_ms: float) -> float:
+    def next_tick_at(self, now_ms: float) -> float:
         """When `tick` is to be called next."""
         if self._has_work():
             return now_ms
-        due = min(self._requests.due(), self._auditor.due)
+        due = min(self._requests.next_retry_at(), self._auditor.due)
         if self._is_idle() and self._lags():
             due = min(
                 due, self._begin_at if self._begin_at > now_ms else now_ms + self._settings.retry_ms
@@ -173,7 +176,8 @@
     # Work, a slice at a time
 
     def _has_work(self) -> bool:
-        staging, transfer = self.copy.staging, self._transfer
+        staging = self.copy.staging
+        transfer = self._transfer
         return (
             self._auditor.current is not None
             or (staging is not None and (staging.has_work or staging.complete))
@@ -181,7 +185,8 @@
         )
 
     def _work(self, now_ms: float) -> None:
-        transfer, staging = self._transfer, self.copy.staging
+        transfer = self._transfer
+        staging = self.copy.staging
         try:
             if transfer is not None:
                 self._work_transfer(now_ms, transfer)
@@ -224,7 +229,7 @@
             self.copy.suspect([audit.scope_id])
         elif address is not None:
             digest = m.ScopeDigest(*audit.scope_id, audit.scope.digest)
-            self._out.send(address, m.Check(view.version, digest))
+            self._outbox.send(address, m.Check(view.version, digest))
 
     # Asking
 
@@ -259,7 +264,8 @@
         if address is None:
             return
         self._counts["pulled"] += 1
-        have, generation = self.copy.view.version, self.generation
+        have = self.copy.view.version
+        generation = self.generation
         self._requests.send(now_ms, address, lambda number: m.Pull(number, generation, have, start))
 
     def _begin_transfer(self, now_ms: float) -> None:
@@ -288,19 +294,22 @@
         asked = [type(request.message) for request in self._requests.open.values()]
         if not transfer.listed_all and m.Compare not in asked:
             self._ask_digests(now_ms, transfer)
-        for _ in range(self._settings.fetches_most - len(asked)):
+        for _ in range(self._settings.max_fetches - len(asked)):
             if transfer.has_work or not transfer.wants:
                 return
             self._ask_records(now_ms, transfer)
 
     def _ask_digests(self, now_ms: float, transfer: Transfer) -> None:
-        number, generation, after = transfer.number, self.generation, transfer.listed_to
+        number = transfer.number
+        generation = self.generation
+        after = transfer.listed_to
         self._requests.send(
             now_ms, transfer.address, lambda request: m.Compare(request, generation, number, after)
         )
 
     def _ask_records(self, now_ms: float, transfer: Transfer) -> None:
-        number, wants = transfer.number, transfer.next_wants()
+        number = transfer.number
+        wants = transfer.next_wants()
         self._requests.send(
             now_ms, transfer.address, lambda request: m.Fetch(request, number, wants)
         )
@@ -314,4 +323,4 @@
     def _end_transfer(self, transfer: Transfer) -> None:
         self._transfer = None
         self._requests.cancel()
-        self._out.send(transfer.address, m.EndTransfer(transfer.number))
+        self._outbox.send(transfer.address, m.EndTransfer(transfer.number))
--- a/pumicenotch/distribution/replica/requests.py
+++ b/pumicenotch/distribution/replica/requests.py
@@ -24,9 +24,11 @@
     """Those that wait for an answer, by number."""
 
     def __init__(
-        self, settings: Settings, chance: random.Random, out: Outbox, numbers: Iterator[int]
+        self, settings: Settings, rng: random.Random, outbox: Outbox, numbers: Iterator[int]
     ) -> None:
-        self._settings, self._chance, self._out = settings, chance, out
+        self._settings = settings
+        self._rng = rng
+        self._outbox = outbox
         self._numbers = numbers
         self.open: dict[int, Request] = {}
 
@@ -35,7 +37,7 @@
         number = next(self._numbers)
         message = make(number)
         self.open[number] = Request(number, address, message, now_ms + self._wait(1))
-        self._out.send(address, message)
+        self._outbox.send(address, message)
 
     def answered(self, number: int, address: str) -> Request | None:
         """The request that this answers; None if it waits for none from there."""
@@ -57,12 +59,12 @@
         for request in list(self.open.values()):
             if now_ms < request.due:
                 continue
-            if request.tries >= self._settings.tries_most:
+            if request.tries >= self._settings.max_attempts:
                 given_up.append(self.open.pop(request.number))
                 continue
             request.tries += 1
             request.due = now_ms + self._wait(request.tries)
-            self._out.send(request.address, request.message)
+            self._outbox.send(request.address, request.message)
         return given_up
 
     def cancel(self, address: str | None = None) -> None:
@@ -71,9 +73,9 @@
             if address is None or request.address == address:
                 del self.open[request.number]
 
-    def due(self) -> float:
+    def next_retry_at(self) -> float:
         return min((request.due for request in self.open.values()), default=NEVER)
 
     def _wait(self, tries: int) -> float:
-        wait = min(self._settings.retry_most_ms, self._settings.retry_ms * float(1 << (tries - 1)))
-        return wait * (1.0 + 0.5 * self._chance.random())
+        wait = min(self._settings.max_retry_ms, self._settings.retry_ms * float(1 << (tries - 1)))
+        return wait * (1.0 + 0.5 * self._rng.random())
--- a/pumicenotch/distribution/replica/upstreams.py
+++ b/pumicenotch/distribution/replica/upstreams.py
@@ -38,15 +38,18 @@
     def __init__(
         self,
         settings: Settings,
-        chance: random.Random,
-        out: Outbox,
+        rng: random.Random,
+        outbox: Outbox,
         counts: Counter[str],
         numbers: Iterator[int],
     ) -> None:
         self.links: list[Upstream] = []
         self.lost: list[str] = []  # addresses left since the owner last looked
         self.promoted = False  # whether the primary source has changed since then
-        self._settings, self._chance, self._out, self._counts = settings, chance, out, counts
+        self._settings = settings
+        self._rng = rng
+        self._outbox = outbox
+        self._counts = counts
         self._avoided: dict[str, float] = {}  # until when
         self._numbers = numbers
         self._swap_at = NEVER
@@ -88,7 +91,7 @@
         elif link.leave_at == NEVER:
             link.leave_at = now_ms + self._leave_after()
         elif now_ms >= link.leave_at:
-            self._out.send(link.address, m.Unsubscribe())
+            self._outbox.send(link.address, m.Unsubscribe())
             self._drop(link)
 
     def _swap(self, now_ms: float, wanted: Sequence[str]) -> None:
@@ -106,7 +109,7 @@
             self._swap_at = NEVER
 
     def _leave_after(self) -> float:
-        return self._chance.uniform(self._settings.leave_least_ms, self._settings.leave_most_ms)
+        return self._rng.uniform(self._settings.min_leave_ms, self._settings.max_leave_ms)
 
     def _drop(self, link: Upstream) -> None:
         if self.links[0] is link:
@@ -116,18 +119,18 @@
 
     def failed(self, now_ms: float, address: str, wait_ms: float = 0.0) -> None:
         """Leaves it, and avoids it for a while."""
-        wait = max(wait_ms, self._settings.avoid_ms * (1.0 + self._chance.random()))
+        wait = max(wait_ms, self._settings.avoid_ms * (1.0 + self._rng.random()))
         self._avoided[address] = now_ms + wait
         self._counts["sources_failed"] += 1
         link = self.link(address)
         if link is not None:
-            self._out.send(address, m.Unsubscribe())
+            self._outbox.send(address, m.Unsubscribe())
             self._drop(link)
 
     def leave_all(self) -> None:
         """This instance has another role now, and needs other sources."""
         for link in list(self.links):
-            self._out.send(link.address, m.Unsubscribe())
+            self._outbox.send(link.address, m.Unsubscribe())
             self._drop(link)
 
     def forgive(self, address: str) -> None:
@@ -149,20 +152,26 @@
         link = self.link(address)
         if link is None or link.request != message.request:
             return False
-        link.accepted, link.tries = True, 0
+        link.accepted = True
+        link.tries = 0
         return True
 
     def forgotten(self, now_ms: float, address: str) -> None:
         """It does not know this replica: it is asked anew."""
         link = self.link(address)
         if link is not None and link.accepted:
-            link.accepted, link.subscribe_at, link.tries = False, now_ms, 0
-            link.version, link.as_of = 0, -NEVER  # it may be another process, with another past
+            link.accepted = False
+            link.subscribe_at = now_ms
+            link.tries = 0
+            link.version = 0
+            link.as_of = -NEVER
 
     def subscribe_anew(self, now_ms: float) -> None:
         """The subscription is another one."""
         for link in self.links:
-            link.accepted, link.subscribe_at, link.tries = False, now_ms, 0
+            link.accepted = False
+            link.subscribe_at = now_ms
+            link.tries = 0
 
     def put_off(self, address: str, until_ms: float) -> None:
         link = self.link(address)
@@ -189,7 +198,7 @@
                 self._subscribe(now_ms, link, generation, version, subscription)
 
     def _silent(self, now_ms: float, link: Upstream) -> bool:
-        waits_in_vain = not link.accepted and link.tries > self._settings.tries_most
+        waits_in_vain = not link.accepted and link.tries > self._settings.max_attempts
         return waits_in_vain or now_ms - link.heard_at >= self._settings.source_silent_ms
 
     def _behind(self, now_ms: float, link: Upstream, newest: int) -> bool:
@@ -199,7 +208,7 @@
             link.behind_since = NEVER
             return False
         link.behind_since = min(link.behind_since, now_ms)
-        return now_ms - link.behind_since >= self._settings.source_behind_ms
+        return now_ms - link.behind_since >= self._settings.source_lag_ms
 
     def _subscribe(
         self,
@@ -212,20 +221,20 @@
         link.tries += 1
         link.request = next(self._numbers)
         wait = min(
-            self._settings.retry_most_ms, self._settings.retry_ms * float(1 << link.tries - 1)
+            self._settings.max_retry_ms, self._settings.retry_ms * float(1 << link.tries - 1)
         )
-        link.subscribe_at = now_ms + wait * (1.0 + 0.5 * self._chance.random())
+        link.subscribe_at = now_ms + wait * (1.0 + 0.5 * self._rng.random())
         primary = link is self.links[0]
         message = m.Subscribe(link.request, generation, version, primary, subscription)
-        self._out.send(link.address, message)
+        self._outbox.send(link.address, message)
 
-    def due(self) -> float:
+    def next_tick_at(self) -> float:
         """When `choose` and `tick` are to be called next."""
         due = min(self._avoided.values(), default=NEVER) if len(self.links) < SOURCES else NEVER
         for link in self.links:
             silent_at = link.heard_at + self._settings.source_silent_ms
             due = min(
-                due, silent_at, link.leave_at, link.behind_since + self._settings.source_behind_ms
+                due, silent_at, link.leave_at, link.behind_since + self._settings.source_lag_ms
             )
             if not link.accepted:
                 due = min(due, link.subscribe_at)
--- a/pumicenotch/distribution/settings.py
+++ b/pumicenotch/distribution/settings.py
@@ -5,76 +5,105 @@
 from pumicenotch.distribution.data.changelog import MAX_LOG_BYTES, MAX_LOG_ENTRIES
 from pumicenotch.distribution.protocol.messages import MAX_PAGE_BYTES, MAX_PAGE_SCOPES
 
-NEVER = float("inf")  # a time that does not come
+# A time that does not come.
+NEVER = float("inf")
 
 
 class Settings(NamedTuple):
-    # Relays and sources
-    relays: int = 3  # of a zone
-    relay_linger_ms: float = (
-        30_000.0  # a relay that falls out of the first ones goes on for so long
-    )
-    children_most: int = 256
-    settle_ms: float = 1_000.0  # after the start, unless enough peers are known before
-    avoid_ms: float = (
-        1_000.0  # a source that was silent or refused, and again by chance up to as much
-    )
-    source_silent_ms: float = 5_000.0  # without a message: another source is sought
-    source_behind_ms: float = 3_000.0  # a source that others are ahead of for so long is left
-    leave_least_ms: float = (
-        5_000.0  # a source that others should serve now is left between these times
-    )
-    leave_most_ms: float = 20_000.0
-    widen_ms: float = (
-        200.0  # a relay waits so long for further children before it asks for their scopes
-    )
-    narrow_ms: float = 60_000.0  # and for so long keeps scopes that no child needs any more
-    child_silent_ms: float = 16_000.0  # without an acknowledgement: the child is forgotten
+    """What a process spends on distribution, and when it does what.
 
-    # Announcements and acknowledgements
-    announce_ms: float = 2_000.0  # at the latest
-    announce_least_ms: float = 500.0  # at the soonest, of another version
-    acknowledge_ms: float = 5_000.0  # at the latest
-    acknowledge_least_ms: float = 200.0  # at the soonest, from who serves nobody
-    aggregate_ms: float = 1_000.0  # at the soonest, from who serves others
+    Attributes:
+        relays: relays of a zone.
+        relay_linger_ms: how long a relay that is no longer among the first ones goes on.
+        max_children: replicas that a source serves.
+        settle_ms: after the start, unless enough peers are known before; then sources are chosen.
+        avoid_ms: how long a source that failed is avoided, and by chance up to as much again.
+        source_silent_ms: without a message for so long a source counts as failed.
+        source_lag_ms: a source that others are ahead of for so long is left.
+        min_leave_ms: the least time after which a source is left that others should replace.
+        max_leave_ms: the most time after which it is.
+        widen_ms: a relay waits so long for further children before it asks for their scopes.
+        narrow_ms: it keeps scopes that no child needs any more for so long.
+        child_silent_ms: without an acknowledgement for so long a child is dropped.
+        announce_ms: the longest time between two announcements.
+        min_announce_ms: the shortest time between two announcements of different versions.
+        acknowledge_ms: the longest time between two acknowledgements.
+        min_acknowledge_ms: the shortest, of a replica that serves nobody.
+        aggregate_ms: the shortest, of one that serves others.
+        roster_ms: the longest time between two rosters.
+        progress_silent_ms: how long a voter's report counts.
+        max_push_bytes: a larger delta is announced, and pulled in pages.
+        page_bytes: of records in the answer to one request.
+        page_scopes: digests in the answer to one comparison.
+        push_window: versions that are pushed to a child without an acknowledgement.
+        retry_ms: of a request without an answer, and by chance up to half as much again.
+        max_retry_ms: the bound of its backoff.
+        max_attempts: of one request; then another source is chosen.
+        not_ready_ms: the retry-after of a relay whose scopes are on their way.
+        missed_ms: a version that was announced and not pushed is pulled after that.
+        max_fetches: requests in flight.
+        max_transfers: transfers that a source serves at one time.
+        transfer_idle_ms: after so long without a request a transfer is dropped.
+        bytes_per_second: what a source sends in answer to pulls and transfers.
+        bytes_burst: what it may send at once.
+        busy_ms: the shortest retry-after of a busy source, and by chance up to as much again.
+        max_log_versions: entries of the log of changes; replicas that miss more compare scopes.
+        max_log_bytes: bytes of the log of changes.
+        slice_changes: changes read, hashed and staged in one step: half a millisecond.
+        slice_bytes: bytes pushed in one step.
+        slice_children: children that a delta is pushed to in one step.
+        slice_audit: records whose digests are computed in one step.
+        max_queue_bytes: received pages that wait to be applied.
+        audit_ms: between two scopes whose digest is computed.
+    """
 
-    roster_ms: float = 60_000.0  # at the latest, the names of those served
-    progress_silent_ms: float = 16_000.0  # a voter's report counts for so long
+    relays: int = 3
+    relay_linger_ms: float = 30_000.0
+    max_children: int = 256
+    settle_ms: float = 1_000.0
+    avoid_ms: float = 1_000.0
+    source_silent_ms: float = 5_000.0
+    source_lag_ms: float = 3_000.0
+    min_leave_ms: float = 5_000.0
+    max_leave_ms: float = 20_000.0
+    widen_ms: float = 200.0
+    narrow_ms: float = 60_000.0
+    child_silent_ms: float = 16_000.0
 
-    # Deltas and transfers
-    push_bytes_most: int = 16 * 1024  # a larger delta is announced, and pulled in pages
-    page_bytes: int = MAX_PAGE_BYTES  # of records in the answer to one request
-    page_scopes: int = MAX_PAGE_SCOPES  # digests in the answer to one comparison
-    push_window: int = 64  # versions pushed to a child and not acknowledged
-    retry_ms: float = (
-        400.0  # of a request without an answer, and again by chance up to half as much
-    )
-    retry_most_ms: float = 1_000.0
-    tries_most: int = 3  # of one request, then another source is sought
-    not_ready_ms: float = (
-        300.0  # the time to come back that a relay tells whose scopes are on their way
-    )
-    missed_ms: float = 250.0  # a version that was announced and not pushed is pulled after that
-    fetches_most: int = 4  # requests in flight
-    transfers_most: int = 32  # that a source keeps at once
+    announce_ms: float = 2_000.0
+    min_announce_ms: float = 500.0
+    acknowledge_ms: float = 5_000.0
+    min_acknowledge_ms: float = 200.0
+    aggregate_ms: float = 1_000.0
+    roster_ms: float = 60_000.0
+    progress_silent_ms: float = 16_000.0
+
+    max_push_bytes: int = 16 * 1024
+    page_bytes: int = MAX_PAGE_BYTES
+    page_scopes: int = MAX_PAGE_SCOPES
+    push_window: int = 64
+    retry_ms: float = 400.0
+    max_retry_ms: float = 1_000.0
+    max_attempts: int = 3
+    not_ready_ms: float = 300.0
+    missed_ms: float = 250.0
+    max_fetches: int = 4
+    max_transfers: int = 32
     transfer_idle_ms: float = 10_000.0
 
-    # Admission: bytes that a source sends in answer to pulls and transfers
     bytes_per_second: float = 4_000_000.0
     bytes_burst: float = 1_000_000.0
-    busy_ms: float = 300.0  # the shortest time to come back, and again by chance up to as much
+    busy_ms: float = 300.0
 
-    # The log of changes: whoever has missed more compares scopes
-    log_versions_most: int = MAX_LOG_ENTRIES
-    log_bytes_most: int = MAX_LOG_BYTES
+    max_log_versions: int = MAX_LOG_ENTRIES
+    max_log_bytes: int = MAX_LOG_BYTES
 
-    # Work in one step
-    slice_changes: int = 32  # read, hashed and staged in half a millisecond
+    slice_changes: int = 32
     slice_bytes: int = 32 * 1024
-    slice_children: int = 32  # that a delta is pushed to
-    slice_audit: int = 300  # records whose digests are made anew
-    queue_bytes_most: int = 256 * 1024  # of received pages that wait to be applied
-    audit_ms: float = 20_000.0  # between two scopes whose digest is made anew
+    slice_children: int = 32
+    slice_audit: int = 300
+    max_queue_bytes: int = 256 * 1024
+    audit_ms: float = 20_000.0
 
 
 DEFAULTS = Settings()
--- a/pumicenotch/distribution/source/admission.py
+++ b/pumicenotch/distribution/source/admission.py
@@ -18,7 +18,7 @@
             self.tokens = min(self.burst, self.tokens + gained)
         self._filled_at = now_ms
 
-    def open(self, now_ms: float) -> bool:
+    def is_open(self, now_ms: float) -> bool:
         """Whether a page may be sent now."""
         self._fill(now_ms)
         return self.tokens > 0.0
--- a/pumicenotch/distribution/source/children.py
+++ b/pumicenotch/distribution/source/children.py
@@ -15,15 +15,15 @@
     """One replica that has subscribed here."""
 
     name: str
-    life: str
+    incarnation: str
     address: str
     generation: int
     subscription: Subscription
     primary: bool
     version: int  # in force there, as it acknowledged
-    pushed: int  # version that it will have once all that was sent has arrived
-    heard_at: float
-    announced: int  # version
+    pushed_version: int  # version that it will have once all that was sent has arrived
+    last_message_at: float
+    announced_version: int  # version
     announced_at: float
     report: Report = EMPTY
 
@@ -31,25 +31,27 @@
     def of(cls, now_ms: float, sender: Sender, message: Subscribe) -> "Child":
         return cls(
             name=sender.name,
-            life=sender.life,
+            incarnation=sender.life,
             address=sender.address,
             generation=message.generation,
             subscription=message.subscription,
             primary=message.primary,
             version=message.version,
-            pushed=message.version,
-            heard_at=now_ms,
-            announced=0,
+            pushed_version=message.version,
+            last_message_at=now_ms,
+            announced_version=0,
             announced_at=now_ms,
         )
 
     def acknowledged(self, version: int) -> None:
         self.version = version
-        self.pushed = max(self.pushed, version)
+        self.pushed_version = max(self.pushed_version, version)
 
-    def announce_due(self, version: int, settings: Settings) -> float:
+    def next_announcement_at(self, version: int, settings: Settings) -> float:
         """When it is to be told of that version."""
-        wait = settings.announce_ms if self.announced == version else settings.announce_least_ms
+        wait = (
+            settings.announce_ms if self.announced_version == version else settings.min_announce_ms
+        )
         return self.announced_at + wait
 
     def delta(self, request: int, age_ms: int, page: Page) -> Delta:
--- a/pumicenotch/distribution/source/source.py
+++ b/pumicenotch/distribution/source/source.py
@@ -16,14 +16,14 @@
 from pumicenotch.distribution.settings import NEVER, Settings
 from pumicenotch.distribution.source.admission import TokenBucket
 from pumicenotch.distribution.source.children import Child, page_bytes
-from pumicenotch.distribution.source.transfers import KeptTransfer, digest_page, record_page
+from pumicenotch.distribution.source.transfers import OpenTransfer, digest_page, record_page
 
 SCOPE_DIGEST_BYTES = 48  # about, on the wire
 
 
 def log_of(settings: Settings) -> ChangeLog:
     """An empty one, within its bounds."""
-    return ChangeLog(max_entries=settings.log_versions_most, max_bytes=settings.log_bytes_most)
+    return ChangeLog(max_entries=settings.max_log_versions, max_bytes=settings.max_log_bytes)
 
 
 class Source:
@@ -32,23 +32,26 @@
     def __init__(
         self,
         settings: Settings,
-        chance: random.Random,
-        out: Outbox,
+        rng: random.Random,
+        outbox: Outbox,
         counts: Counter[str],
         age_ms: Callable[[float], int],
     ) -> None:
         self.view = View()
         self.log = log_of(settings)
-        self.held: Subscription = NOTHING  # scopes that the view covers
+        self.coverage: Subscription = NOTHING  # scopes that the view covers
         self.accepting = False
         self.candidates: tuple[str, ...] = ()  # addresses of better sources, told with a refusal
         self.children: dict[str, Child] = {}
-        self._settings, self._chance, self._out, self._counts = settings, chance, out, counts
+        self._settings = settings
+        self._rng = rng
+        self._outbox = outbox
+        self._counts = counts
         self._age_ms = age_ms
-        self._transfers: dict[str, KeptTransfer] = {}
+        self._transfers: dict[str, OpenTransfer] = {}
         self._bucket = TokenBucket(settings.bytes_per_second, settings.bytes_burst)
-        self._to_push: dict[str, None] = {}
-        self._look_at = NEVER
+        self._push_queue: dict[str, None] = {}
+        self._next_review_at = NEVER
 
     # What the owner asks
 
@@ -56,23 +59,23 @@
         """The view and its log have moved on."""
         for child in self.children.values():
             if child.primary:
-                self._to_push[child.name] = None
-        self._look_at = min(self._look_at, now_ms)
+                self._push_queue[child.name] = None
+        self._next_review_at = min(self._next_review_at, now_ms)
 
-    def due(self, now_ms: float) -> float:
+    def next_tick_at(self, now_ms: float) -> float:
         """When `tick` is to be called next."""
-        return now_ms if self._to_push else self._look_at
+        return now_ms if self._push_queue else self._next_review_at
 
     def tick(self, now_ms: float) -> None:
         budget = self._settings.slice_bytes
-        for name in list(self._to_push)[: self._settings.slice_children]:
-            del self._to_push[name]
+        for name in list(self._push_queue)[: self._settings.slice_children]:
+            del self._push_queue[name]
             if name in self.children:
                 budget -= self._push(now_ms, self.children[name])
             if budget <= 0:
                 break
-        if now_ms >= self._look_at and not self._to_push:
-            self._look(now_ms)
+        if now_ms >= self._next_review_at and not self._push_queue:
+            self._review_children(now_ms)
 
     def report(self) -> Report:
         """Of all that are served here and have this as their primary source."""
@@ -85,10 +88,10 @@
     def dismiss(self, reason: str) -> None:
         """Tells all children to go elsewhere."""
         for child in self.children.values():
-            self._out.send(child.address, m.Refused(0, reason, 0, self.candidates))
+            self._outbox.send(child.address, m.Refused(0, reason, 0, self.candidates))
         self.children.clear()
         self._transfers.clear()
-        self._to_push.clear()
+        self._push_queue.clear()
 
     # Messages of children
 
@@ -97,14 +100,14 @@
             self._subscribe(now_ms, sender, message)
             return
         child = self.children.get(sender.name)
-        if child is None or child.life != sender.life:
+        if child is None or child.incarnation != sender.life:
             if not isinstance(message, m.Unsubscribe):
                 request = (
                     message.request if isinstance(message, m.Pull | m.Compare | m.Fetch) else 0
                 )
                 self._refuse(sender.address, request, m.UNKNOWN_CHILD, 0)
             return
-        child.heard_at = now_ms
+        child.last_message_at = now_ms
         match message:
             case m.Unsubscribe():
                 self._forget(child)
@@ -126,29 +129,31 @@
         if not self.accepting:
             self._refuse(sender.address, message.request, m.NOT_A_RELAY, 0)
             return
-        if former is None and len(self.children) >= self._settings.children_most:
+        if former is None and len(self.children) >= self._settings.max_children:
             self._refuse(
                 sender.address, message.request, m.BUSY, self._jittered(self._settings.busy_ms)
             )
             return
         child = Child.of(now_ms, sender, message)
-        if former is not None and former.life == child.life:
+        if former is not None and former.incarnation == child.incarnation:
             child.report = former.report
         self.children[child.name] = child
         self._transfers.pop(child.name, None)
-        child.announced = self.view.version
+        child.announced_version = self.view.version
         accepted = m.Accepted(message.request, self.view.version, self._age_ms(now_ms))
-        self._out.send(child.address, accepted)
+        self._outbox.send(child.address, accepted)
         if child.primary:
-            self._to_push[child.name] = None
-        self._look_at = min(self._look_at, child.announce_due(self.view.version, self._settings))
+            self._push_queue[child.name] = None
+        self._next_review_at = min(
+            self._next_review_at, child.next_announcement_at(self.view.version, self._settings)
+        )
 
     def _acknowledge(self, now_ms: float, child: Child, message: m.Acknowledge) -> None:
         child.acknowledged(message.version)
         child.primary = message.primary
         child.report = message.report
-        if child.primary and child.pushed < self.view.version:
-            self._to_push[child.name] = None
+        if child.primary and child.pushed_version < self.view.version:
+            self._push_queue[child.name] = None
 
     def _pull(self, now_ms: float, child: Child, message: m.Pull) -> None:
         if not self._serves(now_ms, child, message.request, message.generation):
@@ -162,70 +167,79 @@
             self._refuse(child.address, message.request, m.COMPACTED, 0)
             return
         if page.done:
-            child.pushed = page.version
+            child.pushed_version = page.version
         self._bucket.spend(page_bytes(page))
-        self._out.send(child.address, child.delta(message.request, self._age_ms(now_ms), page))
+        self._outbox.send(child.address, child.delta(message.request, self._age_ms(now_ms), page))
 
     def _compare(self, now_ms: float, child: Child, message: m.Compare) -> None:
         if not self._serves(now_ms, child, message.request, message.generation):
             return
-        kept = self._transfers.get(child.name)
-        if kept is None or kept.number != message.transfer:
+        transfer = self._transfers.get(child.name)
+        if transfer is None or transfer.number != message.transfer:
             if message.after != m.BEFORE_ALL_SCOPES:
                 self._refuse(child.address, message.request, m.NO_TRANSFER, 0)
                 return
-            if kept is None and len(self._transfers) >= self._settings.transfers_most:
+            if transfer is None and len(self._transfers) >= self._settings.max_transfers:
                 wait = self._jittered(self._settings.busy_ms)
                 self._refuse(child.address, message.request, m.BUSY, wait)
                 return
-            kept = KeptTransfer(
+            transfer = OpenTransfer(
                 message.transfer, child.generation, self.view, child.subscription, now_ms
             )
-            self._transfers[child.name] = kept
-            child.pushed = self.view.version
-        kept.used_at = now_ms
-        digests, done = digest_page(kept, message.after, self._settings.page_scopes)
+            self._transfers[child.name] = transfer
+            child.pushed_version = self.view.version
+        transfer.last_used_at = now_ms
+        digests, done = digest_page(transfer, message.after, self._settings.page_scopes)
         self._bucket.spend(SCOPE_DIGEST_BYTES * len(digests))
         scopes = m.Scopes(
-            message.request, kept.number, kept.view.version, self._age_ms(now_ms), digests, done
+            message.request,
+            transfer.number,
+            transfer.view.version,
+            self._age_ms(now_ms),
+            digests,
+            done,
         )
-        self._out.send(child.address, scopes)
+        self._outbox.send(child.address, scopes)
 
     def _fetch(self, now_ms: float, child: Child, message: m.Fetch) -> None:
-        kept = self._transfers.get(child.name)
-        if kept is None or kept.number != message.transfer or kept.generation != child.generation:
+        transfer = self._transfers.get(child.name)
+        if (
+            transfer is None
+            or transfer.number != message.transfer
+            or transfer.generation != child.generation
+        ):
             self._refuse(child.address, message.request, m.NO_TRANSFER, 0)
             return
-        kept.used_at = now_ms
+        transfer.last_used_at = now_ms
         if not self._admits(now_ms, child, message.request):
             return
-        parts, size = record_page(kept, message.wants, self._settings.page_bytes)
+        parts, size = record_page(transfer, message.wants, self._settings.page_bytes)
         self._bucket.spend(size)
-        self._out.send(child.address, m.Records(message.request, kept.number, parts))
+        self._outbox.send(child.address, m.Records(message.request, transfer.number, parts))
 
     def _end_transfer(self, child: Child, number: int) -> None:
-        kept = self._transfers.get(child.name)
-        if kept is not None and kept.number == number:
+        transfer = self._transfers.get(child.name)
+        if transfer is not None and transfer.number == number:
             del self._transfers[child.name]
 
     def _check(self, child: Child, message: m.Check) -> None:
         table, scope, digest = message.scope
-        known = message.version == self.view.version and self.held.contains(table, scope)
+        known = message.version == self.view.version and self.coverage.contains(table, scope)
         if known and digest != self.view.digest(table, scope):
-            self._out.send(child.address, m.Mismatch(message.version, table, scope))
+            self._outbox.send(child.address, m.Mismatch(message.version, table, scope))
 
     def _serves(self, now_ms: float, child: Child, request: int, generation: int) -> bool:
         if generation != child.generation:
             self._refuse(child.address, request, m.UNKNOWN_CHILD, 0)
             return False
-        if not self.held.covers(child.subscription):
+        if not self.coverage.covers(child.subscription):
             wait = self._jittered(self._settings.not_ready_ms)
             self._refuse(child.address, request, m.NOT_READY, wait)
             return False
         return self._admits(now_ms, child, request)
 
     def _admits(self, now_ms: float, child: Child, request: int) -> bool:
-        if self._bucket.open(now_ms):
+        if self._bucket.is_open(now_ms):
             return True
         wait = self._bucket.wait_ms(now_ms) + self._jittered(self._settings.busy_ms)
         self._refuse(child.address, request, m.BUSY, int(wait))
@@ -233,53 +247,60 @@
 
     def _refuse(self, address: str, request: int, reason: str, retry_after_ms: int) -> None:
         self._counts[f"refused-{reason}"] += 1
-        self._out.send(address, m.Refused(request, reason, retry_after_ms, self.candidates))
+        self._outbox.send(address, m.Refused(request, reason, retry_after_ms, self.candidates))
 
-    def _jittered(self, least_ms: float) -> int:
-        return int(least_ms * (1.0 + self._chance.random()))
+    def _jittered(self, min_ms: float) -> int:
+        return int(min_ms * (1.0 + self._rng.random()))
 
     # What it tells by itself
 
     def _push(self, now_ms: float, child: Child) -> int:
         """The next changes, as far as they are small and the child acknowledges; and their size."""
-        settings, pushed = self._settings, 0
+        settings = self._settings
+        pushed = 0
         while (
-            child.pushed < self.view.version and child.pushed - child.version < settings.push_window
+            child.pushed_version < self.view.version
+            and child.pushed_version - child.version < settings.push_window
         ):
-            if not self.held.covers(child.subscription):
+            if not self.coverage.covers(child.subscription):
                 break
             page = self.log.complete_page(
-                child.pushed, child.subscription, settings.push_bytes_most
+                child.pushed_version, child.subscription, settings.max_push_bytes
             )
             if page is None:
-                break  # it is announced, and pulled
+                break  # it is announced_version, and pulled
             pushed += page_bytes(page)
-            self._out.send(child.address, child.delta(0, self._age_ms(now_ms), page))
+            self._outbox.send(child.address, child.delta(0, self._age_ms(now_ms), page))
             self._counts["pushed"] += 1
-            child.pushed = child.announced = page.version
+            child.pushed_version = page.version
+            child.announced_version = page.version
             child.announced_at = now_ms
         return pushed
 
-    def _look(self, now_ms: float) -> None:
+    def _review_children(self, now_ms: float) -> None:
         """Announces where it is time, and forgets those who have fallen silent."""
-        version, told, following = self.view.version, 0, NEVER
+        version = self.view.version
+        told = 0
+        following = NEVER
         for child in list(self.children.values()):
-            if now_ms - child.heard_at >= self._settings.child_silent_ms:
+            if now_ms - child.last_message_at >= self._settings.child_silent_ms:
                 self._forget(child)
                 continue
-            if now_ms >= child.announce_due(version, self._settings):
+            if now_ms >= child.next_announcement_at(version, self._settings):
                 if told >= 2 * self._settings.slice_children:
                     following = now_ms
                     break
-                self._out.send(child.address, m.Announce(version, self._age_ms(now_ms)))
-                child.announced, child.announced_at, told = version, now_ms, told + 1
-            following = min(following, child.announce_due(version, self._settings))
-        self._look_at = following
-        for name, kept in list(self._transfers.items()):
-            if now_ms - kept.used_at >= self._settings.transfer_idle_ms:
+                self._outbox.send(child.address, m.Announce(version, self._age_ms(now_ms)))
+                child.announced_version = version
+                child.announced_at = now_ms
+                told = told + 1
+            following = min(following, child.next_announcement_at(version, self._settings))
+        self._next_review_at = following
+        for name, transfer in list(self._transfers.items()):
+            if now_ms - transfer.last_used_at >= self._settings.transfer_idle_ms:
                 del self._transfers[name]
 
     def _forget(self, child: Child) -> None:
         del self.children[child.name]
         self._transfers.pop(child.name, None)
-        self._to_push.pop(child.name, None)
+        self._push_queue.pop(child.name, None)
--- a/pumicenotch/distribution/source/transfers.py
+++ b/pumicenotch/distribution/source/transfers.py
@@ -1,4 +1,4 @@
-"""The source's side of a transfer by scopes: a view is kept while a child compares digests with it and
+"""The source's side of a transfer by scopes: a view is transfer while a child compares digests with it and
 fetches the scopes that differ. Pages are made of a place alone, so that a repeated request has the same
 answer.
 """
@@ -18,43 +18,45 @@
 
 
 @dataclass(slots=True)
-class KeptTransfer:
+class OpenTransfer:
     """`number` is the child's; `view` is the one that it compares with from the first page to the last."""
 
     number: int
     generation: int
     view: View
     subscription: Subscription
-    used_at: float
+    last_used_at: float
 
 
 def digest_page(
-    kept: KeptTransfer, after: ScopeId, most: int
+    transfer: OpenTransfer, after: ScopeId, most: int
 ) -> tuple[tuple[ScopeDigest, ...], bool]:
     """The next subscribed scopes with their digests, and whether these are the last."""
     found: list[ScopeDigest] = []
-    for scope_id in kept.view.subscribed_after(kept.subscription, after):
+    for scope_id in transfer.view.subscribed_after(transfer.subscription, after):
         if len(found) == most:
             return tuple(found), False
-        found.append(ScopeDigest(*scope_id, kept.view.digest(*scope_id)))
+        found.append(ScopeDigest(*scope_id, transfer.view.digest(*scope_id)))
     return tuple(found), True
 
 
 def record_page(
-    kept: KeptTransfer, wants: Sequence[Want], most: int
+    transfer: OpenTransfer, wants: Sequence[Want], most: int
 ) -> tuple[tuple[ScopePage, ...], int]:
     """Records of the wanted scopes as far as a page holds, and their size."""
     parts: list[ScopePage] = []
-    size = count = 0
+    size = 0
+    count = 0
     for want in wants:
-        if not kept.subscription.contains(want.table, want.scope):
+        if not transfer.subscription.contains(want.table, want.scope):
             continue
         room = MAX_PAGE_CHANGES - count
-        part, part_size = _scope_part(kept.view, want, most - size, room, first=not parts)
+        part, part_size = _scope_part(transfer.view, want, most - size, room, first=not parts)
         if parts and not part.records and not part.done:
             break
         parts.append(part)
-        size, count = size + part_size, count + len(part.records)
+        size = size + part_size
+        count = count + len(part.records)
         if not part.done:
             break
     return tuple(parts), size
--- a/pumicenotch/distribution/source/voter_source.py
+++ b/pumicenotch/distribution/source/voter_source.py
@@ -28,7 +28,7 @@
 
 class _VoterReport(NamedTuple):
     report: Report
-    heard_at: float
+    last_message_at: float
 
 
 class VoterSource:
@@ -38,7 +38,7 @@
         self,
         me: Peer,
         publications: Publications,
-        chance: random.Random,
+        rng: random.Random,
         *,
         settings: Settings = DEFAULTS,
     ) -> None:
@@ -47,9 +47,9 @@
         self.counts: Counter[str] = Counter()
         self._settings = settings
         self._now = 0.0
-        self._out = Outbox()
-        self._source = Source(settings, chance, self._out, self.counts, self._age_ms)
-        self._source.held = EVERYTHING
+        self._outbox = Outbox()
+        self._source = Source(settings, rng, self._outbox, self.counts, self._age_ms)
+        self._source.coverage = EVERYTHING
         self._source.accepting = True
         self._take_book()
         self._leader = ""
@@ -64,7 +64,8 @@
 
     def step(self, now_ms: float, event: VoterEvent) -> list[Effect]:
         """Takes one event, and gives the effects that are wanted."""
-        now = self._now = max(self._now, now_ms)
+        now = max(self._now, now_ms)
+        self._now = now
         match event:
             case Published():
                 self._take_book()
@@ -74,15 +75,16 @@
             case LeaderChanged():
                 self._leader_changed(now, event)
             case Started():
-                self._progress_at = self._roster_at = now
-        if now >= self._source.due(now):
+                self._progress_at = now
+                self._roster_at = now
+        if now >= self._source.next_tick_at(now):
             self._source.tick(now)
         if now >= self._progress_at:
             self._tell_progress(now)
         if now >= self._roster_at:
             self._tell_roster(now)
-        due = min(self._source.due(now), self._progress_at, self._roster_at)
-        return [*self._out.take(), WakeAt(due)]
+        due = min(self._source.next_tick_at(now), self._progress_at, self._roster_at)
+        return [*self._outbox.take(), WakeAt(due)]
 
     def _take_book(self) -> None:
         self._source.view = self.publications.view
@@ -102,7 +104,8 @@
         changed = event.address != self._leader
         self._leader, self._is_leader, self._in_touch = event
         if changed:
-            self._progress_at = self._roster_at = now
+            self._progress_at = now
+            self._roster_at = now
             self._introduce()
         if not self._is_leader:
             self._reports.clear()
@@ -112,7 +115,7 @@
         if not self._leader or self._is_leader:
             return
         for owner in sorted(self._own_children() & self._rosters.keys()):
-            self._out.send(self._leader, m.Roster(owner, tuple(sorted(self._rosters[owner]))))
+            self._outbox.send(self._leader, m.Roster(owner, tuple(sorted(self._rosters[owner]))))
 
     # Messages
 
@@ -135,7 +138,7 @@
         self._rosters[owner] = frozenset(names)
         own_child = sender.name == owner and owner in self._source.children
         if own_child and self._leader and not self._is_leader:
-            self._out.send(self._leader, m.Roster(owner, names))
+            self._outbox.send(self._leader, m.Roster(owner, names))
 
     # To the leader
 
@@ -143,7 +146,7 @@
         self._progress_sent_at = now
         self._progress_at = now + self._settings.acknowledge_ms
         if self._leader and not self._is_leader:
-            self._out.send(self._leader, m.Progress(self._source.report()))
+            self._outbox.send(self._leader, m.Progress(self._source.report()))
 
     def _tell_roster(self, now: float) -> None:
         """Whom this voter serves itself."""
@@ -151,7 +154,7 @@
         if not self._leader or self._is_leader:
             return
         names = self._own_children()
-        self._out.send(self._leader, m.Roster(self.me.name, tuple(sorted(names))))
+        self._outbox.send(self._leader, m.Roster(self.me.name, tuple(sorted(names))))
 
     def _own_children(self) -> set[str]:
         return {child.name for child in self._source.children.values() if child.primary}
@@ -161,7 +164,7 @@
     def report(self, now_ms: float) -> Report:
         """Of all copies that the voters hear of."""
         since = now_ms - self._settings.progress_silent_ms
-        others = [told.report for told in self._reports.values() if told.heard_at >= since]
+        others = [told.report for told in self._reports.values() if told.last_message_at >= since]
         return merged([self._source.report(), *others])
 
     def _accounted(self, now_ms: float) -> set[str]:
@@ -169,14 +172,15 @@
         since = now_ms - self._settings.progress_silent_ms
         direct = self._own_children()
         for name, told in self._reports.items():
-            if told.heard_at >= since:
+            if told.last_message_at >= since:
                 direct |= self._rosters.get(name, frozenset())
         served = [self._rosters.get(name, frozenset()) for name in direct]
         return direct.union(*served)
 
     def status(self, now_ms: float, members: Iterable[str] = ()) -> dict[str, Any]:
         """For operators, at the leader: how many have the newest version in force, and who has not."""
-        report, version = self.report(now_ms), self.publications.version
+        report = self.report(now_ms)
+        version = self.publications.version
         missing = sorted(set(members) - self._accounted(now_ms))
         return {
             "version": version,
--- a/pumicenotch/net/configuration.py
+++ b/pumicenotch/net/configuration.py
@@ -264,13 +264,13 @@
     ) -> None:
         super().__init__(hub)
         self.voters = frozenset(voters)
-        children = min(settings.settings.children_most, max(1, hub.links_most - MEMBERSHIP_LINKS))
+        children = min(settings.settings.max_children, max(1, hub.links_most - MEMBERSHIP_LINKS))
         self.node = Node(
             self_of(hub.node.me),
             voters,
             settings.subscribed(),
             random.Random(seed),
-            settings=settings.settings._replace(children_most=children),
+            settings=settings.settings._replace(max_children=children),
             tables=settings.tables(),
             relay_eligible=settings.relay,
         )
--- a/tests/distribution/test_faults.py
+++ b/tests/distribution/test_faults.py
@@ -250,7 +250,7 @@
     assert answers(source, sender, following, 1.0) == [m.Refused(3, m.NO_TRANSFER, 0)]
 
 
-@pytest.mark.parametrize("what", ["children_most", "transfers_most"])
+@pytest.mark.parametrize("what", ["max_children", "max_transfers"])
 def test_too_many_at_once_are_told_to_come_back(what: str) -> None:
     network = Network(12, instances=0, settings=DEFAULTS._replace(busy_ms=500.0, **{what: 2}))
     source, refused = leader(network), 0
@@ -357,5 +357,5 @@
             (),
         )
         network.step("i0", events.Received(events.Sender("v0", "1", "v0"), late))
-    assert 0 < copy._pending_bytes <= DEFAULTS.queue_bytes_most
+    assert 0 < copy._pending_bytes <= DEFAULTS.max_queue_bytes
     assert node.view.version == 0
--- a/tests/distribution/test_messages.py
+++ b/tests/distribution/test_messages.py
@@ -152,7 +152,7 @@
 def test_a_token_bucket_bears_a_rate() -> None:
     bucket, sent, chance = TokenBucket(1_000.0, 500.0), 0, random.Random(1)
     for now in range(0, 10_000, 10):
-        if bucket.open(now):
+        if bucket.is_open(now):
             size = chance.randrange(200)
             bucket.spend(size)
             sent += size
--- a/tests/test_distribution_config.py
+++ b/tests/test_distribution_config.py
@@ -119,7 +119,7 @@
 
 def test_a_voters_file_has_its_limits(tmp_path: Path) -> None:
     found = voter_of(put(tmp_path, VOTER)).distribution
-    assert found is not None and found.settings == DEFAULTS._replace(relays=2, children_most=7)
+    assert found is not None and found.settings == DEFAULTS._replace(relays=2, max_children=7)
     assert voter_of(put(tmp_path, VOTER[: VOTER.index("distribution")])).distribution is None
 
 
