--- a/benchmarks/capacity/spread.py
+++ b/benchmarks/capacity/spread.py
@@ -15,6 +15,7 @@
 from benchmarks.capacity.measured_day import VOTERS, Meter
 from benchmarks.capacity.meter import cpu_ns, frozen_heap
 from pumicenotch.distribution import effects, events
+from pumicenotch.distribution.context import new_context
 from pumicenotch.distribution.data.records import Change
 from pumicenotch.distribution.data.subscription import Subscription
 from pumicenotch.distribution.data.tables import canonical
@@ -146,7 +147,9 @@
             at = int(peer.name.removeprefix("server-"))
             # A zone that has relays alone: each needs what the servers of the zone would need.
             needs = range(at * share, at * share + share) if many == RELAYS else [at]
-            core = Node(peer, self.voters, self.load.subscription(needs), random.Random(at))
+            core = Node(
+                peer, self.voters, self.load.subscription(needs), new_context(random.Random(at))
+            )
             self.processes[peer.address] = Process(core, peer)
         for peer in peers:
             self.put(peer.address, events.Started())
--- a/pumicenotch/distribution/effects.py
+++ b/pumicenotch/distribution/effects.py
@@ -6,19 +6,22 @@
 
 
 class SendTo(NamedTuple):
-    """Told once, without an answer; lost with its connection."""
+    """Send a message once; it is lost with its connection."""
 
     address: str
     message: Message
 
 
 class Log(NamedTuple):
+    """Write a line to the log."""
+
     text: str
 
 
 class WakeAt(NamedTuple):
-    """Put `Ticked` at that time; a later one replaces it. A time that has passed means: as soon as other work
-    has had its turn.
+    """Put in `Ticked` at that time; a later one replaces it.
+
+    A time that has passed means: as soon as other work has had its turn.
     """
 
     at_ms: float
--- a/pumicenotch/distribution/events.py
+++ b/pumicenotch/distribution/events.py
@@ -8,7 +8,7 @@
 
 
 class Peer(NamedTuple):
-    """An instance as this one's membership knows it. Voters are no peers: they are named at the start."""
+    """An instance, as this one's membership knows it. Voters are no peers: they are configured."""
 
     name: str
     zone: str
@@ -19,7 +19,7 @@
 
 
 class Started(NamedTuple):
-    """The process begins, or begins to use the distribution."""
+    """The process starts, or starts to use the distribution."""
 
 
 class Ticked(NamedTuple):
@@ -27,12 +27,14 @@
 
 
 class Received(NamedTuple):
+    """A message has come."""
+
     sender: Sender
     message: Message
 
 
 class PeerChanged(NamedTuple):
-    """Another instance has come, gone or changed."""
+    """Another instance has joined, left or changed."""
 
     peer: Peer
 
@@ -50,8 +52,9 @@
 
 
 class LeaderChanged(NamedTuple):
-    """Who leads the voters, as this voter knows it. `in_touch` says whether it hears the leader, or, being
-    the leader itself, a majority.
+    """Another voter leads, as far as this voter knows.
+
+    `in_touch` says whether it hears the leader or, being the leader itself, a majority.
     """
 
     address: str
--- a/pumicenotch/distribution/node.py
+++ b/pumicenotch/distribution/node.py
@@ -1,14 +1,11 @@
-"""An instance's part in the distribution: its replica, and a source for others where it is a relay."""
+"""An instance's part in the distribution: its replica, and a source where it is a relay."""
 
-import itertools
-import random
-from collections import Counter
-from collections.abc import Mapping, Sequence
+from collections.abc import Sequence
 from typing import Any
 
+from pumicenotch.distribution.context import Context
 from pumicenotch.distribution.data.changelog import LogEntry
 from pumicenotch.distribution.data.subscription import Subscription
-from pumicenotch.distribution.data.tables import TABLES, Table
 from pumicenotch.distribution.data.view import View
 from pumicenotch.distribution.effects import Effect, WakeAt
 from pumicenotch.distribution.errors import DistributionError, SourceBehindError, SourceRefusedError
@@ -22,14 +19,13 @@
     SubscriptionChanged,
     Ticked,
 )
-from pumicenotch.distribution.outbox import Outbox
 from pumicenotch.distribution.protocol import messages as m
 from pumicenotch.distribution.protocol.reports import BEHIND, Report, merged, own_report
 from pumicenotch.distribution.replica.acknowledgements import Acknowledger
 from pumicenotch.distribution.replica.placement import Placement
 from pumicenotch.distribution.replica.replica import Replica
 from pumicenotch.distribution.replica.upstreams import Upstreams
-from pumicenotch.distribution.settings import DEFAULTS, NEVER, Settings
+from pumicenotch.distribution.settings import NEVER
 from pumicenotch.distribution.source.source import Source
 
 FROM_CHILDREN = (
@@ -45,58 +41,53 @@
 
 
 class Node:
-    """`step` is the one way in. `me` is this instance, `voters` their addresses."""
+    """A replica, and a source for others. `step` is the one way in."""
 
     def __init__(
         self,
         me: Peer,
         voters: Sequence[str],
         subscription: Subscription,
-        rng: random.Random,
-        *,
-        settings: Settings = DEFAULTS,
-        tables: Mapping[str, Table] = TABLES,
+        context: Context,
         relay_eligible: bool = True,
     ) -> None:
+        """Create a node without any configuration.
+
+        Args:
+            me: this instance.
+            voters: their addresses.
+            subscription: what this instance needs for itself.
+            context: settings and collaborators.
+            relay_eligible: whether it may be a relay.
+        """
         self.me = me
-        self.counts: Counter[str] = Counter()
-        self._settings = settings
-        self._own = subscription  # what this instance needs for itself
+        self.counts = context.counts
+        self._settings = context.settings
+        self._own = subscription
         self._now = 0.0
-        self._outbox = Outbox()
-        numbers = itertools.count(1)
-        self._upstreams = Upstreams(settings, rng, self._outbox, self.counts, numbers)
-        self._replica = Replica(
-            subscription,
-            rng,
-            settings,
-            tables,
-            self._outbox,
-            self.counts,
-            self._upstreams,
-            numbers,
-            self._switched,
-        )
-        self._source = Source(settings, rng, self._outbox, self.counts, self._told_age_ms)
+        self._outbox = context.outbox
+        self._upstreams = Upstreams(context)
+        self._replica = Replica(subscription, context, self._upstreams, self._on_switch)
+        self._source = Source(context, self._encoded_age_ms)
         self._placement = Placement(
-            me, voters, settings, self._upstreams, self._source, self._outbox, relay_eligible
+            me, voters, context, self._upstreams, self._source, relay_eligible
         )
-        self._acknowledger = Acknowledger(me.name, settings, self._outbox)
+        self._acknowledger = Acknowledger(me.name, context)
         self._started_at = NEVER
         self._widen_at = NEVER
-        self._narrow_at = settings.narrow_ms
+        self._narrow_at = context.settings.narrow_ms
         self._current_at = -NEVER
         self._error_code = ""
 
-    # What there is to see
+    # Status
 
     @property
     def view(self) -> View:
-        """What is in force."""
+        """The configuration in force."""
         return self._replica.copy.view
 
-    def holds(self, table: str, scope: str) -> bool:
-        """Whether the view has that scope, with or without records in it."""
+    def covers(self, table: str, scope: str) -> bool:
+        """Whether the view covers that scope, with or without records in it."""
         return self._replica.copy.coverage.contains(table, scope)
 
     @property
@@ -106,7 +97,7 @@
 
     @property
     def error(self) -> DistributionError | None:
-        """What keeps this copy behind, if anything does."""
+        """What keeps this copy from the newest version, if anything does."""
         if self._replica.copy.error is not None:
             return self._replica.copy.error
         if self._is_ahead_of_sources():
@@ -124,11 +115,11 @@
         )
 
     def age_ms(self, now_ms: float) -> float:
-        """How long ago this copy was known to be current; infinite before it ever was."""
+        """Return how long ago this copy was known to be current; infinite before it was."""
         return max(0.0, now_ms - self._current_at)
 
     def status(self, now_ms: float) -> dict[str, Any]:
-        """For operators: version, age, sources, role, error with remedy."""
+        """Return a status answer: version, age, sources, role, error with remedy."""
         age = self.age_ms(now_ms)
         error = self.error
         return {
@@ -136,7 +127,9 @@
             "newest": self._replica.copy.newest,
             "age_ms": None if age == NEVER else round(age),
             "relay": self.relay,
-            "sources": [link.address for link in self._upstreams.links if link.accepted],
+            "sources": [
+                upstream.address for upstream in self._upstreams.active if upstream.accepted
+            ],
             "children": len(self._source.children),
             "subscription": self._replica.subscription.encode(),
             "error": None if error is None else {"code": error.code, "text": str(error)},
@@ -144,21 +137,24 @@
         }
 
     def _is_ahead_of_sources(self) -> bool:
-        """For longer than a source may lag: no version goes back, so that nothing mends it by itself."""
-        versions = [link.version for link in self._upstreams.links if link.accepted]
+        """Whether all sources have had lower versions for long.
+
+        No version goes back, so nothing repairs it by itself.
+        """
+        versions = [upstream.version for upstream in self._upstreams.active if upstream.accepted]
         silent = self._now - self._current_at >= self._settings.source_silent_ms
         return bool(versions) and max(versions) < self.view.version and silent
 
     def _has_source(self) -> bool:
-        return any(link.accepted for link in self._upstreams.links)
+        return any(upstream.accepted for upstream in self._upstreams.active)
 
-    def _told_age_ms(self, now_ms: float) -> int:
+    def _encoded_age_ms(self, now_ms: float) -> int:
         return int(min(m.AGE_UNKNOWN_MS, self.age_ms(now_ms)))
 
     # The one way in
 
     def step(self, now_ms: float, event: NodeEvent) -> list[Effect]:
-        """Takes one event, and gives the effects that are wanted."""
+        """Take one event, and return the effects that are wanted."""
         now = max(self._now, now_ms)
         self._now = now
         match event:
@@ -175,11 +171,11 @@
                 self._placement.started(now)
             case Ticked():
                 pass
-        self._go_on(now)
+        self._continue(now)
         return [*self._outbox.take(), WakeAt(self._due(now))]
 
-    def _go_on(self, now: float) -> None:
-        """What is due, a slice of each."""
+    def _continue(self, now: float) -> None:
+        """Do a slice of each thing that is due."""
         if now >= self._placement.next_choice_at(now):
             self._choose(now)
         self._replica.tick(now)
@@ -198,14 +194,14 @@
         self._follow_upstreams(now)
 
     def _follow_upstreams(self, now: float) -> None:
-        """Does what follows from sources that are lost, or primary now."""
+        """Act on sources that were lost or promoted."""
         lost, self._upstreams.lost = self._upstreams.lost, []
         for address in lost:
             self._replica.source_lost(address)
-            self._placement.choose_soon(now)
+            self._placement.request_choice(now)
         if self._upstreams.promoted:
             self._upstreams.promoted = False
-            self._acknowledger.at_once(now)
+            self._acknowledger.acknowledge_now(now)
 
     def _due(self, now: float) -> float:
         parts = (
@@ -221,12 +217,12 @@
         if isinstance(message, FROM_CHILDREN):
             self._source.received(now, sender, message)
             self._after_child(now, message)
-        elif self._upstreams.link(sender.address) is None:
+        elif self._upstreams.find(sender.address) is None:
             if isinstance(message, m.Announce | m.Delta):
                 self._outbox.send(sender.address, m.Unsubscribe())
         else:
             self._from_source(now, sender.address, message)
-            self._find_age()
+            self._update_age()
 
     def _after_child(self, now: float, message: m.Message) -> None:
         if isinstance(message, m.Acknowledge | m.Subscribe | m.Unsubscribe):
@@ -241,42 +237,42 @@
         upstreams = self._upstreams
         match message:
             case m.Accepted(_, version, age_ms):
-                upstreams.heard(now, address, version, age_ms)
-                if upstreams.accepted(address, message):
-                    self._acknowledger.at_once(now)
-                    replica.heard(now, version)
+                upstreams.received(now, address, version, age_ms)
+                if upstreams.on_accepted(address, message):
+                    self._acknowledger.acknowledge_now(now)
+                    replica.on_version(now, version)
             case m.Announce(version, age_ms):
-                upstreams.heard(now, address, version, age_ms)
-                replica.heard(now, version)
+                upstreams.received(now, address, version, age_ms)
+                replica.on_version(now, version)
             case m.Delta():
-                upstreams.heard(now, address, message.version, message.age_ms)
-                replica.delta(now, address, message)
+                upstreams.received(now, address, message.version, message.age_ms)
+                replica.on_delta(now, address, message)
             case m.Scopes():
-                upstreams.heard(now, address, message.version, message.age_ms)
-                replica.scopes(now, address, message)
+                upstreams.received(now, address, message.version, message.age_ms)
+                replica.on_scopes(now, address, message)
             case m.Records():
-                upstreams.heard(now, address, None, 0)
-                replica.records(now, address, message)
+                upstreams.received(now, address, None, 0)
+                replica.on_records(now, address, message)
             case m.Mismatch():
-                replica.mismatch(message)
+                replica.on_mismatch(message)
             case m.Refused():
                 self._refused(now, address, message)
 
     def _refused(self, now: float, address: str, message: m.Refused) -> None:
-        link = self._upstreams.link(address)
-        assert link is not None
-        link.heard_at = now
+        upstream = self._upstreams.find(address)
+        assert upstream is not None
+        upstream.last_message_at = now
         if message.reason == m.NOT_A_RELAY:
             self._placement.hints = message.candidates
             self._upstreams.failed(now, address)
-        elif message.reason == m.BUSY and message.request == link.request:
+        elif message.reason == m.BUSY and message.request == upstream.request:
             self._upstreams.failed(now, address, message.retry_after_ms)
         elif message.reason == m.UNKNOWN_CHILD:
-            self._upstreams.forgotten(now, address)
-        self._replica.refused(now, address, message)
-        self._placement.choose_soon(now)
+            self._upstreams.resubscribe(now, address)
+        self._replica.on_refused(now, address, message)
+        self._placement.request_choice(now)
 
-    # The subscription: what this instance needs, and what its children need
+    # The subscription: for this instance and for its children
 
     def _update_subscription(self, now: float) -> None:
         if now >= self._widen_at:
@@ -294,13 +290,13 @@
         self._replica.subscribe(now, subscription)
         self._source.view = self.view
         self._source.coverage = self._replica.copy.coverage
-        self._upstreams.subscribe_anew(now)
-        self._placement.choose_soon(now)
+        self._upstreams.resubscribe_all(now)
+        self._placement.request_choice(now)
 
-    # What is in force
+    # Switches
 
-    def _switched(self, entry: LogEntry | None) -> None:
-        """The replica has another view in force."""
+    def _on_switch(self, entry: LogEntry | None) -> None:
+        """Serve the view that the replica has put into force."""
         source = self._source
         view = self.view
         if entry is None or not self.relay:
@@ -310,42 +306,42 @@
         source.view = view
         source.coverage = self._replica.copy.coverage
         source.published(self._now)
-        self._find_age()
+        self._update_age()
         self._acknowledger.changed(self._now, serves=bool(source.children))
 
-    def _find_age(self) -> None:
-        for link in self._upstreams.links:
-            # One with a lower version says nothing: it lags, or its past is another one.
-            if link.version == self.view.version:
-                self._current_at = max(self._current_at, link.as_of)
+    def _update_age(self) -> None:
+        for upstream in self._upstreams.active:
+            # One with a lower version lags, or has another history.
+            if upstream.version == self.view.version:
+                self._current_at = max(self._current_at, upstream.current_at)
 
     # Acknowledgements
 
     def report(self) -> Report:
-        """Of this copy and those that it serves."""
+        """Return the report of this copy and of those that it serves."""
         copy = self._replica.copy
-        code = self._code()
+        code = self._reported_code()
         if not code and not copy.coverage.covers(self._own):
             code = BEHIND
         own = own_report(self.me.name, copy.view.version, copy.newest, code)
         return merged([own, self._source.report()])
 
-    def _code(self) -> str:
-        """Of the error that sources are to hear of."""
+    def _reported_code(self) -> str:
+        """Return the code of the error that is acknowledged to sources."""
         error = self._replica.copy.error
         if error is None:
             return SourceBehindError.code if self._is_ahead_of_sources() else ""
         return error.code
 
     def _acknowledge(self, now: float) -> None:
-        code = self._code()
+        code = self._reported_code()
         if code != self._error_code:
             self._error_code = code
             self._acknowledger.changed(now, serves=bool(self._source.children))
-            self._placement.choose_soon(now)  # whether it accepts children
+            self._placement.request_choice(now)
         if now < self._acknowledger.next_send_at():
             return
-        links = self._upstreams.links
-        self._acknowledger.send(now, links, self.view.version, self.report())
+        active = self._upstreams.active
+        self._acknowledger.send(now, active, self.view.version, self.report())
         served = [child.name for child in self._source.children.values() if child.primary]
-        self._acknowledger.tell_roster(now, links, served)
+        self._acknowledger.send_roster(now, active, served)
--- a/pumicenotch/distribution/replica/audit.py
+++ b/pumicenotch/distribution/replica/audit.py
@@ -1,5 +1,6 @@
-"""Now and then the digest of one scope is made anew from its records, in slices: memory that has changed by
-itself is found before it is served for long.
+"""Periodic checks of digests against records.
+
+One scope at a time, in slices: memory that was corrupted is found before it is served for long.
 """
 
 from collections.abc import Iterator
@@ -11,7 +12,7 @@
 
 
 class Audit:
-    """Of one scope as it is in a view."""
+    """The check of one scope as it is in a view."""
 
     def __init__(self, scope_id: ScopeId, scope: Scope) -> None:
         self.scope_id = scope_id
@@ -21,40 +22,46 @@
         self.done = False
 
     def work(self, budget: int) -> None:
+        """Hash up to so many records."""
         table, scope = self.scope_id
         for _ in range(budget):
-            found = next(self._records, None)
-            if found is None:
+            record = next(self._records, None)
+            if record is None:
                 self.done = True
                 return
-            name, value = found
+            name, value = record
             self._digest = (
                 self._digest + record_digest(table, f"{scope}/{name}", value)
             ) % DIGEST_MODULUS
 
     @property
-    def good(self) -> bool:
+    def matches(self) -> bool:
+        """Whether the records have the digest of their scope."""
         return self._digest == self.scope.digest
 
 
 class Auditor:
-    """One scope after the other, with a pause between."""
+    """Checks one scope after the other, with a pause between: `next_audit_at` is when it starts."""
 
     def __init__(self, settings: Settings, first_at: float) -> None:
-        self.due = first_at
+        self.next_audit_at = first_at
         self.current: Audit | None = None
         self._settings = settings
         self._last = BEFORE_ALL_SCOPES
 
-    def begin(self, now_ms: float, view: View) -> None:
-        """The next scope, if none is being looked at."""
-        self.due = now_ms + self._settings.audit_ms
+    def start(self, now_ms: float, view: View) -> None:
+        """Start with the next scope, if none is being checked."""
+        self.next_audit_at = now_ms + self._settings.audit_ms
         if self.current is None:
             self.current = _next_audit(view, self._last)
             self._last = BEFORE_ALL_SCOPES if self.current is None else self.current.scope_id
 
     def work(self, view: View) -> Audit | None:
-        """One slice; the audit when it is done, if its scope is still the one in force."""
+        """Work on one slice.
+
+        Returns:
+            The audit when it is done, if its scope is still in force.
+        """
         audit = self.current
         if audit is None:
             return None
@@ -66,7 +73,7 @@
 
 
 def _next_audit(view: View, after: ScopeId) -> Audit | None:
-    """Of the scope that comes after that one, or of the first."""
+    """Return the audit of the scope that comes after that one, or of the first."""
     following = None
     first = None
     for scope_id in view.scope_ids():
--- a/pumicenotch/distribution/replica/fetching.py
+++ b/pumicenotch/distribution/replica/fetching.py
@@ -1,5 +1,7 @@
-"""The replica's side of a transfer by scopes: digests are compared, the scopes that differ are fetched
-beside the view in force, verified, and switched to at once.
+"""The replica's side of a transfer by scopes.
+
+Digests are compared. The scopes that differ are fetched beside the view in force, verified, and
+switched to at once.
 """
 
 from collections import deque
@@ -20,7 +22,18 @@
 
 
 class Transfer:
-    """From one source, at the version that its first page tells."""
+    """A transfer from one source, at the version of its first page.
+
+    Attributes:
+        number: the replica's, for the source.
+        address: of the source.
+        subscription: the scopes that are compared.
+        version: -1 until it is known.
+        compared_up_to: digests up to that scope have been compared.
+        compared_all: whether all have.
+        complete: scopes that were fetched and verified, by an earlier transfer too.
+        suspects: scopes that are fetched whatever their digests are.
+    """
 
     def __init__(
         self,
@@ -29,87 +42,91 @@
         subscription: Subscription,
         tables: Mapping[str, Table],
         suspects: Iterable[ScopeId],
-        kept: Mapping[ScopeId, Scope],
+        reusable: Mapping[ScopeId, Scope],
     ) -> None:
         self.number = number
         self.address = address
         self.subscription = subscription
-        self.version = -1  # not known yet
-        self.listed_to = BEFORE_ALL_SCOPES  # digests up to there have come
-        self.listed_all = False
-        self.complete: dict[ScopeId, Scope] = dict(
-            kept
-        )  # fetched and verified, also by a former transfer
+        self.version = -1
+        self.compared_up_to = BEFORE_ALL_SCOPES
+        self.compared_all = False
+        self.complete: dict[ScopeId, Scope] = dict(reusable)
         self._tables = tables
-        self.suspects = frozenset(suspects)  # fetched whatever their digest is here
+        self.suspects = frozenset(suspects)
         self._listed: dict[ScopeId, int] = {}
         self._wanted: deque[Want] = deque()
         self._missing: set[ScopeId] = set()
         self._partial: dict[ScopeId, Scope] = {}
-        self._inbox: deque[tuple[ScopePage, int]] = deque()  # with how far it has been read
+        self._inbox: deque[tuple[ScopePage, int]] = deque()  # with how many records were read
 
-    def list_page(self, page: Scopes, view: View) -> None:
-        """Compares a page of digests with what is here."""
+    def add_digests(self, page: Scopes, view: View) -> None:
+        """Compare a page of digests with that view."""
         self.version = page.version
         for table, name, digest in page.digests:
             scope_id = ScopeId(table, name)
             self._listed[scope_id] = digest
-            self.listed_to = scope_id
-            if not self._is_here(scope_id, digest, view):
+            self.compared_up_to = scope_id
+            if not self._is_current(scope_id, digest, view):
                 self._wanted.append(Want(table, name))
                 self._missing.add(scope_id)
-        self.listed_all = page.done
+        self.compared_all = page.done
 
-    def _is_here(self, scope_id: ScopeId, digest: int, view: View) -> bool:
-        kept = self.complete.get(scope_id)
-        if kept is not None and kept.digest == digest:
+    def _is_current(self, scope_id: ScopeId, digest: int, view: View) -> bool:
+        fetched = self.complete.get(scope_id)
+        if fetched is not None and fetched.digest == digest:
             return True
         self.complete.pop(scope_id, None)
         return scope_id not in self.suspects and view.digest(*scope_id) == digest
 
     def next_wants(self) -> tuple[Want, ...]:
-        """Scopes for one more request."""
+        """Return scopes for one more request."""
         count = min(MAX_WANTS, len(self._wanted))
         return tuple(self._wanted.popleft() for _ in range(count))
 
     @property
-    def wants(self) -> bool:
+    def has_wants(self) -> bool:
+        """Whether there are scopes to be requested."""
         return bool(self._wanted)
 
     @property
     def has_work(self) -> bool:
+        """Whether there are received records to be read."""
         return bool(self._inbox)
 
     @property
     def done(self) -> bool:
-        return self.listed_all and not self._missing and not self._inbox
-
-    def add(self, asked: Iterable[Want], parts: Iterable[ScopePage]) -> None:
-        """What came of a request: parts to be read, and the rest is asked for again."""
-        came = {ScopeId(part.table, part.scope): part for part in parts}
-        for want in asked:
-            part = came.get(ScopeId(want.table, want.scope))
-            if part is None:
+        """Whether all is there and verified."""
+        return self.compared_all and not self._missing and not self._inbox
+
+    def add(self, wants: Iterable[Want], pages: Iterable[ScopePage]) -> None:
+        """Take the answer to a request; what is missing in it is requested again."""
+        received = {ScopeId(page.table, page.scope): page for page in pages}
+        for want in wants:
+            page = received.get(ScopeId(want.table, want.scope))
+            if page is None:
                 self._wanted.append(want)
                 continue
-            self._inbox.append((part, 0))
-            if not part.done:
-                after = part.records[-1][0] if part.records else want.after
+            self._inbox.append((page, 0))
+            if not page.done:
+                after = page.records[-1][0] if page.records else want.after
                 self._wanted.appendleft(want._replace(after=after))
 
     def work(self, budget: int) -> int:
-        """Reads records up to so many, and returns how many more it might. Raises what a record may be wrong
-        in, and DigestMismatchError.
+        """Read up to so many records, and return how many more may be read.
+
+        Raises:
+            DigestMismatchError: a scope is not what the source listed.
+            DistributionError: a record cannot be applied.
         """
         while self._inbox and budget > 0:
-            part, at = self._inbox.popleft()
-            chunk = part.records[at : at + budget]
-            self._read(ScopeId(part.table, part.scope), chunk)
+            page, offset = self._inbox.popleft()
+            chunk = page.records[offset : offset + budget]
+            self._read(ScopeId(page.table, page.scope), chunk)
             budget -= max(1, len(chunk))
-            if at + len(chunk) < len(part.records):
-                self._inbox.appendleft((part, at + len(chunk)))
-            elif part.done:
-                self._finish_scope(ScopeId(part.table, part.scope))
+            if offset + len(chunk) < len(page.records):
+                self._inbox.appendleft((page, offset + len(chunk)))
+            elif page.done:
+                self._finish_scope(ScopeId(page.table, page.scope))
         return budget
 
     def _read(self, scope_id: ScopeId, records: Iterable[tuple[str, str]]) -> None:
@@ -135,7 +152,7 @@
         self._missing.discard(scope_id)
 
     def build(self, view: View) -> View:
-        """The next view: scopes that the source did not list are gone."""
+        """Return the next view, without the scopes that the source did not list."""
         builder = Builder(view)
         for scope_id in view.scope_ids():
             if scope_id not in self._listed:
--- a/pumicenotch/distribution/replica/placement.py
+++ b/pumicenotch/distribution/replica/placement.py
@@ -1,77 +1,86 @@
-"""An instance's place among the others: whether it is a relay of its zone, and which sources it has. Relays
-have voters as sources and nobody else has children, so there are no loops.
+"""An instance's role in its zone, and its sources.
+
+Relays have voters as sources, and nobody but relays and voters has children: there are no loops.
 """
 
 from collections.abc import Sequence
 
+from pumicenotch.distribution.context import Context
 from pumicenotch.distribution.events import Peer
-from pumicenotch.distribution.outbox import Outbox
 from pumicenotch.distribution.protocol import messages as m
 from pumicenotch.distribution.replica.rendezvous import ranked
 from pumicenotch.distribution.replica.upstreams import Upstreams
 from pumicenotch.distribution.replica.zone import Zone
-from pumicenotch.distribution.settings import NEVER, Settings
+from pumicenotch.distribution.settings import NEVER
 from pumicenotch.distribution.source.source import Source
 
 
 class Placement:
-    """`due` says when `choose` is to be called."""
+    """Chooses the role and the sources; `next_choice_at` says when.
+
+    Attributes:
+        relay: whether this instance is a relay.
+        hints: addresses of relays that others have named.
+    """
 
     def __init__(
         self,
         me: Peer,
         voters: Sequence[str],
-        settings: Settings,
+        context: Context,
         upstreams: Upstreams,
         source: Source,
-        outbox: Outbox,
-        eligible: bool = True,
+        relay_eligible: bool,
     ) -> None:
         self.relay = False
-        self.hints: tuple[str, ...] = ()  # relays that others have named
+        self.hints: tuple[str, ...] = ()
         self._me = me
         self._voters = tuple(ranked(me.name, voters, lambda address: address))
-        self._settings = settings
+        self._settings = context.settings
         self._upstreams = upstreams
         self._source = source
-        self._outbox = outbox
-        self._zone = Zone(me, settings.relays, eligible)
+        self._outbox = context.outbox
+        self._zone = Zone(me, context.settings.relays, relay_eligible)
         self._started_at = NEVER
-        self._choose_at = NEVER
-        self._step_down_at = NEVER  # of a relay that is no longer among the first ones
+        self._choice_at = NEVER
+        self._step_down_at = NEVER
 
     def started(self, now_ms: float) -> None:
+        """Choose once the zone is known."""
         self._started_at = now_ms
-        self._choose_at = now_ms
+        self._choice_at = now_ms
 
     def peer_changed(self, now_ms: float, peer: Peer) -> None:
-        """Another instance has come, gone or changed."""
+        """Note that another instance has joined, left or changed."""
         if peer.address in self._voters or not self._zone.changed(peer):
             return
         if peer.alive:
-            self._upstreams.forgive(peer.address)
-        self._choose_at = now_ms
+            self._upstreams.stop_avoiding(peer.address)
+        self._choice_at = now_ms
 
-    def choose_soon(self, now_ms: float) -> None:
-        self._choose_at = now_ms
+    def request_choice(self, now_ms: float) -> None:
+        """Choose again as soon as possible."""
+        self._choice_at = now_ms
 
     def next_choice_at(self, now_ms: float) -> float:
+        """Return when `choose` is to be called next."""
         if self._started_at == NEVER:
             return NEVER
         if not self._is_settled(now_ms):
             return self._started_at + self._settings.settle_ms
-        return min(self._choose_at, self._upstreams.next_tick_at(), self._step_down_at)
+        return min(self._choice_at, self._upstreams.next_tick_at(), self._step_down_at)
 
     def _is_settled(self, now_ms: float) -> bool:
         """Whether enough is known of the zone to choose sources."""
-        waited = now_ms >= self._started_at + self._settings.settle_ms
-        return waited or self._zone.size > self._settings.relays
+        is_settled = now_ms >= self._started_at + self._settings.settle_ms
+        return is_settled or self._zone.size > self._settings.relays
 
     def choose(self, now_ms: float, readable: bool) -> None:
-        """Takes the role and the sources that are due. Whoever can't read the newest version serves nobody:
-        its children may be newer programs.
+        """Take the role and the sources that this instance should have now.
+
+        One that cannot read the newest version serves nobody: its children may be newer programs.
         """
-        self._choose_at = NEVER
+        self._choice_at = NEVER
         self._take_role(now_ms)
         self._source.accepting = self.relay and self._zone.makes_me_relay() and readable
         self._source.candidates = tuple(self._zone.relays()[: m.MAX_CANDIDATES])
@@ -107,4 +116,4 @@
         if not relay:
             self._source.dismiss(m.NOT_A_RELAY)
         self._source.log.reset(self._source.view.version)
-        self._upstreams.leave_all()
+        self._upstreams.unsubscribe_all()
--- a/pumicenotch/distribution/replica/replica.py
+++ b/pumicenotch/distribution/replica/replica.py
@@ -1,154 +1,155 @@
-"""How a copy is kept up to date: it takes deltas that are pushed, pulls what it has missed, and compares
-scopes where deltas are not enough.
+"""How a copy is kept up to date.
+
+It takes deltas that are pushed, pulls what it has missed, and compares scopes where deltas are not
+enough.
 """
 
-import random
-from collections import Counter
-from collections.abc import Callable, Iterator, Mapping
+from collections.abc import Callable
 from typing import Protocol
 
+from pumicenotch.distribution.context import Context
 from pumicenotch.distribution.data.changelog import LogEntry
 from pumicenotch.distribution.data.records import ScopeId
 from pumicenotch.distribution.data.subscription import Subscription
-from pumicenotch.distribution.data.tables import Table
 from pumicenotch.distribution.data.view import Scope
 from pumicenotch.distribution.errors import DigestMismatchError, DistributionError
-from pumicenotch.distribution.outbox import Outbox
 from pumicenotch.distribution.protocol import messages as m
 from pumicenotch.distribution.replica.audit import Auditor
 from pumicenotch.distribution.replica.copy import Copy
 from pumicenotch.distribution.replica.fetching import Transfer
 from pumicenotch.distribution.replica.requests import Requests
-from pumicenotch.distribution.settings import Settings
 
 
 class Sources(Protocol):
     """What the replica needs to know of its sources."""
 
-    def best(self, now_ms: float, least_version: int) -> str | None:
-        """The address of one that has at least that version and serves at the moment."""
+    def best(self, now_ms: float, min_version: int) -> str | None:
+        """Return the address of one that has at least that version and can be asked now."""
 
     def failed(self, now_ms: float, address: str, wait_ms: float = 0.0) -> None:
-        """It did not answer, or not with what it should."""
+        """Note that a source did not answer, or not with what it should."""
 
-    def put_off(self, address: str, until_ms: float) -> None:
-        """It asked to come back then."""
+    def postpone(self, address: str, until_ms: float) -> None:
+        """Ask a source for nothing until then."""
 
 
 class Replica:
-    """Keeps `copy` at what its sources have, as far as `subscription` goes."""
+    """Keeps `copy` at what its sources have, as far as `subscription` goes.
+
+    `generation` numbers the subscriptions.
+    """
 
     def __init__(
         self,
         subscription: Subscription,
-        rng: random.Random,
-        settings: Settings,
-        tables: Mapping[str, Table],
-        outbox: Outbox,
-        counts: Counter[str],
+        context: Context,
         sources: Sources,
-        numbers: Iterator[int],
         on_switch: Callable[[LogEntry | None], None],
     ) -> None:
-        self.copy = Copy(settings, tables, outbox, counts, on_switch)
-        self.subscription = subscription  # what the copy should cover
-        self.generation = rng.getrandbits(30)
-        self._settings = settings
-        self._tables = tables
-        self._outbox = outbox
-        self._counts = counts
+        self.copy = Copy(context, on_switch)
+        self.subscription = subscription
+        self.generation = context.rng.getrandbits(30)
+        self._settings = context.settings
+        self._tables = context.tables
+        self._outbox = context.outbox
+        self._counts = context.counts
         self._sources = sources
-        self._requests = Requests(settings, rng, outbox, numbers)
+        self._requests = Requests(context)
         self._transfer: Transfer | None = None
-        self._transfer_number = rng.getrandbits(30)
-        self._kept: dict[ScopeId, Scope] = {}  # of a transfer that was broken off
-        self._begin_at = 0.0  # no pull and no transfer begins before
-        self._auditor = Auditor(settings, settings.audit_ms * (1.0 + rng.random()))
+        self._transfer_number = context.rng.getrandbits(30)
+        self._reusable: dict[ScopeId, Scope] = {}  # of a transfer that was aborted
+        self._not_before = 0.0  # of the next pull or transfer
+        first_audit_at = context.settings.audit_ms * (1.0 + context.rng.random())
+        self._auditor = Auditor(context.settings, first_audit_at)
 
-    # What its owner asks
+    # For the owner
 
     def next_tick_at(self, now_ms: float) -> float:
-        """When `tick` is to be called next."""
+        """Return when `tick` is to be called next."""
         if self._has_work():
             return now_ms
-        due = min(self._requests.next_retry_at(), self._auditor.due)
+        due = min(self._requests.next_retry_at(), self._auditor.next_audit_at)
         if self._is_idle() and self._lags():
             due = min(
-                due, self._begin_at if self._begin_at > now_ms else now_ms + self._settings.retry_ms
+                due,
+                self._not_before if self._not_before > now_ms else now_ms + self._settings.retry_ms,
             )
         return due
 
     def tick(self, now_ms: float) -> None:
-        """One slice of work, and what is due."""
+        """Do one slice of work, and what is due."""
         self._work(now_ms)
         for request in self._requests.tick(now_ms):
             self._counts["unanswered"] += 1
             self._sources.failed(now_ms, request.address)
-        self._begin(now_ms)
-        if now_ms >= self._auditor.due and self._is_idle():
-            self._auditor.begin(now_ms, self.copy.view)
-
-    def heard(self, now_ms: float, version: int) -> None:
-        """A source has that version in force."""
-        if version > self.copy.newest and not self.copy.lags():
-            pushed_by = now_ms + self._settings.missed_ms  # what is on its way has come by then
-            self._begin_at = max(self._begin_at, pushed_by)
+        self._start_catching_up(now_ms)
+        if now_ms >= self._auditor.next_audit_at and self._is_idle():
+            self._auditor.start(now_ms, self.copy.view)
+
+    def on_version(self, now_ms: float, version: int) -> None:
+        """Note that a source has that version in force."""
+        if version > self.copy.newest and not self.copy.is_lagging():
+            # What is on its way has arrived by then.
+            pushed_by = now_ms + self._settings.missed_ms
+            self._not_before = max(self._not_before, pushed_by)
         self.copy.newest = max(self.copy.newest, version)
 
     def subscribe(self, now_ms: float, subscription: Subscription) -> None:
-        """Another subscription: what is no longer in it is dropped at once, what is new in it is fetched."""
+        """Take another subscription: drop what is no longer in it, and fetch what is new."""
         self.subscription = subscription
         self.generation += 1
-        self._break_off()
+        self._abort_transfer()
         self._requests.cancel()
         self.copy.narrow(subscription)
-        self._begin_at = now_ms
+        self._not_before = now_ms
 
     def source_lost(self, address: str) -> None:
-        """That one is no source any more."""
+        """Stop asking a source that was left."""
         self._requests.cancel(address)
         if self._transfer is not None and self._transfer.address == address:
-            self._break_off()
+            self._abort_transfer()
 
     # Messages
 
-    def delta(self, now_ms: float, address: str, delta: m.Delta) -> None:
-        """Pushed, or the answer to a pull."""
+    def on_delta(self, now_ms: float, address: str, delta: m.Delta) -> None:
+        """Take a delta that was pushed, or the answer to a pull."""
         copy = self.copy
-        asked = delta.request != 0 and self._requests.answered(delta.request, address) is not None
+        is_answer = (
+            delta.request != 0 and self._requests.answered(delta.request, address) is not None
+        )
         if delta.generation != self.generation:
             return
-        self.heard(now_ms, delta.version)
+        self.on_version(now_ms, delta.version)
         if copy.staging is not None and copy.staging.follows(delta):
             copy.staging.add(delta)
             return
-        if asked and copy.staging is not None and copy.staging.paged:
-            copy.staging = None  # the page is of another source's log: begin anew
+        if is_answer and copy.staging is not None and copy.staging.paged:
+            copy.staging = None  # the page is of another source's log
         if delta.version <= copy.view.version:
-            if asked:
-                self._begin_at = now_ms + self._settings.retry_ms  # that source has nothing newer
+            if is_answer:
+                self._not_before = now_ms + self._settings.retry_ms  # that source has nothing newer
         elif self._can_stage() and delta.previous == copy.view.version and delta.start == m.START:
             copy.stage(delta)
         else:
-            copy.keep(delta)
+            copy.queue(delta)
 
-    def scopes(self, now_ms: float, address: str, page: m.Scopes) -> None:
-        """The answer to a comparison."""
+    def on_scopes(self, now_ms: float, address: str, page: m.Scopes) -> None:
+        """Take the answer to a comparison."""
         transfer = self._transfer
-        asked = self._requests.answered(page.request, address) is not None
-        if not asked or transfer is None or page.transfer != transfer.number:
+        is_answer = self._requests.answered(page.request, address) is not None
+        if not is_answer or transfer is None or page.transfer != transfer.number:
             return
         if page.version < self.copy.view.version or transfer.version not in (-1, page.version):
             self._counts["sources_behind"] += 1
-            self._break_off()
+            self._abort_transfer()
             self._sources.failed(now_ms, address)
             return
-        self.heard(now_ms, page.version)
-        transfer.list_page(page, self.copy.view)
-        self._go_on(now_ms, transfer)
+        self.on_version(now_ms, page.version)
+        transfer.add_digests(page, self.copy.view)
+        self._continue_transfer(now_ms, transfer)
 
-    def records(self, now_ms: float, address: str, page: m.Records) -> None:
-        """The answer to a fetch."""
+    def on_records(self, now_ms: float, address: str, page: m.Records) -> None:
+        """Take the answer to a fetch."""
         request = self._requests.answered(page.request, address)
         transfer = self._transfer
         if request is None or transfer is None or page.transfer != transfer.number:
@@ -156,19 +157,19 @@
         assert isinstance(request.message, m.Fetch)
         transfer.add(request.message.wants, page.parts)
 
-    def refused(self, now_ms: float, address: str, refusal: m.Refused) -> None:
-        """A request of this replica was refused."""
+    def on_refused(self, now_ms: float, address: str, refusal: m.Refused) -> None:
+        """Note that a request of this replica was refused."""
         if refusal.reason in (m.BUSY, m.NOT_READY):
-            self._sources.put_off(address, now_ms + refusal.retry_after_ms)
+            self._sources.postpone(address, now_ms + refusal.retry_after_ms)
         if refusal.reason == m.BUSY:
             self._requests.postpone(now_ms, refusal.request, refusal.retry_after_ms)
         elif self._requests.answered(refusal.request, address) is not None:
-            self.copy.compare = self.copy.compare or refusal.reason == m.COMPACTED
+            self.copy.needs_comparison = self.copy.needs_comparison or refusal.reason == m.COMPACTED
             self.copy.staging = None
-            self._break_off()
+            self._abort_transfer()
 
-    def mismatch(self, message: m.Mismatch) -> None:
-        """A source has another digest for a scope at this version."""
+    def on_mismatch(self, message: m.Mismatch) -> None:
+        """Note that a source has another digest for a scope at this version."""
         scope_id = ScopeId(message.table, message.scope)
         if message.version == self.copy.view.version and self.copy.coverage.contains(*scope_id):
             self.copy.suspect([scope_id])
@@ -199,24 +200,24 @@
 
     def _failed(self, now_ms: float, error: DistributionError, transfer: Transfer | None) -> None:
         staging = self.copy.staging
-        self._break_off()
+        self._abort_transfer()
         if transfer is not None and isinstance(error, DigestMismatchError):
             self.copy.fail(error)
             self._sources.failed(now_ms, transfer.address)
         elif transfer is not None:
-            self.copy.stuck(transfer.version, error)
+            self.copy.block(transfer.version, error)
         elif staging is not None:
-            self.copy.stuck(staging.version, error)
+            self.copy.block(staging.version, error)
 
     def _work_transfer(self, now_ms: float, transfer: Transfer) -> None:
         budget = transfer.work(self._settings.slice_changes)
-        self._go_on(now_ms, transfer)
+        self._continue_transfer(now_ms, transfer)
         if budget <= 0 or not transfer.done:
             return
         view = transfer.build(self.copy.view)
         self._end_transfer(transfer)
         self.copy.suspects -= transfer.suspects
-        self.copy.compare = bool(self.copy.suspects)
+        self.copy.needs_comparison = bool(self.copy.suspects)
         self.copy.switch(view, transfer.subscription, None)
 
     def _work_audit(self, now_ms: float) -> None:
@@ -225,42 +226,44 @@
         if audit is None:
             return
         address = self._sources.best(now_ms, view.version)
-        if not audit.good:
+        if not audit.matches:
             self.copy.suspect([audit.scope_id])
         elif address is not None:
             digest = m.ScopeDigest(*audit.scope_id, audit.scope.digest)
             self._outbox.send(address, m.Check(view.version, digest))
 
-    # Asking
+    # Requests
 
     def _can_stage(self) -> bool:
-        return self.copy.staging is None and self._transfer is None and not self.copy.compare
+        return (
+            self.copy.staging is None and self._transfer is None and not self.copy.needs_comparison
+        )
 
     def _is_idle(self) -> bool:
         return self.copy.staging is None and self._transfer is None and not self._requests.open
 
     def _lags(self) -> bool:
-        return not self.copy.is_blocked() and (self._needs_transfer() or self.copy.lags())
+        return not self.copy.is_blocked() and (self._needs_transfer() or self.copy.is_lagging())
 
     def _needs_transfer(self) -> bool:
-        return self.copy.compare or not self.copy.coverage.covers(self.subscription)
+        return self.copy.needs_comparison or not self.copy.coverage.covers(self.subscription)
 
-    def _begin(self, now_ms: float) -> None:
-        """Begins, or goes on with, what is needed to catch up."""
+    def _start_catching_up(self, now_ms: float) -> None:
+        """Start, or continue, what is needed to catch up."""
         copy = self.copy
         busy = self._transfer is not None or self._requests.open or copy.is_blocked()
-        if busy or now_ms < self._begin_at:
+        if busy or now_ms < self._not_before:
             return
         if copy.staging is not None:
             if copy.staging.paged and not copy.staging.has_work:
                 self._pull(now_ms, copy.staging.version, copy.staging.end)
         elif self._needs_transfer():
-            self._begin_transfer(now_ms)
-        elif copy.lags():
+            self._start_transfer(now_ms)
+        elif copy.is_lagging():
             self._pull(now_ms, copy.view.version + 1, m.START)
 
-    def _pull(self, now_ms: float, least_version: int, start: m.Cursor) -> None:
-        address = self._sources.best(now_ms, least_version)
+    def _pull(self, now_ms: float, min_version: int, start: m.Cursor) -> None:
+        address = self._sources.best(now_ms, min_version)
         if address is None:
             return
         self._counts["pulled"] += 1
@@ -268,11 +271,11 @@
         generation = self.generation
         self._requests.send(now_ms, address, lambda number: m.Pull(number, generation, have, start))
 
-    def _begin_transfer(self, now_ms: float) -> None:
+    def _start_transfer(self, now_ms: float) -> None:
         copy = self.copy
         newer = max(copy.view.version, copy.blocked) + 1
-        address = self._sources.best(now_ms, newer) if copy.lags() else None
-        if address is None:  # nothing newer is to be had: at least what is in force, whole
+        address = self._sources.best(now_ms, newer) if copy.is_lagging() else None
+        if address is None:  # nothing newer is to be had: at least all of what is in force
             address = self._sources.best(now_ms, max(copy.view.version, copy.blocked + 1))
         if address is None:
             return
@@ -284,40 +287,40 @@
             self.subscription,
             self._tables,
             copy.suspects,
-            self._kept,
+            self._reusable,
         )
-        self._kept = {}
-        self._ask_digests(now_ms, self._transfer)
-
-    def _go_on(self, now_ms: float, transfer: Transfer) -> None:
-        """Requests of the transfer, as many as may be in flight."""
-        asked = [type(request.message) for request in self._requests.open.values()]
-        if not transfer.listed_all and m.Compare not in asked:
-            self._ask_digests(now_ms, transfer)
-        for _ in range(self._settings.max_fetches - len(asked)):
-            if transfer.has_work or not transfer.wants:
+        self._reusable = {}
+        self._request_digests(now_ms, self._transfer)
+
+    def _continue_transfer(self, now_ms: float, transfer: Transfer) -> None:
+        """Send requests of the transfer, as many as may be in flight."""
+        in_flight = [type(request.message) for request in self._requests.open.values()]
+        if not transfer.compared_all and m.Compare not in in_flight:
+            self._request_digests(now_ms, transfer)
+        for _ in range(self._settings.max_fetches - len(in_flight)):
+            if transfer.has_work or not transfer.has_wants:
                 return
-            self._ask_records(now_ms, transfer)
+            self._request_records(now_ms, transfer)
 
-    def _ask_digests(self, now_ms: float, transfer: Transfer) -> None:
+    def _request_digests(self, now_ms: float, transfer: Transfer) -> None:
         number = transfer.number
         generation = self.generation
-        after = transfer.listed_to
+        after = transfer.compared_up_to
         self._requests.send(
             now_ms, transfer.address, lambda request: m.Compare(request, generation, number, after)
         )
 
-    def _ask_records(self, now_ms: float, transfer: Transfer) -> None:
+    def _request_records(self, now_ms: float, transfer: Transfer) -> None:
         number = transfer.number
         wants = transfer.next_wants()
         self._requests.send(
             now_ms, transfer.address, lambda request: m.Fetch(request, number, wants)
         )
 
-    def _break_off(self) -> None:
-        """Ends a transfer; what it has fetched and verified is of use to the next one."""
+    def _abort_transfer(self) -> None:
+        """End a transfer early; what it has fetched and verified is of use to the next one."""
         if self._transfer is not None:
-            self._kept = self._transfer.complete
+            self._reusable = self._transfer.complete
             self._end_transfer(self._transfer)
 
     def _end_transfer(self, transfer: Transfer) -> None:
--- a/pumicenotch/distribution/replica/requests.py
+++ b/pumicenotch/distribution/replica/requests.py
@@ -1,81 +1,81 @@
-"""Requests to sources: each is sent again until it is answered, with backoff and jitter, and given up after
-some tries.
-"""
+"""Requests to sources, retried with backoff and jitter and given up after some attempts."""
 
-import random
-from collections.abc import Callable, Iterator
+from collections.abc import Callable
 from dataclasses import dataclass
 
-from pumicenotch.distribution.outbox import Outbox
+from pumicenotch.distribution.context import Context
 from pumicenotch.distribution.protocol.messages import Message
-from pumicenotch.distribution.settings import NEVER, Settings
+from pumicenotch.distribution.settings import NEVER
 
 
 @dataclass(slots=True)
 class Request:
+    """One request that has not been answered."""
+
     number: int
     address: str
     message: Message
-    due: float  # when it is sent again
-    tries: int = 1
+    retry_at: float
+    attempts: int = 1
 
 
 class Requests:
-    """Those that wait for an answer, by number."""
+    """The requests in flight: `open` has them by number."""
 
-    def __init__(
-        self, settings: Settings, rng: random.Random, outbox: Outbox, numbers: Iterator[int]
-    ) -> None:
-        self._settings = settings
-        self._rng = rng
-        self._outbox = outbox
-        self._numbers = numbers
+    def __init__(self, context: Context) -> None:
+        self._settings = context.settings
+        self._rng = context.rng
+        self._outbox = context.outbox
+        self._numbers = context.request_numbers
         self.open: dict[int, Request] = {}
 
     def send(self, now_ms: float, address: str, make: Callable[[int], Message]) -> None:
-        """`make` is given the request's number."""
+        """Send a request: `make` returns the message with the number that it is given."""
         number = next(self._numbers)
         message = make(number)
-        self.open[number] = Request(number, address, message, now_ms + self._wait(1))
+        self.open[number] = Request(number, address, message, now_ms + self._retry_delay_ms(1))
         self._outbox.send(address, message)
 
     def answered(self, number: int, address: str) -> Request | None:
-        """The request that this answers; None if it waits for none from there."""
+        """Return the request that is answered from there; None if there is none."""
         request = self.open.get(number)
         if request is None or request.address != address:
             return None
         return self.open.pop(number)
 
     def postpone(self, now_ms: float, number: int, wait_ms: float) -> None:
-        """The source asked to come back later: that is no failed try."""
+        """Retry later, as the source asked for; that is no failed attempt."""
         request = self.open.get(number)
         if request is not None:
-            request.due = now_ms + wait_ms
-            request.tries = 0
+            request.retry_at = now_ms + wait_ms
+            request.attempts = 0
 
     def tick(self, now_ms: float) -> list[Request]:
-        """Sends again what is due. Returns those that are given up."""
+        """Retry what is due, and return the requests that are given up."""
         given_up = []
         for request in list(self.open.values()):
-            if now_ms < request.due:
+            if now_ms < request.retry_at:
                 continue
-            if request.tries >= self._settings.max_attempts:
+            if request.attempts >= self._settings.max_attempts:
                 given_up.append(self.open.pop(request.number))
                 continue
-            request.tries += 1
-            request.due = now_ms + self._wait(request.tries)
+            request.attempts += 1
+            request.retry_at = now_ms + self._retry_delay_ms(request.attempts)
             self._outbox.send(request.address, request.message)
         return given_up
 
     def cancel(self, address: str | None = None) -> None:
-        """All of them, or those to one source."""
+        """Drop all requests, or those to one source."""
         for request in list(self.open.values()):
             if address is None or request.address == address:
                 del self.open[request.number]
 
     def next_retry_at(self) -> float:
-        return min((request.due for request in self.open.values()), default=NEVER)
+        """Return when `tick` is to be called next."""
+        return min((request.retry_at for request in self.open.values()), default=NEVER)
 
-    def _wait(self, tries: int) -> float:
-        wait = min(self._settings.max_retry_ms, self._settings.retry_ms * float(1 << (tries - 1)))
+    def _retry_delay_ms(self, attempts: int) -> float:
+        wait = min(
+            self._settings.max_retry_ms, self._settings.retry_ms * float(1 << (attempts - 1))
+        )
         return wait * (1.0 + 0.5 * self._rng.random())
--- a/pumicenotch/distribution/replica/staging.py
+++ b/pumicenotch/distribution/replica/staging.py
@@ -1,5 +1,6 @@
-"""A delta on its way into force: its pages are staged in slices beside the view in force, and verified before
-the switch.
+"""A delta on its way into force.
+
+Its pages are staged in slices beside the view in force, and verified before the switch.
 """
 
 from collections import deque
@@ -14,24 +15,31 @@
 
 
 class Staging:
-    """What leads from the view in force to another version. Changes outside of `coverage` are left out."""
+    """What leads from the view in force to another version, without scopes outside of `coverage`.
+
+    Attributes:
+        previous: the version in force.
+        version: the one that it leads to.
+        end: where the next page begins.
+        paged: whether there are pages to come.
+    """
 
     def __init__(
         self, view: View, coverage: Subscription, tables: Mapping[str, Table], version: int
     ) -> None:
         self.previous = view.version
         self.version = version
-        self.end: Cursor = START  # where the next page begins
-        self.paged = True  # whether there are pages to come
+        self.end: Cursor = START
+        self.paged = True
         self._coverage = coverage
         self._tables = tables
         self._builder = Builder(view)
-        self._waiting: deque[Change] = deque()
-        self._changes = ChangeSet()  # what has been staged
+        self._unstaged: deque[Change] = deque()
+        self._changes = ChangeSet()
         self._digests: dict[ScopeId, int] = {}
 
     def follows(self, delta: Delta) -> bool:
-        """Whether this is the next page."""
+        """Whether that is the next page."""
         return (
             self.paged
             and (delta.previous, delta.version) == (self.previous, self.version)
@@ -39,30 +47,35 @@
         )
 
     def add(self, delta: Delta) -> None:
+        """Add the next page."""
         self.end = delta.end
         self.paged = not delta.done
-        self._waiting.extend(delta.changes)
+        self._unstaged.extend(delta.changes)
         for digest in delta.digests:
             if self._coverage.contains(digest.table, digest.scope):
                 self._digests[ScopeId(digest.table, digest.scope)] = digest.digest
 
     @property
     def has_work(self) -> bool:
-        return bool(self._waiting)
+        """Whether there are changes to stage."""
+        return bool(self._unstaged)
 
     @property
     def complete(self) -> bool:
-        return not self.paged and not self._waiting
+        """Whether all pages are there and staged."""
+        return not self.paged and not self._unstaged
 
     def work(self, budget: int) -> int:
-        """Stages changes that cost so much, and returns what is left of it. Raises what a record may be
-        wrong in.
+        """Stage changes up to that cost, and return what is left of it.
+
+        Raises:
+            DistributionError: a record cannot be applied.
         """
-        while self._waiting and budget > 0:
-            change = self._waiting.popleft()
+        while self._unstaged and budget > 0:
+            change = self._unstaged.popleft()
             scope_id = scope_of(change)
-            covered = self._coverage.contains(*scope_id)
-            budget -= self._stage(scope_id, change) if covered else 1
+            is_covered = self._coverage.contains(*scope_id)
+            budget -= self._stage(scope_id, change) if is_covered else 1
         return budget
 
     def _stage(self, scope_id: ScopeId, change: Change) -> int:
@@ -72,12 +85,15 @@
         return self._builder.put(change)
 
     def mismatches(self) -> list[ScopeId]:
-        """Scopes whose digest is another than the source told."""
-        told = self._digests
-        wrong = [scope_id for scope_id in told if self._builder.digest(scope_id) != told[scope_id]]
-        return sorted([*wrong, *(self._changes.scopes.keys() - told.keys())])
+        """Return the scopes whose digests are not those of the source."""
+        wrong = [
+            scope_id
+            for scope_id in self._digests
+            if self._builder.digest(scope_id) != self._digests[scope_id]
+        ]
+        return sorted([*wrong, *(self._changes.scopes.keys() - self._digests.keys())])
 
     def finish(self) -> tuple[View, LogEntry]:
-        """The next view, and the entry that a relay keeps for its children."""
+        """Return the next view, and the entry of the log that a relay keeps for its children."""
         view = self._builder.finish(self.version)
         return view, LogEntry(self.previous, self.version, self._changes, self._digests)
--- a/pumicenotch/distribution/replica/upstreams.py
+++ b/pumicenotch/distribution/replica/upstreams.py
@@ -1,61 +1,76 @@
-"""The sources of one replica: at most two, kept while they serve, left at once when they fail, and later by
-chance when others should serve instead.
+"""The sources of one replica.
+
+They are two at most. They are kept while they serve, left at once when they fail, and after a while
+when others should serve instead.
 """
 
-import random
-from collections import Counter
-from collections.abc import Container, Iterator, Sequence
+from collections.abc import Container, Sequence
 from dataclasses import dataclass
 
+from pumicenotch.distribution.context import Context
 from pumicenotch.distribution.data.subscription import Subscription
-from pumicenotch.distribution.outbox import Outbox
 from pumicenotch.distribution.protocol import messages as m
-from pumicenotch.distribution.settings import NEVER, Settings
+from pumicenotch.distribution.settings import NEVER
 
-SOURCES = 2  # the primary one pushes, the secondary one announces
+# The primary one pushes, the secondary one announces.
+MAX_UPSTREAMS = 2
 
 
 @dataclass(slots=True)
 class Upstream:
-    """One source, as this replica knows it."""
+    """One source, as this replica knows it.
+
+    Attributes:
+        address: where it listens.
+        last_message_at: when it was last heard from.
+        subscribe_at: when the next Subscribe is sent, while it has not accepted.
+        attempts: how many were sent.
+        request: the number of the last one.
+        accepted: whether it serves this replica.
+        version: in force there.
+        current_at: when that version was known to be the newest.
+        retry_at: until then it is asked for nothing.
+        unsubscribe_at: when it is left, if others should serve instead.
+        lagging_since: since when another source is ahead of it.
+    """
 
     address: str
-    heard_at: float
-    subscribe_at: float  # when it is asked to serve, while it has not accepted
-    tries: int = 0
+    last_message_at: float
+    subscribe_at: float
+    attempts: int = 0
     request: int = 0
     accepted: bool = False
     version: int = 0
-    as_of: float = -NEVER  # when that version was known to be the newest
-    put_off_until: float = 0.0
-    leave_at: float = NEVER
-    behind_since: float = NEVER
+    current_at: float = -NEVER
+    retry_at: float = 0.0
+    unsubscribe_at: float = NEVER
+    lagging_since: float = NEVER
 
 
 class Upstreams:
-    """The first of `links` is the primary source."""
-
-    def __init__(
-        self,
-        settings: Settings,
-        rng: random.Random,
-        outbox: Outbox,
-        counts: Counter[str],
-        numbers: Iterator[int],
-    ) -> None:
-        self.links: list[Upstream] = []
-        self.lost: list[str] = []  # addresses left since the owner last looked
-        self.promoted = False  # whether the primary source has changed since then
-        self._settings = settings
-        self._rng = rng
-        self._outbox = outbox
-        self._counts = counts
-        self._avoided: dict[str, float] = {}  # until when
-        self._numbers = numbers
+    """The sources in use: the first of `active` is the primary one.
+
+    Attributes:
+        active: in order.
+        lost: addresses that were left since the owner last looked.
+        promoted: whether the primary source has changed since then.
+    """
+
+    def __init__(self, context: Context) -> None:
+        self.active: list[Upstream] = []
+        self.lost: list[str] = []
+        self.promoted = False
+        self._settings = context.settings
+        self._rng = context.rng
+        self._outbox = context.outbox
+        self._counts = context.counts
+        self._avoided_until: dict[str, float] = {}
+        self._request_numbers = context.request_numbers
         self._swap_at = NEVER
 
-    def link(self, address: str) -> Upstream | None:
-        return next((link for link in self.links if link.address == address), None)
+    def find(self, address: str) -> Upstream | None:
+        """Return the source in use with that address."""
+        return next((upstream for upstream in self.active if upstream.address == address), None)
 
     # Choice
 
@@ -66,123 +81,133 @@
         fallback: Sequence[str],
         alive: Container[str],
     ) -> None:
-        """Keeps to the first two of the preferred ones that can be had, or to one of the others."""
-        self._avoided = {
-            address: until for address, until in self._avoided.items() if until > now_ms
+        """Use the first two of the preferred ones that can be had, or one of the others."""
+        self._avoided_until = {
+            address: avoided_until
+            for address, avoided_until in self._avoided_until.items()
+            if avoided_until > now_ms
         }
-        usable = [address for address in preferred if address not in self._avoided]
+        usable = [address for address in preferred if address not in self._avoided_until]
         if not usable:
-            usable = [address for address in fallback if address not in self._avoided][:1]
-        wanted = usable[:SOURCES]
-        for link in list(self.links):
-            self._keep_or_leave(now_ms, link, wanted, alive)
+            usable = [address for address in fallback if address not in self._avoided_until][:1]
+        wanted = usable[:MAX_UPSTREAMS]
+        for upstream in list(self.active):
+            self._keep_or_unsubscribe(now_ms, upstream, wanted, alive)
         for address in wanted:
-            if len(self.links) < SOURCES and self.link(address) is None:
-                self.links.append(Upstream(address, now_ms, now_ms))
+            if len(self.active) < MAX_UPSTREAMS and self.find(address) is None:
+                self.active.append(Upstream(address, now_ms, now_ms))
         self._swap(now_ms, wanted)
 
-    def _keep_or_leave(
-        self, now_ms: float, link: Upstream, wanted: Sequence[str], alive: Container[str]
+    def _keep_or_unsubscribe(
+        self, now_ms: float, upstream: Upstream, wanted: Sequence[str], alive: Container[str]
     ) -> None:
-        if link.address in wanted:
-            link.leave_at = NEVER
-        elif link.address not in alive:
-            self._drop(link)
-        elif link.leave_at == NEVER:
-            link.leave_at = now_ms + self._leave_after()
-        elif now_ms >= link.leave_at:
-            self._outbox.send(link.address, m.Unsubscribe())
-            self._drop(link)
+        if upstream.address in wanted:
+            upstream.unsubscribe_at = NEVER
+        elif upstream.address not in alive:
+            self._drop(upstream)
+        elif upstream.unsubscribe_at == NEVER:
+            upstream.unsubscribe_at = now_ms + self._unsubscribe_delay_ms()
+        elif now_ms >= upstream.unsubscribe_at:
+            self._outbox.send(upstream.address, m.Unsubscribe())
+            self._drop(upstream)
 
     def _swap(self, now_ms: float, wanted: Sequence[str]) -> None:
-        """The better one of two becomes the primary again, by and by."""
-        right = [link.address for link in self.links] != list(wanted[::-1]) or len(
-            self.links
-        ) < SOURCES
-        if right:
+        """Make the better one of two the primary again, after a while."""
+        is_in_order = [upstream.address for upstream in self.active] != list(wanted[::-1]) or len(
+            self.active
+        ) < MAX_UPSTREAMS
+        if is_in_order:
             self._swap_at = NEVER
         elif self._swap_at == NEVER:
-            self._swap_at = now_ms + self._leave_after()
-        elif now_ms >= self._swap_at and self.links[1].accepted:
-            self.links.reverse()
+            self._swap_at = now_ms + self._unsubscribe_delay_ms()
+        elif now_ms >= self._swap_at and self.active[1].accepted:
+            self.active.reverse()
             self.promoted = True
             self._swap_at = NEVER
 
-    def _leave_after(self) -> float:
+    def _unsubscribe_delay_ms(self) -> float:
         return self._rng.uniform(self._settings.min_leave_ms, self._settings.max_leave_ms)
 
-    def _drop(self, link: Upstream) -> None:
-        if self.links[0] is link:
+    def _drop(self, upstream: Upstream) -> None:
+        if self.active[0] is upstream:
             self.promoted = True
-        self.links.remove(link)
-        self.lost.append(link.address)
+        self.active.remove(upstream)
+        self.lost.append(upstream.address)
 
     def failed(self, now_ms: float, address: str, wait_ms: float = 0.0) -> None:
-        """Leaves it, and avoids it for a while."""
+        """Leave a source that failed, and avoid it for a while."""
         wait = max(wait_ms, self._settings.avoid_ms * (1.0 + self._rng.random()))
-        self._avoided[address] = now_ms + wait
+        self._avoided_until[address] = now_ms + wait
         self._counts["sources_failed"] += 1
-        link = self.link(address)
-        if link is not None:
+        upstream = self.find(address)
+        if upstream is not None:
             self._outbox.send(address, m.Unsubscribe())
-            self._drop(link)
+            self._drop(upstream)
 
-    def leave_all(self) -> None:
-        """This instance has another role now, and needs other sources."""
-        for link in list(self.links):
-            self._outbox.send(link.address, m.Unsubscribe())
-            self._drop(link)
+    def unsubscribe_all(self) -> None:
+        """Leave all sources: this instance has another role, and needs others."""
+        for upstream in list(self.active):
+            self._outbox.send(upstream.address, m.Unsubscribe())
+            self._drop(upstream)
 
-    def forgive(self, address: str) -> None:
-        """It has come back."""
-        self._avoided.pop(address, None)
+    def stop_avoiding(self, address: str) -> None:
+        """Consider a source again that has restarted."""
+        self._avoided_until.pop(address, None)
 
-    # What sources say
+    # Messages of sources
 
-    def heard(self, now_ms: float, address: str, version: int | None, age_ms: int) -> None:
-        link = self.link(address)
-        if link is None:
+    def received(self, now_ms: float, address: str, version: int | None, age_ms: int) -> None:
+        """Note a message of a source, and the version that it has if it says so."""
+        upstream = self.find(address)
+        if upstream is None:
             return
-        link.heard_at = now_ms
-        if version is not None and version >= link.version:
-            link.version = version
-            link.as_of = max(link.as_of, now_ms - age_ms)
-
-    def accepted(self, address: str, message: m.Accepted) -> bool:
-        link = self.link(address)
-        if link is None or link.request != message.request:
+        upstream.last_message_at = now_ms
+        if version is not None and version >= upstream.version:
+            upstream.version = version
+            upstream.current_at = max(upstream.current_at, now_ms - age_ms)
+
+    def on_accepted(self, address: str, message: m.Accepted) -> bool:
+        """Return whether a source has accepted the last Subscribe."""
+        upstream = self.find(address)
+        if upstream is None or upstream.request != message.request:
             return False
-        link.accepted = True
-        link.tries = 0
+        upstream.accepted = True
+        upstream.attempts = 0
         return True
 
-    def forgotten(self, now_ms: float, address: str) -> None:
-        """It does not know this replica: it is asked anew."""
-        link = self.link(address)
-        if link is not None and link.accepted:
-            link.accepted = False
-            link.subscribe_at = now_ms
-            link.tries = 0
-            link.version = 0
-            link.as_of = -NEVER
-
-    def subscribe_anew(self, now_ms: float) -> None:
-        """The subscription is another one."""
-        for link in self.links:
-            link.accepted = False
-            link.subscribe_at = now_ms
-            link.tries = 0
-
-    def put_off(self, address: str, until_ms: float) -> None:
-        link = self.link(address)
-        if link is not None:
-            link.put_off_until = max(link.put_off_until, until_ms)
-
-    def best(self, now_ms: float, least_version: int) -> str | None:
-        """The primary one if it can be asked now, else the other."""
-        for link in self.links:
-            if link.accepted and link.put_off_until <= now_ms and link.version >= least_version:
-                return link.address
+    def resubscribe(self, now_ms: float, address: str) -> None:
+        """Subscribe again at a source that does not know this replica."""
+        upstream = self.find(address)
+        if upstream is not None and upstream.accepted:
+            upstream.accepted = False
+            upstream.subscribe_at = now_ms
+            upstream.attempts = 0
+            # It may be another process, with another history.
+            upstream.version = 0
+            upstream.current_at = -NEVER
+
+    def resubscribe_all(self, now_ms: float) -> None:
+        """Subscribe again at all sources, as the subscription has changed."""
+        for upstream in self.active:
+            upstream.accepted = False
+            upstream.subscribe_at = now_ms
+            upstream.attempts = 0
+
+    def postpone(self, address: str, until_ms: float) -> None:
+        """Ask a source for nothing until then."""
+        upstream = self.find(address)
+        if upstream is not None:
+            upstream.retry_at = max(upstream.retry_at, until_ms)
+
+    def best(self, now_ms: float, min_version: int) -> str | None:
+        """Return the primary source if it can be asked now, else the other."""
+        for upstream in self.active:
+            if (
+                upstream.accepted
+                and upstream.retry_at <= now_ms
+                and upstream.version >= min_version
+            ):
+                return upstream.address
         return None
 
     # Time
@@ -190,52 +215,59 @@
     def tick(
         self, now_ms: float, generation: int, version: int, newest: int, subscription: Subscription
     ) -> None:
-        """Subscribes where that is to be done, and finds out who is silent or behind."""
-        for link in list(self.links):
-            if self._silent(now_ms, link) or self._behind(now_ms, link, newest):
-                self.failed(now_ms, link.address)
-            elif not link.accepted and now_ms >= link.subscribe_at:
-                self._subscribe(now_ms, link, generation, version, subscription)
-
-    def _silent(self, now_ms: float, link: Upstream) -> bool:
-        waits_in_vain = not link.accepted and link.tries > self._settings.max_attempts
-        return waits_in_vain or now_ms - link.heard_at >= self._settings.source_silent_ms
-
-    def _behind(self, now_ms: float, link: Upstream, newest: int) -> bool:
-        """Whether it is behind what another one has, for long."""
-        others = any(other.version >= newest for other in self.links if other.accepted)
-        if not link.accepted or link.version >= newest or not others:
-            link.behind_since = NEVER
+        """Subscribe where it is next_at, and leave sources that are silent or lag."""
+        for upstream in list(self.active):
+            if self._silent(now_ms, upstream) or self._lags(now_ms, upstream, newest):
+                self.failed(now_ms, upstream.address)
+            elif not upstream.accepted and now_ms >= upstream.subscribe_at:
+                self._subscribe(now_ms, upstream, generation, version, subscription)
+
+    def _silent(self, now_ms: float, upstream: Upstream) -> bool:
+        gave_up = not upstream.accepted and upstream.attempts > self._settings.max_attempts
+        return gave_up or now_ms - upstream.last_message_at >= self._settings.source_silent_ms
+
+    def _lags(self, now_ms: float, upstream: Upstream, newest: int) -> bool:
+        """Whether another source has been ahead of it for long."""
+        is_elsewhere = any(each.version >= newest for each in self.active if each.accepted)
+        if not upstream.accepted or upstream.version >= newest or not is_elsewhere:
+            upstream.lagging_since = NEVER
             return False
-        link.behind_since = min(link.behind_since, now_ms)
-        return now_ms - link.behind_since >= self._settings.source_lag_ms
+        upstream.lagging_since = min(upstream.lagging_since, now_ms)
+        return now_ms - upstream.lagging_since >= self._settings.source_lag_ms
 
     def _subscribe(
         self,
         now_ms: float,
-        link: Upstream,
+        upstream: Upstream,
         generation: int,
         version: int,
         subscription: Subscription,
     ) -> None:
-        link.tries += 1
-        link.request = next(self._numbers)
+        upstream.attempts += 1
+        upstream.request = next(self._request_numbers)
         wait = min(
-            self._settings.max_retry_ms, self._settings.retry_ms * float(1 << link.tries - 1)
+            self._settings.max_retry_ms, self._settings.retry_ms * float(1 << upstream.attempts - 1)
         )
-        link.subscribe_at = now_ms + wait * (1.0 + 0.5 * self._rng.random())
-        primary = link is self.links[0]
-        message = m.Subscribe(link.request, generation, version, primary, subscription)
-        self._outbox.send(link.address, message)
+        upstream.subscribe_at = now_ms + wait * (1.0 + 0.5 * self._rng.random())
+        primary = upstream is self.active[0]
+        message = m.Subscribe(upstream.request, generation, version, primary, subscription)
+        self._outbox.send(upstream.address, message)
 
     def next_tick_at(self) -> float:
-        """When `choose` and `tick` are to be called next."""
-        due = min(self._avoided.values(), default=NEVER) if len(self.links) < SOURCES else NEVER
-        for link in self.links:
-            silent_at = link.heard_at + self._settings.source_silent_ms
-            due = min(
-                due, silent_at, link.leave_at, link.behind_since + self._settings.source_lag_ms
+        """Return when `choose` and `tick` are to be called next."""
+        next_at = (
+            min(self._avoided_until.values(), default=NEVER)
+            if len(self.active) < MAX_UPSTREAMS
+            else NEVER
+        )
+        for upstream in self.active:
+            silent_at = upstream.last_message_at + self._settings.source_silent_ms
+            next_at = min(
+                next_at,
+                silent_at,
+                upstream.unsubscribe_at,
+                upstream.lagging_since + self._settings.source_lag_ms,
             )
-            if not link.accepted:
-                due = min(due, link.subscribe_at)
-        return min(due, self._swap_at)
+            if not upstream.accepted:
+                next_at = min(next_at, upstream.subscribe_at)
+        return min(next_at, self._swap_at)
--- a/pumicenotch/distribution/replica/zone.py
+++ b/pumicenotch/distribution/replica/zone.py
@@ -1,5 +1,6 @@
-"""The instances of one zone, and which of them are its relays. Each instance decides it for itself, by what
-its membership thinks; those who agree on who is alive agree on the relays.
+"""The instances of one zone, and which of them are its relays.
+
+Each instance decides by its own membership; those that agree on who is alive agree on the relays.
 """
 
 from pumicenotch.distribution.events import Peer
@@ -7,11 +8,16 @@
 
 
 class Zone:
-    """Of this instance; peers of other zones are left out."""
+    """The zone of this instance; peers of other zones are ignored."""
 
     def __init__(self, me: Peer, relay_count: int, eligible: bool = True) -> None:
-        """`eligible` says whether this instance may be a relay. Others that try it nonetheless are refused,
-        and go to the next.
+        """Start with this instance alone.
+
+        Args:
+            me: this instance.
+            relay_count: how many relays the zone has.
+            eligible: whether this instance may be a relay. Others that try it nonetheless are
+                refused, and go to the next.
         """
         self.me = me
         self._eligible = eligible
@@ -20,7 +26,7 @@
         self._relays: list[Peer] = [me] if eligible else []
 
     def changed(self, peer: Peer) -> bool:
-        """Whether it is of this zone."""
+        """Note a peer, and return whether it is of this zone."""
         if peer.name == self.me.name:
             return False
         if peer.zone != self.me.zone or not peer.alive:
@@ -29,23 +35,26 @@
         else:
             self._peers[peer.name] = peer
         everyone = [*([self.me] if self._eligible else []), *self._peers.values()]
-        order = ranked(self.me.zone, everyone, lambda each: each.name)
+        order = ranked(self.me.zone, everyone, lambda candidate: candidate.name)
         self._relays = order[: self._relay_count]
         return True
 
     @property
     def size(self) -> int:
-        """With this instance."""
+        """How many instances there are, this one included."""
         return 1 + len(self._peers)
 
     def addresses(self) -> set[str]:
-        """Of the others that are alive."""
+        """Return the addresses of the others that are alive."""
         return {peer.address for peer in self._peers.values()}
 
     def relays(self) -> list[str]:
-        """Addresses of the others that are relays, in the order in which this instance prefers them."""
+        """Return the addresses of the other relays, in this instance's order of preference."""
         others = [peer for peer in self._relays if peer.name != self.me.name]
-        return [peer.address for peer in ranked(self.me.name, others, lambda each: each.name)]
+        return [
+            peer.address for peer in ranked(self.me.name, others, lambda candidate: candidate.name)
+        ]
 
     def makes_me_relay(self) -> bool:
+        """Whether this instance is to be a relay."""
         return any(peer.name == self.me.name for peer in self._relays)
--- a/pumicenotch/distribution/source/admission.py
+++ b/pumicenotch/distribution/source/admission.py
@@ -1,10 +1,8 @@
-"""How much a source sends to those who catch up: a storm of rejoining replicas is admitted at a rate that it
-bears.
-"""
+"""How much a source sends to replicas that catch up, so that it survives many at one time."""
 
 
 class TokenBucket:
-    """Bytes that may be sent: they come back at a rate, up to a burst. A page may overdraw it once."""
+    """Bytes that may be sent, refilled at a rate up to a burst. One page may overdraw it."""
 
     def __init__(self, rate_per_second: float, burst: float) -> None:
         self.rate_per_ms = rate_per_second / 1000.0
@@ -24,9 +22,10 @@
         return self.tokens > 0.0
 
     def spend(self, size: int) -> None:
+        """Count bytes as sent."""
         self.tokens -= size
 
     def wait_ms(self, now_ms: float) -> float:
-        """Until it is open again."""
+        """Return how long it is until a page may be sent."""
         self._fill(now_ms)
         return max(0.0, -self.tokens / self.rate_per_ms)
--- a/pumicenotch/distribution/source/children.py
+++ b/pumicenotch/distribution/source/children.py
@@ -1,4 +1,4 @@
-"""What a source knows of those that it serves."""
+"""What a source knows of the replicas that it serves."""
 
 from dataclasses import dataclass
 
@@ -9,10 +9,26 @@
 from pumicenotch.distribution.protocol.reports import EMPTY, Report
 from pumicenotch.distribution.settings import Settings
 
+# Approximate sizes on the wire.
+DIGEST_BYTES = 32
+PAGE_OVERHEAD_BYTES = 64
+
 
 @dataclass(slots=True)
 class Child:
-    """One replica that has subscribed here."""
+    """One replica that has subscribed here.
+
+    Attributes:
+        name, incarnation, address: of its process.
+        generation: numbers its subscriptions.
+        subscription: the scopes that it needs.
+        primary: whether it wants pushes.
+        version: in force there, as it acknowledged.
+        pushed_version: the version that it has once everything sent has arrived.
+        last_message_at: when it was last heard from.
+        announced_version, announced_at: the last announcement.
+        report: its last report.
+    """
 
     name: str
     incarnation: str
@@ -20,15 +36,16 @@
     generation: int
     subscription: Subscription
     primary: bool
-    version: int  # in force there, as it acknowledged
-    pushed_version: int  # version that it will have once all that was sent has arrived
+    version: int
+    pushed_version: int
     last_message_at: float
-    announced_version: int  # version
+    announced_version: int
     announced_at: float
     report: Report = EMPTY
 
     @classmethod
     def of(cls, now_ms: float, sender: Sender, message: Subscribe) -> "Child":
+        """Return the child that subscribes by this message."""
         return cls(
             name=sender.name,
             incarnation=sender.life,
@@ -44,18 +61,19 @@
         )
 
     def acknowledged(self, version: int) -> None:
+        """Note the version that is in force at the child."""
         self.version = version
         self.pushed_version = max(self.pushed_version, version)
 
     def next_announcement_at(self, version: int, settings: Settings) -> float:
-        """When it is to be told of that version."""
+        """Return when that version is to be announced to it."""
         wait = (
             settings.announce_ms if self.announced_version == version else settings.min_announce_ms
         )
         return self.announced_at + wait
 
     def delta(self, request: int, age_ms: int, page: Page) -> Delta:
-        """A page as it is sent to this child."""
+        """Return a page as it is sent to this child."""
         return Delta(
             request,
             self.generation,
@@ -71,5 +89,6 @@
 
 
 def page_bytes(page: Page | Delta) -> int:
-    """About its size on the wire."""
-    return sum(change.size for change in page.changes) + 32 * len(page.digests) + 64
+    """Return its approximate size on the wire."""
+    changes_bytes = sum(change.size for change in page.changes)
+    return changes_bytes + DIGEST_BYTES * len(page.digests) + PAGE_OVERHEAD_BYTES
--- a/pumicenotch/distribution/source/source.py
+++ b/pumicenotch/distribution/source/source.py
@@ -1,16 +1,15 @@
-"""Whoever serves replicas: a voter, or an instance that is a relay. It pushes what is small, announces the
-rest, and answers those who ask.
+"""What serves replicas: in a voter, or in an instance that is a relay.
+
+A source pushes what is small, announces the rest, and answers requests.
 """
 
-import random
-from collections import Counter
 from collections.abc import Callable
 
+from pumicenotch.distribution.context import Context
 from pumicenotch.distribution.data.changelog import ChangeLog, Page
 from pumicenotch.distribution.data.subscription import NOTHING, Subscription, union_of
 from pumicenotch.distribution.data.view import View
 from pumicenotch.distribution.events import Sender
-from pumicenotch.distribution.outbox import Outbox
 from pumicenotch.distribution.protocol import messages as m
 from pumicenotch.distribution.protocol.reports import Report, merged
 from pumicenotch.distribution.settings import NEVER, Settings
@@ -22,51 +21,61 @@
 
 
 def log_of(settings: Settings) -> ChangeLog:
-    """An empty one, within its bounds."""
+    """Return an empty log within its bounds."""
     return ChangeLog(max_entries=settings.max_log_versions, max_bytes=settings.max_log_bytes)
 
 
 class Source:
-    """Its owner sets `view`, `log` and `held`, and tells it when these have moved on (`published`)."""
-
-    def __init__(
-        self,
-        settings: Settings,
-        rng: random.Random,
-        outbox: Outbox,
-        counts: Counter[str],
-        age_ms: Callable[[float], int],
-    ) -> None:
+    """Serves children. Its owner sets the public attributes, and calls `published` after a change.
+
+    Attributes:
+        view: what is in force.
+        log: the changes that led to it.
+        coverage: the scopes that the view covers.
+        accepting: whether further children may subscribe.
+        candidates: addresses of other sources, sent with a refusal.
+        children: by name.
+    """
+
+    def __init__(self, context: Context, age_ms: Callable[[float], int]) -> None:
+        """Create a source without children.
+
+        Args:
+            context: the reducer's.
+            age_ms: returns how long ago the view was known to be current.
+        """
+        settings = context.settings
         self.view = View()
         self.log = log_of(settings)
-        self.coverage: Subscription = NOTHING  # scopes that the view covers
+        self.coverage: Subscription = NOTHING
         self.accepting = False
-        self.candidates: tuple[str, ...] = ()  # addresses of better sources, told with a refusal
+        self.candidates: tuple[str, ...] = ()
         self.children: dict[str, Child] = {}
         self._settings = settings
-        self._rng = rng
-        self._outbox = outbox
-        self._counts = counts
+        self._rng = context.rng
+        self._outbox = context.outbox
+        self._counts = context.counts
         self._age_ms = age_ms
         self._transfers: dict[str, OpenTransfer] = {}
         self._bucket = TokenBucket(settings.bytes_per_second, settings.bytes_burst)
         self._push_queue: dict[str, None] = {}
         self._next_review_at = NEVER
 
-    # What the owner asks
+    # For the owner
 
     def published(self, now_ms: float) -> None:
-        """The view and its log have moved on."""
+        """Push or announce the view that is in force now."""
         for child in self.children.values():
             if child.primary:
                 self._push_queue[child.name] = None
         self._next_review_at = min(self._next_review_at, now_ms)
 
     def next_tick_at(self, now_ms: float) -> float:
-        """When `tick` is to be called next."""
+        """Return when `tick` is to be called next."""
         return now_ms if self._push_queue else self._next_review_at
 
     def tick(self, now_ms: float) -> None:
+        """Push a slice of what is queued, or announce and expire what is due."""
         budget = self._settings.slice_bytes
         for name in list(self._push_queue)[: self._settings.slice_children]:
             del self._push_queue[name]
@@ -78,15 +87,15 @@
             self._review_children(now_ms)
 
     def report(self) -> Report:
-        """Of all that are served here and have this as their primary source."""
+        """Return the report of all that have this as their primary source."""
         return merged(child.report for child in self.children.values() if child.primary)
 
     def wanted(self) -> Subscription:
-        """What the children need."""
+        """Return the scopes that the children need."""
         return union_of(child.subscription for child in self.children.values())
 
     def dismiss(self, reason: str) -> None:
-        """Tells all children to go elsewhere."""
+        """Refuse all children from now on, for that reason."""
         for child in self.children.values():
             self._outbox.send(child.address, m.Refused(0, reason, 0, self.candidates))
         self.children.clear()
@@ -96,6 +105,7 @@
     # Messages of children
 
     def received(self, now_ms: float, sender: Sender, message: m.Message) -> None:
+        """Take a message of a child, or of a replica that wants to be one."""
         if isinstance(message, m.Subscribe):
             self._subscribe(now_ms, sender, message)
             return
@@ -108,9 +118,12 @@
                 self._refuse(sender.address, request, m.UNKNOWN_CHILD, 0)
             return
         child.last_message_at = now_ms
+        self._received_from_child(now_ms, child, message)
+
+    def _received_from_child(self, now_ms: float, child: Child, message: m.Message) -> None:
         match message:
             case m.Unsubscribe():
-                self._forget(child)
+                self._remove(child)
             case m.Acknowledge():
                 self._acknowledge(now_ms, child, message)
             case m.Pull():
@@ -125,18 +138,18 @@
                 self._check(child, message)
 
     def _subscribe(self, now_ms: float, sender: Sender, message: m.Subscribe) -> None:
-        former = self.children.get(sender.name)
+        known_child = self.children.get(sender.name)
         if not self.accepting:
             self._refuse(sender.address, message.request, m.NOT_A_RELAY, 0)
             return
-        if former is None and len(self.children) >= self._settings.max_children:
+        if known_child is None and len(self.children) >= self._settings.max_children:
             self._refuse(
                 sender.address, message.request, m.BUSY, self._jittered(self._settings.busy_ms)
             )
             return
         child = Child.of(now_ms, sender, message)
-        if former is not None and former.incarnation == child.incarnation:
-            child.report = former.report
+        if known_child is not None and known_child.incarnation == child.incarnation:
+            child.report = known_child.report
         self.children[child.name] = child
         self._transfers.pop(child.name, None)
         child.announced_version = self.view.version
@@ -161,8 +174,8 @@
         page = self.log.page(
             message.have, message.start, child.subscription, self._settings.page_bytes
         )
-        if message.have >= self.view.version:
-            page = Page(message.have, message.have, m.START, m.START, True, (), ())  # nothing newer
+        if message.have >= self.view.version:  # there is nothing newer
+            page = Page(message.have, message.have, m.START, m.START, True, (), ())
         if page is None:
             self._refuse(child.address, message.request, m.COMPACTED, 0)
             return
@@ -213,9 +226,9 @@
         transfer.last_used_at = now_ms
         if not self._admits(now_ms, child, message.request):
             return
-        parts, size = record_page(transfer, message.wants, self._settings.page_bytes)
+        pages, size = record_page(transfer, message.wants, self._settings.page_bytes)
         self._bucket.spend(size)
-        self._outbox.send(child.address, m.Records(message.request, transfer.number, parts))
+        self._outbox.send(child.address, m.Records(message.request, transfer.number, pages))
 
     def _end_transfer(self, child: Child, number: int) -> None:
         transfer = self._transfers.get(child.name)
@@ -224,8 +237,8 @@
 
     def _check(self, child: Child, message: m.Check) -> None:
         table, scope, digest = message.scope
-        known = message.version == self.view.version and self.coverage.contains(table, scope)
-        if known and digest != self.view.digest(table, scope):
+        is_known = message.version == self.view.version and self.coverage.contains(table, scope)
+        if is_known and digest != self.view.digest(table, scope):
             self._outbox.send(child.address, m.Mismatch(message.version, table, scope))
 
     def _serves(self, now_ms: float, child: Child, request: int, generation: int) -> bool:
@@ -252,12 +265,12 @@
     def _jittered(self, min_ms: float) -> int:
         return int(min_ms * (1.0 + self._rng.random()))
 
-    # What it tells by itself
+    # Pushes and announcements
 
     def _push(self, now_ms: float, child: Child) -> int:
-        """The next changes, as far as they are small and the child acknowledges; and their size."""
+        """Push what is small, as long as the child acknowledges, and return the bytes."""
         settings = self._settings
-        pushed = 0
+        pushed_bytes = 0
         while (
             child.pushed_version < self.view.version
             and child.pushed_version - child.version < settings.push_window
@@ -268,39 +281,40 @@
                 child.pushed_version, child.subscription, settings.max_push_bytes
             )
             if page is None:
-                break  # it is announced_version, and pulled
-            pushed += page_bytes(page)
+                break  # it is announced, and pulled
+            pushed_bytes += page_bytes(page)
             self._outbox.send(child.address, child.delta(0, self._age_ms(now_ms), page))
             self._counts["pushed"] += 1
             child.pushed_version = page.version
             child.announced_version = page.version
             child.announced_at = now_ms
-        return pushed
+        return pushed_bytes
 
     def _review_children(self, now_ms: float) -> None:
-        """Announces where it is time, and forgets those who have fallen silent."""
+        """Announce the version where that is due, and remove silent children and transfers."""
         version = self.view.version
-        told = 0
-        following = NEVER
+        announcements = 0
+        next_review_at = NEVER
         for child in list(self.children.values()):
             if now_ms - child.last_message_at >= self._settings.child_silent_ms:
-                self._forget(child)
+                self._remove(child)
                 continue
             if now_ms >= child.next_announcement_at(version, self._settings):
-                if told >= 2 * self._settings.slice_children:
-                    following = now_ms
+                if announcements >= 2 * self._settings.slice_children:
+                    next_review_at = now_ms
                     break
                 self._outbox.send(child.address, m.Announce(version, self._age_ms(now_ms)))
                 child.announced_version = version
                 child.announced_at = now_ms
-                told = told + 1
-            following = min(following, child.next_announcement_at(version, self._settings))
-        self._next_review_at = following
+                announcements += 1
+            next_announcement_at = child.next_announcement_at(version, self._settings)
+            next_review_at = min(next_review_at, next_announcement_at)
+        self._next_review_at = next_review_at
         for name, transfer in list(self._transfers.items()):
             if now_ms - transfer.last_used_at >= self._settings.transfer_idle_ms:
                 del self._transfers[name]
 
-    def _forget(self, child: Child) -> None:
+    def _remove(self, child: Child) -> None:
         del self.children[child.name]
         self._transfers.pop(child.name, None)
         self._push_queue.pop(child.name, None)
--- a/pumicenotch/distribution/source/transfers.py
+++ b/pumicenotch/distribution/source/transfers.py
@@ -1,6 +1,7 @@
-"""The source's side of a transfer by scopes: a view is transfer while a child compares digests with it and
-fetches the scopes that differ. Pages are made of a place alone, so that a repeated request has the same
-answer.
+"""The source's side of a transfer by scopes.
+
+A view is kept while a child compares digests with it and fetches the scopes that differ. A page
+follows from its position alone, so that a repeated request has the same answer.
 """
 
 from collections.abc import Sequence
@@ -19,7 +20,7 @@
 
 @dataclass(slots=True)
 class OpenTransfer:
-    """`number` is the child's; `view` is the one that it compares with from the first page to the last."""
+    """A transfer to a child: `number` is the child's, `view` what it compares with throughout."""
 
     number: int
     generation: int
@@ -29,52 +30,54 @@
 
 
 def digest_page(
-    transfer: OpenTransfer, after: ScopeId, most: int
+    transfer: OpenTransfer, after: ScopeId, max_scopes: int
 ) -> tuple[tuple[ScopeDigest, ...], bool]:
-    """The next subscribed scopes with their digests, and whether these are the last."""
-    found: list[ScopeDigest] = []
+    """Return the next subscribed scopes with their digests, and whether these are the last."""
+    digests: list[ScopeDigest] = []
     for scope_id in transfer.view.subscribed_after(transfer.subscription, after):
-        if len(found) == most:
-            return tuple(found), False
-        found.append(ScopeDigest(*scope_id, transfer.view.digest(*scope_id)))
-    return tuple(found), True
+        if len(digests) == max_scopes:
+            return tuple(digests), False
+        digests.append(ScopeDigest(*scope_id, transfer.view.digest(*scope_id)))
+    return tuple(digests), True
 
 
 def record_page(
-    transfer: OpenTransfer, wants: Sequence[Want], most: int
+    transfer: OpenTransfer, wants: Sequence[Want], max_bytes: int
 ) -> tuple[tuple[ScopePage, ...], int]:
-    """Records of the wanted scopes as far as a page holds, and their size."""
-    parts: list[ScopePage] = []
+    """Return records of the wanted scopes as far as a message holds them, and their size."""
+    pages: list[ScopePage] = []
     size = 0
     count = 0
     for want in wants:
         if not transfer.subscription.contains(want.table, want.scope):
             continue
-        room = MAX_PAGE_CHANGES - count
-        part, part_size = _scope_part(transfer.view, want, most - size, room, first=not parts)
-        if parts and not part.records and not part.done:
+        max_records = MAX_PAGE_CHANGES - count
+        page, page_size = _scope_page(
+            transfer.view, want, max_bytes - size, max_records, first=not pages
+        )
+        if pages and not page.records and not page.done:
             break
-        parts.append(part)
-        size = size + part_size
-        count = count + len(part.records)
-        if not part.done:
+        pages.append(page)
+        size += page_size
+        count += len(page.records)
+        if not page.done:
             break
-    return tuple(parts), size
+    return tuple(pages), size
 
 
-def _scope_part(
-    view: View, want: Want, max_bytes: int, records_most: int, first: bool
+def _scope_page(
+    view: View, want: Want, max_bytes: int, max_records: int, first: bool
 ) -> tuple[ScopePage, int]:
-    """The first part of a page has one record at least, however large."""
-    held = view.find(ScopeId(want.table, want.scope))
+    """Return a page of a scope; the first in a message has one record at least, however large."""
+    scope = view.find(ScopeId(want.table, want.scope))
     records: list[tuple[str, str]] = []
     size = len(want.table) + len(want.scope) + RECORD_OVERHEAD_BYTES
-    if held is None:
+    if scope is None:
         return ScopePage(want.table, want.scope, (), True), size
-    for name in held.names_after(want.after):
-        value = held.records[name]
+    for name in scope.names_after(want.after):
+        value = scope.records[name]
         size += len(name) + len(value) + RECORD_OVERHEAD_BYTES
-        if (size > max_bytes or len(records) >= records_most) and (records or not first):
+        if (size > max_bytes or len(records) >= max_records) and (records or not first):
             return ScopePage(want.table, want.scope, tuple(records), False), size
         records.append((name, value))
     return ScopePage(want.table, want.scope, tuple(records), True), size
--- a/pumicenotch/lab/hollow_configuration.py
+++ b/pumicenotch/lab/hollow_configuration.py
@@ -3,6 +3,7 @@
 import random
 from typing import TYPE_CHECKING, Any
 
+from pumicenotch.distribution.context import new_context
 from pumicenotch.distribution.data.view import View
 from pumicenotch.distribution.events import Started, Ticked
 from pumicenotch.distribution.instance_settings import InstanceSettings, ScopesOfTable
@@ -77,9 +78,7 @@
             self_of(self.hub.node.me),
             self.addresses,
             self.settings.subscribed(),
-            self.chance,
-            settings=self.settings.settings,
-            tables=self.settings.tables(),
+            new_context(self.chance, self.settings.settings, self.settings.tables()),
             relay_eligible=False,
         )
         super().put(Started())
--- a/pumicenotch/lab/spreading_model.py
+++ b/pumicenotch/lab/spreading_model.py
@@ -7,6 +7,7 @@
 from typing import Any, NamedTuple
 
 from pumicenotch.distribution import effects, events
+from pumicenotch.distribution.context import new_context
 from pumicenotch.distribution.data.changelog import ChangeLog
 from pumicenotch.distribution.data.records import Change
 from pumicenotch.distribution.data.subscription import Subscription
@@ -111,7 +112,7 @@
     def start(self, name: str) -> None:
         """A node begins, with nothing."""
         node = Node(
-            peer(name), tuple(self.voters), SUBSCRIPTION, Steady(), settings=SETTINGS, tables=TABLES
+            peer(name), tuple(self.voters), SUBSCRIPTION, new_context(Steady(), SETTINGS, TABLES)
         )
         self.nodes[name], self.last[name] = node, 0
         self.wire = [letter for letter in self.wire if name not in (letter.sender, letter.to)]
--- a/pumicenotch/net/configuration.py
+++ b/pumicenotch/net/configuration.py
@@ -18,6 +18,7 @@
 from loguru import logger
 
 from pumicenotch.distribution import effects, events
+from pumicenotch.distribution.context import new_context
 from pumicenotch.distribution.data.records import split_key
 from pumicenotch.distribution.data.tables import TABLES, table_of
 from pumicenotch.distribution.data.view import View
@@ -265,14 +266,13 @@
         super().__init__(hub)
         self.voters = frozenset(voters)
         children = min(settings.settings.max_children, max(1, hub.links_most - MEMBERSHIP_LINKS))
+        limits = settings.settings._replace(max_children=children)
         self.node = Node(
             self_of(hub.node.me),
             voters,
             settings.subscribed(),
-            random.Random(seed),
-            settings=settings.settings._replace(max_children=children),
-            tables=settings.tables(),
-            relay_eligible=settings.relay,
+            new_context(random.Random(seed), limits, settings.tables()),
+            settings.relay,
         )
 
     def run(self) -> None:
@@ -298,7 +298,7 @@
         self.put(events.SubscriptionChanged(settings.subscribed()))
 
     def holds(self, table: str, scope: str) -> bool:
-        return self.node.holds(table, scope)
+        return self.node.covers(table, scope)
 
     @property
     def view(self) -> View:
--- a/tests/distribution/network.py
+++ b/tests/distribution/network.py
@@ -12,6 +12,7 @@
 
 from pumicenotch.distribution import effects as fx
 from pumicenotch.distribution import events as ev
+from pumicenotch.distribution.context import new_context
 from pumicenotch.distribution.data.changelog import ChangeLog
 from pumicenotch.distribution.data.records import Change
 from pumicenotch.distribution.data.subscription import Subscription
@@ -108,9 +109,7 @@
             me,
             list(self.books),
             self.subscriptions[name],
-            random.Random(self.chance.random()),
-            settings=self.settings,
-            tables=tables,
+            new_context(random.Random(self.chance.random()), self.settings, tables),
         )
         self.in_force.setdefault(name, []).append((self.now, 0))  # a new life begins at 0
         self.start(name, node)
--- a/tests/distribution/test_explorer.py
+++ b/tests/distribution/test_explorer.py
@@ -75,7 +75,7 @@
             key: Scope(part.records, transfer._listed[key])
             for key, part in transfer._partial.items()
         }
-        self._kept = {**transfer.complete, **parts}
+        self._reusable = {**transfer.complete, **parts}
         self._end_transfer(transfer)
 
 
@@ -105,7 +105,7 @@
 
 
 REAL_PAGE = ChangeLog.page
-REAL_DELTA = Replica.delta
+REAL_DELTA = Replica.on_delta
 CALM = Bounds(publications=3, timers=9)
 FRESH = Bounds(publications=0, timers=8, cuts=1)
 FAULTS: dict[str, tuple[Spreading, list[tuple[type, str, Any]]]] = {
@@ -115,11 +115,11 @@
     ),
     "applies an older delta after a newer": (
         Spreading(CALM._replace(copies=1), begun=2),
-        [(Replica, "delta", any_delta), (Copy, "switch", any_switch)],
+        [(Replica, "on_delta", any_delta), (Copy, "switch", any_switch)],
     ),
     "takes a part for the whole when the source changes": (
         Spreading(FRESH, begun=2, fresh=True),
-        [(Replica, "_break_off", break_off_with_parts)],
+        [(Replica, "_abort_transfer", break_off_with_parts)],
     ),
     "forgets a deletion in a snapshot by digests": (
         Spreading(CALM, log_most=1),
--- a/tests/distribution/test_faults.py
+++ b/tests/distribution/test_faults.py
@@ -7,6 +7,7 @@
 import pytest
 
 from pumicenotch.distribution import errors, events
+from pumicenotch.distribution.context import new_context
 from pumicenotch.distribution.data.records import Change, ScopeId
 from pumicenotch.distribution.data.subscription import Subscription
 from pumicenotch.distribution.data.tables import TABLES, Table, canonical, read_value
@@ -272,7 +273,7 @@
 
 def test_only_a_relay_accepts_children() -> None:
     me = events.Peer("i1", "z", "r", "i1", "1")
-    node = Node(me, ["v0"], Subscription({"tenants": None}), random.Random(1))
+    node = Node(me, ["v0"], Subscription({"tenants": None}), new_context(random.Random(1)))
     message = m.Subscribe(1, 1, 0, True, Subscription({"tenants": None}))
     effects = node.step(0.0, events.Received(events.Sender("i2", "1", "i2"), message))
     refusals = [each.message for each in effects if isinstance(each, SendTo)]
