--- a/pumicenotch/distribution/context.py
+++ b/pumicenotch/distribution/context.py
@@ -10,6 +10,9 @@
 from pumicenotch.distribution.outbox import Outbox
 from pumicenotch.distribution.settings import DEFAULTS, Settings
 
+# As a fraction of the delay.
+MAX_RETRY_JITTER = 0.5
+
 
 class Context(NamedTuple):
     """The collaborators of the parts of a `Node` or a `VoterSource`.
@@ -30,6 +33,12 @@
     request_numbers: Iterator[int]
     tables: Mapping[str, Table]
 
+    def retry_delay_ms(self, attempts: int) -> float:
+        """Return how long to wait after so many attempts: exponential backoff with jitter."""
+        backoff_ms = self.settings.retry_ms * float(1 << (attempts - 1))
+        delay_ms = min(self.settings.max_retry_ms, backoff_ms)
+        return delay_ms * (1.0 + MAX_RETRY_JITTER * self.rng.random())
+
 
 def new_context(
     rng: random.Random, settings: Settings = DEFAULTS, tables: Mapping[str, Table] = TABLES
--- a/pumicenotch/distribution/node.py
+++ b/pumicenotch/distribution/node.py
@@ -172,7 +172,7 @@
             case Ticked():
                 pass
         self._continue(now)
-        return [*self._outbox.take(), WakeAt(self._due(now))]
+        return [*self._outbox.take(), WakeAt(self._next_wake_at(now))]
 
     def _continue(self, now: float) -> None:
         """Do a slice of each thing that is due."""
@@ -203,13 +203,15 @@
             self._upstreams.promoted = False
             self._acknowledger.acknowledge_now(now)
 
-    def _due(self, now: float) -> float:
-        parts = (
+    def _next_wake_at(self, now: float) -> float:
+        return min(
             self._placement.next_choice_at(now),
             self._replica.next_tick_at(now),
             self._source.next_tick_at(now),
+            self._widen_at,
+            self._narrow_at,
+            self._acknowledger.next_send_at(),
         )
-        return min(*parts, self._widen_at, self._narrow_at, self._acknowledger.next_send_at())
 
     # Messages
 
--- a/pumicenotch/distribution/replica/requests.py
+++ b/pumicenotch/distribution/replica/requests.py
@@ -23,8 +23,8 @@
     """The requests in flight: `open` has them by number."""
 
     def __init__(self, context: Context) -> None:
+        self._context = context
         self._settings = context.settings
-        self._rng = context.rng
         self._outbox = context.outbox
         self._numbers = context.request_numbers
         self.open: dict[int, Request] = {}
@@ -33,7 +33,9 @@
         """Send a request: `make` returns the message with the number that it is given."""
         number = next(self._numbers)
         message = make(number)
-        self.open[number] = Request(number, address, message, now_ms + self._retry_delay_ms(1))
+        self.open[number] = Request(
+            number, address, message, now_ms + self._context.retry_delay_ms(1)
+        )
         self._outbox.send(address, message)
 
     def answered(self, number: int, address: str) -> Request | None:
@@ -60,7 +62,7 @@
                 given_up.append(self.open.pop(request.number))
                 continue
             request.attempts += 1
-            request.retry_at = now_ms + self._retry_delay_ms(request.attempts)
+            request.retry_at = now_ms + self._context.retry_delay_ms(request.attempts)
             self._outbox.send(request.address, request.message)
         return given_up
 
@@ -73,9 +75,3 @@
     def next_retry_at(self) -> float:
         """Return when `tick` is to be called next."""
         return min((request.retry_at for request in self.open.values()), default=NEVER)
-
-    def _retry_delay_ms(self, attempts: int) -> float:
-        wait = min(
-            self._settings.max_retry_ms, self._settings.retry_ms * float(1 << (attempts - 1))
-        )
-        return wait * (1.0 + 0.5 * self._rng.random())
--- a/pumicenotch/distribution/replica/upstreams.py
+++ b/pumicenotch/distribution/replica/upstreams.py
@@ -60,6 +60,7 @@
         self.active: list[Upstream] = []
         self.lost: list[str] = []
         self.promoted = False
+        self._context = context
         self._settings = context.settings
         self._rng = context.rng
         self._outbox = context.outbox
@@ -113,10 +114,9 @@
 
     def _swap(self, now_ms: float, wanted: Sequence[str]) -> None:
         """Make the better one of two the primary again, after a while."""
-        is_in_order = [upstream.address for upstream in self.active] != list(wanted[::-1]) or len(
-            self.active
-        ) < MAX_UPSTREAMS
-        if is_in_order:
+        addresses = [upstream.address for upstream in self.active]
+        is_reversed = len(addresses) == MAX_UPSTREAMS and addresses == list(reversed(wanted))
+        if not is_reversed:
             self._swap_at = NEVER
         elif self._swap_at == NEVER:
             self._swap_at = now_ms + self._unsubscribe_delay_ms()
@@ -136,8 +136,8 @@
 
     def failed(self, now_ms: float, address: str, wait_ms: float = 0.0) -> None:
         """Leave a source that failed, and avoid it for a while."""
-        wait = max(wait_ms, self._settings.avoid_ms * (1.0 + self._rng.random()))
-        self._avoided_until[address] = now_ms + wait
+        avoid_ms = self._settings.avoid_ms * (1.0 + self._rng.random())
+        self._avoided_until[address] = now_ms + max(wait_ms, avoid_ms)
         self._counts["sources_failed"] += 1
         upstream = self.find(address)
         if upstream is not None:
@@ -215,7 +215,7 @@
     def tick(
         self, now_ms: float, generation: int, version: int, newest: int, subscription: Subscription
     ) -> None:
-        """Subscribe where it is next_at, and leave sources that are silent or lag."""
+        """Subscribe where it is due, and leave sources that are silent or lag."""
         for upstream in list(self.active):
             if self._silent(now_ms, upstream) or self._lags(now_ms, upstream, newest):
                 self.failed(now_ms, upstream.address)
@@ -245,21 +245,16 @@
     ) -> None:
         upstream.attempts += 1
         upstream.request = next(self._request_numbers)
-        wait = min(
-            self._settings.max_retry_ms, self._settings.retry_ms * float(1 << upstream.attempts - 1)
-        )
-        upstream.subscribe_at = now_ms + wait * (1.0 + 0.5 * self._rng.random())
+        upstream.subscribe_at = now_ms + self._context.retry_delay_ms(upstream.attempts)
         primary = upstream is self.active[0]
         message = m.Subscribe(upstream.request, generation, version, primary, subscription)
         self._outbox.send(upstream.address, message)
 
     def next_tick_at(self) -> float:
         """Return when `choose` and `tick` are to be called next."""
-        next_at = (
-            min(self._avoided_until.values(), default=NEVER)
-            if len(self.active) < MAX_UPSTREAMS
-            else NEVER
-        )
+        next_at = NEVER
+        if len(self.active) < MAX_UPSTREAMS:
+            next_at = min(self._avoided_until.values(), default=NEVER)
         for upstream in self.active:
             silent_at = upstream.last_message_at + self._settings.source_silent_ms
             next_at = min(
--- a/tests/distribution/test_eligibility.py
+++ b/tests/distribution/test_eligibility.py
@@ -8,14 +8,14 @@
     return Peer(name, "z", "r", f"{name}:1", "life")
 
 
-def test_one_that_is_not_eligible_is_no_relay_even_alone() -> None:
+def test_an_instance_that_is_not_eligible_is_no_relay_even_alone() -> None:
     zone = Zone(peer("n0"), 3, eligible=False)
     assert not zone.makes_me_relay() and zone.relays() == []
     zone.changed(peer("n1"))
     assert not zone.makes_me_relay() and zone.relays() == ["n1:1"]
 
 
-def test_it_takes_no_place_among_the_relays_that_it_counts_itself() -> None:
+def test_an_instance_that_is_not_eligible_does_not_count_itself_among_the_relays() -> None:
     zone = Zone(peer("n0"), 2, eligible=False)
     for name in ("n1", "n2", "n3"):
         zone.changed(peer(name))
--- a/tests/distribution/test_explorer.py
+++ b/tests/distribution/test_explorer.py
@@ -23,26 +23,26 @@
 REJOIN = Bounds(publications=3, timers=14, restarts=1, cuts=1)
 
 
-def test_every_order_of_one_publication_is_good() -> None:
+def test_every_order_of_one_publication_is_consistent() -> None:
     found = Spreading(Bounds(publications=1, timers=1)).explore(100_000)
     assert found.whole and not found.violation, found.text()
 
 
 @pytest.mark.parametrize("log_most", [1, 10])
-def test_the_first_orders_of_all_that_can_happen_are_good(log_most: int) -> None:
+def test_the_first_orders_of_all_events_are_consistent(log_most: int) -> None:
     found = Spreading(DEEP._replace(restarts=1, spoilt=1), log_most=log_most).explore(700)
     assert not found.violation, found.text()
 
 
 @pytest.mark.parametrize(("bounds", "log_most"), [(DEEP, 1), (SPOILT, 10), (REJOIN, 1)])
 @pytest.mark.parametrize("relayed", [False, True])
-def test_walks_find_nothing(bounds: Bounds, log_most: int, relayed: bool) -> None:
+def test_random_walks_find_no_violation(bounds: Bounds, log_most: int, relayed: bool) -> None:
     model = Spreading(bounds, log_most=log_most, relayed=relayed)
     found = model.wander(seed=1, walks=4 if relayed else 8, most_deep=70)
     assert not found.violation, found.text()
 
 
-def test_every_order_of_one_publication_over_relays_is_good() -> None:
+def test_every_order_of_one_publication_over_relays_is_consistent() -> None:
     found = Spreading(Bounds(publications=1, timers=0), relayed=True).explore(100_000)
     assert found.whole and not found.violation, found.text()
 
@@ -141,7 +141,7 @@
 
 
 @pytest.mark.parametrize("fault", FAULTS)
-def test_a_fault_is_found(fault: str, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_seeded_fault_is_found(fault: str, monkeypatch: pytest.MonkeyPatch) -> None:
     model, patches = FAULTS[fault]
     for owner, name, replacement in patches:
         monkeypatch.setattr(owner, name, replacement)
--- a/tests/distribution/test_faults.py
+++ b/tests/distribution/test_faults.py
@@ -34,7 +34,7 @@
     return reducer
 
 
-def test_a_record_that_an_older_program_cannot_read_leaves_it_behind_and_named() -> None:
+def test_a_program_that_cannot_read_a_record_lags_and_is_named() -> None:
     network = Network(1, instances=6, tables=older_at)
     for book in network.books.values():
         book.tables = NEWER
@@ -61,7 +61,7 @@
     assert old.error is None
 
 
-def test_relays_that_cannot_read_a_record_hold_no_newer_program_back() -> None:
+def test_relays_that_cannot_read_a_record_do_not_delay_newer_programs() -> None:
     relays = {name for name, node in started(Network(1, instances=8)).nodes().items() if node.relay}
     network = Network(
         1, instances=8, tables=lambda at: dict(TABLES if f"i{at}" in relays else NEWER)
@@ -87,7 +87,7 @@
     held.records[name] = value
 
 
-def test_a_corrupted_scope_is_found_by_an_audit_and_mended() -> None:
+def test_a_corrupted_scope_is_found_by_an_audit_and_repaired() -> None:
     network = Network(2, instances=5, settings=DEFAULTS._replace(audit_ms=1_000.0))
     network.publish([tenant(f"c{at % 3}", f"t{at}", at) for at in range(600)])
     network.run(5_000)
@@ -99,7 +99,7 @@
     assert network.node("i2").error is None
 
 
-def test_a_scope_that_differs_from_the_source_is_found_by_a_check_and_mended() -> None:
+def test_a_scope_that_differs_from_the_source_is_found_by_a_check_and_repaired() -> None:
     network = Network(3, instances=5, settings=DEFAULTS._replace(audit_ms=1_000.0))
     network.publish([tenant("c", f"t{at}", at) for at in range(10)])
     network.run(5_000)
@@ -123,7 +123,7 @@
     assert network.node("i2").counts["digest-mismatch"] == 1
 
 
-def test_cut_off_from_all_it_serves_on_with_its_age_known() -> None:
+def test_a_partitioned_replica_serves_on_and_knows_its_age() -> None:
     network = Network(5, instances=4)
     network.publish([tenant("c", "a", 1)])
     network.run(5_000)
@@ -144,7 +144,7 @@
     assert node.error is None and node.age_ms(network.now) < 5_000
 
 
-def test_voters_out_of_touch_with_their_leader_tell_their_age() -> None:
+def test_voters_out_of_touch_with_their_leader_announce_their_age() -> None:
     network = Network(6, instances=4)
     network.run(5_000)
     for name in network.books:
@@ -153,7 +153,7 @@
     assert all(node.age_ms(network.now) > 25_000 for node in network.nodes().values())
 
 
-def test_the_leader_knows_who_is_missing_after_a_change_of_leaders_too() -> None:
+def test_the_leader_knows_the_missing_copies_after_a_change_of_leaders_too() -> None:
     network = Network(7, voters=3, zones=2, instances=12)
     network.publish([tenant("c", "a", 1)])
     network.run(8_000)
@@ -168,7 +168,7 @@
     assert (status["copies"], status["in_force"], status["missing"]) == (11, 11, ["i3"])
 
 
-def test_another_subscription_is_fetched_and_what_is_left_out_dropped() -> None:
+def test_a_changed_subscription_is_fetched_and_other_scopes_are_dropped() -> None:
     network = Network(8, instances=5, subscription=lambda at: Subscription({"tenants": ["c1"]}))
     network.publish([tenant(f"c{at % 3}", f"t{at}", at) for at in range(30)])
     network.run(5_000)
@@ -182,7 +182,7 @@
         assert not network.node("i4").view.scope("tenants", "c1")
 
 
-def test_a_relay_holds_what_its_children_need_and_no_more() -> None:
+def test_a_relay_subscribes_to_what_its_children_need_and_no_more() -> None:
     network = Network(9, instances=6, subscription=lambda at: Subscription({"tenants": [f"c{at}"]}))
     network.publish([tenant(f"c{at}", "t", at) for at in range(20)])
     network.run(6_000)
@@ -193,7 +193,7 @@
         assert node.relay or len(scopes) == 1
 
 
-def test_a_relay_that_falls_out_goes_on_for_a_while_and_then_sends_its_children_away() -> None:
+def test_a_relay_that_is_replaced_lingers_and_then_dismisses_its_children() -> None:
     network = Network(10, instances=8)
     network.run(5_000)
     former = {name for name, node in network.nodes().items() if node.relay}
@@ -228,7 +228,7 @@
     return [effect.message for effect in effects if isinstance(effect, SendTo)]
 
 
-def test_who_has_not_subscribed_is_told_so() -> None:
+def test_a_pull_without_a_subscription_is_refused() -> None:
     source, sender = child_of_a_voter()
     assert answers(source, sender, m.Pull(7, 1, 0), 1.0) == [m.Refused(7, m.UNKNOWN_CHILD, 0)]
     assert answers(source, sender, m.Unsubscribe(), 1.0) == []
@@ -252,7 +252,7 @@
 
 
 @pytest.mark.parametrize("what", ["max_children", "max_transfers"])
-def test_too_many_at_once_are_told_to_come_back(what: str) -> None:
+def test_too_many_at_once_are_refused_with_a_retry_after(what: str) -> None:
     network = Network(12, instances=0, settings=DEFAULTS._replace(busy_ms=500.0, **{what: 2}))
     source, refused = leader(network), 0
     for at in range(4):
@@ -280,7 +280,7 @@
     assert [each.reason for each in refusals if isinstance(each, m.Refused)] == [m.NOT_A_RELAY]
 
 
-def test_a_relay_serves_no_log_from_before_it_held_a_scope() -> None:
+def test_a_relay_serves_no_log_from_before_it_had_a_scope() -> None:
     network = Network(13, instances=1, subscription=lambda at: Subscription({"tenants": ["c0"]}))
     for at in range(4):
         network.publish([tenant("c0", "t", at), tenant("c1", "t", at)])
@@ -298,7 +298,7 @@
     assert told == [m.Refused(2, m.COMPACTED, 0)]
 
 
-def test_a_delta_of_a_former_subscription_is_of_no_use() -> None:
+def test_a_delta_of_a_former_subscription_is_ignored() -> None:
     network = Network(14, instances=1, subscription=lambda at: Subscription({"tenants": ["c0"]}))
     network.publish([tenant("c0", "t", 1), tenant("c1", "t", 1)])
     network.run(5_000)
@@ -338,7 +338,7 @@
     assert 0 < most[0] <= DEFAULTS.slice_changes
 
 
-def test_what_waits_to_be_applied_is_bounded() -> None:
+def test_the_queue_of_deltas_is_bounded() -> None:
     network = Network(17, instances=1)
     network.run(3_000)
     node, value = network.node("i0"), canonical({"weight": 1, "class": "x" * 3_000})
--- a/tests/distribution/test_messages.py
+++ b/tests/distribution/test_messages.py
@@ -1,4 +1,4 @@
-"""Messages on the wire, subscriptions, and the small parts."""
+"""Messages on the wire, subscriptions, reports, rendezvous hashing, admission."""
 
 import random
 from typing import Any
@@ -76,7 +76,7 @@
 
 @settings(max_examples=200, deadline=None, derandomize=True)
 @given(st.sampled_from(sorted(m.MESSAGE_TYPES)), st.integers(0, 10), VALUES)
-def test_a_spoilt_message_is_malformed_and_nothing_else(kind: str, at: int, value: Any) -> None:
+def test_a_corrupted_message_is_malformed_and_nothing_else(kind: str, at: int, value: Any) -> None:
     told = encode(next(message for message in MESSAGES if m.KINDS_BY_TYPE[type(message)] == kind))
     told[min(at, len(told) - 1)] = value
     try:
@@ -91,7 +91,7 @@
         decode(told)
 
 
-def test_subscriptions() -> None:
+def test_subscriptions_are_combined_and_compared_by_scope() -> None:
     one = Subscription({"tenants": ["a", "b"], "routes": None})
     other = Subscription({"tenants": ["b", "c"]})
     assert (
@@ -119,12 +119,12 @@
         [["t", None]] * 17,
     ],
 )
-def test_a_wrong_subscription_is_refused(told: Any) -> None:
+def test_a_malformed_subscription_is_refused(told: Any) -> None:
     with pytest.raises(InvalidSubscriptionError):
         decode_subscription(told)
 
 
-def test_reports_add_up_and_name_a_bounded_number() -> None:
+def test_reports_are_merged_and_name_a_bounded_number_of_copies() -> None:
     late = [own_report(f"i{at}", 1, 2, "") for at in range(MAX_NAMED_PROBLEMS + 6)]
     report = merged([own_report("ok", 2, 2, ""), *late])
     assert (report.copies, report.lowest, report.newest, report.current) == (
@@ -140,7 +140,7 @@
     )  # current is of the newest alone
 
 
-def test_a_candidate_that_goes_moves_only_its_own_share() -> None:
+def test_a_candidate_that_leaves_moves_only_its_own_share() -> None:
     candidates = [f"relay{at}" for at in range(5)]
     first = {f"i{at}": ranked(f"i{at}", candidates, str)[0] for at in range(500)}
     fewer = {name: ranked(name, candidates[1:], str)[0] for name in first}
@@ -149,7 +149,7 @@
     assert min(shares) > 60
 
 
-def test_a_token_bucket_bears_a_rate() -> None:
+def test_a_token_bucket_limits_the_rate() -> None:
     bucket, sent, chance = TokenBucket(1_000.0, 500.0), 0, random.Random(1)
     for now in range(0, 10_000, 10):
         if bucket.is_open(now):
--- a/tests/distribution/test_network.py
+++ b/tests/distribution/test_network.py
@@ -32,7 +32,7 @@
     network.assert_settled()
 
 
-def test_who_comes_back_after_two_hundred_versions_is_current_within_five_seconds() -> None:
+def test_a_replica_that_missed_two_hundred_versions_is_current_within_five_seconds() -> None:
     network = Network(3, instances=6, log=lambda: ChangeLog(max_entries=50))
     network.run(3_000)
     network.cut = {"i0", "i1", "i2"}
@@ -46,7 +46,7 @@
     network.assert_settled()
 
 
-def test_a_relay_that_dies_costs_little() -> None:
+def test_the_failure_of_a_relay_is_survived_quickly() -> None:
     network = Network(4, instances=9)
     network.run(3_000)
     relay = next(name for name, node in network.nodes().items() if node.relay)
@@ -106,5 +106,7 @@
 
 @settings(max_examples=25, deadline=None, derandomize=True, suppress_health_check=list(HealthCheck))
 @given(st.integers(0, 10_000), st.lists(STEPS, min_size=1, max_size=12))
-def test_in_the_end_all_have_what_was_published(seed: int, script: list[tuple[str, int]]) -> None:
+def test_all_replicas_converge_on_what_was_published(
+    seed: int, script: list[tuple[str, int]]
+) -> None:
     run_script(seed, script, STORM).assert_settled()
--- a/tests/distribution/test_publications.py
+++ b/tests/distribution/test_publications.py
@@ -1,4 +1,4 @@
-"""The voters' book: whole or not at all, in order, and the same again after a dump."""
+"""The voters' book: atomic, in order, and the same after a snapshot."""
 
 from typing import Any
 
@@ -44,7 +44,7 @@
     assert book.view.lookup("tenants", "c1/a") is None and book.view.digest("tenants", "c1") == 0
 
 
-def test_of_two_publishers_at_once_the_second_has_a_conflict() -> None:
+def test_the_second_of_two_concurrent_publications_has_a_conflict() -> None:
     book = Publications()
     assert small(book, [tenant("c", "a", 1)], request="r1", previous=0).good
     outcome = small(book, [tenant("c", "b", 1)], request="r2", previous=0)
@@ -56,7 +56,7 @@
     assert book.version == 1 and book.view.lookup("tenants", "c/b") is None
 
 
-def test_a_repeated_request_changes_nothing() -> None:
+def test_a_retried_request_changes_nothing() -> None:
     book = Publications()
     first = small(book, [tenant("c", "a", 1)], request="same", previous=0)
     assert small(book, [tenant("c", "a", 1)], request="same", previous=0) == first
@@ -76,7 +76,7 @@
     assert book.view.record_count() == len(changes)
 
 
-def test_a_part_that_is_missing_or_superseded_refuses_the_whole() -> None:
+def test_a_publication_with_a_missing_or_superseded_part_is_refused() -> None:
     book = Publications()
     changes = [tenant("c", f"t{at}", at) for at in range(2 * MAX_PART_CHANGES)]
     first, second, last = entries_of("big", 0, "me", "why", 1, changes)
@@ -97,7 +97,7 @@
     assert list(book.uploads) == ["u2", "u3", "u4", "u5"]
 
 
-def test_a_scope_has_room_for_so_many_records() -> None:
+def test_the_records_of_a_scope_are_bounded() -> None:
     book = Publications()
     for at in range(0, MAX_SCOPE_RECORDS, 1024):
         publish(book, [tenant("c", f"t{at + each}", 1) for each in range(1024)])
@@ -156,7 +156,7 @@
     assert outcome.value == errors.InvalidPublicationError.code and book.version == 0
 
 
-def test_a_dump_gives_the_same_book_again() -> None:
+def test_a_snapshot_gives_the_same_book_again() -> None:
     book = Publications(log=ChangeLog(max_entries=3))
     for at in range(6):
         publish(book, [tenant(f"c{at % 2}", f"t{at}", at)])
@@ -174,7 +174,7 @@
 
 
 @pytest.mark.parametrize("told", [b"", b"[]", b'["head",99,0,0,{},[]]', b"\xff", b'["head",1,0,0]'])
-def test_a_dump_that_is_none_changes_nothing(told: bytes) -> None:
+def test_a_malformed_snapshot_changes_nothing(told: bytes) -> None:
     book = Publications()
     publish(book, [tenant("c", "a", 1)])
     with pytest.raises(errors.InvalidPublicationError):
@@ -193,7 +193,7 @@
     assert [digest.scope for digest in page.digests] == ["c"]
 
 
-def test_pages_of_one_version_hold_all_of_it() -> None:
+def test_the_pages_of_one_version_contain_all_of_it() -> None:
     book = Publications()
     changes = [tenant(f"c{at % 3}", f"t{at}", at) for at in range(2_000)]
     publish(book, changes)
