--- a/pumicenotch/distribution/events.py
+++ b/pumicenotch/distribution/events.py
@@ -8,13 +8,16 @@
 
 
 class Peer(NamedTuple):
-    """An instance, as this one's membership knows it. Voters are no peers: they are configured."""
+    """An instance, as this one's membership knows it. Voters are no peers: they are configured.
+
+    `incarnation` is of its process, drawn at its start.
+    """
 
     name: str
     zone: str
     region: str
     address: str
-    life: str
+    incarnation: str
     alive: bool = True
 
 
