--- a/benchmarks/capacity/agent.py
+++ b/benchmarks/capacity/agent.py
@@ -27,7 +27,7 @@
             AgentSetup(
                 fleet="capacity",
                 node="server-0000001",
-                incarnation=LIFE,
+                process_id=LIFE,
                 voters=tuple(f"10.0.0.{at}:7100" for at in range(VOTERS)),
                 versions=dict(RUNS),
                 stored=tuple(HOLDS),
--- a/benchmarks/capacity/bad_hours.py
+++ b/benchmarks/capacity/bad_hours.py
@@ -76,7 +76,7 @@
         state = self.day.state() if self.day.leader() else None
         return state is not None and all(
             not state.is_unavailable(state.members[name])
-            and state.members[name].incarnation == self.life(name)
+            and state.members[name].process_id == self.life(name)
             for name in some
         )
 
--- a/benchmarks/capacity/hollow.py
+++ b/benchmarks/capacity/hollow.py
@@ -290,7 +290,7 @@
         core.me = old._replace(
             process_id=f"{self.chance.getrandbits(48):012x}", started_at_ms=old.started_at_ms + 1
         )
-        member = self.members[at]._replace(incarnation=core.me.process_id)
+        member = self.members[at]._replace(process_id=core.me.process_id)
         core.asks = [
             ("gone", (old.name, old.process_id)),
             ("join", (member_to_wire(member),)),
--- a/pumicenotch/config/compiled.py
+++ b/pumicenotch/config/compiled.py
@@ -65,9 +65,9 @@
             raise TypeError("no names")
         fleet = None
         if told.get("fleet") is not None:
-            from pumicenotch.fleet.member.settings import settings_of
+            from pumicenotch.fleet.member.settings import read_settings
 
-            fleet = settings_of(told["fleet"])
+            fleet = read_settings(told["fleet"])
         distribution = None
         if told.get("distribution") is not None:
             from pumicenotch.distribution.instance_settings import instance_settings_of
--- a/pumicenotch/fleet/agent/agent.py
+++ b/pumicenotch/fleet/agent/agent.py
@@ -1,9 +1,9 @@
 """The agent beside a server: it stores versions, and starts and stops its server.
 
 It takes no step between versions that was not agreed an instant ago. Cut off from the fleet it
-keeps its server running as it is. A permission is good for as long as a request waits for its
-answer (`REQUEST_TIMEOUT_MS`), by this process's own clock: one that comes later, or that its process
-slept through, is none.
+keeps its server running as it is. A permission is valid for as long as a request waits for its
+answer (`REQUEST_TIMEOUT_MS`), by this process's own clock: one that comes later, or that its
+process slept through, is none.
 """
 
 from collections.abc import Mapping
@@ -45,7 +45,7 @@
 
     fleet: str
     node: str
-    incarnation: str  # of this agent
+    process_id: str  # of this agent
     voters: tuple[str, ...]
     versions: Mapping[str, str]  # by slot
     stored: tuple[str, ...]  # the versions on the disk
@@ -60,16 +60,16 @@
 class Agent(VoterClient):
     """A reducer of these inputs.
 
-    `start`; `time`; `answered` (number, error, result); `ended` (status): its server has exited, with
-    None for an unknown status; `held` (version, problem): it is stored, or could not be; `swapped`
-    (slot, problem): the version is in its slot, or could not be put there.
+    `start`; `time`; `answered` (number, error, result); `ended` (status): its server has exited,
+    with None for an unknown status; `held` (version, problem): it is stored, or could not be;
+    `swapped` (slot, problem): the version is in its slot, or could not be put there.
     """
 
     REPORT_MS = 500.0  # between reports
     # For its server to use its permit by itself: some of its own heartbeats.
     PERMIT_PATIENCE_MS = 5000.0
-    # Without an answer after its server's exit, until the server is started as it is: the time of an
-    # election; and when this process has just started: voters that are there answer at once.
+    # Without an answer after its server's exit, until the server is started as it is: the time of
+    # an election; and when this process has just started: voters that are there answer at once.
     ISOLATION_MS = 4000.0
     FIRST_ISOLATION_MS = 1000.0
     # This many unexpected exits within the window are a crash loop.
@@ -95,7 +95,7 @@
         super().__init__(setup.voters, setup.now_ms, setup.seed)
         self.fleet = setup.fleet
         self.node = setup.node
-        self.incarnation = setup.incarnation
+        self.process_id = setup.process_id
         self.start_timeout_ms = setup.start_timeout_ms
         self.drain_timeout_ms = setup.drain_timeout_ms
         self.problem = setup.problem
@@ -118,8 +118,8 @@
         self.has_spoken = False
         self.answered_at_ms = setup.now_ms
         self.report_at_ms = setup.now_ms
-        self.known_incarnation = ""  # of its server
-        self.incarnation_before_start = ""
+        self.known_process_id = ""  # of its server
+        self.process_id_before_start = ""
         self.next_step = NO_STEP
         self.permit_epoch = 0
         self.permit_at_ms = setup.now_ms
@@ -130,7 +130,7 @@
 
     def wake_at_ms(self) -> float:
         """Returns when the next input `time` is due."""
-        return min(self.request_due_ms(), self.now_ms + self.REPORT_MS / 2.0)
+        return min(self.request_deadline_ms(), self.now_ms + self.REPORT_MS / 2.0)
 
     def on_start(self) -> None:
         """Logs what the agent begins with."""
@@ -175,7 +175,7 @@
         self.has_served = False
         self.started_at_ms = self.now_ms
         self.kill_at_ms = NEVER_MS
-        self.incarnation_before_start = self.known_incarnation
+        self.process_id_before_start = self.known_process_id
         self.log(f"starts its server: {self.describe_versions()}")
         self.effects.append(StartServer())
 
@@ -191,7 +191,7 @@
             self._note_crash(status)
         self.has_served = False
         self.log(f"its server has ended: status {status}")
-        self.report_soon()
+        self.schedule_report()
 
     def _note_crash(self, status: int | None) -> None:
         window_start_ms = self.now_ms - self.CRASH_LOOP_WINDOW_MS
@@ -214,7 +214,7 @@
         if self.problem != problem:
             self.problem = problem[:MAX_TEXT_LENGTH]
             self.log(problem)
-            self.report_soon()
+            self.schedule_report()
 
     def stop_server(self, kill_after_ms: float) -> None:
         """Has the server stop, and killed if it has not by then."""
@@ -222,7 +222,7 @@
             self.kill_at_ms = self.now_ms + kill_after_ms
             self.effects.append(StopServer(force=False))
 
-    def report_soon(self) -> None:
+    def schedule_report(self) -> None:
         """Has the next report sent as soon as no request is outstanding."""
         self.report_at_ms = self.now_ms
         if self.request is None:
@@ -241,7 +241,7 @@
             self.stored.append(version)
         if self.problem.startswith(f"{STORAGE_PROBLEM} {version}"):
             self.problem = ""
-        self.report_soon()
+        self.schedule_report()
 
     def on_activated(self, slot: str, problem: str) -> None:
         """Takes the end of an activation: the server is started, reloaded or left alone."""
@@ -253,7 +253,7 @@
             return
         self.versions[slot] = self.next_step.version
         self.next_step = NO_STEP
-        self.report_soon()
+        self.schedule_report()
         if slot == AGENT_SLOT:
             self.effects.append(RestartAgent())
         elif slot not in RESTART_SLOTS:
@@ -287,7 +287,7 @@
         elif version in self.stored and is_restart and self.has_server:
             self._free_slot()
         elif version in self.stored and (not is_restart or self.has_answer_since_exit()):
-            self.send_request("move", self.node, self.incarnation, slot, version)
+            self.send_request("move", self.node, self.process_id, slot, version)
         if self.request is None and self.next_request_at_ms <= self.now_ms:
             self.next_request_at_ms = self.report_at_ms
 
@@ -295,7 +295,7 @@
         self.report_at_ms = self.now_ms + self.REPORT_MS
         versions = sorted(self.versions.items())
         server_state = self._server_state()
-        report = (self.node, self.incarnation, versions, self.stored, server_state, self.problem)
+        report = (self.node, self.process_id, versions, self.stored, server_state, self.problem)
         self.send_request("agent", *report)
 
     def _server_state(self) -> str:
@@ -306,8 +306,8 @@
     def _free_slot(self) -> None:
         """Has the server stop, so that another version can take its place.
 
-        By its permit the server drains by itself. One that does not is stopped, its permit put in use
-        first; one with a problem is unavailable by this agent's own report, and needs no permit.
+        By its permit the server drains by itself. One that does not is stopped, its permit put in
+        use first; one with a problem is unavailable by its agent's report, and needs no permit.
         """
         if self.problem and not self.problem.startswith(STORAGE_PROBLEM):
             self.stop_server(self.KILL_MS)
@@ -315,7 +315,7 @@
             if self.now_ms - self.permit_started_at_ms > self.drain_timeout_ms:
                 self.stop_server(self.KILL_MS)
         elif self.permit_epoch and not self.halt_reason and self._is_permit_overdue():
-            self.send_request("began", self.node, self.known_incarnation, self.permit_epoch)
+            self.send_request("began", self.node, self.known_process_id, self.permit_epoch)
 
     def _is_permit_overdue(self) -> bool:
         return self.now_ms - self.permit_at_ms > self.PERMIT_PATIENCE_MS
@@ -350,7 +350,7 @@
             self.effects.append(ConfirmVersions((AGENT_SLOT,)))
         self.next_step = hint.next_step
         self.halt_reason = hint.halt_reason
-        self.known_incarnation = hint.incarnation
+        self.known_process_id = hint.process_id
         if self.problem.startswith(AGENT_FAILED) and not self.next_step.slot:
             self.problem = ""  # nobody wants that version here any more
         self._note_permit(hint)
@@ -369,9 +369,9 @@
         self.permit_started = hint.permit_started
 
     def _note_service(self, hint: AgentHint) -> None:
-        """Its server is in service once the fleet counts its new incarnation so."""
+        """Notes that the server serves, once the fleet counts its new process so."""
         is_in_service = hint.status == SERVING and not hint.permit_epoch
-        is_new = self.known_incarnation != self.incarnation_before_start
+        is_new = self.known_process_id != self.process_id_before_start
         if self.has_server and not self.has_served and is_in_service and is_new:
             self.has_served = True
             self.failed_starts = 0
@@ -379,7 +379,7 @@
                 self.problem = ""
             slots = tuple(slot for slot in self.versions if slot in RESTART_SLOTS)
             self.effects.append(ConfirmVersions(slots))
-            self.report_soon()
+            self.schedule_report()
         uptime_ms = self.now_ms - self.started_at_ms
         is_stable = self.has_served and uptime_ms > self.CRASH_LOOP_WINDOW_MS
         if is_stable and self.problem.startswith(CRASH_LOOP):
--- a/pumicenotch/fleet/agent/hint.py
+++ b/pumicenotch/fleet/agent/hint.py
@@ -12,7 +12,7 @@
     """What is agreed of a node."""
 
     is_member: bool  # the fleet counts a member under the node's name
-    incarnation: str  # of the server, as the fleet counts it
+    process_id: str  # of the server, as the fleet counts it
     status: str
     permit_epoch: int  # 0: the server holds no permit
     permit_started: bool
@@ -25,7 +25,7 @@
         """Returns the answer to a report."""
         return {
             "member": self.is_member,
-            "life": self.incarnation,
+            "life": self.process_id,
             "standing": self.status,
             "permit": self.permit_epoch,
             "begun": self.permit_started,
@@ -42,7 +42,7 @@
     interval_ms = value.get("again_ms")
     return AgentHint(
         is_member=bool(value.get("member")),
-        incarnation=str(value.get("life", "")),
+        process_id=str(value.get("life", "")),
         status=str(value.get("standing", "")),
         permit_epoch=epoch if type(epoch) is int else 0,
         permit_started=bool(value.get("begun")),
--- a/pumicenotch/fleet/canary/analysis.py
+++ b/pumicenotch/fleet/canary/analysis.py
@@ -52,8 +52,8 @@
 class MemberReport(NamedTuple):
     """What a member's process has reported last."""
 
-    incarnation: str
-    first_heard_ms: float  # of that process
+    process_id: str
+    first_report_ms: float  # of that process
     counts: dict[str, RequestCounts]  # by class
 
 
@@ -79,18 +79,18 @@
         self,
         now_ms: float,
         name: str,
-        incarnation: str,
+        process_id: str,
         counts: dict[str, RequestCounts],
         memory_mb: float = 0.0,
     ) -> None:
         """Takes what a member counted since its process started."""
         self.memory_mb[name] = memory_mb
         last = self.reports.get(name)
-        if last is None or last.incarnation != incarnation:
-            self.reports[name] = MemberReport(incarnation, now_ms, counts)
+        if last is None or last.process_id != process_id:
+            self.reports[name] = MemberReport(process_id, now_ms, counts)
             return
         self.reports[name] = last._replace(counts=counts)
-        if now_ms - last.first_heard_ms < self.WARM_UP_MS:
+        if now_ms - last.first_report_ms < self.WARM_UP_MS:
             return
         window = self.window_counts.setdefault(name, {})
         for request_class, total in counts.items():
@@ -168,7 +168,7 @@
         zones: dict[str, ZoneMemory] = defaultdict(lambda: ZoneMemory([], []))
         for name, report in self.reports.items():
             member = state.members.get(name)
-            if member is None or member.incarnation != report.incarnation:
+            if member is None or member.process_id != report.process_id:
                 continue
             if not self._is_warm(report):
                 continue
@@ -178,7 +178,7 @@
         yield from zones.values()
 
     def _is_warm(self, report: MemberReport) -> bool:
-        age_ms = self.window_ends_ms - report.first_heard_ms
+        age_ms = self.window_ends_ms - report.first_report_ms
         return age_ms > self.WARM_UP_MS + self.WINDOW_MS
 
     # Findings
--- a/pumicenotch/fleet/canary/counts.py
+++ b/pumicenotch/fleet/canary/counts.py
@@ -22,13 +22,13 @@
     failed_calls: float = 0.0
     call_ms: float = 0.0  # in all
 
-    def minus(self, other: "RequestCounts") -> "RequestCounts":
+    def minus(self, counts: "RequestCounts") -> "RequestCounts":
         """Returns the difference, count by count."""
-        return RequestCounts(*(mine - its for mine, its in zip(self, other, strict=True)))
+        return RequestCounts(*(mine - theirs for mine, theirs in zip(self, counts, strict=True)))
 
-    def plus(self, other: "RequestCounts") -> "RequestCounts":
+    def plus(self, counts: "RequestCounts") -> "RequestCounts":
         """Returns the sum, count by count."""
-        return RequestCounts(*(mine + its for mine, its in zip(self, other, strict=True)))
+        return RequestCounts(*(mine + theirs for mine, theirs in zip(self, counts, strict=True)))
 
 
 def total_of(counts: Iterable[RequestCounts]) -> RequestCounts:
@@ -39,7 +39,7 @@
 def read_memory_mb(value: Any) -> float:
     """Returns the memory of a process from the wire; raises InvalidCommandError."""
     if not isinstance(value, int | float) or not 0.0 <= value < MAX_MEMORY_MB:
-        raise InvalidCommandError(f"no memory of a process: {value!r:.40}", place="counts")
+        raise InvalidCommandError(f"no memory of a process: {value!r:.40}", location="counts")
     return float(value)
 
 
@@ -51,7 +51,7 @@
             for name, *fields in value[:MAX_CLASSES]
         }
     except (TypeError, ValueError) as error:
-        raise InvalidCommandError(f"no counts of a member: {error}", place="counts") from None
+        raise InvalidCommandError(f"no counts of a member: {error}", location="counts") from None
     if not all(math.isfinite(count) and count >= 0 for row in counts.values() for count in row):
-        raise InvalidCommandError("no counts of a member: no counts", place="counts")
+        raise InvalidCommandError("no counts of a member: no counts", location="counts")
     return counts
--- a/pumicenotch/fleet/drains/budgets.py
+++ b/pumicenotch/fleet/drains/budgets.py
@@ -24,8 +24,8 @@
 class InvalidBudgetError(InputError):
     """A budget that limits nothing, or sets what can never hold."""
 
-    def __init__(self, place: str, problem: str) -> None:
-        super().__init__(problem, place=place, remedy="change the budget in its file")
+    def __init__(self, location: str, problem: str) -> None:
+        super().__init__(problem, place=location, remedy="change the budget in its file")
 
 
 class Member(NamedTuple):
@@ -35,7 +35,7 @@
     """
 
     name: str
-    incarnation: str  # of its process; "" for a member without a process of ours
+    process_id: str  # of its process; "" for a member without a process of ours
     zone: str = ""
     region: str = ""
     cell: str = ""
@@ -45,7 +45,7 @@
     voter: bool = False
     status: str = SERVING
     failure: str = ""  # why a majority of observers finds it failed; "" if it does not
-    previous_incarnations: tuple[str, ...] = ()  # the latest last
+    previous_process_ids: tuple[str, ...] = ()  # the latest last
 
 
 class Budget(NamedTuple):
@@ -149,9 +149,9 @@
         self.members += 1
         self.capacity += member.capacity
         if unavailable:
-            self.mark_unavailable(member)
+            self.add_unavailable(member)
 
-    def mark_unavailable(self, member: Member) -> None:
+    def add_unavailable(self, member: Member) -> None:
         """Counts a member that was added before as unavailable."""
         self.unavailable += 1
         self.lost_capacity += member.capacity
--- a/pumicenotch/fleet/drains/durations.py
+++ b/pumicenotch/fleet/drains/durations.py
@@ -10,7 +10,7 @@
     """When this process saw each wait or permit begin, and how long the last permits lasted."""
 
     def __init__(self) -> None:
-        self.first_seen_ms: dict[str, float] = {}  # by member that waits or holds a permit
+        self.observed_at_ms: dict[str, float] = {}  # by member that waits or holds a permit
         self.durations_ms: list[float] = []
 
     def observe(
@@ -22,23 +22,25 @@
     ) -> None:
         """Notes what an entry changed: who held a permit before it, who does now, and who waits."""
         for name in previous_holders:
-            if name not in permits and name in self.first_seen_ms:
-                duration_ms = now_ms - self.first_seen_ms.pop(name)
+            if name not in permits and name in self.observed_at_ms:
+                duration_ms = now_ms - self.observed_at_ms.pop(name)
                 self.durations_ms = [*self.durations_ms, duration_ms][-MAX_DURATIONS:]
         for name in permits:
             if name not in previous_holders:
-                self.first_seen_ms[name] = now_ms
+                self.observed_at_ms[name] = now_ms
         for name in waiting:
-            self.first_seen_ms.setdefault(name, now_ms)
-        ended = [name for name in self.first_seen_ms if name not in permits and name not in waiting]
+            self.observed_at_ms.setdefault(name, now_ms)
+        ended = [
+            name for name in self.observed_at_ms if name not in permits and name not in waiting
+        ]
         for name in ended:
-            del self.first_seen_ms[name]
+            del self.observed_at_ms[name]
 
     def elapsed_ms(self, now_ms: float, name: str) -> float:
         """Returns how long a member has waited or held its permit; 0 if it does neither."""
-        if name not in self.first_seen_ms:
+        if name not in self.observed_at_ms:
             return 0.0
-        return round(now_ms - self.first_seen_ms[name])
+        return round(now_ms - self.observed_at_ms[name])
 
     def median_ms(self) -> int:
         """Returns the median of the last permits; 0 while none has ended."""
--- a/pumicenotch/fleet/drains/lifecycle.py
+++ b/pumicenotch/fleet/drains/lifecycle.py
@@ -20,7 +20,7 @@
     DrainPermit,
 )
 
-MAX_PREVIOUS_INCARNATIONS = 8  # a message of an older one was lost long ago
+MAX_PREVIOUS_PROCESS_IDS = 8  # a message of an older one was lost long ago
 SILENT = "silent"  # the failure of a member that a majority of the voters does not hear of
 
 
@@ -43,41 +43,41 @@
         known = self.members.get(member.name)
         if known is None:
             previous: tuple[str, ...] = ()
-        elif not known.incarnation:
+        elif not known.process_id:
             return ApplyResult(
                 False, f"{member.name} is a member by hand: no process may take its name"
             )
-        elif member.incarnation in known.previous_incarnations:
+        elif member.process_id in known.previous_process_ids:
             return ApplyResult(
                 False, f"{member.name}: another process has taken this name since: end this one"
             )
-        elif known.incarnation == member.incarnation:
+        elif known.process_id == member.process_id:
             self.members[member.name] = member._replace(
                 status=known.status,
                 failure=known.failure,
-                previous_incarnations=known.previous_incarnations,
+                previous_process_ids=known.previous_process_ids,
             )
             return ApplyResult(True, "known")
         else:
-            previous = (*known.previous_incarnations, known.incarnation)
+            previous = (*known.previous_process_ids, known.process_id)
         # Unavailable until it reports that it serves: its start may fail still.
         self.members[member.name] = member._replace(
-            status=STOPPED, previous_incarnations=previous[-MAX_PREVIOUS_INCARNATIONS:]
+            status=STOPPED, previous_process_ids=previous[-MAX_PREVIOUS_PROCESS_IDS:]
         )
-        self.record_event(f"{member.name} is there ({member.incarnation})")
+        self.record_event(f"{member.name} is there ({member.process_id})")
         return ApplyResult(True, "joined")
 
     def report_serving(self, command: ReportServing) -> ApplyResult:
-        """A process is in service: a permit of an earlier incarnation ends here.
+        """A process is in service: a permit of an earlier one of its name ends here.
 
-        A late report of the incarnation that the permit was given to ends nothing.
+        A late report of the process that the permit was given to ends nothing.
         """
         name = command.name
-        member, refusal = self._current_member(name, command.incarnation)
+        member, refusal = self._current_member(name, command.process_id)
         if member is None:
             return refusal
         permit = self.permits.get(name)
-        if permit is not None and permit.incarnation == command.incarnation:
+        if permit is not None and permit.process_id == command.process_id:
             return ApplyResult(True, "holds a permit")
         if permit is not None:
             self.end_permit(name, "is back in service")
@@ -88,17 +88,17 @@
 
     def report_termination(self, command: ReportTermination) -> ApplyResult:
         """A process drains without a permit: counted at once, never refused."""
-        name, incarnation, reason = command
-        member, refusal = self._current_member(name, incarnation)
+        name, process_id, reason = command
+        member, refusal = self._current_member(name, process_id)
         if member is None:
             return refusal
         permit = self.permits.get(name)
         if permit is None:
             self.permits[name] = DrainPermit(
-                name, incarnation, self.log_index, TERMINATION_PERMIT, reason, started=True
+                name, process_id, self.log_index, TERMINATION_PERMIT, reason, started=True
             )
         else:
-            self.permits[name] = permit._replace(started=True, incarnation=incarnation)
+            self.permits[name] = permit._replace(started=True, process_id=process_id)
         self.dequeue_member(name)
         if member.status == SERVING:
             self.members[name] = member._replace(status=DRAINING)
@@ -110,12 +110,12 @@
 
         So a permit that was taken back is not used, however late its holder hears of it.
         """
-        name, incarnation, epoch = command
-        member, refusal = self._current_member(name, incarnation)
+        name, process_id, epoch = command
+        member, refusal = self._current_member(name, process_id)
         if member is None:
             return refusal
         permit = self.permits.get(name)
-        if permit is None or (permit.incarnation, permit.epoch) != (incarnation, epoch):
+        if permit is None or (permit.process_id, permit.epoch) != (process_id, epoch):
             return ApplyResult(False, f"{name} holds no permit of epoch {epoch}")
         if not permit.started:
             if self.halts:
@@ -132,7 +132,7 @@
 
     def report_stopped(self, command: ReportStopped) -> ApplyResult:
         """A process has drained and is about to exit."""
-        member, refusal = self._current_member(command.name, command.incarnation)
+        member, refusal = self._current_member(command.name, command.process_id)
         if member is None:
             return refusal
         if member.status != STOPPED:
@@ -142,8 +142,8 @@
 
     def set_failure(self, command: SetFailure) -> ApplyResult:
         """A majority of the voters finds a member failed, or recovered."""
-        name, incarnation, reason = command
-        member, refusal = self._current_member(name, incarnation)
+        name, process_id, reason = command
+        member, refusal = self._current_member(name, process_id)
         if member is None:
             return refusal
         if member.failure != reason:
@@ -155,21 +155,21 @@
 
     def return_permit(self, command: ReturnPermit) -> ApplyResult:
         """The holder returns a permit that it has not used."""
-        name, incarnation, epoch = command
-        member, refusal = self._current_member(name, incarnation)
+        name, process_id, epoch = command
+        member, refusal = self._current_member(name, process_id)
         if member is None:
             return refusal
         permit = self.permits.get(name)
-        unused = (incarnation, epoch, False)
-        if permit is not None and (permit.incarnation, permit.epoch, permit.started) == unused:
+        unused = (process_id, epoch, False)
+        if permit is not None and (permit.process_id, permit.epoch, permit.started) == unused:
             self.end_permit(name, "gives its permit back")
         return ApplyResult(True, "given back")
 
-    def _current_member(self, name: str, incarnation: str) -> CurrentMember:
+    def _current_member(self, name: str, process_id: str) -> CurrentMember:
         member = self.members.get(name)
         if member is None:
             return CurrentMember(None, ApplyResult(False, f"no member {name}: join first"))
-        if member.incarnation != incarnation:
+        if member.process_id != process_id:
             refusal = ApplyResult(False, f"{name}: another process has this name")
             return CurrentMember(None, refusal)
         return CurrentMember(member, ApplyResult(True, ""))
--- a/pumicenotch/fleet/drains/operator_requests.py
+++ b/pumicenotch/fleet/drains/operator_requests.py
@@ -66,11 +66,11 @@
             permit = self.permits.get(name)
             if permit is None:
                 continue
-            if permit.started and member.incarnation:
+            if permit.started and member.process_id:
                 draining.append(name)
                 continue
             self.end_permit(name, f"{command.operator} takes it back: {command.reason}")
-            if not member.incarnation:
+            if not member.process_id:
                 self.members[name] = member._replace(status=SERVING)
         if draining:
             problem = (
@@ -82,7 +82,7 @@
         return self.record_answer(command.request_id, result)
 
     def override_budgets(self, command: OverrideBudgets) -> ApplyResult:
-        """Gives a permit whatever the budgets say; never while halted, nor to a majority of voters."""
+        """Gives a permit whatever the budgets say, but not while halted, nor to a majority."""
         return self.record_answer(command.request_id, self._override(command))
 
     def _override(self, command: OverrideBudgets) -> ApplyResult:
@@ -154,7 +154,7 @@
         return self.record_answer(command.request_id, result)
 
     def halt(self, command: HaltFleet) -> ApplyResult:
-        """Stops all steps that can wait. Its copies are known by the request id, however they come."""
+        """Stops all steps that can wait. The request id tells its copies, however they come."""
         self.halts[command.request_id] = FleetHalt(command.operator, command.reason)
         self.record_event(f"HALT by {command.operator}: {command.reason}")
         return self.record_answer(command.request_id, ApplyResult(True, self.halt_reason()))
--- a/pumicenotch/fleet/drains/scheduler.py
+++ b/pumicenotch/fleet/drains/scheduler.py
@@ -102,7 +102,7 @@
         return [violation for group in groups if (violation := group.violation())]
 
     def violation_with(self, member: Member, permit: DrainPermit) -> str:
-        """Returns which budget would be exceeded if the holder of this permit started its drain now.
+        """Returns which budget would be exceeded if this permit's holder started its drain now.
 
         Counted are the unavailable members, and of those whose permits are not in use only the ones
         with an earlier permit: if all counted, all would wait for each other for ever.
@@ -178,7 +178,7 @@
             if not was_unavailable:
                 unavailable_voters += member.voter
                 for group in groups:
-                    group.mark_unavailable(member)
+                    group.add_unavailable(member)
         self.queue = waiting
         self.cached_counts = CachedCounts(outages, unavailable_voters)
 
@@ -191,10 +191,10 @@
     def give_permit(self, member: Member, kind: str, reason: str) -> None:
         """Gives the member a permit whose epoch is the current log index."""
         # A member without a process is drained by whoever asked, on seeing the permit.
-        started = not member.incarnation
+        started = not member.process_id
         epoch = self.log_index
         self.permits[member.name] = DrainPermit(
-            member.name, member.incarnation, epoch, kind, reason, started
+            member.name, member.process_id, epoch, kind, reason, started
         )
         if started:
             self.members[member.name] = member._replace(status=DRAINING)
--- a/pumicenotch/fleet/member/node.py
+++ b/pumicenotch/fleet/member/node.py
@@ -16,6 +16,7 @@
     SendResponse,
     StartDraining,
 )
+from pumicenotch.fleet.member.halt_gossip import HaltGossip
 from pumicenotch.fleet.member.hint import read_member_hint
 from pumicenotch.fleet.member.voter_client import UNKNOWN_VERB, VoterClient
 from pumicenotch.fleet.replicated.commands import (
@@ -47,19 +48,9 @@
 from pumicenotch.membership.swim import SwimMembership
 from pumicenotch.sender import Sender
 
-HALT_KEY = "halt"  # under which members gossip a halt
 MAX_HEARTBEAT_INTERVAL_MS = 60_000.0  # whatever the leader says
 
 
-class HaltMarker(NamedTuple):
-    """A halt as members gossip it; the highest rank is in force."""
-
-    rank: int
-    key: str  # "": there is no halt
-    operator: str
-    reason: str
-
-
 class MemberSetup(NamedTuple):
     """What a member's process is made from."""
 
@@ -77,8 +68,8 @@
 
     `start`; `time`; `told` (sender, method, params): a notification; `asked` (connection, message,
     verb, args): a request; `closed` (connection); `answered` (number, error, result); `serve`
-    (whether it serves, whether it is overloaded); `leave` (reason): it drains; `left`: it is about to
-    exit; `counted` (rows as `canary.counts` reads them, MB).
+    (whether it serves, whether it is overloaded); `leave` (reason): it drains; `left`: it is about
+    to exit; `counted` (rows as `canary.counts` reads them, MB).
     """
 
     HEARTBEAT_MS = 500.0  # between heartbeats to the leader, unless it names a longer interval
@@ -102,6 +93,7 @@
         self.me = setup.me
         self.member = setup.member
         self.members = SwimMembership(setup.me, setup.now_ms, setup.seeds, self.rng)
+        self.halt_gossip = HaltGossip(self.members.broadcasts)
         # What this process is.
         self.is_serving = False
         self.is_overloaded = False
@@ -128,7 +120,7 @@
 
     def wake_at_ms(self) -> float:
         """Returns when the next input `time` is due."""
-        return min(self.members.next_wake_at(), self.request_due_ms())
+        return min(self.members.next_wake_at(), self.request_deadline_ms())
 
     def on_time(self) -> None:
         """Lets the membership and the request time out."""
@@ -182,24 +174,13 @@
 
     # Halts
 
-    def halt_marker(self) -> HaltMarker:
-        """Returns the halt that members gossip."""
-        broadcasts = self.members.broadcasts.values
-        rank, key, operator, reason = broadcasts.get(HALT_KEY, (0, "", "", ""))
-        return HaltMarker(rank, key, operator, reason)
-
     def halt_reason(self) -> str:
         """Returns why this process takes no step that can wait; "" if it may."""
-        halt = self.halt_marker()
+        halt = self.halt_gossip.current()
         if halt.key:
             return f"halted: by {halt.operator}: {halt.reason}"
         return self.fleet_halt_reason
 
-    def gossip_halt(self, key: str, operator: str, reason: str) -> None:
-        """Has members gossip this halt in place of the last one; an empty key: there is none."""
-        rank = self.halt_marker().rank + 1
-        self.members.broadcasts.put(HALT_KEY, HaltMarker(rank, key, operator, reason))
-
     # Requests of operators and of other processes
 
     def on_request(self, connection_id: int, message_id: int, verb: str, args: Any) -> None:
@@ -210,8 +191,8 @@
             case ["halt", str(key), str(operator), str(reason)] if (
                 key and operator and reason and len(key + operator + reason) <= MAX_TEXT_LENGTH
             ):
-                if self.halt_marker().key != key:
-                    self.gossip_halt(key, operator, reason)
+                if self.halt_gossip.current().key != key:
+                    self.halt_gossip.replace(key, operator, reason)
                     self.log(f"HALT by {operator}: {reason}")
                 answer = {"text": "halted here, and handed on to the others", "agreed": False}
                 self.respond(connection_id, message_id, answer)
@@ -278,18 +259,19 @@
             self.next_request_at_ms = self.heartbeat_at_ms
 
     def _next_command(self) -> MemberCommand | None:
-        name, incarnation = self.me.name, self.me.process_id
+        name = self.me.name
+        process_id = self.me.process_id
         if not self.has_joined:
-            return JoinMember(self.member._replace(incarnation=incarnation))
+            return JoinMember(self.member._replace(process_id=process_id))
         if self.is_draining:
             if self.termination_reported:
                 return None
-            return ReportTermination(name, incarnation, self.drain_reason)
+            return ReportTermination(name, process_id, self.drain_reason)
         may_start = self.permit_started or not self.halt_reason()
         if self.permit_epoch and not self.drain_started and may_start:
-            return StartDrain(name, incarnation, self.permit_epoch)
+            return StartDrain(name, process_id, self.permit_epoch)
         if self.is_serving and not self.is_agreed_serving:
-            return ReportServing(name, incarnation)
+            return ReportServing(name, process_id)
         return None
 
     def send_command(self, command: MemberCommand) -> None:
@@ -346,7 +328,7 @@
                 self.log(f"permit refused: {text}")
             self.permit_refusal = text
         else:
-            # The fleet knows another incarnation, or none: this process joins again.
+            # The fleet knows another process, or none: this process joins again.
             self.has_joined = False
 
     # This process
--- a/pumicenotch/fleet/member/voter_client.py
+++ b/pumicenotch/fleet/member/voter_client.py
@@ -62,7 +62,7 @@
         """Writes a line to the process's log."""
         self.effects.append(Log(text))
 
-    def request_due_ms(self) -> float:
+    def request_deadline_ms(self) -> float:
         """Returns when the request times out, or when the next one may be sent."""
         if self.request is not None:
             return self.request.expires_at_ms
--- a/pumicenotch/fleet/releases/commands.py
+++ b/pumicenotch/fleet/releases/commands.py
@@ -54,7 +54,7 @@
     request_id: str
     name: str
     action: str  # one of ACTIONS
-    seen_halts: tuple[str, ...]  # the keys of the halts that the operator knows of
+    known_halts: tuple[str, ...]  # the keys of the halts that the operator knows of
     reason: str
     operator: str
 
@@ -89,7 +89,7 @@
     """An agent tells what its node runs and has stored."""
 
     name: str
-    agent: str  # the agent's incarnation
+    agent: str  # the agent's process id
     versions: tuple[RunningVersion, ...]
     stored: tuple[str, ...]
     server_state: str
--- a/pumicenotch/fleet/releases/control.py
+++ b/pumicenotch/fleet/releases/control.py
@@ -131,7 +131,11 @@
             return ApplyResult(False, f"release {release.name} is {release.state}")
         if release.state == PLANNED and command.action not in (commands.START, commands.ABANDON):
             return ApplyResult(False, f"release {release.name} has not started")
-        operator, reason = command.operator, command.reason
+        return self._perform(release, command)
+
+    def _perform(self, release: Release, command: ControlRelease) -> ApplyResult:
+        operator = command.operator
+        reason = command.reason
         match command.action:
             case commands.START:
                 return self.start(release, operator)
@@ -140,9 +144,9 @@
             case commands.HALT:
                 return self.halt(release, ReleaseHalt(command.request_id, operator, reason))
             case commands.RESUME:
-                return self.resume(release, command.seen_halts, reason, operator)
+                return self.resume(release, command.known_halts, reason, operator)
             case commands.ROLL_BACK:
-                return self.roll_back(release, command.seen_halts, reason, operator)
+                return self.roll_back(release, command.known_halts, reason, operator)
             case _:
                 return self.approve(release, reason, operator)
 
@@ -195,14 +199,14 @@
         )
 
     def resume(
-        self, release: Release, seen_halts: tuple[str, ...], reason: str, operator: str
+        self, release: Release, known_halts: tuple[str, ...], reason: str, operator: str
     ) -> ApplyResult:
         """Ends those halts that the operator has seen, and no later one."""
         if release.state != HALTED:
             return ApplyResult(
                 False, f"release {release.name} is not halted: {release.description}"
             )
-        remaining = _remaining_halts(release, seen_halts)
+        remaining = _remaining_halts(release, known_halts)
         if remaining:
             return self.put(
                 release._replace(halts=remaining),
@@ -214,13 +218,13 @@
         )
 
     def roll_back(
-        self, release: Release, seen_halts: tuple[str, ...], reason: str, operator: str
+        self, release: Release, known_halts: tuple[str, ...], reason: str, operator: str
     ) -> ApplyResult:
         """Has all nodes return to the version before.
 
         A halt that the operator has not seen stays in force, and stops the way back too.
         """
-        remaining = _remaining_halts(release, seen_halts)
+        remaining = _remaining_halts(release, known_halts)
         returning = release._replace(
             state=ROLLING_BACK, halted_state="", halts=(), approval_reason="", reason=reason
         )
@@ -249,10 +253,10 @@
         return self.put(release._replace(state=DONE), f"done: {reason}")
 
 
-def _overlap(release: Release, other: Release) -> bool:
-    has_budgets = BUDGETS in (release.slot, other.slot)
-    return has_budgets or bool(set(release.nodes) & set(other.nodes))
+def _overlap(first: Release, second: Release) -> bool:
+    has_budgets = BUDGETS in (first.slot, second.slot)
+    return has_budgets or bool(set(first.nodes) & set(second.nodes))
 
 
-def _remaining_halts(release: Release, seen_halts: tuple[str, ...]) -> tuple[ReleaseHalt, ...]:
-    return tuple(halt for halt in release.halts if halt.key not in seen_halts)
+def _remaining_halts(release: Release, known_halts: tuple[str, ...]) -> tuple[ReleaseHalt, ...]:
+    return tuple(halt for halt in release.halts if halt.key not in known_halts)
--- a/pumicenotch/fleet/releases/progress.py
+++ b/pumicenotch/fleet/releases/progress.py
@@ -91,7 +91,7 @@
         return is_fine and not self.fleet.is_unavailable(member) and node.version(slot) == version
 
     def is_skipped(self, name: str, release: Release) -> bool:
-        """Tells whether a node failed before the wave reached it: it catches up when it recovers."""
+        """Tells whether a node failed before the wave reached it: it catches up on recovery."""
         member = self.fleet.members.get(name)
         node = self.nodes.get(name)
         return (
--- a/pumicenotch/fleet/releases/release.py
+++ b/pumicenotch/fleet/releases/release.py
@@ -128,7 +128,7 @@
     """What a node's agent reported last, and what it was last allowed to do."""
 
     name: str
-    agent: str  # the agent's incarnation
+    agent: str  # the agent's process id
     versions: tuple[RunningVersion, ...] = ()
     stored: tuple[str, ...] = ()  # the versions on its disk
     server_state: str = ""  # SERVER_DOWN, SERVER_STARTING or ""
--- a/pumicenotch/fleet/releases/releases.py
+++ b/pumicenotch/fleet/releases/releases.py
@@ -80,7 +80,8 @@
         if release is None or not release.is_active:
             return ApplyResult(False, f"release {command.name} is not on")
         was_forward = release.state in FORWARD_STATES
-        reporter, reason = command.reported_by, command.reason
+        reporter = command.reported_by
+        reason = command.reason
         harmed = tuple(dict.fromkeys((*release.harmed, *command.nodes)))
         release = release._replace(harmed=harmed)
         if release.state == HALTED:
@@ -98,13 +99,15 @@
 
     def report_node(self, command: ReportNode) -> ApplyResult:
         """Takes an agent's report. Of two agents the one that reported last has the node."""
-        name, problem, server_state = command.name, command.problem, command.server_state
+        name = command.name
+        problem = command.problem
+        server_state = command.server_state
         known = self.nodes.get(name, NodeStatus(name, command.agent))
         if server_state != known.server_state:
             self.fleet.invalidate_counts()
         went_down = bool(server_state) and not known.server_state
         crashed = went_down and self.is_expected_to_serve(name)
-        self.nodes[name] = node = known._replace(
+        node = known._replace(
             agent=command.agent,
             versions=command.versions,
             stored=command.stored,
@@ -112,6 +115,7 @@
             problem=problem,
             crashes=known.crashes + crashed,
         )
+        self.nodes[name] = node
         if problem and problem != known.problem:
             self.fleet.record_event(f"the agent of {name}: {problem}")
             self._report_problem(node)
@@ -119,7 +123,8 @@
 
     def _report_problem(self, node: NodeStatus) -> None:
         """Holds a node's problem against the releases that it may come from."""
-        name, problem = node.name, node.problem
+        name = node.name
+        problem = node.problem
         for release in self.active_releases():
             may_run_it = node.may_run(release.slot, self.wanted_version(release, name))
             if name in release.nodes and (problem.startswith(STORAGE_PROBLEM) or may_run_it):
@@ -130,7 +135,9 @@
 
         Its server has stopped, by its agent's report, or goes on where nothing stops for it.
         """
-        name, slot, version = command.name, command.slot, command.version
+        name = command.name
+        slot = command.slot
+        version = command.version
         node = self.nodes.get(name)
         if node is None or node.agent != command.agent:
             return ApplyResult(False, f"{name}: another agent has this node")
--- a/pumicenotch/fleet/releases/waves.py
+++ b/pumicenotch/fleet/releases/waves.py
@@ -30,8 +30,8 @@
 ) -> tuple[tuple[str, ...], ...]:
     """Returns the names of the nodes of each wave.
 
-    One node is first, then one of each zone, then rising fractions of each zone and cell; the voters
-    are last, one a wave.
+    One node is first, then one of each zone, then rising fractions of each zone and cell; the
+    voters are last, one a wave.
 
     Args:
         members: the nodes to reach.
@@ -45,7 +45,7 @@
     groups = {REPLICAS_FIRST: [replicas, others], CALLERS_FIRST: [others, replicas]}
     waves: list[tuple[str, ...]] = []
     for group in groups.get(order, [replicas + others]):
-        waves += _GroupPlan(sorted(group)).waves(fractions, mixed)
+        waves += _GroupPlan(sorted(group)).plan(fractions, mixed)
     waves += [(voter.name,) for voter in voters]
     return tuple(waves)
 
@@ -60,7 +60,8 @@
             self.remaining.setdefault(placement, []).append(member.name)
         self.sizes = {placement: len(names) for placement, names in self.remaining.items()}
 
-    def waves(self, fractions: tuple[float, ...], mixed: bool) -> Iterator[tuple[str, ...]]:
+    def plan(self, fractions: tuple[float, ...], mixed: bool) -> Iterator[tuple[str, ...]]:
+        """Yields the names of each wave, in order."""
         if not self.remaining:
             return
         first = next(iter(self.remaining))
--- a/pumicenotch/fleet/replicated/commands.py
+++ b/pumicenotch/fleet/replicated/commands.py
@@ -27,14 +27,14 @@
     """A process is in service."""
 
     name: str
-    incarnation: str
+    process_id: str
 
 
 class ReportTermination(NamedTuple):
     """A process drains without a permit, as it was told to end."""
 
     name: str
-    incarnation: str
+    process_id: str
     reason: str
 
 
@@ -42,7 +42,7 @@
     """The holder of a permit is about to drain."""
 
     name: str
-    incarnation: str
+    process_id: str
     epoch: int
 
 
@@ -50,14 +50,14 @@
     """A process has drained and is about to exit."""
 
     name: str
-    incarnation: str
+    process_id: str
 
 
 class SetFailure(NamedTuple):
     """A majority of the voters finds a member failed; an empty reason: it has recovered."""
 
     name: str
-    incarnation: str
+    process_id: str
     reason: str
 
 
@@ -65,7 +65,7 @@
     """The holder returns a permit that it has not used."""
 
     name: str
-    incarnation: str
+    process_id: str
     epoch: int
 
 
--- a/pumicenotch/fleet/replicated/fields.py
+++ b/pumicenotch/fleet/replicated/fields.py
@@ -24,9 +24,9 @@
     A leader refuses to propose such an entry; a voter skips one that is agreed all the same.
     """
 
-    def __init__(self, problem: str, *, place: str = "fleet command") -> None:
+    def __init__(self, problem: str, *, location: str = "fleet command") -> None:
         super().__init__(
-            problem, place=place, remedy="send it with a command of the fleet's own version"
+            problem, place=location, remedy="send it with a command of the fleet's own version"
         )
 
 
@@ -76,7 +76,7 @@
     try:
         budgets = tuple(read_budget(item) for item in value)
     except InvalidBudgetError as error:
-        raise InvalidCommandError(error.problem, place=error.place) from None
+        raise InvalidCommandError(error.problem, location=error.place) from None
     if len({budget.name for budget in budgets}) < len(budgets):
         raise InvalidCommandError("two budgets have one name")
     return budgets
@@ -85,10 +85,10 @@
 def read_member(value: Any) -> Member:
     """Returns a member as its process describes it; raises InvalidCommandError."""
     try:
-        name, incarnation, zone, region, cell, serves, uses, capacity, voter = value
+        name, process_id, zone, region, cell, serves, uses, capacity, voter = value
         member = Member(
             read_name(name),
-            read_text(incarnation),
+            read_text(process_id),
             read_text(zone),
             read_text(region),
             read_text(cell),
--- a/pumicenotch/fleet/replicated/records.py
+++ b/pumicenotch/fleet/replicated/records.py
@@ -29,7 +29,7 @@
     """The right of one process to drain."""
 
     name: str
-    incarnation: str
+    process_id: str
     epoch: int  # the log index at which it was given: the higher of two is the later
     kind: str
     reason: str
--- a/pumicenotch/fleet/replicated/registry.py
+++ b/pumicenotch/fleet/replicated/registry.py
@@ -138,7 +138,7 @@
 LEADER_VERBS = frozenset(("begin", "against", "level", "word", "usual", "soaked", "harm"))
 
 # After these as many members are unavailable as before, or their handlers say when it is otherwise.
-_KEEP_COUNTS = (
+_STABLE_COUNT_COMMANDS = (
     fleet.RequestDrain,
     fleet.StartDrain,
     fleet.HaltFleet,
@@ -170,16 +170,16 @@
     verb = entry[0]
     if len(entry) != len(readers) + 1:
         problem = f"{len(readers)} values are wanted, not {len(entry) - 1}"
-        raise InvalidCommandError(problem, place=str(verb))
+        raise InvalidCommandError(problem, location=str(verb))
     try:
         return tuple(reader(value) for reader, value in zip(readers, entry[1:], strict=True))
     except TypeError as error:
-        raise InvalidCommandError(str(error), place=str(verb)) from None
+        raise InvalidCommandError(str(error), location=str(verb)) from None
 
 
 def changes_counts(command: Command) -> bool:
     """Tells whether other members may be unavailable after this command than before."""
-    return not isinstance(command, _KEEP_COUNTS)
+    return not isinstance(command, _STABLE_COUNT_COMMANDS)
 
 
 def request_id_of(command: Command) -> str:
@@ -205,7 +205,8 @@
         for verb in subject.verbs:
             if verb in REGISTRY or verb in owners:
                 raise ValueError(
-                    f"subject {subject.name}: the verb {verb} has an owner already: name it otherwise"
+                    f"subject {subject.name}: the verb {verb} has an owner already:"
+                    " name it otherwise"
                 )
             owners[verb] = subject
     return owners
--- a/pumicenotch/fleet/replicated/snapshot.py
+++ b/pumicenotch/fleet/replicated/snapshot.py
@@ -80,7 +80,7 @@
             raise InvalidCommandError(
                 f"a state of form {header['form']!r}: {KNOWN_FORMS} are known:"
                 " a newer program is wanted",
-                place="snapshot",
+                location="snapshot",
             )
         state = _load_header(header, subjects)
         _load_subjects(state, header.get("books", ()), sections)
@@ -88,7 +88,7 @@
         raise
     except (KeyError, TypeError, ValueError, IndexError) as error:
         problem = f"no state of a fleet: {type(error).__name__} {error}"
-        raise InvalidCommandError(problem[:MAX_PROBLEM_LENGTH], place="snapshot") from None
+        raise InvalidCommandError(problem[:MAX_PROBLEM_LENGTH], location="snapshot") from None
     state.grant_permits()
     return state
 
@@ -115,7 +115,7 @@
     return member._replace(
         serves=tuple(member.serves),
         uses=tuple(member.uses),
-        previous_incarnations=tuple(member.previous_incarnations),
+        previous_process_ids=tuple(member.previous_process_ids),
     )
 
 
--- a/pumicenotch/fleet/replicated/state.py
+++ b/pumicenotch/fleet/replicated/state.py
@@ -88,7 +88,7 @@
             decode_fields(entry, subject.verbs[entry[0]])
 
     def admit(self, entry: Any) -> None:
-        """Called by a leader before it proposes an entry; raises ValueError if its subject refuses."""
+        """Called before a leader proposes an entry; raises ValueError if its subject refuses."""
         subject = self._subject_of(entry)
         if subject is not None:
             subject.admit(entry[0], decode_fields(entry, subject.verbs[entry[0]]))
@@ -111,7 +111,7 @@
         self.voters = command.voters
         self.budgets = command.budgets
         for member in command.manual_members:
-            self.members[member.name] = member._replace(incarnation="")
+            self.members[member.name] = member._replace(process_id="")
         voters = ", ".join(command.voters)
         self.record_event(f"fleet {command.fleet} begins with the voters {voters}")
         return ApplyResult(True, "begun")
--- a/pumicenotch/fleet/replicated/subject.py
+++ b/pumicenotch/fleet/replicated/subject.py
@@ -46,7 +46,7 @@
         """Called by a leader before it proposes an entry; raises ValueError to refuse it."""
 
     def apply(self, index: int, verb: str, args: tuple[Any, ...]) -> SubjectResult:
-        """Applies the entry at that log index, its fields as the readers gave them; raises nothing."""
+        """Applies the entry at that log index, its fields as read; raises nothing."""
 
     def dump(self) -> bytes:
         """Returns the same bytes for the same content."""
--- a/pumicenotch/fleet/voter/failure_detector.py
+++ b/pumicenotch/fleet/voter/failure_detector.py
@@ -35,10 +35,10 @@
     overloaded: bool
 
 
-class LastSeen(NamedTuple):
+class LastHeartbeat(NamedTuple):
     """When a member's process last sent a heartbeat."""
 
-    incarnation: str
+    process_id: str
     at_ms: float
 
 
@@ -55,7 +55,7 @@
         return sorted(
             name
             for name, member in counted.items()
-            if member.incarnation and name != me and self._is_dead(now_ms, name, members)
+            if member.process_id and name != me and self._is_dead(now_ms, name, members)
         )
 
     def _is_dead(self, now_ms: float, name: str, members: SwimMembership) -> bool:
@@ -72,23 +72,23 @@
         self.observations: dict[str, Observation] = {}  # by voter
         self.heartbeats: dict[str, Heartbeat] = {}
         # Who sent heartbeats to the former leader counts as heard: its name is not available.
-        self.last_seen = {
-            name: LastSeen(member.incarnation, now_ms) for name, member in members.items()
+        self.last_heartbeats = {
+            name: LastHeartbeat(member.process_id, now_ms) for name, member in members.items()
         }
 
     def observe(self, now_ms: float, voter: str, dead: Collection[str]) -> None:
         """Takes a voter's opinion."""
         self.observations[voter] = Observation(now_ms, frozenset(dead))
 
-    def on_heartbeat(self, now_ms: float, name: str, incarnation: str, overloaded: bool) -> None:
+    def on_heartbeat(self, now_ms: float, name: str, process_id: str, overloaded: bool) -> None:
         """Takes a member's heartbeat."""
-        self.last_seen[name] = LastSeen(incarnation, now_ms)
+        self.last_heartbeats[name] = LastHeartbeat(process_id, now_ms)
         self.heartbeats[name] = Heartbeat(now_ms, overloaded)
 
-    def holds_name(self, now_ms: float, member: Member, interval_ms: float) -> bool:
+    def is_name_taken(self, now_ms: float, member: Member, interval_ms: float) -> bool:
         """Tells whether the process that has this name is alive, so that no other may take it."""
-        seen = self.last_seen.get(member.name)
-        is_recent = seen is not None and now_ms - seen.at_ms < NAME_LEASE_MS + interval_ms
+        last = self.last_heartbeats.get(member.name)
+        is_recent = last is not None and now_ms - last.at_ms < NAME_LEASE_MS + interval_ms
         return is_recent and member.status == SERVING
 
     def findings(
@@ -105,11 +105,11 @@
         if 2 * len(opinions) <= voters:
             return
         for name, member in list(members.items()):
-            if not member.incarnation or member.status != SERVING:
+            if not member.process_id or member.status != SERVING:
                 continue
             failure = self._failure_of(member, opinions, voters, oldest_ms - interval_ms)
             if failure != member.failure:
-                yield SetFailure(name, member.incarnation, failure)
+                yield SetFailure(name, member.process_id, failure)
 
     def _failure_of(
         self, member: Member, opinions: list[frozenset[str]], voters: int, oldest_ms: float
@@ -140,7 +140,7 @@
         """Takes a voter's announcement."""
         self.announced[voter] = AnnouncedLevel(now_ms, level)
 
-    def voters_below(self, level: int, voters: Collection[str]) -> list[str]:
+    def voters_without(self, level: int, voters: Collection[str]) -> list[str]:
         """Returns the voters that have not announced that level."""
         unknown = AnnouncedLevel(NEVER_MS, FIRST_LEVEL)
         return [name for name in voters if self.announced.get(name, unknown).level < level]
--- a/pumicenotch/fleet/voter/hints.py
+++ b/pumicenotch/fleet/voter/hints.py
@@ -7,14 +7,14 @@
 from pumicenotch.fleet.voter.reports import Reports
 
 
-def member_hint(reports: Reports, name: str, incarnation: str, interval_ms: float) -> MemberHint:
+def member_hint(reports: Reports, name: str, process_id: str, interval_ms: float) -> MemberHint:
     """Returns what is agreed of that member's process."""
     state = reports.state
     member = state.members.get(name)
     permit = state.permits.get(name)
-    has_permit = permit is not None and permit.incarnation == incarnation
+    has_permit = permit is not None and permit.process_id == process_id
     return MemberHint(
-        is_known=member is not None and member.incarnation == incarnation,
+        is_known=member is not None and member.process_id == process_id,
         status=member.status if member is not None else "",
         permit_epoch=permit.epoch if permit is not None and has_permit else 0,
         wait_reason=reports.describe_wait(name) if name in state.wait_reasons else "",
@@ -40,7 +40,7 @@
     ]
     return AgentHint(
         is_member=member is not None,
-        incarnation=member.incarnation if member is not None else "",
+        process_id=member.process_id if member is not None else "",
         status=member.status if member is not None else "",
         permit_epoch=permit.epoch if permit is not None else 0,
         permit_started=permit is not None and permit.started,
--- a/pumicenotch/fleet/voter/node.py
+++ b/pumicenotch/fleet/voter/node.py
@@ -52,7 +52,7 @@
 LOCAL_STATUS_VERB = "local"
 HEARTBEAT_VERB = "mine"
 AGENT_REPORT_VERB = "agent"
-OTHER_VERBS = (LOCAL_STATUS_VERB, HEARTBEAT_VERB, AGENT_REPORT_VERB)
+UNLOGGED_VERBS = (LOCAL_STATUS_VERB, HEARTBEAT_VERB, AGENT_REPORT_VERB)
 
 
 class VoterNode(ProposerNode):
@@ -101,7 +101,7 @@
 
     def receive(self, sender: Sender, method: str, params: Any) -> None:
         """Handles a notification; raises ValueError if it is malformed."""
-        name, incarnation, _ = sender
+        name, process_id, _ = sender
         match method:
             case "sees" if name not in self.voter_addresses:
                 raise UnknownVoterError(method, name)
@@ -114,7 +114,7 @@
                 if self.leads and len(params) == 2 and name in self.state.members:
                     counts = read_counts(params[0])
                     memory_mb = read_memory_mb(params[1])
-                    self.analysis.observe_member(self.now_ms, name, incarnation, counts, memory_mb)
+                    self.analysis.observe_member(self.now_ms, name, process_id, counts, memory_mb)
             case _:
                 super().receive(sender, method, params)
 
@@ -163,7 +163,7 @@
         elif verb in requested_verbs:
             self.propose(connection_id, message_id, (verb, *args))
         else:
-            known = sorted((*requested_verbs, *READ_VERBS, *OTHER_VERBS))
+            known = sorted((*requested_verbs, *READ_VERBS, *UNLOGGED_VERBS))
             error = RequestError(UNKNOWN_VERB, f"{verb}: unknown; known: {', '.join(known)}")
             self.refuse(connection_id, message_id, error)
 
@@ -205,12 +205,12 @@
 
     def _answer_heartbeat(self, connection_id: int, message_id: int, args: tuple[Any, ...]) -> None:
         match args:
-            case [str(name), str(incarnation), bool(overloaded)]:
+            case [str(name), str(process_id), bool(overloaded)]:
                 member = self.state.members.get(name)
-                if member is not None and member.incarnation == incarnation:
-                    self.detector.on_heartbeat(self.now_ms, name, incarnation, overloaded)
+                if member is not None and member.process_id == process_id:
+                    self.detector.on_heartbeat(self.now_ms, name, process_id, overloaded)
                 interval_ms = self.heartbeat_interval()
-                hint = member_hint(self.reports(), name, incarnation, interval_ms)
+                hint = member_hint(self.reports(), name, process_id, interval_ms)
                 self.respond(connection_id, message_id, hint.to_wire())
             case _:
                 problem = "mine: a name, a life and whether overloaded are wanted"
@@ -266,13 +266,13 @@
 
     def _agree_on_halts(self) -> None:
         """Proposes a halt that members gossip, and ends the gossip of one that is over."""
-        halt = self.halt_marker()
+        halt = self.halt_gossip.current()
         if not halt.key:
             return
         if halt.key not in self.state.answers:
             self.propose_command(HaltFleet(halt.key, halt.operator, halt.reason))
         elif halt.key not in self.state.halts:
-            self.gossip_halt("", "", "")
+            self.halt_gossip.replace("", "", "")
 
     def _detect_failures(self) -> None:
         members = self.state.members
@@ -307,7 +307,7 @@
     # Exit
 
     def stop(self) -> None:
-        """Transfers the leadership before this process exits, so that nobody waits for an election."""
+        """Transfers the leadership before this process exits: nobody waits for an election."""
         if not self.is_stopping:
             self.exit_at_ms = self.now_ms + self.TRANSFER_MS
             if self.leads:
--- a/pumicenotch/fleet/voter/proposals.py
+++ b/pumicenotch/fleet/voter/proposals.py
@@ -49,7 +49,7 @@
             self.refuse(connection_id, message_id, refusal)
             return
         if entry[0] == "halt":  # in force for this process at once, whenever it is agreed
-            self.gossip_halt(*entry[1:])
+            self.halt_gossip.replace(*entry[1:])
         index = self.voter.log.last_index + 1
         expires_at_ms = self.now_ms + self.PROPOSAL_TIMEOUT_MS
         self.pending[index] = PendingProposal(
@@ -80,8 +80,8 @@
         """Returns why the leader must not propose an entry now; "" if it may."""
         verb = entry[0]
         if verb == "join":
-            name, incarnation = entry[1][:2]
-            if reason := self._name_conflict(name, incarnation):
+            name, process_id = entry[1][:2]
+            if reason := self._name_conflict(name, process_id):
                 return reason
         if verb != "level" and (reason := self._level_problem(verb)):
             return reason
@@ -90,20 +90,20 @@
         permit = self.state.permits.get(entry[1]) if verb == "began" else None
         return "" if permit is not None and permit.started else self.halt_reason()
 
-    def _name_conflict(self, name: str, incarnation: str) -> str:
+    def _name_conflict(self, name: str, process_id: str) -> str:
         member = self.state.members.get(name)
-        if member is None or member.incarnation == incarnation:
+        if member is None or member.process_id == process_id:
             return ""
-        if not self.detector.holds_name(self.now_ms, member, self.heartbeat_interval()):
+        if not self.detector.is_name_taken(self.now_ms, member, self.heartbeat_interval()):
             return ""
-        return f"{name}: the name is taken by a process that is alive ({member.incarnation})"
+        return f"{name}: the name is taken by a process that is alive ({member.process_id})"
 
     def _level_problem(self, verb: str) -> str:
         required = self.state.level_of(verb)
         level = self.state.releases.level
         if required <= level:
             return ""
-        below = self.voter_levels.voters_below(required, self.voter_addresses)
+        below = self.voter_levels.voters_without(required, self.voter_addresses)
         return (
             f"{verb} is of level {required}, and the fleet is at level {level}: all voters have to"
             f" understand it first; not heard so of {', '.join(below) or 'nobody: wait'}"
@@ -111,7 +111,7 @@
 
     def has_unagreed_halt(self) -> bool:
         """Tells whether members gossip a halt that is not in the log yet."""
-        key = self.halt_marker().key
+        key = self.halt_gossip.current().key
         return bool(key) and key not in self.state.answers
 
     # Answers
@@ -128,7 +128,8 @@
         pending = self.pending.pop(index, None)
         if pending is None:
             return
-        connection_id, message_id = pending.connection_id, pending.message_id
+        connection_id = pending.connection_id
+        message_id = pending.message_id
         if pending.term != entry.term:
             self.refuse_as_follower(connection_id, message_id)
         elif not result.ok:
--- a/pumicenotch/fleet/voter/replica.py
+++ b/pumicenotch/fleet/voter/replica.py
@@ -1,4 +1,7 @@
-"""A member with a replica of the log: how its replica gets a vote, and how entries reach the state."""
+"""A member with a replica of the log.
+
+Here its replica gets a vote, and the log's entries reach the replicated state.
+"""
 
 from abc import abstractmethod
 from collections.abc import Callable, Mapping, Sequence
@@ -132,7 +135,7 @@
 
     def receive(self, sender: Sender, method: str, params: Any) -> None:
         """Handles a notification; raises ValueError if it is malformed."""
-        name, incarnation, _ = sender
+        name, process_id, _ = sender
         match method:
             case messages.CONSENSUS_METHOD | messages.BOOTSTRAP_METHOD if (
                 name not in self.voter_addresses
@@ -140,9 +143,9 @@
                 raise UnknownVoterError(method, name)
             case messages.CONSENSUS_METHOD:
                 message = decode_message(params)
-                self.step_voter(MessageReceived(f"{name}/{incarnation}", message))
+                self.step_voter(MessageReceived(f"{name}/{process_id}", message))
             case messages.BOOTSTRAP_METHOD:
-                self._receive_bootstrap(name, f"{name}/{incarnation}", params)
+                self._receive_bootstrap(name, f"{name}/{process_id}", params)
             case _:
                 super().receive(sender, method, params)
 
--- a/pumicenotch/fleet/voter/reports.py
+++ b/pumicenotch/fleet/voter/reports.py
@@ -60,20 +60,22 @@
         """Returns the answer to one of READ_VERBS; raises InvalidReadError."""
         match [verb, *args]:
             case ["status"]:
-                return self.status()
+                table = self.status()
             case ["halts"]:
-                return {"halts": list(self.state.halts)}
+                table = {"halts": list(self.state.halts)}
             case ["log", int(count)]:
-                return self.events(count)
+                table = self.events(count)
             case ["releases"]:
-                return self.releases()
+                table = self.releases()
             case ["one_release", str(name)]:
-                return self.one_release(name)
+                table = self.one_release(name)
             case ["waves", [*fractions], bool(mixed), str(order)]:
-                return {"waves": self.waves(tuple(map(float, fractions)), mixed, order)}
+                table = {"waves": self.waves(tuple(map(float, fractions)), mixed, order)}
             case ["why", str(name)]:
-                return self.one_member(name)
-        raise InvalidReadError(verb, "other values are wanted")
+                table = self.one_member(name)
+            case _:
+                raise InvalidReadError(verb, "other values are wanted")
+        return table
 
     def events(self, count: int) -> Table:
         """Returns the last events, the latest last."""
--- a/pumicenotch/lab/draining.py
+++ b/pumicenotch/lab/draining.py
@@ -149,7 +149,7 @@
         if (
             process.is_ == UP
             and permit is not None
-            and permit.incarnation == life
+            and permit.process_id == life
             and not process.away
         ):
             began = Letter(("began", name, life, permit.epoch))
@@ -184,7 +184,7 @@
             )
         if left.silences:  # an opinion: it may be wrong
             held = agreed.members[name]
-            silent = ("against", name, held.incarnation, "silent")
+            silent = ("against", name, held.process_id, "silent")
             yield (
                 f"{name} is found silent",
                 self.applied(self.spent(state, left, "silences"), silent),
--- a/pumicenotch/lab/releasing.py
+++ b/pumicenotch/lab/releasing.py
@@ -72,7 +72,7 @@
         setup = AgentSetup(
             fleet="day",
             node=node,
-            incarnation=f"{process.life:04d}",
+            process_id=f"{process.life:04d}",
             voters=tuple(self.voters.values()),
             versions=self.runs[node],
             stored=tuple(self.holds[node]),
--- a/pumicenotch/lab/releasing_model.py
+++ b/pumicenotch/lab/releasing_model.py
@@ -88,7 +88,7 @@
         )
         queue = tuple(each._replace(requested_at=0) for each in made.queue)
         permits = tuple(each._replace(epoch=at) for at, each in enumerate(made.permits.values()))
-        members = tuple(each._replace(previous_incarnations=()) for each in made.members.values())
+        members = tuple(each._replace(previous_process_ids=()) for each in made.members.values())
         releases = tuple(
             each._replace(reason="", approval_reason="", harmed=())
             for each in made.releases.releases.values()
@@ -150,7 +150,7 @@
         if (
             box.is_ == UP
             and permit is not None
-            and permit.incarnation == life
+            and permit.process_id == life
             and not permit.started
             and not box.away
         ):
--- a/pumicenotch/net/agent.py
+++ b/pumicenotch/net/agent.py
@@ -190,7 +190,7 @@
     setup = AgentSetup(
         fleet=told.fleet,
         node=told.member,
-        incarnation=secrets.token_hex(6),
+        process_id=secrets.token_hex(6),
         voters=tuple(told.voters),
         versions=disk.runs,
         stored=tuple(versions.held(Path(told.home) / "versions")),
--- a/pumicenotch/net/voter_configuration.py
+++ b/pumicenotch/net/voter_configuration.py
@@ -80,5 +80,5 @@
 
     def status(self) -> dict[str, Any]:
         members = self.node.state.members.values()
-        names = [each.name for each in members if each.incarnation and not each.voter]
+        names = [each.name for each in members if each.process_id and not each.voter]
         return self.source.status(self.timer.now(), names)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -53,7 +53,7 @@
 
     def back(self, name: str, life: str) -> None:
         held = self.state.members[name]
-        self.do("join", member_to_wire(held._replace(incarnation=life)))
+        self.do("join", member_to_wire(held._replace(process_id=life)))
         self.do("serving", name, life)
 
     @property
@@ -161,7 +161,7 @@
     fleet.back("a1", "2")
     assert not fleet.do("join", member_to_wire(Member("a1", "1", "a"))).ok
     assert not fleet.do("leaving", "a1", "1", "late").ok
-    assert fleet.state.members["a1"].incarnation == "2"
+    assert fleet.state.members["a1"].process_id == "2"
 
 
 def test_a_lower_budget_calls_nobody_back() -> None:
@@ -376,7 +376,7 @@
                     away.add(old[1])
             case _ if (
                 name in state.permits
-                and state.permits[name].incarnation == life
+                and state.permits[name].process_id == life
                 and name not in away
             ):
                 sent.append(("began", name, life, state.permits[name].epoch))
--- a/tests/test_fleet_config.py
+++ b/tests/test_fleet_config.py
@@ -16,7 +16,7 @@
 from pumicenotch.fleet.drains.budgets import Member
 from pumicenotch.fleet.member.effects import SendRequest
 from pumicenotch.fleet.member.node import MemberNode, MemberSetup
-from pumicenotch.fleet.member.settings import settings_of
+from pumicenotch.fleet.member.settings import read_settings
 from pumicenotch.membership.messages import MemberIdentity
 
 SERVER = """fleet "accra" {
@@ -67,7 +67,7 @@
     wrong: list[Any] = [{"fleet": 1}, [], {"fleet": "a", "name": "b", "listen": 3, "voters": []}]
     for each in wrong:
         with pytest.raises(ValueError, match="fleet"):
-            settings_of(each)
+            read_settings(each)
 
 
 def test_a_voters_file_says_all(tmp_path: Path) -> None:
--- a/tests/test_fleet_days.py
+++ b/tests/test_fleet_days.py
@@ -191,12 +191,12 @@
     day.processes["n0"].core = kept
     # The twin's request, as its process would send it.
     held = day.state().members["n0"]
-    answer = day.agreed("join", held._replace(incarnation="other")[:9])
+    answer = day.agreed("join", held._replace(process_id="other")[:9])
     assert "the name is taken" in answer
-    assert day.state().members["n0"].incarnation == f"{life:04d}"
+    assert day.state().members["n0"].process_id == f"{life:04d}"
     day.kill("n0")
     day.run(5000.0)
-    assert day.agreed("join", held._replace(incarnation="other")[:9])["agreed"]
+    assert day.agreed("join", held._replace(process_id="other")[:9])["agreed"]
 
 
 def test_a_voter_comes_back_as_another_seat_and_a_majority_stays() -> None:
--- a/tests/test_release.py
+++ b/tests/test_release.py
@@ -623,7 +623,7 @@
         AgentSetup(
             fleet="f",
             node="n0",
-            incarnation="a",
+            process_id="a",
             voters=("v1",),
             versions={"program": OLD},
             stored=(OLD, NEW),
