--- a/pumicenotch/net/agent.py
+++ b/pumicenotch/net/agent.py
@@ -52,7 +52,7 @@
         clock: ResettableTimer,
         group: TaskGroup,
     ) -> None:
-        core.me = MemberIdentity("", "", core.incarnation, 0, "", "")  # type: ignore[attr-defined]
+        core.me = MemberIdentity("", "", core.process_id, 0, "", "")  # type: ignore[attr-defined]
         super().__init__(cast(Any, core), clock, group, lambda why: None, FRAME_MOST, LINKS_MOST)
         self.told, self.agent, self.disk = told, core, disk
         self.home = Path(told.home)
