--- a/pumicenotch/net/agent.py
+++ b/pumicenotch/net/agent.py
@@ -64,7 +64,7 @@
         clock: ResettableTimer,
         group: TaskGroup,
     ) -> None:
-        core.me = MemberIdentity("", "", core.incarnation, 0, "", "")  # type: ignore[attr-defined]
+        core.me = MemberIdentity("", "", core.process_id, 0, "", "")  # type: ignore[attr-defined]
         super().__init__(
             cast(Any, core),
             clock,
@@ -220,7 +220,7 @@
     setup = AgentSetup(
         fleet=file.fleet,
         node=file.member,
-        incarnation=secrets.token_hex(6),
+        process_id=secrets.token_hex(6),
         voters=tuple(file.voters),
         versions=disk.runs,
         stored=tuple(versions.held(Path(file.home) / VERSIONS_FOLDER)),
