--- a/benchmarks/capacity/bad_hours.py
+++ b/benchmarks/capacity/bad_hours.py
@@ -81,8 +81,8 @@
         )
 
     def life(self, name: str) -> str:
-        core: Any = self.day.processes[name].core
-        return str(core.me.life) if core is not None else ""
+        core = self.day.processes[name].core
+        return core.me.process_id if core is not None else ""
 
     def opinions_well(self, everybody: list[str]) -> bool:
         return self.states_of_others(everybody) == {MemberState.ALIVE}
--- a/benchmarks/capacity/hollow.py
+++ b/benchmarks/capacity/hollow.py
@@ -16,8 +16,11 @@
 from pumicenotch.fleet.drains.lifecycle import SILENT
 from pumicenotch.fleet.member import effects
 from pumicenotch.fleet.replicated import snapshot
+from pumicenotch.fleet.replicated.commands import SetFailure
 from pumicenotch.fleet.replicated.records import member_to_wire
+from pumicenotch.fleet.replicated.registry import Command
 from pumicenotch.fleet.voter.failure_detector import FailureDetector
+from pumicenotch.fleet.voter.node import VoterNode
 from pumicenotch.lab.fleets import Process, Spec
 from pumicenotch.membership import messages
 from pumicenotch.membership.messages import (
@@ -304,15 +307,18 @@
     def fail(self) -> None:
         """One is taken for silent by a majority of the voters, and speaks again."""
         name = self.any_hollow()
-        leader: Any = self.day.processes[self.leader].core
-        life = leader.state.members[name].life
-        self.propose("against", name, life, SILENT)
+        process_id = self.leading_node().state.members[name].process_id
+        self.propose(SetFailure(name, process_id, SILENT))
 
-    def propose(self, *entry: Any) -> None:
-        """An entry that the leader itself makes, metered as its own step."""
-        leader: Any = self.day.processes[self.leader].core
+    def leading_node(self) -> VoterNode:
+        leader = self.day.processes[self.leader].core
+        assert isinstance(leader, VoterNode)
+        return leader
+
+    def propose(self, command: Command) -> None:
+        """A command that the leader itself proposes, metered as its own step."""
         meter = self.day.meters.get(self.leader, Meter())
-        meter.run("propose", leader.propose_own, *entry)
+        meter.run("propose", self.leading_node().propose_command, command)
         self.day.put(self.leader, "time")  # carries out what the proposal asks for
 
     def tell_news(self, update: Update) -> None:
