--- a/benchmarks/capacity/spread.py
+++ b/benchmarks/capacity/spread.py
@@ -15,12 +15,13 @@
 from benchmarks.capacity.measured_day import VOTERS, Meter
 from benchmarks.capacity.meter import cpu_ns, frozen_heap
 from pumicenotch.distribution import effects, events
+from pumicenotch.distribution.context import new_context
 from pumicenotch.distribution.data.records import Change
 from pumicenotch.distribution.data.subscription import Subscription
 from pumicenotch.distribution.data.tables import canonical
 from pumicenotch.distribution.events import Peer
 from pumicenotch.distribution.node import Node
-from pumicenotch.distribution.protocol.codec import message_of, plain
+from pumicenotch.distribution.protocol.codec import decode, encode
 from pumicenotch.distribution.publications.book import Publications
 from pumicenotch.distribution.publications.uploads import entries_of
 from pumicenotch.distribution.settings import DEFAULTS
@@ -146,7 +147,9 @@
             at = int(peer.name.removeprefix("server-"))
             # A zone that has relays alone: each needs what the servers of the zone would need.
             needs = range(at * share, at * share + share) if many == RELAYS else [at]
-            core = Node(peer, self.voters, self.load.subscription(needs), random.Random(at))
+            core = Node(
+                peer, self.voters, self.load.subscription(needs), new_context(random.Random(at))
+            )
             self.processes[peer.address] = Process(core, peer)
         for peer in peers:
             self.put(peer.address, events.Started())
@@ -224,14 +227,14 @@
         if sender is not None or receiver is not None:
             message = self.wired(sender, receiver, message)
         late = DELAY_MS * self.random.uniform(0.5, 1.5)
-        told = events.Sender(process.me.name, process.me.life, process.me.address)
+        told = events.Sender(process.me.name, process.me.incarnation, process.me.address)
         self.at(self.now + late, lambda: self.put(to, events.Received(told, message)))
 
     def wired(self, sender: Meter | None, receiver: Meter | None, message: Any) -> Any:
         began = cpu_ns()
-        packed = msgpack.packb(plain(message))
+        packed = msgpack.packb(encode(message))
         packed_at = cpu_ns()
-        made = message_of(msgpack.unpackb(packed, use_list=False))
+        made = decode(msgpack.unpackb(packed, use_list=False))
         read_at = cpu_ns()
         kind = type(message).__name__
         if sender is not None:
--- a/pumicenotch/distribution/source/transfers.py
+++ b/pumicenotch/distribution/source/transfers.py
@@ -1,6 +1,7 @@
-"""The source's side of a transfer by scopes: a view is kept while a child compares digests with it and
-fetches the scopes that differ. Pages are made of a place alone, so that a repeated request has the same
-answer.
+"""The source's side of a transfer by scopes.
+
+A view is kept while a child compares digests with it and fetches the scopes that differ. A page
+follows from its position alone, so that a repeated request has the same answer.
 """
 
 from collections.abc import Sequence
@@ -10,69 +11,73 @@
 from pumicenotch.distribution.data.subscription import Subscription
 from pumicenotch.distribution.data.view import View
 from pumicenotch.distribution.protocol.messages import (
-    PAGE_CHANGES_MOST,
+    MAX_PAGE_CHANGES,
     ScopeDigest,
-    ScopePart,
+    ScopePage,
     Want,
 )
 
 
 @dataclass(slots=True)
-class KeptTransfer:
-    """`number` is the child's; `view` is the one that it compares with from the first page to the last."""
+class OpenTransfer:
+    """A transfer to a child: `number` is the child's, `view` what it compares with throughout."""
 
     number: int
     generation: int
     view: View
     subscription: Subscription
-    used_at: float
+    last_used_at: float
 
 
 def digest_page(
-    kept: KeptTransfer, after: ScopeId, most: int
+    transfer: OpenTransfer, after: ScopeId, max_scopes: int
 ) -> tuple[tuple[ScopeDigest, ...], bool]:
-    """The next subscribed scopes with their digests, and whether these are the last."""
-    found: list[ScopeDigest] = []
-    for scope_id in kept.view.subscribed_after(kept.subscription, after):
-        if len(found) == most:
-            return tuple(found), False
-        found.append(ScopeDigest(*scope_id, kept.view.digest(*scope_id)))
-    return tuple(found), True
+    """Return the next subscribed scopes with their digests, and whether these are the last."""
+    digests: list[ScopeDigest] = []
+    for scope_id in transfer.view.subscribed_after(transfer.subscription, after):
+        if len(digests) == max_scopes:
+            return tuple(digests), False
+        digests.append(ScopeDigest(*scope_id, transfer.view.digest(*scope_id)))
+    return tuple(digests), True
 
 
 def record_page(
-    kept: KeptTransfer, wants: Sequence[Want], most: int
-) -> tuple[tuple[ScopePart, ...], int]:
-    """Records of the wanted scopes as far as a page holds, and their size."""
-    parts: list[ScopePart] = []
-    size = count = 0
+    transfer: OpenTransfer, wants: Sequence[Want], max_bytes: int
+) -> tuple[tuple[ScopePage, ...], int]:
+    """Return records of the wanted scopes as far as a message holds them, and their size."""
+    pages: list[ScopePage] = []
+    size = 0
+    count = 0
     for want in wants:
-        if not kept.subscription.contains(want.table, want.scope):
+        if not transfer.subscription.contains(want.table, want.scope):
             continue
-        room = PAGE_CHANGES_MOST - count
-        part, part_size = _scope_part(kept.view, want, most - size, room, first=not parts)
-        if parts and not part.records and not part.done:
+        max_records = MAX_PAGE_CHANGES - count
+        page, page_size = _scope_page(
+            transfer.view, want, max_bytes - size, max_records, first=not pages
+        )
+        if pages and not page.records and not page.done:
             break
-        parts.append(part)
-        size, count = size + part_size, count + len(part.records)
-        if not part.done:
+        pages.append(page)
+        size += page_size
+        count += len(page.records)
+        if not page.done:
             break
-    return tuple(parts), size
+    return tuple(pages), size
 
 
-def _scope_part(
-    view: View, want: Want, bytes_most: int, records_most: int, first: bool
-) -> tuple[ScopePart, int]:
-    """The first part of a page has one record at least, however large."""
-    held = view.held(ScopeId(want.table, want.scope))
+def _scope_page(
+    view: View, want: Want, max_bytes: int, max_records: int, first: bool
+) -> tuple[ScopePage, int]:
+    """Return a page of a scope; the first in a message has one record at least, however large."""
+    scope = view.find(ScopeId(want.table, want.scope))
     records: list[tuple[str, str]] = []
     size = len(want.table) + len(want.scope) + RECORD_OVERHEAD_BYTES
-    if held is None:
-        return ScopePart(want.table, want.scope, (), True), size
-    for name in held.names_after(want.after):
-        value = held.records[name]
+    if scope is None:
+        return ScopePage(want.table, want.scope, (), True), size
+    for name in scope.names_after(want.after):
+        value = scope.records[name]
         size += len(name) + len(value) + RECORD_OVERHEAD_BYTES
-        if (size > bytes_most or len(records) >= records_most) and (records or not first):
-            return ScopePart(want.table, want.scope, tuple(records), False), size
+        if (size > max_bytes or len(records) >= max_records) and (records or not first):
+            return ScopePage(want.table, want.scope, tuple(records), False), size
         records.append((name, value))
-    return ScopePart(want.table, want.scope, tuple(records), True), size
+    return ScopePage(want.table, want.scope, tuple(records), True), size
--- a/pumicenotch/lab/hollow_configuration.py
+++ b/pumicenotch/lab/hollow_configuration.py
@@ -3,6 +3,7 @@
 import random
 from typing import TYPE_CHECKING, Any
 
+from pumicenotch.distribution.context import new_context
 from pumicenotch.distribution.data.view import View
 from pumicenotch.distribution.events import Started, Ticked
 from pumicenotch.distribution.instance_settings import InstanceSettings, ScopesOfTable
@@ -12,7 +13,7 @@
 from pumicenotch.lab.published import Dataset
 from pumicenotch.lab.world import Configuration
 from pumicenotch.membership.messages import Update
-from pumicenotch.net.configuration import InstanceCarrier, self_of
+from pumicenotch.net.configuration import InstanceDistributionService, self_of
 
 if TYPE_CHECKING:
     from pumicenotch.lab.hollow_instance import HollowHub
@@ -20,7 +21,7 @@
 LOOK_MS = 200.0  # between looks for a newer version, of an instance that takes each whole
 
 
-class HollowConfiguration(InstanceCarrier):
+class HollowConfiguration(InstanceDistributionService):
     """The real carrier; the timer's steps are measured as the hub's are."""
 
     def __init__(self, watched: Watched, hub: "HollowHub", *rest: Any) -> None:
@@ -77,9 +78,7 @@
             self_of(self.hub.node.me),
             self.addresses,
             self.settings.subscribed(),
-            self.chance,
-            settings=self.settings.settings,
-            tables=self.settings.tables(),
+            new_context(self.chance, self.settings.settings, self.settings.tables()),
             relay_eligible=False,
         )
         super().put(Started())
--- a/pumicenotch/lab/spreading_model.py
+++ b/pumicenotch/lab/spreading_model.py
@@ -7,6 +7,7 @@
 from typing import Any, NamedTuple
 
 from pumicenotch.distribution import effects, events
+from pumicenotch.distribution.context import new_context
 from pumicenotch.distribution.data.changelog import ChangeLog
 from pumicenotch.distribution.data.records import Change
 from pumicenotch.distribution.data.subscription import Subscription
@@ -29,24 +30,24 @@
 ZONE = "zone"
 SETTINGS = Settings(
     relays=len(RELAYS),
-    push_bytes_most=40,
+    max_push_bytes=40,
     page_bytes=40,
     page_scopes=2,
     slice_changes=2,
-    fetches_most=1,
-    tries_most=1,
-    announce_least_ms=100.0,
+    max_fetches=1,
+    max_attempts=1,
+    min_announce_ms=100.0,
     announce_ms=1e6,
     acknowledge_ms=1e6,
-    acknowledge_least_ms=1e6,
+    min_acknowledge_ms=1e6,
     aggregate_ms=1e6,
     audit_ms=1e9,
     narrow_ms=1e9,
     source_silent_ms=1e6,
     child_silent_ms=1e9,
     transfer_idle_ms=1e9,
-    leave_least_ms=1e8,
-    leave_most_ms=1e8,
+    min_leave_ms=1e8,
+    max_leave_ms=1e8,
 )
 SETTLE_STEPS = 400  # within which a world that nothing disturbs is to be current
 
@@ -101,7 +102,7 @@
         self.voters: dict[str, VoterSource] = {}
         self.nodes: dict[str, Node] = {}
         for name in VOTERS[:1] if relayed else VOTERS:
-            book = Publications(tables=TABLES, log=ChangeLog(entries_most=log_most))
+            book = Publications(tables=TABLES, log=ChangeLog(max_entries=log_most))
             self.voters[name] = VoterSource(peer(name), book, Steady(), settings=SETTINGS)
             self.step(name, events.LeaderChanged("", False, True))
         self.sources = RELAYS if relayed else VOTERS  # of the replica
@@ -111,7 +112,7 @@
     def start(self, name: str) -> None:
         """A node begins, with nothing."""
         node = Node(
-            peer(name), tuple(self.voters), SUBSCRIPTION, Steady(), settings=SETTINGS, tables=TABLES
+            peer(name), tuple(self.voters), SUBSCRIPTION, new_context(Steady(), SETTINGS, TABLES)
         )
         self.nodes[name], self.last[name] = node, 0
         self.wire = [letter for letter in self.wire if name not in (letter.sender, letter.to)]
--- a/tests/compatibility/test_consensus.py
+++ b/tests/compatibility/test_consensus.py
@@ -1,4 +1,4 @@
-"""What voters wrote to each other before is read, and written again to the byte."""
+"""What voters wrote to result other before is read, and written again to the byte."""
 
 import hashlib
 from typing import Any
@@ -38,7 +38,7 @@
     decode_message,
     encode_message,
 )
-from pumicenotch.net.peers import FRAMES, Unpacker
+from pumicenotch.net.peer_frames import ENCODERS, FrameDecoder, Notice
 from tests.compatibility.golden_files import golden_bytes, golden_json
 from tests.consensus.cluster import Cluster
 
@@ -79,9 +79,9 @@
 
 def only_frame(data: bytes) -> Any:
     """The one frame that the bytes are."""
-    ((frame, size),) = Unpacker(len(data)).frames(data)
-    assert size == len(data)
-    return frame
+    (frame,) = FrameDecoder(len(data)).decode(data)
+    assert frame.size_bytes == len(data)
+    return frame.content
 
 
 @pytest.mark.parametrize("name", MESSAGES)
@@ -90,7 +90,7 @@
     kind, method, params = only_frame(data)
     message = decode_message(params)
     assert (kind, method, message) == (2, CONSENSUS_METHOD, MESSAGES[name])
-    assert FRAMES["notice"](CONSENSUS_METHOD, encode_message(message)) == data
+    assert ENCODERS[Notice](Notice(CONSENSUS_METHOD, encode_message(message))) == data
 
 
 def test_every_kind_of_message_has_a_golden_example() -> None:
@@ -104,7 +104,7 @@
     kind, method, params = only_frame(data)
     assert (kind, method) == (2, BOOTSTRAP_METHOD)
     assert decode_bootstrap_message(params) == BOOTSTRAP[name]
-    assert FRAMES["notice"](BOOTSTRAP_METHOD, encode_message(BOOTSTRAP[name])) == data
+    assert ENCODERS[Notice](Notice(BOOTSTRAP_METHOD, encode_message(BOOTSTRAP[name]))) == data
 
 
 def test_every_kind_of_bootstrap_message_has_a_golden_example() -> None:
@@ -113,13 +113,13 @@
 
 
 def test_bootstrap_goes_on_as_before() -> None:
-    """Each message of a bootstrap, in order, as bytes: three voters that find each other."""
+    """Each message of a bootstrap, in order, as bytes: three voters that find result other."""
     sent = []
     bootstraps = {name: Bootstrap(f"{name}/1", ["a", "b", "c"]) for name in "abc"}
 
     def deliver(sender: str, sends: list[SendToName]) -> None:
         for name, message in sends:
-            frame = FRAMES["notice"](BOOTSTRAP_METHOD, encode_message(message))
+            frame = ENCODERS[Notice](Notice(BOOTSTRAP_METHOD, encode_message(message)))
             sent.append(f"{sender} {name} {frame.hex()}")
             received = decode_bootstrap_message(only_frame(frame)[2])
             deliver(bootstraps[name].voter_id, bootstraps[name].receive(sender, received))
@@ -134,20 +134,20 @@
 class RecordedCluster(Cluster):
     """Keeps a digest of all that voters send and of all that they apply."""
 
-    def __init__(self, seed: int, many: int, loss: float) -> None:
-        super().__init__(seed, many, loss)
+    def __init__(self, seed: int, voter_count: int, loss: float) -> None:
+        super().__init__(seed, voter_count, loss)
         self.digest, self.messages = hashlib.sha256(), 0
 
-    def post(self, sender: str, to: str, message: Any) -> None:
+    def post(self, sender: str, recipient: str, message: Any) -> None:
         self.messages += 1
-        data = msgpack.packb([self.now, sender, to, encode_message(message)])
+        data = msgpack.packb([self.now_ms, sender, recipient, encode_message(message)])
         self.digest.update(data)
-        super().post(sender, to, message)
+        super().post(sender, recipient, message)
 
 
-def transcript(seed: int, many: int, loss: float) -> dict[str, Any]:
+def transcript(seed: int, voter_count: int, loss: float) -> dict[str, Any]:
     """What a seeded run with faults says, as a digest: it changes with any message, order or time."""
-    cluster = RecordedCluster(seed, many, loss)
+    cluster = RecordedCluster(seed, voter_count, loss)
     random, names = cluster.random, list(cluster.voters)
     for number in range(60):
         one, other = random.sample(names, 2)
@@ -162,12 +162,12 @@
                 cluster.cut.clear()
             case 5 if (leader := cluster.leader()) and cluster.voters[leader].commit_index:
                 voter = cluster.voters[leader]
-                voter.compact(voter.commit_index, cluster.state(voter.commit_index))
+                voter.compact(voter.commit_index, cluster.snapshot(voter.commit_index))
             case 6 if leader := cluster.leader():
                 cluster.put(leader, TransferLeadership(""))
             case 7 if leader := cluster.leader():
                 cluster.put(leader, RequestRead(number))
-                cluster.put(leader, ChangeMembership(cluster.seats))
+                cluster.put(leader, ChangeMembership(cluster.membership))
             case _:
                 if leader := cluster.leader():
                     cluster.put(leader, Propose(f"{number}"))
@@ -175,9 +175,9 @@
     return {
         "messages": cluster.messages,
         "digest": cluster.digest.hexdigest(),
-        "agreed": len(cluster.agreed),
+        "agreed": len(cluster.committed),
         "leaders": len(cluster.leaders),
-        "answers": len(cluster.answers),
+        "answers": len(cluster.read_results),
     }
 
 
