--- a/benchmarks/capacity/spread.py
+++ b/benchmarks/capacity/spread.py
@@ -227,7 +227,7 @@
         if sender is not None or receiver is not None:
             message = self.wired(sender, receiver, message)
         late = DELAY_MS * self.random.uniform(0.5, 1.5)
-        told = events.Sender(process.me.name, process.me.incarnation, process.me.address)
+        told = events.Sender(process.me.name, process.me.process_id, process.me.address)
         self.at(self.now + late, lambda: self.put(to, events.Received(told, message)))
 
     def wired(self, sender: Meter | None, receiver: Meter | None, message: Any) -> Any:
--- a/pumicenotch/distribution/events.py
+++ b/pumicenotch/distribution/events.py
@@ -10,14 +10,14 @@
 class Peer(NamedTuple):
     """An instance, as this one's membership knows it. Voters are no peers: they are configured.
 
-    `incarnation` is of its process, drawn at its start.
+    `process_id` is of its process, drawn at its start.
     """
 
     name: str
     zone: str
     region: str
     address: str
-    incarnation: str
+    process_id: str
     alive: bool = True
 
 
--- a/pumicenotch/distribution/source/children.py
+++ b/pumicenotch/distribution/source/children.py
@@ -19,7 +19,7 @@
     """One replica that has subscribed here.
 
     Attributes:
-        name, incarnation, address: of its process.
+        name, process_id, address: of its process.
         generation: numbers its subscriptions.
         subscription: the scopes that it needs.
         primary: whether it wants pushes.
@@ -31,7 +31,7 @@
     """
 
     name: str
-    incarnation: str
+    process_id: str
     address: str
     generation: int
     subscription: Subscription
@@ -48,7 +48,7 @@
         """Return the child that subscribes by this message."""
         return cls(
             name=sender.name,
-            incarnation=sender.life,
+            process_id=sender.life,
             address=sender.address,
             generation=message.generation,
             subscription=message.subscription,
--- a/pumicenotch/distribution/source/source.py
+++ b/pumicenotch/distribution/source/source.py
@@ -110,7 +110,7 @@
             self._subscribe(now_ms, sender, message)
             return
         child = self.children.get(sender.name)
-        if child is None or child.incarnation != sender.life:
+        if child is None or child.process_id != sender.life:
             if not isinstance(message, m.Unsubscribe):
                 request = (
                     message.request if isinstance(message, m.Pull | m.Compare | m.Fetch) else 0
@@ -148,7 +148,7 @@
             )
             return
         child = Child.of(now_ms, sender, message)
-        if known_child is not None and known_child.incarnation == child.incarnation:
+        if known_child is not None and known_child.process_id == child.process_id:
             child.report = known_child.report
         self.children[child.name] = child
         self._transfers.pop(child.name, None)
--- a/tests/distribution/network.py
+++ b/tests/distribution/network.py
@@ -103,7 +103,7 @@
         self.step(name, ev.Started())
 
     def start_instance(self, name: str) -> None:
-        me = self.peers[name]._replace(incarnation=f"{self.lives.get(name, 0) + 1}")
+        me = self.peers[name]._replace(process_id=f"{self.lives.get(name, 0) + 1}")
         tables = self.tables(int(name[1:]))
         node = Node(
             me,
