--- a/benchmarks/capacity/mechanisms.py
+++ b/benchmarks/capacity/mechanisms.py
@@ -102,7 +102,7 @@
         "`membership/swim.py` `MAX_GOSSIP_UPDATES`: 12 updates a message",
     ),
     Mechanism(
-        "server.agreement", "", "", "`fleet/voter_node.py` `VoterNode.heartbeat_interval_ms`"
+        "server.agreement", "", "", "`fleet/voter/proposals.py` `ProposerNode.heartbeat_interval`"
     ),
     Mechanism(
         "voter.leader",
@@ -120,15 +120,17 @@
         "voter.leader",
         "",
         "",
-        "`fleet/voter_node.py` `heartbeat_interval_ms`; `consensus/voter.py`",
+        "`fleet/voter/proposals.py` `heartbeat_interval`; `consensus/voter.py`",
     ),
     Mechanism(
         "voter.follower",
         "",
         "",
-        "`consensus/replication.py` `LogReplication.on_append_entries`; `fleet/state.py` `State.apply`",
+        "`consensus/replication.py` `LogReplication.on_append_entries`; `fleet/replicated/state.py` `FleetState.apply`",
+    ),
+    Mechanism(
+        "agent", "", "", "`fleet/agent/agent.py` `Agent.on_hint`: at the pace that the leader names"
     ),
-    Mechanism("agent", "", "", "`fleet/agent.py` `Agent.hear`: at the pace that the leader names"),
     Mechanism(
         "router", "tenants_known", "start", "`cells/map.py` `load`, before the router serves"
     ),
--- a/pumicenotch/distribution/publications/book.py
+++ b/pumicenotch/distribution/publications/book.py
@@ -36,12 +36,12 @@
     """What an entry came to, as the fleet's state passes it on.
 
     Attributes:
-        good: whether it was applied.
+        ok: whether it was applied.
         text: for whoever sent it.
         value: a version or the number of a part; of a refused entry the error's code.
     """
 
-    good: bool
+    ok: bool
     text: str
     value: Any = None
 
