--- a/tests/fleet/test_drains.py
+++ b/tests/fleet/test_drains.py
@@ -206,6 +206,7 @@
         budgets.write_text('budget "all" {\n  each = "moon"\n}\n')
         code, out = await run.operator("budget", str(budgets))
         assert code == 2 and f"{budgets}:2: budget.each" in out
+        await run.until(lambda: not run.out)  # a server in its start cannot end in its notice yet
 
     play(script, tmp_path, world(budgets=(ZONES,)))
 
