--- a/benchmarks/capacity/machines.py
+++ b/benchmarks/capacity/machines.py
@@ -88,7 +88,14 @@
 DECISIONS, MAP = "server.decisions.before", "server.configuration"
 KNOWN, STEP = "tenants_known", "longest_step"
 TRIALS = (
-    Trial("a `Control` with 54,000 tenants holds 25 MB", 25e6, DECISIONS, KNOWN, "state", 54_000),
+    Trial(
+        "an `AdmissionController` with 54,000 tenants holds 25 MB",
+        25e6,
+        DECISIONS,
+        KNOWN,
+        "state",
+        54_000,
+    ),
     Trial("its `tick` takes up to 200 ms", 200.0, DECISIONS, KNOWN, STEP, 54_000),
     Trial("with 3,000: 17 ms", 17.0, DECISIONS, KNOWN, STEP, 3000),
     Trial("with 300: 1.3 ms", 1.3, DECISIONS, KNOWN, STEP, 300),
--- a/benchmarks/capacity/mechanisms.py
+++ b/benchmarks/capacity/mechanisms.py
@@ -22,19 +22,19 @@
         "server.decisions",
         "tenants_known",
         "",
-        "`control.py` `Lines`, `Caps`: a tenant costs from its first request on",
+        "`control/` `TenantQueues`, `SlotShares`: a tenant costs from its first request on",
     ),
     Mechanism(
         "server.decisions",
         "tenants_seen",
         "longest_step",
-        f"{MISSING}: `control.py` `Caps.split` adds up all tenants' weights where a cap has changed",
+        f"{MISSING}: `control/slot_shares.py` `SlotShares` adds up all tenants' weights where a share has changed",
     ),
     Mechanism(
         "server.decisions",
         "",
         "",
-        "`control.py` `Queues.sample`: only active tenants are gone over",
+        "`control/fair_scheduler.py` `FairScheduler.on_sample`: only active tenants are gone over",
     ),
     Mechanism(
         "server.decisions.before", "", "", "replaced: the sample went over all known tenants"
