--- a/pumicenotch/control/run_estimates.py
+++ b/pumicenotch/control/run_estimates.py
@@ -1,18 +1,26 @@
 """How long runs take, by what has been observed and what callers estimate."""
 
-from typing import NamedTuple
-
 from pumicenotch.control.concurrency_limit import ConcurrencyLimit
 from pumicenotch.control.dependency_calls import DependencyCalls
 from pumicenotch.control.request import Request
 from pumicenotch.interface import RequestClass, RequestState
 
 
-class RunMeans(NamedTuple):
-    """The recent means of a class of requests."""
+class RunMeans:
+    """The moving means of a class of requests."""
+
+    SMOOTHING = 0.05  # for each run
+
+    __slots__ = ("estimated_work", "run_ms")
+
+    def __init__(self, run_ms: float, estimated_work: float) -> None:
+        self.run_ms = run_ms
+        self.estimated_work = estimated_work
 
-    run_ms: float
-    estimated_work: float
+    def add(self, run_ms: float, estimated_work: float) -> None:
+        """Learn from a run."""
+        self.run_ms += self.SMOOTHING * (run_ms - self.run_ms)
+        self.estimated_work += self.SMOOTHING * (estimated_work - self.estimated_work)
 
 
 class RunEstimates:
@@ -80,9 +88,7 @@
         means = self._by_class.get(request.class_index)
         if means is None:
             means = RunMeans(self.mean_slot_ms(now), work)
-        self._by_class[request.class_index] = RunMeans(
-            means.run_ms + self.SMOOTHING * (run_ms - means.run_ms),
-            means.estimated_work + self.SMOOTHING * (work - means.estimated_work),
-        )
+            self._by_class[request.class_index] = means
+        means.add(run_ms, work)
         self.last_finished_at = now
         return slot_ms
--- a/pumicenotch/start.py
+++ b/pumicenotch/start.py
@@ -6,7 +6,7 @@
 
 import re
 from collections.abc import Callable, Mapping
-from typing import Any, NamedTuple, TypeVar
+from typing import Any, TypeVar
 
 from pumicenotch.control import ControllerSettings
 from pumicenotch.control.gauges import CORE_UTILIZATION, OPEN_CONNECTIONS, RUNNABLE
@@ -63,18 +63,24 @@
     """A start value that cannot be read; the text names its path."""
 
 
-class SettingField(NamedTuple):
+class SettingField:
     """A field of the controller's settings, and how its text is read."""
 
-    name: str
-    parse: Callable[[str], Any]
+    __slots__ = ("name", "parse")
 
+    def __init__(self, name: str, parse: Callable[[str], Any]) -> None:
+        self.name = name
+        self.parse = parse
 
-class Range(NamedTuple):
+
+class Range:
     """The least and the greatest value that makes sense in any deployment."""
 
-    minimum: float
-    maximum: float
+    __slots__ = ("maximum", "minimum")
+
+    def __init__(self, minimum: float, maximum: float) -> None:
+        self.minimum = minimum
+        self.maximum = maximum
 
 
 def microseconds(text: str) -> float:
@@ -270,12 +276,12 @@
     Raises:
         InvalidStartValueError: A value is out of its range.
     """
-    for name, (minimum, maximum) in ranges.items():
+    for name, allowed in ranges.items():
         path = prefix + name
         value = read_value(path, pairs, float, None)
-        if value is not None and not minimum <= value <= maximum:
+        if value is not None and not allowed.minimum <= value <= allowed.maximum:
             raise InvalidStartValueError(
-                f"out of range; give a value from {minimum:g} to {maximum:g}",
+                f"out of range; give a value from {allowed.minimum:g} to {allowed.maximum:g}",
                 place=f"{path}={pairs[path]}",
             )
 
