--- a/pumicenotch/control/fair_scheduler.py
+++ b/pumicenotch/control/fair_scheduler.py
@@ -114,7 +114,9 @@
 
     def slots_of(self, tenant_index: int, pool: int, pool_slots: float) -> float:
         """Return a tenant's slots of a pool, those of tenants with nothing queued divided."""
-        tenants = sorted({*self.waiting.get(pool, ()), tenant_index})
+        tenants = self.waiting.get(pool, [])
+        if tenant_index not in tenants:
+            tenants = sorted([*tenants, tenant_index])
         shares = sum(map(self.shares.__getitem__, tenants))
         return float(pool_slots * self.shares[tenant_index] / shares)
 
--- a/pumicenotch/lab/plain.py
+++ b/pumicenotch/lab/plain.py
@@ -6,6 +6,8 @@
 
 
 class Plain(AdmissionController):
+    """Starts requests in the sequence of their arrival."""
+
     RUNS_PER_CORE = 1
     MAX_QUEUED_PER_CORE = 2
 
