--- a/pumicenotch/lab/hollow_instance.py
+++ b/pumicenotch/lab/hollow_instance.py
@@ -11,9 +11,9 @@
 
 from pumicenotch import start
 from pumicenotch.distribution.instance_settings import InstanceSettings
-from pumicenotch.fleet import effects
-from pumicenotch.fleet.member_node import MemberNode
-from pumicenotch.fleet.settings import FleetSettings
+from pumicenotch.fleet.member import effects
+from pumicenotch.fleet.member.node import MemberNode, MemberSetup
+from pumicenotch.fleet.member.settings import FleetSettings
 from pumicenotch.lab.hollow_configuration import HollowConfiguration, configured
 from pumicenotch.lab.hollow_messages import FIRST_BEGAN_MS, Place, Report, Spec, life_of
 from pumicenotch.lab.hollow_meter import Meter
@@ -49,13 +49,13 @@
 class HollowMember(MemberNode):
     """The real one, with its opinions watched."""
 
-    def __init__(self, meter: Meter, **rest: Any) -> None:
-        super().__init__(**rest)
+    def __init__(self, meter: Meter, setup: MemberSetup) -> None:
+        super().__init__(setup)
         self.meter = meter
         self.holds_dead: dict[str, str] = {}  # name -> life
 
-    def changed(self, update: Update) -> None:
-        super().changed(update)
+    def on_member_changed(self, update: Update) -> None:
+        super().on_member_changed(update)
         name, life = update.member.name, update.member.process_id
         if (before := self.holds_dead.pop(name, None)) is not None:
             self.meter.thought_dead(name, before, -1)
@@ -79,11 +79,11 @@
                     MemberState.ALIVE,
                     identity.name,
                 )
-                members.table.install(self.now, update)
+                members.table.install(self.now_ms, update)
         members.exchange.count = SEED_EXCHANGES + 1 + chance.randrange(3)
-        members.exchange.next_at = self.now + after_ms
+        members.exchange.next_at = self.now_ms + after_ms
         members.exchange.next_at += chance.uniform(0.0, MAX_EXCHANGE_PERIODS * PERIOD_MS)
-        members.next_probe_at = self.now + after_ms + chance.uniform(0.0, PERIOD_MS)
+        members.next_probe_at = self.now_ms + after_ms + chance.uniform(0.0, PERIOD_MS)
 
     def forget_all(self) -> None:
         """Its process ends: what it held is held no more."""
@@ -183,13 +183,15 @@
         chance = random.Random(self.spec.seed * 1_000_003 + self.number * 101 + self.generation)
         member = HollowMember(
             self.meter,
-            fleet=self.spec.fleet,
-            member=settings.member(life),
-            voters=settings.voters,
-            me=MemberIdentity(place.name, place.address, life, began, place.zone, place.region),
-            seeds=settings.voters,
-            now=timer.now(),
-            seed=chance.getrandbits(32),
+            MemberSetup(
+                fleet=self.spec.fleet,
+                me=MemberIdentity(place.name, place.address, life, began, place.zone, place.region),
+                member=settings.member(life),
+                voters=settings.voters,
+                seeds=settings.voters,
+                now_ms=timer.now(),
+                seed=chance.getrandbits(32),
+            ),
         )
         if known:
             member.know(known, after_s * 1000.0, chance)
@@ -218,7 +220,7 @@
             await anyio.sleep(DRAIN_S)
             self.hub.put("left")
             with anyio.move_on_after(GONE_S):
-                while not self.member.gone_sent:
+                while not self.member.stop_reported:
                     await anyio.sleep(0.05)
         self.stopped.set()
 
--- a/pumicenotch/net/configuration.py
+++ b/pumicenotch/net/configuration.py
@@ -27,7 +27,7 @@
 from pumicenotch.distribution.protocol.codec import message_of, plain
 from pumicenotch.distribution.protocol.messages import METHOD
 from pumicenotch.errors import PumicenotchError
-from pumicenotch.fleet.voter_client import NO_MAJORITY, NOT_LEADER, REFUSED
+from pumicenotch.fleet.member.voter_client import NO_MAJORITY, NOT_LEADER, REFUSED
 from pumicenotch.membership.messages import MemberIdentity, Update
 from pumicenotch.net.peers import PeerHub, ResettableTimer
 from pumicenotch.sender import Sender
