--- a/pumicenotch/distribution/source/children.py
+++ b/pumicenotch/distribution/source/children.py
@@ -31,7 +31,7 @@
     def of(cls, now_ms: float, sender: Sender, message: Subscribe) -> "Child":
         return cls(
             name=sender.name,
-            life=sender.life,
+            life=sender.process_id,
             address=sender.address,
             generation=message.generation,
             subscription=message.subscription,
--- a/pumicenotch/distribution/source/source.py
+++ b/pumicenotch/distribution/source/source.py
@@ -97,7 +97,7 @@
             self._subscribe(now_ms, sender, message)
             return
         child = self.children.get(sender.name)
-        if child is None or child.life != sender.life:
+        if child is None or child.life != sender.process_id:
             if not isinstance(message, m.Unsubscribe):
                 request = (
                     message.request if isinstance(message, m.Pull | m.Compare | m.Fetch) else 0
--- a/pumicenotch/lab/hollow_configuration.py
+++ b/pumicenotch/lab/hollow_configuration.py
@@ -1,4 +1,4 @@
-"""The configuration at a hollow instance: by the product's own reducer and carrier, or whole each time."""
+"""The configuration at a hollow instance: by the product's own service, or whole each time."""
 
 import random
 from typing import TYPE_CHECKING, Any
@@ -21,7 +21,7 @@
 
 
 class HollowConfiguration(InstanceDistributionService):
-    """The real carrier; the timer's steps are measured as the hub's are."""
+    """The real service; the timer's steps are measured as the hub's are."""
 
     def __init__(self, watched: Watched, hub: "HollowHub", *rest: Any) -> None:
         super().__init__(hub, *rest)
--- a/pumicenotch/sender.py
+++ b/pumicenotch/sender.py
@@ -4,8 +4,14 @@
 
 
 class Sender(NamedTuple):
-    """Whose message it is. `life` is of its process, drawn at its start; an operator has no name."""
+    """The process that sent a message; an operator's command has no name.
+
+    Attributes:
+        name: its name in the fleet.
+        process_id: drawn at its start, so that a restarted process is told from the one before.
+        address: HOST:PORT of its listener among instances.
+    """
 
     name: str
-    life: str
+    process_id: str
     address: str
