--- a/pumicenotch/net/configuration.py
+++ b/pumicenotch/net/configuration.py
@@ -15,13 +15,14 @@
 from loguru import logger
 
 from pumicenotch.distribution import effects, events
+from pumicenotch.distribution.context import new_context
 from pumicenotch.distribution.data.records import split_key
 from pumicenotch.distribution.data.tables import TABLES, table_of
 from pumicenotch.distribution.data.view import View
 from pumicenotch.distribution.errors import MalformedMessageError
 from pumicenotch.distribution.instance_settings import InstanceSettings
 from pumicenotch.distribution.node import Node
-from pumicenotch.distribution.protocol.codec import message_of, plain
+from pumicenotch.distribution.protocol.codec import decode, encode
 from pumicenotch.distribution.protocol.messages import METHOD
 from pumicenotch.errors import PumicenotchError
 from pumicenotch.fleet.member.voter_client import NO_MAJORITY, NOT_LEADER, REFUSED
@@ -103,7 +104,7 @@
     def receive(self, sender: Sender, params: Any) -> None:
         """Decodes a message and gives it to the reducer."""
         try:
-            message = message_of(params)
+            message = decode(params)
         except MalformedMessageError as error:
             self.hub.count_problem("configuration_unreadable", f"{sender.name}: {error}")
             return
@@ -129,7 +130,7 @@
         """Carries out one effect of the reducer."""
         match effect:
             case effects.SendTo(address, message):
-                self.hub.send(address, Notice(METHOD, plain(message)))
+                self.hub.send(address, Notice(METHOD, encode(message)))
             case effects.WakeAt(at_ms):
                 self.timer.wake(max(0.0, at_ms - self.timer.now()))
             case effects.Log(text):
@@ -255,17 +256,16 @@
         super().__init__(hub)
         self.voters = frozenset(voters)
         children = min(
-            settings.settings.children_most,
+            settings.settings.max_children,
             max(1, hub.max_connections_each_way - MEMBERSHIP_CONNECTIONS),
         )
+        limits = settings.settings._replace(max_children=children)
         self.node = Node(
             self_of(hub.node.me),
             voters,
             settings.subscribed(),
-            random.Random(seed),
-            settings=settings.settings._replace(children_most=children),
-            tables=settings.tables(),
-            relay_eligible=settings.relay,
+            new_context(random.Random(seed), limits, settings.tables()),
+            settings.relay,
         )
 
     def run(self) -> None:
@@ -295,7 +295,7 @@
 
     def has_scope(self, table: str, scope: str) -> bool:
         """Returns whether the server subscribes to that scope and has it."""
-        return self.node.holds(table, scope)
+        return self.node.covers(table, scope)
 
     @property
     def view(self) -> View:
--- a/pumicenotch/net/fleet.py
+++ b/pumicenotch/net/fleet.py
@@ -51,7 +51,7 @@
         make_subjects=make_subjects,
     )
     node = VoterNode(setup)
-    listener = await open_listener(start.address(settings.listen))
+    listener = await open_listener(start.parse_address(settings.listen))
     async with anyio.create_task_group() as group:
         peers = PeerHub(node, timer, group, on_shutdown=lambda reason: peers.put("left"))
         run_hub(peers, listener)
--- a/pumicenotch/net/fleet_member.py
+++ b/pumicenotch/net/fleet_member.py
@@ -92,7 +92,7 @@
         max_connections=max_fleet_connections(descriptors, distribution),
     )
     try:
-        listener = await open_listener(start.address(settings.listen))
+        listener = await open_listener(start.parse_address(settings.listen))
     except OSError as error:
         logger.error(
             "fleet: cannot listen on {}: {}; this server serves without its fleet",
--- a/pumicenotch/net/outbound_peers.py
+++ b/pumicenotch/net/outbound_peers.py
@@ -87,7 +87,7 @@
     def dial(self, address: str, connection: str) -> None:
         """Starts the connection; an address that is none counts as one that cannot be reached."""
         try:
-            host_and_port = start.address(address)
+            host_and_port = start.parse_address(address)
         except ValueError:
             self.on_down(connection)
             return
--- a/pumicenotch/net/voter_configuration.py
+++ b/pumicenotch/net/voter_configuration.py
@@ -95,5 +95,5 @@
     def status(self) -> dict[str, Any]:
         """Returns what operators are told."""
         members = self.node.state.members.values()
-        names = [member.name for member in members if member.incarnation and not member.voter]
+        names = [member.name for member in members if member.process_id and not member.voter]
         return self.source.status(self.timer.now(), names)
--- a/tests/distribution/network.py
+++ b/tests/distribution/network.py
@@ -12,13 +12,14 @@
 
 from pumicenotch.distribution import effects as fx
 from pumicenotch.distribution import events as ev
+from pumicenotch.distribution.context import new_context
 from pumicenotch.distribution.data.changelog import ChangeLog
 from pumicenotch.distribution.data.records import Change
 from pumicenotch.distribution.data.subscription import Subscription
 from pumicenotch.distribution.data.tables import TABLES, Table, canonical
 from pumicenotch.distribution.data.view import View
 from pumicenotch.distribution.node import Node
-from pumicenotch.distribution.protocol.codec import message_of, plain
+from pumicenotch.distribution.protocol.codec import decode, encode
 from pumicenotch.distribution.publications.book import Outcome, Publications
 from pumicenotch.distribution.publications.uploads import entries_of
 from pumicenotch.distribution.settings import DEFAULTS, Settings
@@ -102,15 +103,13 @@
         self.step(name, ev.Started())
 
     def start_instance(self, name: str) -> None:
-        me = self.peers[name]._replace(life=f"{self.lives.get(name, 0) + 1}")
+        me = self.peers[name]._replace(process_id=f"{self.lives.get(name, 0) + 1}")
         tables = self.tables(int(name[1:]))
         node = Node(
             me,
             list(self.books),
             self.subscriptions[name],
-            random.Random(self.chance.random()),
-            settings=self.settings,
-            tables=tables,
+            new_context(random.Random(self.chance.random()), self.settings, tables),
         )
         self.in_force.setdefault(name, []).append((self.now, 0))  # a new life begins at 0
         self.start(name, node)
@@ -179,7 +178,7 @@
         for effect in reducer.step(self.now, event):
             match effect:
                 case fx.SendTo(address, message):
-                    self.send(name, address, msgpack.packb(plain(message)))
+                    self.send(name, address, msgpack.packb(encode(message)))
                 case fx.WakeAt(at):
                     self.wake(name, at)
                 case fx.InForce(version):
@@ -216,9 +215,7 @@
                 if address not in self.cut and address in self.reducers:
                     self.step(
                         address,
-                        ev.Received(
-                            ev.Sender(sender, life, sender), message_of(msgpack.unpackb(told))
-                        ),
+                        ev.Received(ev.Sender(sender, life, sender), decode(msgpack.unpackb(told))),
                     )
         self.now = max(self.now, until_ms)
 
--- a/tests/distribution/test_explorer.py
+++ b/tests/distribution/test_explorer.py
@@ -23,26 +23,26 @@
 REJOIN = Bounds(publications=3, timers=14, restarts=1, cuts=1)
 
 
-def test_every_order_of_one_publication_is_good() -> None:
+def test_every_order_of_one_publication_is_consistent() -> None:
     found = Spreading(Bounds(publications=1, timers=1)).explore(100_000)
     assert found.whole and not found.violation, found.text()
 
 
 @pytest.mark.parametrize("log_most", [1, 10])
-def test_the_first_orders_of_all_that_can_happen_are_good(log_most: int) -> None:
+def test_the_first_orders_of_all_events_are_consistent(log_most: int) -> None:
     found = Spreading(DEEP._replace(restarts=1, spoilt=1), log_most=log_most).explore(700)
     assert not found.violation, found.text()
 
 
 @pytest.mark.parametrize(("bounds", "log_most"), [(DEEP, 1), (SPOILT, 10), (REJOIN, 1)])
 @pytest.mark.parametrize("relayed", [False, True])
-def test_walks_find_nothing(bounds: Bounds, log_most: int, relayed: bool) -> None:
+def test_random_walks_find_no_violation(bounds: Bounds, log_most: int, relayed: bool) -> None:
     model = Spreading(bounds, log_most=log_most, relayed=relayed)
     found = model.wander(seed=1, walks=4 if relayed else 8, most_deep=70)
     assert not found.violation, found.text()
 
 
-def test_every_order_of_one_publication_over_relays_is_good() -> None:
+def test_every_order_of_one_publication_over_relays_is_consistent() -> None:
     found = Spreading(Bounds(publications=1, timers=0), relayed=True).explore(100_000)
     assert found.whole and not found.violation, found.text()
 
@@ -75,7 +75,7 @@
             key: Scope(part.records, transfer._listed[key])
             for key, part in transfer._partial.items()
         }
-        self._kept = {**transfer.complete, **parts}
+        self._reusable = {**transfer.complete, **parts}
         self._end_transfer(transfer)
 
 
@@ -87,11 +87,11 @@
 
 
 def page_with_gap(
-    self: ChangeLog, have: int, start: m.Cursor, subscription: Subscription, bytes_most: int = 0
+    self: ChangeLog, have: int, start: m.Cursor, subscription: Subscription, max_bytes: int = 0
 ) -> Page | None:
     """From the oldest that there is, where the log does not reach back far enough."""
     first = self.base if have < self.base else have
-    page = REAL_PAGE(self, first, start, subscription, bytes_most)
+    page = REAL_PAGE(self, first, start, subscription, max_bytes)
     return None if page is None else page._replace(previous=have)
 
 
@@ -105,7 +105,7 @@
 
 
 REAL_PAGE = ChangeLog.page
-REAL_DELTA = Replica.delta
+REAL_DELTA = Replica.on_delta
 CALM = Bounds(publications=3, timers=9)
 FRESH = Bounds(publications=0, timers=8, cuts=1)
 FAULTS: dict[str, tuple[Spreading, list[tuple[type, str, Any]]]] = {
@@ -115,11 +115,11 @@
     ),
     "applies an older delta after a newer": (
         Spreading(CALM._replace(copies=1), begun=2),
-        [(Replica, "delta", any_delta), (Copy, "switch", any_switch)],
+        [(Replica, "on_delta", any_delta), (Copy, "switch", any_switch)],
     ),
     "takes a part for the whole when the source changes": (
         Spreading(FRESH, begun=2, fresh=True),
-        [(Replica, "_break_off", break_off_with_parts)],
+        [(Replica, "_abort_transfer", break_off_with_parts)],
     ),
     "forgets a deletion in a snapshot by digests": (
         Spreading(CALM, log_most=1),
@@ -141,7 +141,7 @@
 
 
 @pytest.mark.parametrize("fault", FAULTS)
-def test_a_fault_is_found(fault: str, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_seeded_fault_is_found(fault: str, monkeypatch: pytest.MonkeyPatch) -> None:
     model, patches = FAULTS[fault]
     for owner, name, replacement in patches:
         monkeypatch.setattr(owner, name, replacement)
