--- a/pumicenotch/distribution/source/children.py
+++ b/pumicenotch/distribution/source/children.py
@@ -48,7 +48,7 @@
         """Return the child that subscribes by this message."""
         return cls(
             name=sender.name,
-            process_id=sender.life,
+            process_id=sender.process_id,
             address=sender.address,
             generation=message.generation,
             subscription=message.subscription,
