--- a/tests/control/decision_streams.py
+++ b/tests/control/decision_streams.py
@@ -27,6 +27,7 @@
     Tenant,
 )
 from pumicenotch.pools import ClassPools, PoolPlan, PoolsPlan
+from tests.control.action_words import ACTION_WORDS
 
 STAGES = [
     RequestClass(2500.0, 0.0, 6300.0, Idempotency.IDEMPOTENT, 0.0, 1.0, 0.0, 0.5),
@@ -72,21 +73,7 @@
 
 
 # The names of actions, and of their keywords, that the kept digests were made with.
-KEPT_NAMES = {
-    "start": "run",
-    "fail": "abandon",
-    "cancel_run": "halt",
-    "call_dependency": "call",
-    "skip_dependency": "skip_call",
-    "retain_key": "keep",
-    "drop_key": "forget",
-    "replay_result": "reuse",
-    "set_health": "health",
-    "report_load": "say",
-    "set_idle_timeout": "close_idle",
-    "schedule_tick": "wake",
-    "cached": "stored",
-}
+KEPT_NAMES = {**ACTION_WORDS, "cached": "stored"}
 
 
 class World:
--- a/tests/control/scenario_player.py
+++ b/tests/control/scenario_player.py
@@ -32,6 +32,7 @@
 )
 from pumicenotch.pools import ClassPools, PoolPlan, PoolsPlan
 from pumicenotch.pools.plan import POOL_KEYS
+from tests.control.action_words import ACTION_WORDS
 
 # The notation's words, and what they stand for.
 KINDS: dict[str, dict[str, Any]] = {
@@ -85,22 +86,6 @@
     "on_cores": RUNNABLE,
     "links": OPEN_CONNECTIONS,
 }
-ACTIONS = {
-    "start": "run",
-    "reject": "reject",
-    "fail": "abandon",
-    "cancel_run": "halt",
-    "call_dependency": "call",
-    "skip_dependency": "skip_call",
-    "retain_key": "keep",
-    "drop_key": "forget",
-    "replay_result": "reuse",
-    "set_health": "health",
-    "report_load": "say",
-    "set_idle_timeout": "close_idle",
-    "schedule_tick": "wake",
-    "log": "log",
-}
 
 
 class Seen:
@@ -112,7 +97,7 @@
 
     def __getattr__(self, name: str) -> Any:
         def note(first: Any, *rest: Any, **named: Any) -> None:
-            word = ACTIONS[name]
+            word = ACTION_WORDS[name]
             if word == "wake":
                 self.wake_ms = first
             else:
