--- a/tests/net/test_crossing_events.py
+++ b/tests/net/test_crossing_events.py
@@ -307,7 +307,11 @@
         gateway.task(1, "aa", b"")
         assert pool.command("spawn")["call"] == "aa"
         successor = Program(tmp_path / "next", listen=program.address)
-        successor.logged("(still in use)")
+        with ThreadPoolExecutor(1) as threads:
+            waiting = threads.submit(successor.logged, "(still in use)")
+            while not waiting.done():
+                pool.command("poll")  # a pool that answers none for a second loses its connection
+        assert waiting.result()
         program.process.send_signal(LEAVE)
         pool.finish("aa", b"x")
         assert result(answers(gateway)[0]) == b"x"
