--- a/benchmarks/capacity/bad_hours.py
+++ b/benchmarks/capacity/bad_hours.py
@@ -69,19 +69,20 @@
     def out(self, some: Iterable[str]) -> bool:
         """Whether the voters have agreed that all of them are out."""
         state = self.day.state() if self.day.leader() else None
-        return state is not None and all(state.is_out(state.members[name]) for name in some)
+        return state is not None and all(state.is_unavailable(state.members[name]) for name in some)
 
     def serving(self, some: Iterable[str]) -> bool:
         """Whether the voters have agreed that all of them serve, as the processes that run now."""
         state = self.day.state() if self.day.leader() else None
         return state is not None and all(
-            not state.is_out(state.members[name]) and state.members[name].life == self.life(name)
+            not state.is_unavailable(state.members[name])
+            and state.members[name].process_id == self.life(name)
             for name in some
         )
 
     def life(self, name: str) -> str:
-        core: Any = self.day.processes[name].core
-        return str(core.me.life) if core is not None else ""
+        core = self.day.processes[name].core
+        return core.me.process_id if core is not None else ""
 
     def opinions_well(self, everybody: list[str]) -> bool:
         return self.states_of_others(everybody) == {MemberState.ALIVE}
--- a/benchmarks/capacity/mechanisms.py
+++ b/benchmarks/capacity/mechanisms.py
@@ -22,19 +22,19 @@
         "server.decisions",
         "tenants_known",
         "",
-        "`control.py` `Lines`, `Caps`: a tenant costs from its first request on",
+        "`control/` `TenantQueues`, `SlotShares`: a tenant costs from its first request on",
     ),
     Mechanism(
         "server.decisions",
         "tenants_seen",
         "longest_step",
-        f"{MISSING}: `control.py` `Caps.split` adds up all tenants' weights where a cap has changed",
+        f"{MISSING}: `control/slot_shares.py` `SlotShares` adds up all tenants' weights where a share has changed",
     ),
     Mechanism(
         "server.decisions",
         "",
         "",
-        "`control.py` `Queues.sample`: only active tenants are gone over",
+        "`control/fair_scheduler.py` `FairScheduler.on_sample`: only active tenants are gone over",
     ),
     Mechanism(
         "server.decisions.before", "", "", "replaced: the sample went over all known tenants"
@@ -102,7 +102,7 @@
         "`membership/swim.py` `MAX_GOSSIP_UPDATES`: 12 updates a message",
     ),
     Mechanism(
-        "server.agreement", "", "", "`fleet/voter_node.py` `VoterNode.heartbeat_interval_ms`"
+        "server.agreement", "", "", "`fleet/voter/proposals.py` `ProposerNode.heartbeat_interval`"
     ),
     Mechanism(
         "voter.leader",
@@ -120,15 +120,17 @@
         "voter.leader",
         "",
         "",
-        "`fleet/voter_node.py` `heartbeat_interval_ms`; `consensus/voter.py`",
+        "`fleet/voter/proposals.py` `heartbeat_interval`; `consensus/voter.py`",
     ),
     Mechanism(
         "voter.follower",
         "",
         "",
-        "`consensus/replication.py` `LogReplication.on_append_entries`; `fleet/state.py` `State.apply`",
+        "`consensus/replication.py` `LogReplication.on_append_entries`; `fleet/replicated/state.py` `FleetState.apply`",
+    ),
+    Mechanism(
+        "agent", "", "", "`fleet/agent/agent.py` `Agent.on_hint`: at the pace that the leader names"
     ),
-    Mechanism("agent", "", "", "`fleet/agent.py` `Agent.hear`: at the pace that the leader names"),
     Mechanism(
         "router", "tenants_known", "start", "`cells/map.py` `load`, before the router serves"
     ),
--- a/pumicenotch/lab/hollow_instance.py
+++ b/pumicenotch/lab/hollow_instance.py
@@ -11,17 +11,19 @@
 
 from pumicenotch import start
 from pumicenotch.distribution.instance_settings import InstanceSettings
-from pumicenotch.fleet import effects
-from pumicenotch.fleet.member_node import MemberNode
-from pumicenotch.fleet.settings import FleetSettings
+from pumicenotch.fleet.member import effects
+from pumicenotch.fleet.member.node import MemberNode, MemberSetup
+from pumicenotch.fleet.member.settings import FleetSettings
 from pumicenotch.lab.hollow_configuration import HollowConfiguration, configured
 from pumicenotch.lab.hollow_messages import FIRST_BEGAN_MS, Place, Report, Spec, life_of
 from pumicenotch.lab.hollow_meter import Meter
 from pumicenotch.membership.full_state import MAX_EXCHANGE_PERIODS, SEED_EXCHANGES
 from pumicenotch.membership.messages import MemberIdentity, MemberPhase, MemberState, Update
 from pumicenotch.membership.swim import PERIOD_MS
-from pumicenotch.net.fleet import FRAME_MOST, LOOK_S, links
-from pumicenotch.net.peers import PeerHub, ResettableTimer, open_listener, run_hub
+from pumicenotch.net.fleet_member import MAX_FRAME_BYTES, REPORT_INTERVAL_S, max_fleet_connections
+from pumicenotch.net.peer_frames import PeerMessage
+from pumicenotch.net.peers import PeerHub, open_listener, run_hub
+from pumicenotch.net.resettable_timer import ResettableTimer
 
 SOCKETS = 1024  # descriptors that the platform gives a server: the fleet's part follows from it
 GONE_S = 3.0  # for an orderly end to be agreed, before the instance stops all the same
@@ -49,13 +51,13 @@
 class HollowMember(MemberNode):
     """The real one, with its opinions watched."""
 
-    def __init__(self, meter: Meter, **rest: Any) -> None:
-        super().__init__(**rest)
+    def __init__(self, meter: Meter, setup: MemberSetup) -> None:
+        super().__init__(setup)
         self.meter = meter
         self.holds_dead: dict[str, str] = {}  # name -> life
 
-    def changed(self, update: Update) -> None:
-        super().changed(update)
+    def on_member_changed(self, update: Update) -> None:
+        super().on_member_changed(update)
         name, life = update.member.name, update.member.process_id
         if (before := self.holds_dead.pop(name, None)) is not None:
             self.meter.thought_dead(name, before, -1)
@@ -79,11 +81,11 @@
                     MemberState.ALIVE,
                     identity.name,
                 )
-                members.table.install(self.now, update)
+                members.table.install(self.now_ms, update)
         members.exchange.count = SEED_EXCHANGES + 1 + chance.randrange(3)
-        members.exchange.next_at = self.now + after_ms
+        members.exchange.next_at = self.now_ms + after_ms
         members.exchange.next_at += chance.uniform(0.0, MAX_EXCHANGE_PERIODS * PERIOD_MS)
-        members.next_probe_at = self.now + after_ms + chance.uniform(0.0, PERIOD_MS)
+        members.next_probe_at = self.now_ms + after_ms + chance.uniform(0.0, PERIOD_MS)
 
     def forget_all(self) -> None:
         """Its process ends: what it held is held no more."""
@@ -97,7 +99,7 @@
 
     def __init__(self, meter: Meter, partition: Partition, *rest: Any) -> None:
         super().__init__(*rest)
-        self.meter, self.partition, self.address = meter, partition, self.hello[3]
+        self.meter, self.partition, self.address = meter, partition, self.hello.address
 
     def put(self, name: str, *details: Any) -> None:
         if name == "told":
@@ -111,7 +113,7 @@
         with self.meter.step(name):
             super().put(name, *details)
 
-    def send(self, address: str, message: tuple[Any, ...]) -> None:
+    def send(self, address: str, message: PeerMessage) -> None:
         if self.partition.between(self.address, address):
             self.meter.dropped += 1
             return
@@ -150,7 +152,7 @@
         """Until it is stopped: abruptly, as a process that is killed. `known` are those that it knows at its
         start, packed, none for a cold one, and `after_s` is until all of them are there.
         """
-        listener = await open_listener(start.address(self.place.address))
+        listener = await open_listener(start.parse_address(self.place.address))
         try:
             async with anyio.create_task_group() as group:
                 self.member, self.hub = self.made(group, known, after_s)
@@ -183,13 +185,15 @@
         chance = random.Random(self.spec.seed * 1_000_003 + self.number * 101 + self.generation)
         member = HollowMember(
             self.meter,
-            fleet=self.spec.fleet,
-            member=settings.member(life),
-            voters=settings.voters,
-            me=MemberIdentity(place.name, place.address, life, began, place.zone, place.region),
-            seeds=settings.voters,
-            now=timer.now(),
-            seed=chance.getrandbits(32),
+            MemberSetup(
+                fleet=self.spec.fleet,
+                me=MemberIdentity(place.name, place.address, life, began, place.zone, place.region),
+                member=settings.member(life),
+                voters=settings.voters,
+                seeds=settings.voters,
+                now_ms=timer.now(),
+                seed=chance.getrandbits(32),
+            ),
         )
         if known:
             member.know(known, after_s * 1000.0, chance)
@@ -200,15 +204,17 @@
             timer,
             group,
             lambda _: None,
-            FRAME_MOST,
-            links(SOCKETS, InstanceSettings() if self.spec.configuration is not None else None),
+            MAX_FRAME_BYTES,
+            max_fleet_connections(
+                SOCKETS, InstanceSettings() if self.spec.configuration is not None else None
+            ),
         )
         return member, hub
 
     async def serve(self, hub: HollowHub) -> None:
         """What a server's watch tells its member, of one that is well."""
         while True:
-            await anyio.sleep(LOOK_S)
+            await anyio.sleep(REPORT_INTERVAL_S)
             hub.put("serve", True, False)
 
     async def leave(self) -> None:
@@ -218,7 +224,7 @@
             await anyio.sleep(DRAIN_S)
             self.hub.put("left")
             with anyio.move_on_after(GONE_S):
-                while not self.member.gone_sent:
+                while not self.member.stop_reported:
                     await anyio.sleep(0.05)
         self.stopped.set()
 
--- a/tests/compatibility/test_net.py
+++ b/tests/compatibility/test_net.py
@@ -24,7 +24,7 @@
 from pumicenotch.server import events, messages
 from pumicenotch.server.core import Server
 from pumicenotch.server.settings import ServerSettings
-from tests.standin import SETTINGS
+from tests.net.parties import SETTINGS
 
 GOLDEN = Path(__file__).parent / "golden" / "net"
 ENCODERS = {"gateway": gateways.ENCODERS, "pool": pool.ENCODERS, "db": database.ENCODERS}
@@ -66,12 +66,12 @@
 
 
 def make_server() -> Server:
-    pairs = start.nested(SETTINGS)
+    pairs = start.flatten(SETTINGS)
     return Server(
         ServerSettings(
             controller=start.controller_settings(pairs),
-            class_indexes=start.names(pairs, "classes"),
-            tenant_indexes=start.names(pairs, "tenants"),
+            class_indexes=start.index_by_name(pairs, "classes"),
+            tenant_indexes=start.index_by_name(pairs, "tenants"),
             seed=1,
             shutdown_ms=3000.0,
             has_database=True,
--- a/tests/play.py
+++ b/tests/control/scenario_player.py
@@ -15,6 +15,7 @@
 forget-seen                   what was asked for so far counts no more
 """
 
+from pathlib import Path
 from typing import Any
 
 from pumicenotch.control import AdmissionController, ControllerSettings
@@ -133,15 +134,6 @@
     return found
 
 
-def rid(name: str) -> str:
-    """A test's short name of a task, as the protocol wants it."""
-    return name.encode().hex().zfill(16)
-
-
-def short(rid: str) -> str:
-    return bytes.fromhex(rid).strip(b"\0").decode()
-
-
 def value(key: str, text: str) -> Any:
     if key in KINDS:
         return KINDS[key][text]
@@ -153,7 +145,7 @@
         return text
 
 
-class Play:
+class ControlScenario:
     def __init__(self) -> None:
         self.seen = Seen()
         self.stages: dict[str, RequestClass] = {}
@@ -164,6 +156,17 @@
         self.gauges: dict[str, float] = {"on_cores": 0.0}
         self.control: AdmissionController
 
+    def run(self, path: Path) -> None:
+        """Plays a whole file; an AssertionError names the line and the step."""
+        for number, line in enumerate(path.read_text().splitlines(), 1):
+            for step in line.partition("#")[0].split(";"):
+                if step.strip():
+                    try:
+                        self.line(step)
+                    except AssertionError as error:
+                        raise AssertionError(f"{path.name}:{number}: {step}: {error}") from None
+        self.end()
+
     def line(self, text: str) -> None:
         verb, *words = text.split()
         pairs = {key: val for key, _, val in (word.partition("=") for word in words if "=" in word)}
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -20,7 +20,7 @@
 DOCS_PATH = re.compile(r"\bdocs/[\w./*-]+")
 TYPE = re.compile(r"([A-Z][a-z][A-Za-z0-9]*)(?:\.\w+)?(?:\(\))?")
 # Names of other parties and file formats that read like a type of ours.
-FOREIGN = {"Ctrl", "Host", "Makefile", "None", "Retry", "True", "False"}
+FOREIGN = {"Ctrl", "Host", "Makefile", "NamedTuple", "None", "Retry", "TryLater"}
 
 
 @cache
@@ -87,6 +87,6 @@
 def test_a_page_that_names_neither_file_nor_type_is_found(tmp_path: Path) -> None:
     page = tmp_path / "page.md"
     page.write_text(
-        "`net/nowhere`, `Nobody.step()`, docs/nothing.md; `net/link`, `Path`, `ValueError`"
+        "`net/nowhere`, `Nobody.step()`, docs/nothing.md; `net/outbox`, `Path`, `ValueError`"
     )
     assert missing(page) == ["docs/nothing.md", "net/nowhere", "Nobody", "Path"]
