--- a/pumicenotch/__main__.py
+++ b/pumicenotch/__main__.py
@@ -1,10 +1,10 @@
-"""The server: reads its configuration, wires the core to its sockets, and handles signals."""
+"""The server process: reads its configuration, connects the core to sockets, handles signals."""
 
 import signal
 
 SIGNALS = (signal.SIGTERM, signal.SIGINT, signal.SIGUSR1, signal.SIGHUP)
-# Until they are received, and again afterwards, they wait: their default action would end the
-# process.
+# Blocked before the long imports. Signals stay pending until `handle_signals` receives them, and
+# again after it has ended. Their default action would kill the process.
 signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)
 
 import errno
@@ -40,18 +40,19 @@
 from pumicenotch.server.lifecycle import LISTENER
 from pumicenotch.server.settings import ServerSettings
 
-if TYPE_CHECKING:  # nothing of a fleet is loaded where there is none
+if TYPE_CHECKING:  # a server without a fleet does not import these modules
     from pumicenotch.config.compiled import Ours
     from pumicenotch.net.peers import PeerHub
 
-UNREAD_MEMORY_FRACTION = 0.125  # for what the pool leaves unread while it hangs
+# Share of the memory limit for written data that the pool does not read while it hangs.
+UNREAD_MEMORY_FRACTION = 0.125
 BYTES_PER_MB = 1024 * 1024
-LISTEN_RETRY_S = 0.1  # while the address is still in use
-PEER_FLUSH_S = 0.05  # for the last messages among instances to leave
+LISTEN_RETRY_S = 0.1  # interval between attempts while the address is in use
+PEER_FLUSH_S = 0.05  # time to send the last messages to other instances
 
 
 async def handle_signals(hub: Hub[Server], reloads: Reloads) -> None:
-    """Turns signals into events until it is cancelled."""
+    """Delivers signals to the core as events, and SIGHUP as a reload, until cancelled."""
     with receive_signals(SIGNALS) as received:
         async for number, waited_ms in received:
             if number == signal.SIGHUP:
@@ -63,10 +64,10 @@
 
 
 async def listen(host: str, port: int, timeout_s: float) -> SocketListener:
-    """Listens there, after a process before this one that may still drain at that address.
+    """Returns a listener, and waits while a draining predecessor still uses the address.
 
     Raises:
-        OSError: The address cannot be had, or is still in use after the timeout.
+        OSError: The address cannot be bound, or is still in use after the timeout.
     """
     deadline = anyio.current_time() + timeout_s
     logged = False
@@ -80,7 +81,7 @@
             if error.errno != errno.EADDRINUSE or anyio.current_time() > deadline:
                 raise
         if not logged:
-            logger.info("{}:{} is still in use; waits {:.1f} s at the most", host, port, timeout_s)
+            logger.info("{}:{} is still in use; retrying for up to {:.1f} s", host, port, timeout_s)
         logged = True
         await anyio.sleep(LISTEN_RETRY_S)
 
@@ -92,14 +93,14 @@
     address: tuple[str, int],
     protocol: DialedProtocol,
 ) -> None:
-    """Has the hub dial a party there."""
+    """Registers a dialer for a party with the hub."""
     dialer = Dialer(hub, group, address, protocol)
     hub.dialers[name] = dialer.dial
     hub.address_changers[name] = dialer.change_address
 
 
 def connect_parties(hub: Hub[Server], group: TaskGroup, values: StartValues) -> None:
-    """Wires worker pool, database and registry to the hub."""
+    """Connects the hub to worker pool, database and registry, as far as they are configured."""
     unread_bytes = max_unread_bytes(values)
     addresses = values.addresses
     add_dialer(
@@ -114,16 +115,16 @@
 
 
 def max_unread_bytes(values: StartValues) -> int:
-    """Returns how much of the memory may hold what other parties leave unread."""
+    """Returns the memory in bytes for data that was written and not read by its receiver."""
     return int(UNREAD_MEMORY_FRACTION * values.memory_mb * BYTES_PER_MB)
 
 
 async def join_fleet(
     hub: Hub[Server], group: TaskGroup, running: RunningConfiguration
 ) -> "PeerHub | None":
-    """Takes this server's place in its fleet, if the instance's file names one.
+    """Joins the fleet that the instance's file names, if it names one.
 
-    The server's work never waits for any of it.
+    Serving requests never waits for the fleet.
     """
     instance = running.instance
     if instance is None or instance.fleet is None:
@@ -137,7 +138,7 @@
 
 
 async def serve(running: RunningConfiguration, core: Server) -> None:
-    """Runs the server until the core's exit and its last answers are written."""
+    """Runs the server until the core requests its exit and the last answers are written."""
     values = running.values
     clock = Clock()
     hub = Hub(core, clock)
@@ -155,11 +156,11 @@
         )
         hub.closers[LISTENER] = gateways.closing.cancel
         group.start_soon(gateways.accept, listener, group)
-        await anyio.lowlevel.checkpoint()  # the registry's outbox is there before the first report
+        await anyio.lowlevel.checkpoint()  # creates the registry's outbox before the first report
         hub.deliver(Started())
         bound = listener.extra(SocketAttribute.local_address)
         logger.info("listening on {}:{}", *bound[:2])
-        logger.info("callers are told a {}: the settings are of that shape", values.hint_shape)
+        logger.info("callers are told a {} as their load hint", values.hint_shape)
         group.start_soon(clock.run, lambda: hub.deliver(TimerFired()))
         peers = await join_fleet(hub, group, running)
         running.peers = peers
@@ -172,7 +173,11 @@
 
 
 def available_descriptors(values: StartValues, instance: "Ours | None") -> int:
-    """Returns what the core may use: less than is named where a fleet or the system takes some."""
+    """Returns the number of descriptors that the core may use.
+
+    A fleet's connections are subtracted from the configured number, and the soft limit of the
+    process bounds the rest.
+    """
     descriptors = values.max_descriptors
     if instance is not None and instance.fleet is not None:
         from pumicenotch.net.fleet_member import max_fleet_connections
@@ -187,7 +192,11 @@
 def make_server(
     running: RunningConfiguration, controller_type: type[AdmissionController]
 ) -> Server:
-    """Returns the core; raises ValueError if the cell map is wrong."""
+    """Returns the core for a configuration.
+
+    Raises:
+        ValueError: The cell map is invalid.
+    """
     values = running.values
     instance = running.instance
     settings = ServerSettings(
@@ -211,7 +220,10 @@
 
 
 def main(controller_type: type[AdmissionController] = AdmissionController) -> None:
-    """Runs one server, as the environment's files say."""
+    """Runs one server process, configured by the files that the environment names.
+
+    Exits with an error message if the configuration is invalid or the address cannot be bound.
+    """
     logs.to_stderr()
     try:
         values = read_start_values()
--- a/pumicenotch/sender.py
+++ b/pumicenotch/sender.py
@@ -1,15 +1,16 @@
-"""Who sent a message to this process."""
+"""The identity of a process that sends messages to this one."""
 
 from typing import NamedTuple
 
 
 class Sender(NamedTuple):
-    """The process that sent a message; an operator's command has no name.
+    """The process that sent a message.
 
     Attributes:
-        name: its name in the fleet.
-        process_id: drawn at its start, so that a restarted process is told from the one before.
-        address: HOST:PORT of its listener among instances.
+        name: The name of the process in the fleet; empty for an operator's command.
+        process_id: Drawn at the start of the process, to distinguish it from its predecessor with
+            the same name.
+        address: HOST:PORT on which the process accepts connections of other instances.
     """
 
     name: str
--- a/pumicenotch/server/__init__.py
+++ b/pumicenotch/server/__init__.py
@@ -1,1 +1,1 @@
-"""The core of the program, without I/O or clock: inputs come in by one call, effects go back."""
+"""The server's core, without I/O or clock: one call handles an event and returns effects."""
--- a/pumicenotch/server/backend_side.py
+++ b/pumicenotch/server/backend_side.py
@@ -1,4 +1,4 @@
-"""What every event of the worker pool, the database and the registry does."""
+"""Handles events of the server's backends: the worker pool, the database and the registry."""
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -24,7 +24,7 @@
 }
 
 
-# Counters keep the names that dashboards know.
+# These three names differ from the outcome's: dashboards use them.
 CALL_COUNTERS: dict[Outcome, str] = {
     Outcome.REJECTED: "calls_full",
     Outcome.UNREACHABLE: "calls_unreached",
@@ -33,27 +33,29 @@
 
 
 class BackendLimits(NamedTuple):
-    """What the connections and results behind a server may take."""
+    """Limits on connections and on the memory for cached results."""
 
-    max_connections: int  # of gateways
-    max_idle_connections: int
-    max_calls: int  # connections to the database
+    max_connections: int  # gateway connections
+    max_idle_connections: int  # gateway connections before idle ones are asked to close
+    max_calls: int  # database connections, one for each call
     max_result_bytes: int
 
 
 class BackendSide(GatewaySide):
-    """Runs requests on the worker pool, makes their dependency calls, and keeps their results.
+    """Runs requests on the worker pool, makes their dependency calls, and caches their results.
+
+    Owns the clients of worker pool, database and registry, the result cache and the timers.
 
     Args:
-        limits: What connections and results may take.
-        random_uniform: Draws the jitter of all delays after failures.
+        limits: Limits on connections and cached results.
+        random_uniform: Draws a number between its two arguments, for the jitter of retry delays.
     """
 
     def __init__(
         self, limits: BackendLimits, random_uniform: Callable[[float, float], float]
     ) -> None:
         super().__init__(limits.max_idle_connections, limits.max_connections)
-        self.controller: AdmissionController | None = None  # made when the pool is first bound
+        self.controller: AdmissionController | None = None  # None until the pool is bound
         self.results = ResultCache(limits.max_result_bytes)
         self.worker_pool = WorkerPoolClient(self.effects, Backoff(random_uniform))
         self.database = DatabaseClient(self.effects, Backoff(random_uniform), limits.max_calls)
@@ -62,15 +64,17 @@
         self.gauges: tuple[float, ...] = ()
 
     def on_report_finished(self, event: events.ReportFinished) -> None:
-        """Schedules the next report to the registry."""
+        """Counts the result of a report to the registry, and schedules the next report."""
         self.reporter.on_finished(self.now, event.failure)
         if event.failure is None:
             self.counters.add("reports")
         else:
-            self.count_problem("reports_failed", f"registry: {event.failure.text}")
+            self.count_problem(
+                "reports_failed", f"report to the registry failed: {event.failure.text}"
+            )
 
     def on_connection_up(self, event: events.ConnectionUp) -> None:
-        """Uses a connection to the pool or the database."""
+        """Handles a dialled connection to the pool or the database that is open now."""
         if event.connection == worker_pool_client.CONNECTION:
             self.counters.add(f"links_{event.connection}")
             self.worker_pool.on_connection_up(self.now)
@@ -79,7 +83,7 @@
             self.database.on_connection_up(self.now, event.connection)
 
     def on_connection_down(self, event: events.ConnectionDown) -> None:
-        """Replaces a connection to the pool, or ends the call on one to the database."""
+        """Redials a lost pool connection, or ends the call on a lost database connection."""
         name = event.connection
         reach = event.failure.reach.name.lower()
         text = f"{name}: {event.failure.text}"
@@ -93,17 +97,17 @@
         if ended is not None:
             self.finish_call(ended.request, ended.outcome)
 
-    # The worker pool
+    # Worker pool events
 
     def on_gauges_reported(self, event: events.GaugesReported) -> None:
-        """Ticks the controller with fresh gauges."""
-        if self.worker_pool.on_polled(event.cookie):
+        """Ticks the controller with the gauges of the last poll."""
+        if self.worker_pool.on_poll_reply(event.cookie):
             self.gauges = event.gauges
             if self.controller is not None:
                 self.controller.on_tick(self.now, event.gauges)
 
     def on_run_blocked(self, event: events.RunBlocked) -> None:
-        """Has the controller decide on the dependency call of a run."""
+        """Passes the dependency call that a run needs to the controller."""
         request = self._noticed_request(event.serial, event.name)
         if request is None or self.controller is None:
             self.counters.add("notices_stale")
@@ -113,7 +117,7 @@
         self.controller.on_dependency_needed(self.now, request.request_id)
 
     def on_run_finished(self, event: events.RunFinished) -> None:
-        """Answers the request whose run has ended."""
+        """Answers the request of a finished run."""
         request = self._noticed_request(event.serial, event.name)
         if request is None:
             self.counters.add("notices_stale")
@@ -126,24 +130,28 @@
         return self.requests.by_name.get(name) if self.worker_pool.accept_notice(serial) else None
 
     def on_notice_skipped(self, event: events.NoticeSkipped) -> None:
-        """Counts the serial of a notice that says nothing."""
+        """Records the serial of a notice that concerns no run."""
         self.worker_pool.accept_notice(event.serial)
 
     def on_command_unknown(self, event: events.CommandUnknown) -> None:
-        """Ends a run that the pool never began.
+        """Finishes a run whose start the pool rejected as unknown.
 
-        It would keep its slot for good, and its idempotency key from the requests that share it.
+        Otherwise the run would hold its slot forever, and its idempotency key would block all
+        retries.
         """
-        self.count_problem("unknown", f"pool does not know {event.command} of {event.name}")
+        self.count_problem(
+            "unknown", f"pool rejected command {event.command} for unknown run {event.name}"
+        )
         request = self.requests.by_name.get(event.name)
         if request is not None and request.started and event.starts_run:
             self.finish_run(request, Outcome.NOT_STARTED, b"")
             self.results.drop(request.request_id, never_ran=True)
 
     def finish_run(self, request: PendingRequest, outcome: Outcome, result: bytes) -> None:
-        """Answers a request whose run is over, and all retries that wait for it."""
+        """Answers a request whose run has ended, and all retries that wait for its result."""
         self.database.abandon(request)
-        request.last_notice_serial = -1  # no command about it is sent again on a new connection
+        # Matches no unacknowledged command, so none for this run is resent on a new connection.
+        request.last_notice_serial = -1
         if outcome is Outcome.OK:
             self.serve_request(request, result)
         else:
@@ -155,15 +163,15 @@
             self.controller.on_run_finished(self.now, request.request_id, outcome)
 
     def replay_result(self, request: PendingRequest, outcome: Outcome, result: bytes) -> None:
-        """Answers a retry with the outcome of its first attempt, after the event under way."""
+        """Answers a retry with the outcome of its first attempt, after the current event."""
         if not request.answered:
             self.counters.add("reused")
             self.deferred.append(lambda: self.finish_run(request, outcome, result))
 
-    # The database
+    # Database events
 
     def on_dependency_reply(self, event: events.DependencyReplied) -> None:
-        """Hands a reply to the run that waits for it."""
+        """Passes a database reply to the run that waits for it."""
         request = self.database.on_reply(self.now, event.connection, event.name)
         if request is None:
             self.counters.add("replies_stale")
@@ -173,7 +181,7 @@
         self.finish_call(request, event.outcome)
 
     def finish_call(self, request: PendingRequest, outcome: Outcome) -> None:
-        """Tells the controller how a dependency call has ended."""
+        """Counts the outcome of a dependency call and notifies the controller."""
         self.counters.add(CALL_COUNTERS.get(outcome, f"calls_{outcome.name.lower()}"))
         if self.request_counters is not None:
             self.request_counters.on_call_finished(self.now, request, outcome)
--- a/pumicenotch/server/backoff.py
+++ b/pumicenotch/server/backoff.py
@@ -1,14 +1,14 @@
-"""The pause before a failed attempt is made again."""
+"""Exponential backoff with jitter, for dials and reports."""
 
 from collections.abc import Callable
 
-INITIAL_DELAY_MS = 20.0  # a restarted peer is found at once
-MAX_DELAY_MS = 1000.0  # a peer that is long gone costs one dial a second
+INITIAL_DELAY_MS = 20.0  # short, so that a restarted peer is reached quickly
+MAX_DELAY_MS = 1000.0  # limits dials to an absent peer to about one per second
 MAX_DOUBLINGS = 16
 
 
 class Backoff:
-    """Exponential backoff, of which half is jitter.
+    """Doubles the delay with each failure; up to half of the delay is jitter.
 
     Args:
         random_uniform: Draws a number between its two arguments.
@@ -19,15 +19,15 @@
         self.failures = 0
 
     def record_failure(self) -> None:
-        """Lengthens the next delay."""
+        """Records a failed attempt, which doubles the next delay up to MAX_DELAY_MS."""
         self.failures += 1
 
     def reset(self) -> None:
-        """Forgets all failures: the next attempt is made without delay."""
+        """Clears all failures, so that the next attempt is made without delay."""
         self.failures = 0
 
     def next_delay_ms(self) -> float:
-        """Returns the time to wait before the next attempt: 0 if none has failed."""
+        """Returns the delay before the next attempt; 0 without failures since the last reset."""
         if not self.failures:
             return 0.0
         doublings = min(self.failures - 1, MAX_DOUBLINGS)
--- a/pumicenotch/server/cell_admission.py
+++ b/pumicenotch/server/cell_admission.py
@@ -1,21 +1,24 @@
-"""Whether a request may run on this node, by the cells that its tenant lives in."""
+"""Decides whether a request may run on this node, by the cell of the request's tenant."""
 
 from typing import TYPE_CHECKING
 
 from pumicenotch.server.pending_request import PendingRequest
 
-if TYPE_CHECKING:  # nothing of cells is loaded where there are none
+if TYPE_CHECKING:  # a server without cells does not import the package
     from pumicenotch.cells.fence import Fence
 
-OUTDATED_MAP = "old"  # the reason on the wire: who sent it here has an outdated cell map
+# Rejection reason on the wire: the sender of the request has an outdated cell map.
+OUTDATED_MAP = "old"
 
 
 class CellAdmission:
-    """This node's side of cells.
+    """Checks requests against this node's cell map and the epochs that it has seen.
+
+    Protects against running a request twice while its tenant moves between cells.
 
     Args:
-        fence: What this node knows of the cells.
-        node: The name of this node there.
+        fence: The node's record of the cell map and of tenants' newest epochs.
+        node: The name of this node in the cell map.
     """
 
     def __init__(self, fence: "Fence", node: str) -> None:
@@ -23,16 +26,16 @@
         self.node = node
 
     def rejection_reason(self, request: PendingRequest, unix_ms: float, is_known: bool) -> str:
-        """Returns why the request may not run on this node; "" if it may.
+        """Returns the reason why the request may not run on this node; "" if it may.
 
-        A caller that is no router stamps no epoch: it is judged by this node's own map. A request
-        that is read later than it arrived is judged as of now: what was given up in between stays
-        given up.
+        A caller that is not a router sends no epoch, and this node's own map decides. A request
+        that is read some time after its arrival is checked against the current epochs: a tenant
+        that this node has given up in the meantime stays given up.
 
         Args:
             request: The request.
-            unix_ms: The Unix time.
-            is_known: The request repeats one that this node has under its idempotency key.
+            unix_ms: The current Unix time.
+            is_known: Whether this node knows the request's idempotency key.
         """
         tenant = request.tenant_name
         epoch = request.map_epoch
--- a/pumicenotch/server/controller_actions.py
+++ b/pumicenotch/server/controller_actions.py
@@ -1,4 +1,4 @@
-"""Carries out what the controller decides."""
+"""Carries out the decisions of the admission controller."""
 
 from typing import TYPE_CHECKING, NamedTuple
 
@@ -13,17 +13,19 @@
 
 
 class ResultExpiry(NamedTuple):
-    """When a cached result is looked at again while its run goes on."""
+    """The timer of a cached result: its first attempt, and the recheck interval while it runs."""
 
-    owner_id: int
+    original_id: int
     retry_ms: float
 
 
 class ControllerActions:
-    """The actions of one server's controller, as `interface.Actions` has them.
+    """Implements `interface.Actions` for one server.
+
+    Called by the controller while it handles an event. Changes the server's state and adds effects.
 
     Args:
-        server: What they act on.
+        server: The server to act on.
     """
 
     def __init__(self, server: "Server") -> None:
@@ -50,7 +52,7 @@
         self.server.requests.remove(request)
 
     def fail(self, request_id: int) -> None:
-        """Fails a request; a run that has started goes on without its dependency call."""
+        """Fails a request; a started run continues, but its dependency call is abandoned."""
         request = self.server.requests.by_id[request_id]
         self.server.fail_request(request)
         if request.started:
@@ -59,7 +61,7 @@
             self.server.requests.remove(request)
 
     def cancel_run(self, request_id: int) -> None:
-        """Takes a run off its core."""
+        """Suspends a run that nobody waits for; `start` may resume it."""
         request = self.server.requests.by_id[request_id]
         request.suspended = True
         self.server.worker_pool.send(request, SuspendRun(request.name))
@@ -78,14 +80,14 @@
         server.timers.schedule(server.now + timeout_ms, self._time_out_call, call)
 
     def skip_dependency(self, request_id: int) -> None:
-        """Lets the request's run go on without its dependency."""
+        """Resumes the request's run without its dependency call."""
         request = self.server.requests.by_id[request_id]
         self.server.counters.add("calls_left_out")
         command = SkipDependency(request.name, request.last_notice_serial)
         self.server.worker_pool.send(request, command)
 
     def retain_key(self, request_id: int, ttl_ms: float) -> None:
-        """Remembers the request under its idempotency key for that time."""
+        """Keeps the request's idempotency key and result for `ttl_ms`, or longer while it runs."""
         server = self.server
         request = server.requests.by_id[request_id]
         if request.idempotency_key:
@@ -94,12 +96,12 @@
             server.timers.schedule(server.now + ttl_ms + expiry.retry_ms, self._expire, expiry)
 
     def drop_key(self, request_id: int) -> None:
-        """Forgets a request under its key that has not run; retries that wait for it fail."""
+        """Removes the key of a request that has not run; retries that wait for its result fail."""
         for retry in self.server.results.drop(request_id):
             self._replay(retry, Outcome.ERROR, b"")
 
     def replay_result(self, request_id: int) -> None:
-        """Answers a retry from its first attempt, now or once that has finished."""
+        """Answers a retry with the outcome of its first attempt, at once or when that finishes."""
         request = self.server.requests.by_id[request_id]
         entry = self.server.results.replay(request)
         if entry is None:
@@ -112,19 +114,19 @@
         self.server.healthy = healthy
 
     def report_load(self, value: float) -> None:
-        """Sets the load hint that goes with every answer."""
+        """Sets the load hint that is sent with every answer."""
         self.server.load_hint = value
 
     def set_idle_timeout(self, timeout_ms: float) -> None:
-        """Sets after which time gateways are asked to close an idle connection."""
+        """Sets the idle time after which gateways are asked to close a connection."""
         self.server.connections.idle_timeout_ms = timeout_ms
 
     def schedule_tick(self, after_ms: float) -> None:
-        """Schedules the next tick."""
+        """Schedules the controller's next tick."""
         self.server.lifecycle.schedule_tick(after_ms)
 
     def log(self, text: str) -> None:
-        """Writes a line to the log."""
+        """Logs a line."""
         self.server.effects.append(Log(text))
 
     def _replay(self, request: PendingRequest, outcome: Outcome, result: bytes) -> None:
@@ -138,5 +140,5 @@
             self.server.finish_call(call.request, outcome)
 
     def _expire(self, now: float, expiry: ResultExpiry) -> None:
-        if not self.server.results.expire(expiry.owner_id):
+        if not self.server.results.expire(expiry.original_id):
             self.server.timers.schedule(now + expiry.retry_ms, self._expire, expiry)
--- a/pumicenotch/server/core.py
+++ b/pumicenotch/server/core.py
@@ -1,7 +1,7 @@
-"""The reducer: every event enters by `step`, which changes state and returns effects.
+"""The server's reducer: `step` handles one event, changes the state and returns effects.
 
-It holds one controller and decides nothing; the controller's decisions are carried out by
-`ControllerActions`, the program's own life by `Lifecycle`.
+`Server` owns the admission controller and makes no admission decisions itself. `ControllerActions`
+carries out the controller's decisions; `Lifecycle` handles the timer, draining and exit.
 """
 
 import random
@@ -21,23 +21,29 @@
 from pumicenotch.server.request_decoder import InvalidRequestError, RequestDecoder
 from pumicenotch.server.settings import ServerSettings
 
-if TYPE_CHECKING:  # nothing of cells is loaded where there are none
+if TYPE_CHECKING:  # a server without cells does not import the package
     from pumicenotch.cells.fence import Fence
 
-MakePools = Callable[[float], Pools]  # from the time at which they begin
+MakePools = Callable[[float], Pools]  # called with the time from which the pools are in force
 
-CACHE_MEMORY_FRACTION = 0.125  # for cached results: they never exhaust the memory
-CELL_RETRY_AFTER_MS = 200.0  # after a rejection by cells: some reads of a map by a router
-RESERVED_DESCRIPTORS = (
-    32  # for the pool, the registry, the listener, and dials and closes under way
-)
+# Share of the memory limit for cached results, which bounds the cache well below the limit.
+CACHE_MEMORY_FRACTION = 0.125
+# Retry delay sent with a rejection by cell. A router reads its cell map several times meanwhile.
+CELL_RETRY_AFTER_MS = 200.0
+# Descriptors for the pool, the registry, the listener, and connections being opened or closed.
+RESERVED_DESCRIPTORS = 32
 MIN_GATEWAY_CONNECTIONS = 8
-DATABASE_DESCRIPTOR_FRACTION = 0.25  # gateways open up to half
+# Share of the descriptors for database connections. Gateways open up to half.
+DATABASE_DESCRIPTOR_FRACTION = 0.25
 BYTES_PER_MB = 1024 * 1024
 
 
-def limits_of(settings: ServerSettings) -> BackendLimits:
-    """Divides descriptors and memory: half of the descriptors for gateways, some for calls."""
+def backend_limits(settings: ServerSettings) -> BackendLimits:
+    """Returns the limits on connections and cached results for the given settings.
+
+    With more connections than half of the descriptors, gateways are asked to close idle ones. A
+    quarter of the descriptors is for database connections.
+    """
     descriptors = settings.max_descriptors
     max_calls = max(1, int(DATABASE_DESCRIPTOR_FRACTION * descriptors))
     available = descriptors - max_calls - RESERVED_DESCRIPTORS
@@ -51,14 +57,17 @@
 
 
 class Server(BackendSide):
-    """One server between gateways, worker pool, database and registry.
+    """Connects the admission controller with gateways, worker pool, database and registry.
+
+    Owns all state of one server process. `net.hub.Hub` calls `step` for each event and carries out
+    the effects that are returned.
 
     Args:
-        settings: Its start values.
-        make_pools: Makes its class pools, where it has some.
-        controller_type: What makes its decisions.
-        fence: What it knows of cells, where there are some.
-        node: Its name in the cell map.
+        settings: The start values.
+        make_pools: Creates the class pools; None if no class pools are configured.
+        controller_type: The class of the admission controller.
+        fence: The node's record of cell map epochs; None without cells.
+        node: The name of this node in the cell map.
     """
 
     def __init__(
@@ -70,7 +79,7 @@
         fence: "Fence | None" = None,
         node: str = "",
     ) -> None:
-        super().__init__(limits_of(settings), random.Random(settings.seed).uniform)
+        super().__init__(backend_limits(settings), random.Random(settings.seed).uniform)
         self.settings = settings
         self.make_pools = make_pools
         self.controller_type = controller_type
@@ -86,30 +95,30 @@
         self.lifecycle = Lifecycle(self, settings.shutdown_ms, settings.controller.drain_grace_ms)
         self.healthy = False
 
-    # The program
+    # Process events
 
     def on_started(self, _: events.Started) -> None:
-        """Starts to connect."""
+        """Dials the worker pool and starts the timer."""
         self.lifecycle.start()
 
     def on_timer(self, _: events.TimerFired) -> None:
-        """Runs what is due."""
+        """Runs expired timers and polls the worker pool."""
         self.lifecycle.on_timer()
 
     def on_shutdown_requested(self, event: events.ShutdownRequested) -> None:
-        """Starts a graceful shutdown."""
+        """Starts draining, counted from the time of the request to shut down."""
         self.lifecycle.start_draining(self.now - event.waited_ms)
 
     def on_counters_requested(self, _: events.CountersRequested) -> None:
-        """Logs the counters."""
+        """Logs all counters."""
         self.lifecycle.log_counters()
 
     def on_addresses_changed(self, event: events.AddressesChanged) -> None:
-        """Connects to new addresses; runs and serials of notices carry on."""
+        """Connects to the new addresses; runs and the serials of pool notices are kept."""
         self.counters.add("reloads")
         addresses = event.addresses
         self.effects.append(
-            Log(f"reload: moved {sorted(addresses)}; not applied: {event.not_applied}")
+            Log(f"reload: new addresses of {sorted(addresses)}; not applied: {event.not_applied}")
         )
         self.effects += [ChangeAddress(party, address) for party, address in addresses.items()]
         if worker_pool_client.CONNECTION in addresses:
@@ -121,7 +130,7 @@
             self.reporter.on_address_changed(self.now, self.lifecycle.draining)
 
     def on_pools_replaced(self, event: events.PoolsReplaced) -> None:
-        """Has other pools, or none, take over all requests; budgets and estimates begin anew."""
+        """Moves all requests to the new class pools; retry budgets and estimates start anew."""
         self.counters.add("repools")
         self.effects.append(Log(f"reload: {event.text}"))
         self.make_pools = event.make_pools
@@ -129,20 +138,20 @@
             self.controller.use_pools(self.now, self._new_pools())
 
     def on_cell_map_replaced(self, event: events.CellMapReplaced) -> None:
-        """Takes the newer cell map."""
+        """Replaces the cell map by a newer one."""
         self.counters.add("remaps")
         self.effects.append(Log(f"reload: {event.text}"))
         if self.cells is not None:
             self.cells.fence.map(event.cells)
 
-    # Gateways
+    # Gateway events
 
     def on_connection_opened(self, event: events.ConnectionOpened) -> None:
-        """Takes in a connection.
+        """Adds a gateway connection.
 
-        One that comes while draining is of use until the listener closes. Notified at once, its
-        gateway would open another for each request, and a handshake costs the cores as much as some
-        requests.
+        While the server drains, a new connection is used until the listener closes. A drain notice
+        sent at once would make its gateway open another connection for each request, and a
+        handshake costs as much CPU time as several requests.
         """
         self.counters.add("connections")
         self.connections.opened(
@@ -151,7 +160,7 @@
         self.connections.close_if_done(event.connection_id)
 
     def on_request(self, event: events.RequestReceived) -> None:
-        """Checks a request, and has the controller decide on it."""
+        """Decodes a request, and rejects it or passes it to the controller."""
         if not self.accept_message(event):
             return
         unix_ms = self.now + event.clock_offset_ms
@@ -173,7 +182,7 @@
         if self.lifecycle.exited:
             self._answer_after_exit(request, original_id)
         elif self.controller is None or (self.lifecycle.rejects_requests and original_id is None):
-            # None is to arrive before the pool is up, or so late; and nothing of it has run.
+            # The pool is not bound yet or connections are closing already. No attempt has run.
             self.actions.reject(request.request_id, False, 0.0)
         else:
             self._admit(self.controller, request, waited_ms, original_id)
@@ -214,7 +223,10 @@
         return True
 
     def _answer_after_exit(self, request: PendingRequest, original_id: int | None) -> None:
-        """Answers a request that cannot run any more; one that has run already is not rejected."""
+        """Answers a request that arrives after `Lifecycle.exit`, when no run can start.
+
+        A retry of a request that has run is answered from the cached result, not rejected.
+        """
         entry = self.results.replay(request) if original_id is not None else None
         if entry is None:
             self.actions.reject(request.request_id, False, 0.0)
@@ -225,10 +237,11 @@
             self.actions.fail(request.request_id)
 
     def release(self, request: PendingRequest) -> None:
-        """Lets a run go on to its end, and forgets a request that has not started.
+        """Releases a request whose caller no longer waits: cancelled, reset or failed early.
 
-        The result of a request with an idempotency key is kept, and a retry needs it complete, with
-        its dependency call.
+        A request that has not started is removed, and a run continues to its end. With an
+        idempotency key the run also keeps its dependency call, because a retry is answered from its
+        result. Without a key the call is abandoned.
         """
         if not request.started:
             self.requests.remove(request)
@@ -238,7 +251,7 @@
             self.controller.on_cancel(self.now, request.request_id)
 
     def on_health_check(self, event: events.HealthCheckReceived) -> None:
-        """Answers a health check."""
+        """Replies whether this server is healthy; never so before the pool is bound."""
         self.counters.add("checks")
         if event.connection_id in self.connections.by_id:
             self.connections.received(self.now, event.connection_id, event.message_id)
@@ -247,7 +260,7 @@
             self.effects.append(Write(event.connection_id, reply))
 
     def on_pool_bound(self, event: events.PoolBound) -> None:
-        """Makes the controller when the pool is bound for the first time."""
+        """Creates the controller when the pool is bound for the first time, then polls the pool."""
         if self.controller is None:
             self.controller = self._new_controller(event)
             if self.lifecycle.draining:
@@ -255,8 +268,8 @@
         self.worker_pool.on_bound(self.now)
 
     def _new_controller(self, event: events.PoolBound) -> AdmissionController:
-        # Cached results are in the program's own memory. Counted in the settings' memory, which is
-        # for runs, they would have requests rejected for which there is room.
+        # Cached results use this process's memory. `memory_kb` of the settings is for runs: if
+        # cached results counted there, requests would be rejected although memory is free.
         settings = self.settings.controller._replace(starts_cold=event.starting, key_memory_kb=0.0)
         started_at = self.now - event.uptime_ms
         return self.controller_type(
--- a/pumicenotch/server/counters.py
+++ b/pumicenotch/server/counters.py
@@ -1,20 +1,20 @@
-"""Named counters of what the program has received, sent and met."""
+"""Named counters of messages, answers and problems."""
 
 from collections import Counter
 
 
 class Counters:
-    """Counts by name; a name that was never counted is 0."""
+    """Counters by name; a counter that was never incremented is 0."""
 
     def __init__(self) -> None:
         self.counts: Counter[str] = Counter()
 
     def add(self, name: str) -> None:
-        """Counts one more of that name."""
+        """Increments a counter."""
         self.counts[name] += 1
 
     def text(self) -> str:
-        """Returns all counters that are not 0 as `name=count`, sorted by name."""
+        """Returns all non-zero counters as `name=count`, sorted by name and separated by spaces."""
         return " ".join(
             f"{name}={self.counts[name]}" for name in sorted(self.counts) if self.counts[name]
         )
--- a/pumicenotch/server/effects.py
+++ b/pumicenotch/server/effects.py
@@ -1,12 +1,13 @@
-"""What the core asks of the sockets around it."""
+"""Effects: what a core asks the network layer to do, carried out by `net.hub.Hub`."""
 
 from typing import NamedTuple
 
-ConnectionKey = int | str  # a gateway's connection by its number, any other by its name
+# A gateway connection by its number, any other connection by its name.
+ConnectionKey = int | str
 
 
 class Write(NamedTuple):
-    """Sends one of `server.messages`, or of the router's own, if that connection is there."""
+    """Sends a message of the server or the router; dropped if the connection is closed."""
 
     connection: ConnectionKey
     message: object
@@ -15,46 +16,46 @@
 class FinishReading(NamedTuple):
     """Asks for a `ReadingFinished` once everything received on the connection has been delivered.
 
-    A connection that is closed earlier would lose a request that has already arrived.
+    Closing the connection before would lose a request that has already arrived.
     """
 
     connection: int
 
 
 class Close(NamedTuple):
-    """Closes a connection, a dial on its way, or the listener; what is written already is sent."""
+    """Closes a connection, a current dial, or the listener; messages already written are sent."""
 
     connection: ConnectionKey
 
 
 class ChangeAddress(NamedTuple):
-    """From now on this party is dialled, or reported to, at another address."""
+    """Changes the address at which a party is dialled or sent reports."""
 
     party: str
     address: tuple[str, int]
 
 
 class Dial(NamedTuple):
-    """Opens a connection after a delay; the answer is `ConnectionUp` or `ConnectionDown`."""
+    """Opens a connection after a delay; `ConnectionUp` or `ConnectionDown` follows."""
 
     connection: str
     delay_ms: float
 
 
 class Wake(NamedTuple):
-    """Sets the one timer: `TimerFired` follows after this time."""
+    """Sets the core's only timer; `TimerFired` follows after the delay."""
 
     delay_ms: float
 
 
 class Log(NamedTuple):
-    """Writes a line to the log."""
+    """Logs a line."""
 
     text: str
 
 
 class Exit(NamedTuple):
-    """The core has written its last message; this much time is left to send it."""
+    """Ends the process; the last messages are sent within `remaining_ms`."""
 
     remaining_ms: float
 
--- a/pumicenotch/server/events.py
+++ b/pumicenotch/server/events.py
@@ -1,4 +1,4 @@
-"""The inputs of the core: what happens to the program, its connections and its requests."""
+"""Events: the inputs of the core from the process, its connections, backends and timer."""
 
 from collections.abc import Callable, Mapping
 from enum import Enum, auto
@@ -6,47 +6,47 @@
 
 from pumicenotch.interface import Outcome, Pools
 
-if TYPE_CHECKING:  # nothing of cells is loaded where there are none
+if TYPE_CHECKING:  # a server without cells does not import the package
     from pumicenotch.cells.map import CellMap
 
 
 class FailureReach(Enum):
-    """How far an attempt had come when it failed."""
+    """Whether data may have reached the peer before the connection failed."""
 
-    REFUSED = auto()  # no connection was made: nothing of it has arrived
-    BROKEN = auto()  # anything written may have arrived
+    REFUSED = auto()  # no connection was made, so no data has arrived
+    BROKEN = auto()  # data already written may have arrived
 
 
 class ConnectionFailure(NamedTuple):
-    """Why a connection ended or could not be made."""
+    """The reason why a connection ended or could not be opened."""
 
     reach: FailureReach
     text: str
 
 
-# The program
+# Process
 
 
 class Started(NamedTuple):
-    """The sockets are ready; always the first event."""
+    """The sockets are ready. Always the first event."""
 
 
 class TimerFired(NamedTuple):
-    """The time of the last `Wake` has come."""
+    """The delay of the last `Wake` has passed."""
 
 
 class ShutdownRequested(NamedTuple):
-    """The platform asks the program to drain and exit; it asked so long before the event."""
+    """The platform asked the process to drain and exit, `waited_ms` before this event."""
 
     waited_ms: float = 0.0
 
 
 class CountersRequested(NamedTuple):
-    """An operator asks for the counters in the log."""
+    """An operator requests that the counters be logged."""
 
 
 class ProblemFound(NamedTuple):
-    """Something went wrong outside the core: `counter` counts it, `text` describes it."""
+    """The network layer found a problem: `counter` counts it, `text` describes it for the log."""
 
     counter: str
     text: str = ""
@@ -57,49 +57,49 @@
 
 
 class AddressesChanged(NamedTuple):
-    """A reload has moved these parties; `not_applied` names settings that need a restart."""
+    """A reload changed addresses, by party; `not_applied` names settings that need a restart."""
 
     addresses: Mapping[str, tuple[str, int]]
     not_applied: str
 
 
 class PoolsReplaced(NamedTuple):
-    """A reload has other class pools, made for the time at which they begin, or none."""
+    """A reload changed the class pools; `make_pools` takes the current time, None is no pools."""
 
     make_pools: Callable[[float], Pools] | None
     text: str
 
 
 class CellMapReplaced(NamedTuple):
-    """A newer cell map is in this node's file."""
+    """The node's configuration file has a newer cell map."""
 
     cells: "CellMap"
     text: str
 
 
-# Gateways
+# Gateway connections and requests
 
 
 class ConnectionOpened(NamedTuple):
-    """A gateway has connected."""
+    """A gateway opened a connection."""
 
     connection_id: int
 
 
 class ConnectionEnded(NamedTuple):
-    """The gateway writes no more on this connection, but still reads."""
+    """The gateway closed its sending side of the connection, and still reads."""
 
     connection_id: int
 
 
 class ConnectionReset(NamedTuple):
-    """The connection is gone in both directions."""
+    """The connection was closed or lost in both directions."""
 
     connection_id: int
 
 
 class ProtocolViolated(NamedTuple):
-    """What the gateway sends is no message: counted as `counter`, described by `text`."""
+    """The gateway violated the protocol: `counter` counts this, `text` describes it for the log."""
 
     connection_id: int
     counter: str
@@ -113,10 +113,10 @@
 
 
 class RequestReceived(NamedTuple):
-    """A gateway sends a request.
+    """A gateway sent a request.
 
-    `clock_offset_ms` is what the Unix clock is ahead of the core's time, read before it: a stall
-    between the two readings makes a request look older than it is, never younger.
+    `clock_offset_ms` is the Unix time minus the core's time. The Unix clock is read first, so that
+    a stall between the two readings makes a request look older than it is, never younger.
     """
 
     connection_id: int
@@ -128,20 +128,20 @@
 
 
 class RequestCancelled(NamedTuple):
-    """The gateway no longer wants an answer."""
+    """The gateway cancelled a request and expects no answer."""
 
     connection_id: int
     message_id: int
 
 
 class HealthCheckReceived(NamedTuple):
-    """A gateway asks whether this server is healthy."""
+    """A gateway sent a health check."""
 
     connection_id: int
     message_id: int
 
 
-# Connections that this side dials
+# Dialled connections
 
 
 class ConnectionUp(NamedTuple):
@@ -151,37 +151,37 @@
 
 
 class ConnectionDown(NamedTuple):
-    """A dialled connection has ended, or could not be made."""
+    """A dialled connection has ended or could not be opened."""
 
     connection: str
     failure: ConnectionFailure
 
 
 class ReportFinished(NamedTuple):
-    """The registry has taken the last report, or it failed."""
+    """The last report to the registry was accepted, or failed with `failure`."""
 
     failure: ConnectionFailure | None
 
 
-# The worker pool
+# Worker pool
 
 
 class PoolBound(NamedTuple):
-    """The worker pool accepts commands; it is `starting`, or has been up for `uptime_ms`."""
+    """The worker pool answered `BindPool`; it is `starting`, or has run for `uptime_ms`."""
 
     starting: bool
     uptime_ms: float
 
 
 class GaugesReported(NamedTuple):
-    """Answers the poll of that cookie."""
+    """The worker pool answered the poll with this cookie."""
 
     cookie: str
     gauges: tuple[float, ...]
 
 
 class RunBlocked(NamedTuple):
-    """A run has left its core and waits for a dependency; `body` is its question."""
+    """A run has left its core and waits for a dependency call; `body` is the call's payload."""
 
     serial: int
     name: str
@@ -189,7 +189,7 @@
 
 
 class RunFinished(NamedTuple):
-    """A run has ended; `outcome` is None for an end that the protocol does not have."""
+    """A run has ended; `outcome` is None if the protocol does not define the reported one."""
 
     serial: int
     name: str
@@ -198,24 +198,24 @@
 
 
 class NoticeSkipped(NamedTuple):
-    """A notice that says nothing of a run; its serial still counts."""
+    """A notice that concerns no run; its serial is recorded."""
 
     serial: int
 
 
 class CommandUnknown(NamedTuple):
-    """The pool has not carried out a command about a run that it does not know."""
+    """The pool ignored a command for a run that it does not know."""
 
     command: str
     name: str
     starts_run: bool
 
 
-# The database
+# Database
 
 
 class DependencyReplied(NamedTuple):
-    """The database's reply to the call on that connection."""
+    """The database replied to the call on a connection."""
 
     connection: str
     name: str
--- a/pumicenotch/server/lifecycle.py
+++ b/pumicenotch/server/lifecycle.py
@@ -1,4 +1,8 @@
-"""The server's own life: its timer, periodic sweeps, draining and exit."""
+"""The server's timer, periodic sweeps, draining and exit.
+
+The platform kills the process `shutdown_ms` after the request to shut down. Draining answers all
+accepted requests before then: the listener closes first, then connections, then the process exits.
+"""
 
 from typing import TYPE_CHECKING
 
@@ -9,26 +13,33 @@
     from pumicenotch.server.core import Server
 
 LISTENER = "listener"
-SWEEP_INTERVAL_MS = 250.0  # a quarter of the shortest time that connections may idle
-STOP_MARGIN_MS = 100.0  # left of the notice when the last answers are sent: a crowded core is late
-EXIT_MS = 40.0  # of that margin, for the process to end once the last answers are written
-# Before the stop the listener closes: enough for what crossed its close to be answered.
+# Interval between sweeps of connections: a quarter of the shortest idle timeout.
+SWEEP_INTERVAL_MS = 250.0
+# Time between sending the last answers and the kill. On a crowded core the process runs late.
+STOP_MARGIN_MS = 100.0
+# Part of STOP_MARGIN_MS for the process to end after the last answers are written.
+EXIT_RESERVE_MS = 40.0
+# The listener closes at least this long before the stop, so that requests that were sent before its
+# close are still answered.
 LISTENER_CLOSE_MS = 300.0
-# Before the stop, or after the listener's close if that is sooner, connections close as soon as
-# nothing is open on them, so that gateways that go on sending leave time for the end.
+# Connections close as soon as no request is open on them, from this long before the stop, or from
+# this long after the listener's close if that is sooner. Otherwise gateways that continue to send
+# would keep the server busy until the kill.
 CONNECTIONS_CLOSE_MS = 250.0
-# After the listener's close, until all that it had accepted is among the connections.
+# After the listener's close, time until all connections that it had accepted have been reported.
 LISTENER_SETTLE_MS = 100.0
-EXIT_CHECK_MS = 20.0  # between checks whether the last connection has closed
+# Interval between checks whether the last connection has closed.
+EXIT_CHECK_MS = 20.0
 
 
 class Lifecycle:
-    """Runs what the server does by itself, and its graceful shutdown.
+    """Runs the server's periodic work and its graceful shutdown.
 
     Args:
-        server: Whose life it is.
-        shutdown_ms: From the request to shut down until the process is killed.
-        drain_grace_ms: For which gateways may still send requests after it.
+        server: The server.
+        shutdown_ms: Time from the request to shut down until the process is killed.
+        drain_grace_ms: Time from the request to shut down in which gateways may still send
+            requests.
     """
 
     def __init__(self, server: "Server", shutdown_ms: float, drain_grace_ms: float) -> None:
@@ -40,12 +51,12 @@
         self.tick_interval_ms = SWEEP_INTERVAL_MS
         self.draining = False
         self.exited = False
-        self.requested_at = float("inf")  # when the platform asked to drain
-        self.stop_at = float("inf")  # when the last answers are sent
-        self.listener_closed_until = float("inf")
+        self.requested_at = float("inf")  # time of the platform's request to shut down
+        self.stop_at = float("inf")  # time at which the last answers are sent
+        self.listener_settled_at = float("inf")
 
     def start(self) -> None:
-        """Connects to the pool, and starts the timer and the sweeps."""
+        """Dials the worker pool, and starts the timer and the sweeps."""
         server = self.server
         server.effects.append(Dial(worker_pool_client.CONNECTION, 0.0))
         self.timer_fired_at = server.now
@@ -54,16 +65,24 @@
         self.schedule_tick(0.0)
 
     def on_timer(self) -> None:
-        """Runs what is due, and polls the pool: the answer brings the controller's tick."""
+        """Runs expired timers and polls the pool.
+
+        The controller's tick follows when the pool reports its gauges. Without a usable pool
+        connection the controller ticks at once, with the last gauges.
+        """
         server = self.server
         self.timer_fired_at = server.now
         server.timers.run_expired(server.now)
         if server.controller is not None and server.worker_pool.has_timed_out(server.now):
-            server.count_problem("links_hung", "pool: no answer on a connection that is up")
+            server.count_problem(
+                "links_hung", "pool: no answer within the timeout on an open connection"
+            )
             server.worker_pool.reconnect()
         if server.controller is None:
             self.schedule_tick(SWEEP_INTERVAL_MS)
-        elif server.worker_pool.up and server.worker_pool.awaiting_since is None:
+        elif (
+            server.worker_pool.accepts_commands and server.worker_pool.awaiting_reply_since is None
+        ):
             server.worker_pool.poll(server.now)
             self.schedule_tick(self.tick_interval_ms)
         else:
@@ -71,16 +90,16 @@
             server.controller.on_tick(server.now, server.gauges)
 
     def schedule_tick(self, delay_ms: float) -> None:
-        """Sets the timer, from when it last fired and not from when the pool answered."""
+        """Sets the timer, counted from the time it last fired: the pool's delay does not add up."""
         self.tick_interval_ms = delay_ms
         remaining_ms = self.timer_fired_at + delay_ms - self.server.now
         self.server.effects.append(Wake(max(0.0, remaining_ms)))
 
     def sweep(self, now: float, _: None) -> None:
-        """Reports, closes idle connections, and exits early once nothing is left to answer."""
+        """Reports to the registry, closes idle connections, and exits once draining is complete."""
         server = self.server
         server.reporter.report_periodically(now, self.draining)
-        # After a stall, what idle connections have sent meanwhile is not read yet.
+        # After a stall, messages of connections that look idle may not have been read yet.
         if now <= self.next_sweep_at + SWEEP_INTERVAL_MS:
             server.connections.sweep(now)
         self.next_sweep_at = now + SWEEP_INTERVAL_MS
@@ -89,10 +108,12 @@
         self.exit_if_done(now)
 
     def start_draining(self, requested_at: float) -> None:
-        """Tells gateways and registry, then answers what is in hand until the stop.
+        """Notifies gateways and registry, and schedules the steps of the shutdown.
+
+        Open requests are answered until the stop. Further calls have no effect.
 
         Args:
-            requested_at: When the platform asked, from which its limits count.
+            requested_at: Time of the platform's request, from which its time limit counts.
         """
         if self.draining:
             return
@@ -114,63 +135,64 @@
         server.timers.schedule(self.stop_at, self.exit, None)
 
     def close_listener(self, now: float, _: None) -> None:
-        """Requests do not run from now on, and a refused connection proves it to the caller."""
-        self.listener_closed_until = now + LISTENER_SETTLE_MS
+        """Closes the listener; from then on, a refused connection proves that no request runs."""
+        self.listener_settled_at = now + LISTENER_SETTLE_MS
         self.server.connections.notify_all(now)
         self.server.effects.append(Close(LISTENER))
 
     def close_connections(self, now: float, _: None) -> None:
-        """Closes each connection as soon as nothing is open on it, and exits after the last one."""
+        """Closes each connection once no request is open on it, and exits after the last one."""
         connections = self.server.connections
-        in_use = sum(bool(each.open_requests) for each in connections.by_id.values())
-        text = f"drain: {len(connections.by_id)} connections close, {in_use} once they are answered"
+        in_use = sum(bool(gateway.open_requests) for gateway in connections.by_id.values())
+        text = f"drain: closing {len(connections.by_id)} connections, {in_use} with open requests"
         self.server.effects.append(Log(text))
         connections.finish_all()
         self.check_exit(now, None)
 
     def check_exit(self, now: float, _: None) -> None:
-        """Exits if nothing is left to answer, else checks again soon."""
+        """Exits if draining is complete, else checks again after EXIT_CHECK_MS."""
         self.exit_if_done(now)
         if not self.exited:
             self.server.timers.schedule(now + EXIT_CHECK_MS, self.check_exit, None)
 
     def exit_if_done(self, now: float) -> None:
-        """Exits if the listener is closed and no connection is left."""
-        # What the listener still holds is answered after its close.
-        if now >= self.listener_closed_until and not self.server.connections.by_id:
+        """Exits if the listener has closed and no connection is left."""
+        # Connections accepted before the listener's close may be reported until it has settled.
+        if now >= self.listener_settled_at and not self.server.connections.by_id:
             self.exit(now, None)
 
     @property
     def rejects_requests(self) -> bool:
-        """Whether connections close already, so that no further request starts."""
+        """Whether connections are being closed, so that no new request starts."""
         return self.server.connections.closes_idle
 
     @property
     def listener_closed(self) -> bool:
-        """Whether no more connections are accepted, but for those that had connected before."""
-        return self.listener_closed_until < float("inf")
+        """Whether the listener has closed; connections accepted before may still be reported."""
+        return self.listener_settled_at < float("inf")
 
     def exit(self, now: float, _: None) -> None:
-        """Answers what is left, closes all connections and ends the process."""
+        """Answers the remaining requests, closes all connections and ends the process."""
         if self.exited:
             return
         self.exited = True
         server = self.server
         if server.controller is not None:
-            # After a stall the last answers may still be owed.
+            # After a stall, the controller may not have sent the last answers yet.
             server.controller.on_tick(server.now, server.gauges)
         if not self.listener_closed:
             server.effects.append(Close(LISTENER))
         for connection in list(server.connections.by_id.values()):
-            for request in list(connection.open_requests.values()):  # none, but for a fault
+            # Requests are open here only after a fault: the controller answers all others.
+            for request in list(connection.open_requests.values()):
                 server.fail_request(request)
         server.connections.finish_all()
         self.log_counters()
-        remaining_ms = self.stop_at + STOP_MARGIN_MS - EXIT_MS - server.now
-        server.effects.append(Exit(max(EXIT_MS, remaining_ms)))
+        remaining_ms = self.stop_at + STOP_MARGIN_MS - EXIT_RESERVE_MS - server.now
+        server.effects.append(Exit(max(EXIT_RESERVE_MS, remaining_ms)))
 
     def log_counters(self) -> None:
-        """Writes all counters to the log."""
+        """Logs all counters, and those of the class pools if there are any."""
         server = self.server
         server.counters.counts["results_dropped"] = server.results.dropped_count
         unanswered = server.requests.count_unanswered()
--- a/pumicenotch/server/messages.py
+++ b/pumicenotch/server/messages.py
@@ -1,4 +1,4 @@
-"""The messages that the server writes, by the party that reads them; `net` encodes them."""
+"""Messages that the server sends, grouped by receiver; `pumicenotch.net` encodes them."""
 
 from typing import NamedTuple
 
@@ -6,7 +6,7 @@
 
 
 class RequestServed(NamedTuple):
-    """The request's run has finished with this result."""
+    """Answers a request with the result of its run."""
 
     message_id: int
     load_hint: float | None
@@ -14,14 +14,14 @@
 
 
 class RequestFailed(NamedTuple):
-    """The request has no result; it may have run."""
+    """Answers a request that has no result and may have run."""
 
     message_id: int
     load_hint: float | None
 
 
 class RequestRejected(NamedTuple):
-    """The request has not run. `cell_reason` tells routers why this node may not run it."""
+    """Answers a request that has not run; `cell_reason` tells routers why this node may not."""
 
     message_id: int
     load_hint: float | None
@@ -31,7 +31,7 @@
 
 
 class HealthReply(NamedTuple):
-    """The answer to a health check."""
+    """Answers a health check."""
 
     message_id: int
     load_hint: float | None
@@ -39,20 +39,20 @@
 
 
 class DrainNotice(NamedTuple):
-    """No more requests are wanted on this connection."""
+    """Asks a gateway to send no more requests on this connection."""
 
 
 # To the worker pool
 
 
 class BindPool(NamedTuple):
-    """The first message on a new connection: notices after this serial are sent again."""
+    """Opens the protocol on a new connection, and requests all notices after `last_serial`."""
 
     last_serial: int
 
 
 class PollPool(NamedTuple):
-    """Asks for the gauges; the answer proves that all commands before it have arrived."""
+    """Requests the gauges; the answer proves that all earlier commands have arrived."""
 
     cookie: str
 
@@ -66,26 +66,26 @@
 
 
 class SuspendRun(NamedTuple):
-    """Takes a run off its core until it is resumed."""
+    """Suspends a run, which then uses no core until it is resumed."""
 
     name: str
 
 
 class ResumeRun(NamedTuple):
-    """Lets a suspended run go on."""
+    """Resumes a suspended run."""
 
     name: str
 
 
 class SupplyReply(NamedTuple):
-    """Hands the dependency's reply to a blocked run."""
+    """Resumes a blocked run with the dependency's reply."""
 
     name: str
     reply: bytes
 
 
 class SkipDependency(NamedTuple):
-    """Lets a blocked run, known by its notice's serial, go on without its dependency."""
+    """Resumes a blocked run without its dependency; `serial` is that of the run's notice."""
 
     name: str
     serial: int
@@ -95,7 +95,7 @@
 
 
 class DependencyCall(NamedTuple):
-    """One call on behalf of a run."""
+    """Makes a call on behalf of a run."""
 
     name: str
     timeout_ms: int
--- a/pumicenotch/server/pending_request.py
+++ b/pumicenotch/server/pending_request.py
@@ -1,4 +1,4 @@
-"""The requests that the program has read and not finished."""
+"""Requests that this process has read and not finished."""
 
 from hashlib import blake2b
 
@@ -6,34 +6,43 @@
 
 
 class PendingRequest:
-    """One request and what carrying it needs; decisions about it are the controller's.
+    """One request and the state of its answer, run and dependency call.
 
-    Its attributes are those of a request without any option; the decoder sets what the message
-    names.
+    The class attributes are the defaults of optional fields; the decoder sets those that the
+    message contains. Scheduling state is the controller's.
+
+    Args:
+        request_id: Unique among the requests of this process.
+        name: Identifies the request in the protocols of pool and database.
+        connection_id: The gateway connection that the request arrived on.
+        message_id: Identifies the request on its connection.
+        class_name: The name of the request class.
+        body: The payload that the run receives.
     """
 
     request_class: RequestClass
     class_index = 0
     tenant_index = 0
     tenant_name = ""
-    caller_id = 0  # the gateway that sends it
+    caller_id = 0  # the gateway that sent the request
     is_retry = False
-    map_epoch: int | None = (
-        None  # of a router's cell map, since when the tenant's nodes are the same
-    )
-    is_ownership_query = False  # a router asks this node as the previous owner of the tenant
+    # Set by a router: the epoch of the cell map since which the tenant's nodes are unchanged.
+    map_epoch: int | None = None
+    is_ownership_query = False  # a router asks this node as the tenant's previous owner
     idempotency_key = ""
-    body_digest = b""  # of class and body, the same in every attempt under one idempotency key
+    # Digest of class and body, which must be equal in all attempts with one idempotency key.
+    body_digest = b""
     estimated_work: float | None = None
-    stamped_at_ms = 0.0  # by the gateway, Unix time
+    stamped_at_ms = 0.0  # Unix time of sending, stamped by the gateway
     memory_kb = 0.0
-    objective_at = float("inf")  # when its latency objective is missed, where this is counted
-    dependency_called_at: float | None = None
+    # Time after which an answer misses the latency objective; set if requests are counted by class.
+    objective_at = float("inf")
+    dependency_called_at: float | None = None  # set while a call is counted by class
     answered = False
     started = False
     suspended = False
-    last_notice_serial = 0  # of the pool's last notice about it
-    dependency_body = b""  # of the call that its run waits for
+    last_notice_serial = 0  # serial of the pool's last notice about the run
+    dependency_body = b""  # payload of the dependency call that the run waits for
 
     def __init__(
         self,
@@ -52,28 +61,28 @@
         self.body = body
 
     def fingerprint(self) -> int:
-        """Returns a number above 0 for the content: requests that share it are likely retries."""
+        """Returns a positive hash of the content; requests with equal hashes are likely retries."""
         content = b"%d %d %r " % (self.class_index, self.tenant_index, self.estimated_work)
         return int.from_bytes(blake2b(content + self.body, digest_size=8).digest()) or 1
 
 
 class PendingRequests:
-    """All requests that are not finished, by the controller's id and by the pool's name."""
+    """All unfinished requests, by the controller's request id and by the pool's request name."""
 
     def __init__(self) -> None:
         self.by_id: dict[int, PendingRequest] = {}
         self.by_name: dict[str, PendingRequest] = {}
 
     def add(self, request: PendingRequest) -> None:
-        """Takes a request in."""
+        """Adds a request."""
         self.by_id[request.request_id] = request
         self.by_name[request.name] = request
 
     def remove(self, request: PendingRequest) -> None:
-        """Forgets a request that has finished."""
+        """Removes a request; no effect if it is not there."""
         self.by_id.pop(request.request_id, None)
         self.by_name.pop(request.name, None)
 
     def count_unanswered(self) -> int:
-        """Returns how many still need an answer."""
+        """Returns the number of requests that are not answered yet."""
         return sum(not request.answered for request in self.by_id.values())
--- a/pumicenotch/server/registry_reporter.py
+++ b/pumicenotch/server/registry_reporter.py
@@ -1,4 +1,4 @@
-"""Reports to the registry that this server is ready or draining."""
+"""Periodic reports to the registry that this server is ready or draining."""
 
 from collections.abc import Callable
 
@@ -8,16 +8,16 @@
 from pumicenotch.server.messages import ReadinessReport
 
 CONNECTION = "registry"
-# A third of the time after which the registry takes a silent server off its list.
+# A third of the time after which the registry removes a server that sends no reports.
 REPORT_INTERVAL_MS = 1000.0
 
 
 class RegistryReporter:
-    """Sends a report at each interval, and sooner after a failure.
+    """Sends a report every REPORT_INTERVAL_MS, and sooner, with backoff, after a failure.
 
     Args:
-        effects: Where reports go.
-        random_uniform: Draws the jitter of the delay after a failure.
+        effects: Receives the reports.
+        random_uniform: Draws a number between its two arguments, for the jitter of the backoff.
     """
 
     def __init__(
@@ -33,7 +33,7 @@
         self.effects.append(Write(CONNECTION, ReadinessReport(draining)))
 
     def report_periodically(self, now: float, draining: bool) -> None:
-        """Sends a report if the interval since the last one is over."""
+        """Sends a report if the next one is due; called at each sweep."""
         if now >= self.next_report_at:
             self.report(now, draining)
 
@@ -46,6 +46,6 @@
             self.next_report_at = now + self.backoff.next_delay_ms()
 
     def on_address_changed(self, now: float, draining: bool) -> None:
-        """Reports to the new address at once."""
+        """Sends a report to the new address at once."""
         self.backoff.reset()
         self.report(now, draining)
--- a/pumicenotch/server/request_decoder.py
+++ b/pumicenotch/server/request_decoder.py
@@ -1,4 +1,4 @@
-"""Checks a gateway's request field by field, and makes a pending request of it."""
+"""Decodes and validates requests of gateways into pending requests."""
 
 import re
 from collections.abc import Mapping
@@ -10,13 +10,14 @@
 from pumicenotch.server.events import RequestReceived
 from pumicenotch.server.pending_request import PendingRequest, PendingRequests
 
-MAX_BODY_BYTES = 2048  # the protocol's bound
-MAX_MEMORY_KB = 2000.0  # the protocol's bound
-MAX_WORK = 1e9  # the controller bounds what it takes, this keeps its sums finite
-MAX_CLOCK_AHEAD_MS = 1000.0  # of a stamp: clocks of one machine differ by far less
-# The protocol's own grammar. Python's float() would take "1_0", " 1", "1e3" or "nan" as well.
+MAX_BODY_BYTES = 2048  # defined by the protocol
+MAX_MEMORY_KB = 2000.0  # defined by the protocol
+MAX_WORK = 1e9  # keeps the controller's sums finite; the controller applies a lower bound
+# How far in the future a send time may be. Clocks on one machine differ by far less.
+MAX_CLOCK_AHEAD_MS = 1000.0
+# The protocol's grammar of numbers. Python's float() also accepts "1_0", " 1", "1e3" and "nan".
 NUMBER = re.compile(r"[0-9]{1,15}(\.[0-9]{1,9})?", re.ASCII)
-# The fields of the gateways' protocol.
+# Names of the fields in the gateways' protocol.
 NAME = "rid"
 STAMPED_AT = "t0"
 CALLER = "peer"
@@ -29,10 +30,10 @@
 OBJECT = "obj"
 MAP_EPOCH = "epoch"
 OWNERSHIP_QUERY = "ask"
-MARK = "1"  # the only value of a field that marks a request
-FIELD_FORMS = {
-    name: re.compile(form, re.ASCII)
-    for name, form in (
+MARK = "1"  # the only valid value of a flag field
+FIELD_PATTERNS = {
+    name: re.compile(pattern, re.ASCII)
+    for name, pattern in (
         (NAME, "[0-9a-f]{16}"),
         (STAMPED_AT, "[0-9]{1,15}"),
         (CALLER, "[0-9]{1,15}"),
@@ -47,38 +48,56 @@
 
 
 class InvalidRequestError(InputError):
-    """A well-formed message that is no request; the text names the field."""
+    """A request has a missing or invalid field; the error text names the field."""
 
 
-def text_field(fields: Mapping[str, str], name: str, form: re.Pattern[str] | None = None) -> str:
-    """Returns a field of the right form; raises InvalidRequestError for any other."""
+def text_field(fields: Mapping[str, str], name: str, pattern: re.Pattern[str] | None = None) -> str:
+    """Returns the value of a text field.
+
+    Args:
+        fields: The fields of the request.
+        name: The name of the field.
+        pattern: The pattern of valid values; None for that of FIELD_PATTERNS.
+
+    Raises:
+        InvalidRequestError: The field is missing or does not match the pattern.
+    """
     value = fields.get(name)
-    if not isinstance(value, str) or not (form or FIELD_FORMS[name]).fullmatch(value):
+    if not isinstance(value, str) or not (pattern or FIELD_PATTERNS[name]).fullmatch(value):
         raise InvalidRequestError(name)
     return value
 
 
 def number_field(fields: Mapping[str, str], name: str, upper_bound: float) -> float:
-    """Returns a number from 0 to below the bound; raises InvalidRequestError for any other."""
+    """Returns the value of a numeric field, which is at least 0 and below the bound.
+
+    Raises:
+        InvalidRequestError: The field is missing, not a number, or out of range.
+    """
     value = float(text_field(fields, name, NUMBER))
     if value >= upper_bound:
         raise InvalidRequestError(name)
     return value
 
 
-def is_marked(fields: Mapping[str, str], name: str) -> bool:
-    """Returns whether the field is there; raises InvalidRequestError for any value but the mark."""
+def flag_field(fields: Mapping[str, str], name: str) -> bool:
+    """Returns whether a flag field is present.
+
+    Raises:
+        InvalidRequestError: The field has any value but MARK.
+    """
     return name in fields and text_field(fields, name) == MARK
 
 
 class RequestDecoder:
-    """Makes pending requests from what gateways send.
+    """Decodes requests of gateways into pending requests.
 
     Args:
         classes: The request classes in the controller's order.
-        class_indexes: Where each class stands there, by its name.
-        tenant_indexes: The same of tenants; without any, requests name none.
-        pending: Those under way, whose names no other request may have.
+        class_indexes: The index of each class in `classes`, by class name.
+        tenant_indexes: The controller's index of each tenant, by tenant name. If empty, requests
+            need not name a tenant.
+        pending: The unfinished requests, whose names a new request must not reuse.
     """
 
     def __init__(
@@ -92,28 +111,32 @@
         self.class_indexes = class_indexes
         self.tenant_indexes = tenant_indexes
         self.pending = pending
-        self.reads_map_epoch = False  # where routers stamp requests and this node checks it
+        self.reads_map_epoch = False  # set on nodes with cells, whose routers send an epoch
         self.next_ids = count(1)
 
     def decode(self, event: RequestReceived, unix_ms: float) -> PendingRequest:
-        """Returns the request that was received at that Unix time.
+        """Returns the pending request for an event.
+
+        Fields that no decision uses are checked as well: a sender with an invalid field is not a
+        gateway, and its other fields cannot be trusted.
 
-        Fields that no decision reads are checked as well: a sender that gets them wrong is no
-        gateway, and its other fields mean nothing.
+        Args:
+            event: The event.
+            unix_ms: The Unix time at which the request was read.
 
         Raises:
-            InvalidRequestError: A field is missing or wrong.
+            InvalidRequestError: A field is missing or invalid.
         """
-        request = self._begin(event)
+        request = self._create(event)
         fields = event.fields
         self._decode_size(request, fields, unix_ms)
         request.caller_id = int(text_field(fields, CALLER))
-        request.is_retry = is_marked(fields, RETRY_MARK)
+        request.is_retry = flag_field(fields, RETRY_MARK)
         if OBJECT in fields:
             text_field(fields, OBJECT)
         if self.reads_map_epoch and MAP_EPOCH in fields:
             request.map_epoch = int(text_field(fields, MAP_EPOCH))
-            request.is_ownership_query = is_marked(fields, OWNERSHIP_QUERY)
+            request.is_ownership_query = flag_field(fields, OWNERSHIP_QUERY)
         request.tenant_name = fields.get(TENANT, "")
         if self.tenant_indexes:
             tenant = text_field(fields, TENANT)
@@ -123,7 +146,7 @@
         self._decode_idempotency_key(request, fields)
         return request
 
-    def _begin(self, event: RequestReceived) -> PendingRequest:
+    def _create(self, event: RequestReceived) -> PendingRequest:
         if event.class_name not in self.class_indexes:
             raise InvalidRequestError("stage")
         if not isinstance(event.body, bytes) or len(event.body) > MAX_BODY_BYTES:
--- a/pumicenotch/server/result_cache.py
+++ b/pumicenotch/server/result_cache.py
@@ -1,4 +1,4 @@
-"""Results under idempotency keys, from which retries of a request are answered."""
+"""Cache of results by idempotency key, from which retries of a request are answered."""
 
 from pumicenotch.interface import Outcome
 from pumicenotch.server.pending_request import PendingRequest
@@ -6,19 +6,18 @@
 
 
 class CachedResult:
-    """What is known of the first attempt under one key, and the retries that wait for it."""
+    """The state of the first attempt with one idempotency key, and the retries that wait for it."""
 
     def __init__(self, request: PendingRequest, expires_at: float) -> None:
         self.idempotency_key = request.idempotency_key
         self.body_digest = request.body_digest
-        self.owner_id = request.request_id
+        self.original_id = request.request_id
         self.expires_at = expires_at
         self.started = False
         self.result = b""
-        self.outcome: Outcome | None = (
-            None  # None until the run is over; OK while the result is kept
-        )
-        self.waiting: list[PendingRequest] = []
+        # None until the run has ended; OK while the result is kept, ERROR after it was dropped.
+        self.outcome: Outcome | None = None
+        self.waiting_retries: list[PendingRequest] = []  # retries to answer when the run has ended
 
     @property
     def is_running(self) -> bool:
@@ -27,60 +26,64 @@
 
 
 class ResultCache:
-    """Keeps results up to a size; beyond it the oldest are dropped, and their retries fail.
+    """Keeps results up to a total size; above it the oldest are dropped, and their retries fail.
 
     Args:
-        max_bytes: Of all results together.
+        max_bytes: The maximum total size of all results.
     """
 
     def __init__(self, max_bytes: int) -> None:
         self.max_bytes = max_bytes
         self.by_key: dict[str, CachedResult] = {}
-        self.by_owner: dict[int, CachedResult] = {}
+        self.by_original_id: dict[int, CachedResult] = {}
         self.total_bytes = 0
         self.dropped_count = 0
 
     def find_original(self, request: PendingRequest, arrived_at: float) -> int | None:
-        """Returns the id of the first attempt that a request which arrived then repeats, if any.
+        """Returns the id of the first attempt that the request is a retry of, if any.
 
-        Entries outlive their time by a request's timeout, since a retry may be read long after it
-        reached the machine, as after a freeze.
+        Entries are kept for a request's timeout after they expire, because a retry that arrived in
+        time may be read late, for example after the process was frozen.
+
+        Args:
+            request: The request.
+            arrived_at: The time at which the request arrived, in ms.
 
         Raises:
-            InvalidRequestError: The key was used with another body, whose result is not for this
-            sender.
+            InvalidRequestError: The key was used before with another body; its result is not for
+                this sender.
         """
         entry = self.by_key.get(request.idempotency_key)
         if entry is None or not (entry.is_running or arrived_at <= entry.expires_at):
             return None
         if entry.body_digest != request.body_digest:
-            raise InvalidRequestError("another body under that token")
-        return entry.owner_id
+            raise InvalidRequestError("token (used before with another body)")
+        return entry.original_id
 
     def add(self, request: PendingRequest, expires_at: float) -> None:
-        """Makes the request the first attempt under its key."""
+        """Adds a request as the first attempt with its key, in place of an earlier one."""
         if request.idempotency_key in self.by_key:
             self._remove(self.by_key[request.idempotency_key])
         entry = CachedResult(request, expires_at)
         self.by_key[request.idempotency_key] = entry
-        self.by_owner[request.request_id] = entry
+        self.by_original_id[request.request_id] = entry
 
-    def drop(self, owner_id: int, never_ran: bool = False) -> list[PendingRequest]:
-        """Forgets an attempt that has not run, and returns the retries that waited for it.
+    def drop(self, original_id: int, never_ran: bool = False) -> list[PendingRequest]:
+        """Removes an attempt that has not run, and returns the retries that waited for it.
 
         Args:
-            owner_id: The id of the first attempt.
-            never_ran: It was started, but the pool says that it never ran.
+            original_id: The id of the first attempt.
+            never_ran: Whether the attempt was started but the pool reported that it never ran.
         """
-        entry = self.by_owner.get(owner_id)
+        entry = self.by_original_id.get(original_id)
         if entry is None or (entry.started and not never_ran):
             return []
         self._remove(entry)
-        return entry.waiting
+        return entry.waiting_retries
 
-    def expire(self, owner_id: int) -> bool:
-        """Forgets an attempt whose time is over; returns False while it still runs."""
-        entry = self.by_owner.get(owner_id)
+    def expire(self, original_id: int) -> bool:
+        """Removes an attempt that has expired; returns False if it is still running."""
+        entry = self.by_original_id.get(original_id)
         if entry is None:
             return True
         if entry.is_running:
@@ -89,39 +92,39 @@
         return True
 
     def on_started(self, request: PendingRequest) -> None:
-        """Notes that the request runs."""
-        if request.request_id in self.by_owner:
-            self.by_owner[request.request_id].started = True
+        """Records that the request's run was started."""
+        if request.request_id in self.by_original_id:
+            self.by_original_id[request.request_id].started = True
 
     def replay(self, request: PendingRequest) -> CachedResult | None:
-        """Returns what the request is answered from; until the result is known it waits there."""
+        """Returns the entry that answers the request, which waits there until the run has ended."""
         key = request.idempotency_key
         entry = self.by_key.get(key) if key else None
         if entry is not None and entry.outcome is None:
-            entry.waiting.append(request)
+            entry.waiting_retries.append(request)
         return entry
 
     def on_finished(
         self, request: PendingRequest, outcome: Outcome, result: bytes
     ) -> list[PendingRequest]:
         """Keeps the result of a run, and returns the retries that waited for it."""
-        entry = self.by_owner.get(request.request_id)
+        entry = self.by_original_id.get(request.request_id)
         if entry is None:
             return []
         entry.outcome = outcome
         if outcome is Outcome.OK:
             entry.result = result
             self.total_bytes += len(result)
-            self._shrink()
-        waiting = entry.waiting
-        entry.waiting = []
-        return waiting
+            self._evict_oldest()
+        waiting_retries = entry.waiting_retries
+        entry.waiting_retries = []
+        return waiting_retries
 
     def _remove(self, entry: CachedResult) -> None:
-        del self.by_key[entry.idempotency_key], self.by_owner[entry.owner_id]
+        del self.by_key[entry.idempotency_key], self.by_original_id[entry.original_id]
         self.total_bytes -= len(entry.result)
 
-    def _shrink(self) -> None:
+    def _evict_oldest(self) -> None:
         for entry in self.by_key.values():
             if self.total_bytes <= self.max_bytes:
                 return
