--- a/tests/server/test_cell_admission.py
+++ b/tests/server/test_cell_admission.py
@@ -1,5 +1,6 @@
-"""The node's side of cells in the core: what reaches a node of another cell, by routers with maps of any
-age.
+"""Guards against a request that runs on a node of the wrong cell, or twice during a tenant's move.
+
+Routers and direct callers with cell maps of any age send requests to one node.
 """
 
 from typing import Any
@@ -19,32 +20,34 @@
 from pumicenotch.server.messages import RequestFailed, RequestRejected, RequestServed, StartRun
 from pumicenotch.server.settings import ServerSettings
 
-W = 9000.0
-STAGES = {"read": 0, "put": 1}
-START = 1e6
+WINDOW_MS = 9000.0
+CLASS_INDEXES = {"read": 0, "put": 1}
+START_MS = 1e6
 
 
-def maps() -> tuple[CellMap, CellMap]:
+def maps_before_and_after_move() -> tuple[CellMap, CellMap]:
     cells = {"a": Cell("a", (Node("A"),)), "b": Cell("b", (Node("B"),))}
-    one = CellMap(1, cells, {"acme": Tenant("a"), "other": Tenant("b")}, W)
-    return one, moves.move(one, ["acme"], "b", START)
+    before_move = CellMap(1, cells, {"acme": Tenant("a"), "other": Tenant("b")}, WINDOW_MS)
+    return before_move, moves.move(before_move, ["acme"], "b", START_MS)
 
 
-class Played:
-    """A core that is bound, of node A unless told, up for longer than a window."""
+class NodeHarness:
+    """A core with a bound pool, on node A and up for two idempotency windows by default."""
 
-    def __init__(self, cells: CellMap | None, node: str = "A", up: float = 2 * W) -> None:
-        stages = [
+    def __init__(
+        self, cells: CellMap | None, node: str = "A", uptime_ms: float = 2 * WINDOW_MS
+    ) -> None:
+        request_classes = [
             RequestClass(4000.0, 0.0, 8000.0, Idempotency.IDEMPOTENT, 0.0, 1.0, 0.0, 0.0),
-            RequestClass(4000.0, 0.0, 8000.0, Idempotency.KEYED, W, 1.0, 0.0, 0.0),
+            RequestClass(4000.0, 0.0, 8000.0, Idempotency.KEYED, WINDOW_MS, 1.0, 0.0, 0.0),
         ]
-        fence = Fence(START - up, W, cells) if cells is not None else None
+        fence = Fence(START_MS - uptime_ms, WINDOW_MS, cells) if cells is not None else None
         controller = ControllerSettings(
-            request_classes=stages, tenants=[], gauges=[], cores=4, crash_load_factor=8.0
+            request_classes=request_classes, tenants=[], gauges=[], cores=4, crash_load_factor=8.0
         )
         settings = ServerSettings(
             controller=controller,
-            class_indexes=STAGES,
+            class_indexes=CLASS_INDEXES,
             tenant_indexes={},
             seed=1,
             shutdown_ms=3000.0,
@@ -54,7 +57,7 @@
         )
         self.core = Server(settings, fence=fence, node=node)
         self.written: list[tuple[Any, Any]] = []
-        self.now, self.message = START, 0
+        self.now, self.last_message_id = START_MS, 0
         for event in (
             events.Started(),
             events.ConnectionUp("pool"),
@@ -69,10 +72,10 @@
             if isinstance(effect, Write):
                 self.written.append((effect.connection, effect.message))
 
-    def send(self, rid: int, stage: str, tenant: str = "acme", **more: str) -> str:
-        """What became of it: `run`, `reused`, or why it was rejected."""
+    def send(self, rid: int, class_name: str, tenant: str = "acme", **extra_fields: str) -> str:
+        """Sends a request; returns `run`, `waits`, or the cell reason of its rejection."""
         self.written.clear()
-        self.message += 1
+        self.last_message_id += 1
         fields = {
             "rid": f"{rid:016x}",
             "t0": str(int(self.now)),
@@ -81,9 +84,11 @@
             "mem": "2",
             "prio": "0.5",
         }
-        if stage == "put":
-            fields["token"] = more.pop("token", 32 * "a")
-        self.step(events.RequestReceived(1, self.message, 0.0, stage, fields | more, b"body"))
+        if class_name == "put":
+            fields["token"] = extra_fields.pop("token", 32 * "a")
+        self.step(
+            events.RequestReceived(1, self.last_message_id, 0.0, class_name, fields | extra_fields, b"body")
+        )
         for connection, message in self.written:
             if connection == 1 and isinstance(message, RequestRejected):
                 return message.cell_reason
@@ -92,15 +97,15 @@
         return "waits"
 
 
-def test_without_a_map_stamps_mean_nothing() -> None:
-    node = Played(None)
+def test_epochs_are_ignored_without_a_cell_map() -> None:
+    node = NodeHarness(None)
     assert node.send(1, "put", epoch="7", ask="1") == "run"
     assert node.send(2, "read", "whoever", epoch="junk") == "run"
 
 
-def test_a_task_of_another_cell_is_rejected_unrun_unless_the_router_knows_more() -> None:
-    one, _ = maps()
-    node = Played(one)
+def test_request_of_another_cell_is_rejected_unless_its_epoch_is_newer() -> None:
+    before_move, _ = maps_before_and_after_move()
+    node = NodeHarness(before_move)
     assert node.send(1, "read", "other") == "old"
     assert node.send(2, "read", "other", epoch="1") == "old"
     assert node.send(3, "read", "other", epoch="2") == "run"
@@ -108,24 +113,24 @@
     assert node.send(5, "read") == "run" and node.send(6, "put") == "run"
 
 
-def test_a_former_home_that_is_asked_answers_clear_and_runs_nothing_older_after() -> None:
-    one, _ = maps()
-    node = Played(one)
+def test_previous_owner_answers_clear_and_rejects_older_epochs_afterwards() -> None:
+    before_move, _ = maps_before_and_after_move()
+    node = NodeHarness(before_move)
     assert node.send(1, "put", epoch="2", ask="1") == "clear"
-    assert node.send(2, "put", epoch="1") == "old", "a router that has not heard of the move"
+    assert node.send(2, "put", epoch="1") == "old", "an epoch from before the move"
     assert node.send(3, "put", token=32 * "b") == "run", (
-        "its own callers have no map: by its newest epoch"
+        "a caller without an epoch gets the node's newest"
     )
     assert node.core.counters.counts["cells_clear"] == 1
 
 
-def test_a_former_home_that_knows_the_fingerprint_answers_for_it() -> None:
-    one, two = maps()
-    node = Played(one)
+def test_previous_owner_answers_a_known_key_from_its_result() -> None:
+    before_move, after_move = maps_before_and_after_move()
+    node = NodeHarness(before_move)
     assert node.send(1, "put", epoch="1") == "run"
     assert node.send(2, "put", epoch="2", ask="1") == "waits"
-    node.step(events.CellMapReplaced(two, "epoch 2"))
-    assert node.send(3, "put", epoch="1") == "waits", "known: under any epoch"
+    node.step(events.CellMapReplaced(after_move, "epoch 2"))
+    assert node.send(3, "put", epoch="1") == "waits", "a known key is answered under any epoch"
     node.step(events.RunFinished(1, f"{1:016x}", Outcome.OK, b"done"))
     answers = {
         message.message_id: message.result
@@ -134,27 +139,34 @@
     }
     assert answers == {1: b"done", 2: b"done", 3: b"done"}
     assert node.send(4, "put", token=32 * "b", epoch="1") == "old", (
-        "what it does not know it runs no more"
+        "an unknown key does not run under an old epoch"
     )
 
 
-def test_a_node_that_has_just_started_has_no_word() -> None:
-    one, two = maps()
-    assert Played(one, up=0.5 * W).send(1, "put", epoch="2", ask="1") == "no-word"
-    assert Played(two, up=0.5 * W).send(1, "put", epoch="1") == "old", "its file knows the move"
-    assert Played(two, "B", up=0.5 * W).send(1, "put", epoch="2") == "run"
+def test_node_up_for_less_than_the_window_answers_no_word() -> None:
+    before_move, after_move = maps_before_and_after_move()
+    assert (
+        NodeHarness(before_move, uptime_ms=0.5 * WINDOW_MS).send(1, "put", epoch="2", ask="1")
+        == "no-word"
+    )
+    assert NodeHarness(after_move, uptime_ms=0.5 * WINDOW_MS).send(1, "put", epoch="1") == "old", (
+        "the node's own map has the move"
+    )
+    assert (
+        NodeHarness(after_move, "B", uptime_ms=0.5 * WINDOW_MS).send(1, "put", epoch="2") == "run"
+    )
 
 
 @pytest.mark.parametrize(
-    "more", [{"epoch": "-1"}, {"epoch": "x"}, {"epoch": ""}, {"epoch": "1", "ask": "yes"}]
+    "extra_fields", [{"epoch": "-1"}, {"epoch": "x"}, {"epoch": ""}, {"epoch": "1", "ask": "yes"}]
 )
-def test_malformed_stamps_are_answered_as_failed(more: dict[str, str]) -> None:
-    node = Played(maps()[0])
-    node.send(1, "put", **more)
+def test_malformed_epoch_fields_are_answered_as_failed(extra_fields: dict[str, str]) -> None:
+    node = NodeHarness(maps_before_and_after_move()[0])
+    node.send(1, "put", **extra_fields)
     assert [type(message) for _, message in node.written] == [RequestFailed]
     assert node.core.counters.counts["malformed"] == 1
 
 
-def test_the_reason_goes_over_the_wire_for_routers() -> None:
+def test_cell_reason_is_encoded_only_if_there_is_one() -> None:
     assert b"cell" in encode_rejected(RequestRejected(1, None, 0.0, False, "clear"))
     assert b"cell" not in encode_rejected(RequestRejected(1, None, 0.0, False))
--- a/tests/server/test_core.py
+++ b/tests/server/test_core.py
@@ -1,4 +1,4 @@
-"""The core as a whole, without sockets."""
+"""The imports of the core, and its rate limit on logged problems."""
 
 import subprocess
 import sys
@@ -15,7 +15,7 @@
     subprocess.run([sys.executable, "-S", "-c", f"import {modules}"], check=True)
 
 
-def test_repeated_problem_is_not_logged_each_time() -> None:
+def test_repeated_problem_is_logged_at_powers_of_ten() -> None:
     core = Server(
         ServerSettings(
             controller=ControllerSettings([], [], []),
@@ -31,5 +31,5 @@
     problem = ProblemFound("odd", "an odd frame")
     effects = [effect for _ in range(150) for effect in core.step(0.0, problem)]
     assert [effect.text for effect in effects if isinstance(effect, Log)] == [
-        f"an odd frame (odd={found})" for found in (1, 10, 100)
+        f"an odd frame (odd={count})" for count in (1, 10, 100)
     ]
--- a/tests/server/test_scenarios.py
+++ b/tests/server/test_scenarios.py
@@ -1,4 +1,4 @@
-"""Plays the scenarios of the server's core."""
+"""Runs every scenario file against the server's core."""
 
 from pathlib import Path
 
