--- a/pumicenotch/server/backend_side.py
+++ b/pumicenotch/server/backend_side.py
@@ -24,7 +24,7 @@
 }
 
 
-# These three names differ from the outcome's: dashboards use them.
+# Counter names that dashboards use. Any other outcome is counted as `calls_` and its own name.
 CALL_COUNTERS: dict[Outcome, str] = {
     Outcome.REJECTED: "calls_full",
     Outcome.UNREACHABLE: "calls_unreached",
@@ -108,7 +108,7 @@
 
     def on_run_blocked(self, event: events.RunBlocked) -> None:
         """Passes the dependency call that a run needs to the controller."""
-        request = self._noticed_request(event.serial, event.name)
+        request = self._accept_notice(event.serial, event.name)
         if request is None or self.controller is None:
             self.counters.add("notices_stale")
             return
@@ -118,7 +118,7 @@
 
     def on_run_finished(self, event: events.RunFinished) -> None:
         """Answers the request of a finished run."""
-        request = self._noticed_request(event.serial, event.name)
+        request = self._accept_notice(event.serial, event.name)
         if request is None:
             self.counters.add("notices_stale")
             return
@@ -126,7 +126,7 @@
         self.counters.add(RUN_COUNTERS[event.outcome])
         self.finish_run(request, event.outcome or Outcome.ERROR, event.result)
 
-    def _noticed_request(self, serial: int, name: str) -> PendingRequest | None:
+    def _accept_notice(self, serial: int, name: str) -> PendingRequest | None:
         return self.requests.by_name.get(name) if self.worker_pool.accept_notice(serial) else None
 
     def on_notice_skipped(self, event: events.NoticeSkipped) -> None:
--- a/pumicenotch/server/core.py
+++ b/pumicenotch/server/core.py
@@ -118,7 +118,7 @@
         self.counters.add("reloads")
         addresses = event.addresses
         self.effects.append(
-            Log(f"reload: new addresses of {sorted(addresses)}; not applied: {event.not_applied}")
+            Log(f"reload: new addresses for {sorted(addresses)}; not applied: {event.not_applied}")
         )
         self.effects += [ChangeAddress(party, address) for party, address in addresses.items()]
         if worker_pool_client.CONNECTION in addresses:
@@ -177,7 +177,7 @@
         self.requests.add(request)
         if self.request_counters is not None:
             self.request_counters.on_received(self.now, request, waited_ms)
-        if self.cells is not None and self._rejected_by_cells(event, request, original_id):
+        if self.cells is not None and self._reject_by_cell(event, request, original_id):
             return
         if self.lifecycle.exited:
             self._answer_after_exit(request, original_id)
@@ -209,7 +209,7 @@
         )
         controller.on_request(self.now, incoming)
 
-    def _rejected_by_cells(
+    def _reject_by_cell(
         self, event: events.RequestReceived, request: PendingRequest, original_id: int | None
     ) -> bool:
         assert self.cells is not None
@@ -237,7 +237,7 @@
             self.actions.fail(request.request_id)
 
     def release(self, request: PendingRequest) -> None:
-        """Releases a request whose caller no longer waits: cancelled, reset or failed early.
+        """Releases a request that was cancelled, or lost to a reset or a protocol violation.
 
         A request that has not started is removed, and a run continues to its end. With an
         idempotency key the run also keeps its dependency call, because a retry is answered from its
@@ -251,7 +251,7 @@
             self.controller.on_cancel(self.now, request.request_id)
 
     def on_health_check(self, event: events.HealthCheckReceived) -> None:
-        """Replies whether this server is healthy; never so before the pool is bound."""
+        """Replies to a health check; the server is unhealthy until the pool is bound."""
         self.counters.add("checks")
         if event.connection_id in self.connections.by_id:
             self.connections.received(self.now, event.connection_id, event.message_id)
--- a/pumicenotch/server/gateway_side.py
+++ b/pumicenotch/server/gateway_side.py
@@ -179,7 +179,7 @@
         self.connections.close_if_done(event.connection_id)
 
     def on_cancel(self, event: RequestCancelled) -> None:
-        """Cancels a request on behalf of its gateway; too late if the request is answered."""
+        """Cancels a request for its gateway, unless the request is answered already."""
         connection = self.connections.by_id.get(event.connection_id)
         request = connection.open_requests.get(event.message_id) if connection is not None else None
         if request is None:
--- a/pumicenotch/server/lifecycle.py
+++ b/pumicenotch/server/lifecycle.py
@@ -68,7 +68,7 @@
         """Runs expired timers and polls the pool.
 
         The controller's tick follows when the pool reports its gauges. Without a usable pool
-        connection the controller ticks at once, with the last gauges.
+        connection, or while a poll is unanswered, the controller ticks at once with the old gauges.
         """
         server = self.server
         self.timer_fired_at = server.now
--- a/tests/server/test_cell_admission.py
+++ b/tests/server/test_cell_admission.py
@@ -87,7 +87,9 @@
         if class_name == "put":
             fields["token"] = extra_fields.pop("token", 32 * "a")
         self.step(
-            events.RequestReceived(1, self.last_message_id, 0.0, class_name, fields | extra_fields, b"body")
+            events.RequestReceived(
+                1, self.last_message_id, 0.0, class_name, fields | extra_fields, b"body"
+            )
         )
         for connection, message in self.written:
             if connection == 1 and isinstance(message, RequestRejected):
