--- a/pumicenotch/server/core.py
+++ b/pumicenotch/server/core.py
@@ -118,7 +118,7 @@
         self.counters.add("reloads")
         addresses = event.addresses
         self.effects.append(
-            Log(f"reload: new addresses for {sorted(addresses)}; not applied: {event.not_applied}")
+            Log(f"reload: moved {sorted(addresses)}; not applied: {event.not_applied}")
         )
         self.effects += [ChangeAddress(party, address) for party, address in addresses.items()]
         if worker_pool_client.CONNECTION in addresses:
