--- a/pumicenotch/consensus/__init__.py
+++ b/pumicenotch/consensus/__init__.py
@@ -1,5 +1,5 @@
-"""A replicated log among voters by Raft, as Ongaro's thesis describes it (2014, corrected in 2015).
+"""A log replicated among voters with Raft, as described in Ongaro's thesis (2014, corrected 2015).
 
-The package does no I/O and reads no clock: time, messages and finished writes are inputs
-(`inputs`), and what is to be sent, persisted or applied are effects (`effects`).
+The package performs no I/O and reads no clock. Time, received messages and completed writes are
+inputs (`inputs`); messages to send, state to persist and entries to apply are effects (`effects`).
 """
--- a/pumicenotch/consensus/bootstrap.py
+++ b/pumicenotch/consensus/bootstrap.py
@@ -1,10 +1,12 @@
-"""How the first membership of a cluster comes to be.
-
-A process that starts knows nothing: it is a new incarnation. Where all configured names are there
-and every one of them knows of no cluster, the first by name makes one: each has promised itself to
-that founder's incarnation, and takes a membership from nobody else. Where any process knows of a
-cluster, none is made ever again: a new process asks to join instead, and the leader replaces its
-former incarnation (see `membership_changes.next_membership`).
+"""Bootstrap: how the voters of a new cluster agree on its first membership.
+
+A process has an empty log when it starts and is a new incarnation of its name. While no cluster
+exists, the process whose name sorts first is the founder. It creates the cluster once every
+configured process has answered that it knows of no cluster and has promised itself to the
+founder's incarnation. A process accepts a first membership only from the incarnation to which it
+is promised, so two clusters cannot be created. Once any process knows of a cluster, none is created
+again: a process that starts later asks to join, and the leader replaces its former incarnation (see
+`membership_changes.next_membership`).
 """
 
 from collections.abc import Iterable
@@ -24,67 +26,82 @@
 
 
 class SendToName(NamedTuple):
-    """A message to a name, not to a voter: nobody knows the incarnation behind it yet."""
+    """A message addressed to a name, because the recipient's incarnation is not known yet."""
 
     recipient_name: str
     message: BootstrapMessage
 
 
 class Bootstrap:
-    """The part of a voter's process that runs before it has a log."""
+    """The state of a voter's process before it has a log.
+
+    Args:
+        voter_id: This process.
+        names: The names of all configured voters, this one included.
 
-    DISCOVERY_INTERVAL_MS = 250.0  # some times as long as a round of messages takes
+    Attributes:
+        promised_founder: The founder's incarnation whose first membership this process accepts; ""
+            if there is none.
+        promises_by_name: At the founder, the processes that are promised to it.
+        cluster_exists: Whether another process has answered that it knows of a cluster.
+        has_log: Whether this process takes part in a cluster, founded or joined.
+        membership: The first membership of the cluster, if this process helped to found it.
+    """
+
+    DISCOVERY_INTERVAL_MS = 250.0  # several round trips between voters
 
     def __init__(self, voter_id: VoterId, names: Iterable[str]) -> None:
         self.voter_id = voter_id
         self.names = sorted(names)
         self.promised_founder: VoterId = ""
-        self.promised_here: dict[str, VoterId] = {}  # by name: uninitialized, promised to this one
+        self.promises_by_name: dict[str, VoterId] = {}
         self.cluster_exists = False
-        self.has_log = (
-            False  # this process takes part, by whatever way: it is uninitialized no more
-        )
+        self.has_log = False
         self.membership: ClusterMembership | None = None
         self.next_discovery_ms = 0.0
 
     @property
     def is_founder(self) -> bool:
-        """Whether this process is the first by name."""
+        """Whether this process's name sorts first."""
         return voter_name(self.voter_id) == self.names[0]
 
     def on_tick(self, now_ms: float) -> list[SendToName]:
-        """A round of discovery where one is due; after the bootstrap, its outcome instead."""
+        """Returns the messages of a discovery round, or none before the next round is scheduled.
+
+        Once the cluster is founded, the first membership is sent in place of the discovery.
+        """
         if now_ms < self.next_discovery_ms:
             return []
         self.next_discovery_ms = now_ms + self.DISCOVERY_INTERVAL_MS
         others = [name for name in self.names if name != voter_name(self.voter_id)]
         if self.is_founder and not self.cluster_exists and self.membership is None:
             self.promised_founder = self.voter_id
-            if len(self.promised_here) == len(others):
-                voters = sorted([self.voter_id, *self.promised_here.values()])
+            if len(self.promises_by_name) == len(others):
+                voters = sorted([self.voter_id, *self.promises_by_name.values()])
                 self.membership = ClusterMembership(tuple(voters))
                 self.next_discovery_ms = 0.0
                 return self.on_tick(now_ms)
-        message = Discover(self.voter_id) if self.membership is None else self.outcome()
+        message = Discover(self.voter_id) if self.membership is None else self.bootstrapped()
         return [SendToName(name, message) for name in others]
 
-    def outcome(self) -> Bootstrapped:
-        """The cluster in which this process takes part from its beginning."""
+    def bootstrapped(self) -> Bootstrapped:
+        """Returns the message that announces the founder and the first membership."""
         assert self.membership is not None
         return Bootstrapped(self.promised_founder, self.membership)
 
     def receive(self, sender: VoterId, message: BootstrapMessage) -> list[SendToName]:
-        """Takes a message of another process and returns the answers.
+        """Handles a message of another process and returns the responses.
 
         Raises:
-            MessageDecodeError: The message names another process as its sender.
+            MessageDecodeError: The message names a process other than its sender.
         """
         if not isinstance(message, Bootstrapped) and message.sender != sender:
-            raise MessageDecodeError("bootstrap", f"{message!r:.80} comes from {sender}")
+            raise MessageDecodeError("bootstrap", f"{message!r:.80} was sent by {sender}")
         match message:
             case Discover():
                 return [
-                    SendToName(voter_name(sender), answer) for answer in self.on_discover(sender)
+                    SendToName(voter_name(sender), response)
+                    for response in self.on_discover(sender)
                 ]
             case Uninitialized(_, promised_founder):
                 if promised_founder == self.voter_id and voter_name(sender) in self.names:
@@ -96,22 +113,26 @@
         return []
 
     def on_discover(self, sender: VoterId) -> list[BootstrapMessage]:
-        """What this process knows of a cluster."""
+        """Returns what this process knows of a cluster, and promises itself to a founder.
+
+        A founder that restarts loses any cluster that it had begun to found. The promise moves to
+        its new incarnation, so a late first membership of the former one is rejected.
+        """
         if self.membership is not None:
-            return [Initialized(self.voter_id), self.outcome()]
+            return [Initialized(self.voter_id), self.bootstrapped()]
         if self.has_log:
             return [Initialized(self.voter_id)]
         if voter_name(sender) == self.names[0]:
-            self.promised_founder = sender  # a founder that has restarted made no cluster before
+            self.promised_founder = sender
         return [Uninitialized(self.voter_id, self.promised_founder)]
 
     def on_promise(self, sender: VoterId) -> None:
-        """An uninitialized process has promised itself to this one."""
+        """Records, at the founder, that an uninitialized process has promised itself to it."""
         if self.is_founder:
-            self.promised_here[voter_name(sender)] = sender
+            self.promises_by_name[voter_name(sender)] = sender
 
     def on_bootstrapped(self, message: Bootstrapped) -> None:
-        """Takes the membership from the founder that this process has promised itself to."""
+        """Accepts the first membership if it comes from the founder promised by this process."""
         is_uninitialized = self.membership is None and not self.has_log
         is_promised = message.founder == self.promised_founder
         if is_uninitialized and is_promised and self.voter_id in message.membership.voters:
--- a/pumicenotch/consensus/effects.py
+++ b/pumicenotch/consensus/effects.py
@@ -1,4 +1,4 @@
-"""What a voter asks of the process that runs it, in the order in which it is to be done."""
+"""The effects that `Voter.step` returns. The process that runs the voter executes them in order."""
 
 from typing import Any, NamedTuple
 
@@ -6,61 +6,62 @@
 
 
 class Send(NamedTuple):
-    """Send the message; it may be lost, delayed or delivered twice."""
+    """Sends a message. The network may lose, delay or duplicate it."""
 
     recipient: VoterId
     message: Message
 
 
 class Persist(NamedTuple):
-    """Write this durably, then give `Persisted` with the serial.
+    """Writes the term, the vote and the entries durably.
 
-    Nothing that rests on it is sent before.
+    The process reports completion with the `Persisted` input of the same serial. Until then the
+    voter withholds every message that depends on the write.
     """
 
     serial: int
     term: int
     voted_for: VoterId
-    first_index: int  # entries from this index on are replaced by these
+    first_index: int  # stored entries from this index on are replaced by `entries`
     entries: tuple[Entry, ...]
 
 
 class ApplyEntry(NamedTuple):
-    """The entry is committed: it comes once, in order of the log, at every voter and learner."""
+    """Applies a committed entry; issued once per entry, in log order, at voters and learners."""
 
     log_index: int
     entry: Entry
 
 
 class RestoreSnapshot(NamedTuple):
-    """The state as of that index, in the place of every ApplyEntry up to it."""
+    """Replaces the applied state by a snapshot that covers every entry up to `log_index`."""
 
     log_index: int
     data: bytes
 
 
 class ReadReady(NamedTuple):
-    """A state with the log applied up to the read index is no older than the requested read."""
+    """Completes a read: a state that has applied `read_index` is linearizable for this read."""
 
     key: Any
     read_index: int
 
 
 class ReadFailed(NamedTuple):
-    """This voter cannot answer the read: it does not lead, or has lost its leadership since."""
+    """Rejects a read because this voter is not the leader or has lost the leadership."""
 
     key: Any
 
 
 class LeaderChanged(NamedTuple):
-    """Who leads as far as this voter knows; "": nobody."""
+    """Reports the leader that this voter knows of; `leader_id` is "" while there is none."""
 
     leader_id: VoterId
     term: int
 
 
 class WakeAt(NamedTuple):
-    """Give `Tick` at that time."""
+    """Requests a `Tick` input at `time_ms`."""
 
     time_ms: float
 
--- a/pumicenotch/consensus/elections.py
+++ b/pumicenotch/consensus/elections.py
@@ -13,19 +13,19 @@
 
 
 class LeaderElection(LogReplication):
-    """How a voter comes to lead, and how it gives its vote."""
+    """Starts elections and pre-votes, grants votes and transfers the leadership."""
 
     def start_pre_vote(self) -> None:
-        """Asks whether a majority would vote for it.
+        """Asks whether a majority would grant this voter its vote.
 
-        Until then its term stays, so that a voter that was cut off disturbs nobody when it is back,
-        however often its connection comes and goes.
+        The term is not incremented before a majority agrees, so a voter that was partitioned cannot
+        depose the leader when it reconnects, even if its connection flaps.
         """
         self.role = Role.PRE_CANDIDATE
         self.request_votes(self.term + 1, pre_vote=True)
 
     def start_election(self, leadership_transfer: bool) -> None:
-        """Begins a new term, votes for itself and asks all others to do so."""
+        """Starts a new term, votes for this voter and requests the votes of all others."""
         self.role = Role.CANDIDATE
         self.term += 1
         self.voted_for = self.voter_id
@@ -35,7 +35,7 @@
     def request_votes(
         self, term: int, pre_vote: bool = False, leadership_transfer: bool = False
     ) -> None:
-        """Asks every other voter; its own vote may be a majority already."""
+        """Requests the other voters' votes; in a cluster of one, its own vote is a majority."""
         self.votes_received = {self.voter_id}
         self.set_leader("")
         self.reset_election_timer()
@@ -47,7 +47,7 @@
         self.count_votes()
 
     def count_votes(self) -> None:
-        """Goes on with a majority's votes: from the pre-vote to the election, then to leading."""
+        """With a majority of votes, proceeds from the pre-vote to the election or to leadership."""
         if not self.log.membership.has_majority(self.votes_received):
             return
         if self.role is Role.PRE_CANDIDATE:
@@ -56,7 +56,7 @@
             self.become_leader()
 
     def become_leader(self) -> None:
-        """Leads the term: appends its first entry and sends heartbeats at once."""
+        """Becomes the leader of the term, appends its first entry and sends heartbeats at once."""
         members = self.log.membership.members
         self.role = Role.LEADER
         self.transfer_target = ""
@@ -71,9 +71,10 @@
         self.send_heartbeats()
 
     def on_request_vote(self, sender: VoterId, request: RequestVote) -> None:
-        """Grants the vote, or refuses it and keeps its term where it hears a leader."""
+        """Grants or refuses a vote; ignores the request's term while a leader is alive."""
         if not request.leadership_transfer and self.leader_is_alive():
-            # The sender may have missed heartbeats, or be out of the membership (thesis, 4.2.3).
+            # The candidate may have missed heartbeats or have been removed from the membership
+            # (thesis, 4.2.3).
             if request.pre_vote:
                 self.send(sender, VoteResponse(self.term, False, True))
             return
@@ -88,19 +89,22 @@
         self.send(sender, VoteResponse(term, vote_granted, request.pre_vote))
 
     def is_up_to_date(self, request: RequestVote) -> bool:
-        """Whether the candidate's log is at least as up to date as this voter's (thesis, 3.6.1)."""
+        """Returns whether the candidate's log is not behind this voter's log (thesis, 3.6.1)."""
         candidate = (request.last_log_term, request.last_log_index)
         return candidate >= (self.log.last_term, self.log.last_index)
 
     def may_grant_vote(self, sender: VoterId, request: RequestVote) -> bool:
-        """Whether this voter's vote of that term is free, or the candidate's already."""
+        """Returns whether this voter's vote in the term is unused or was given to the sender.
+
+        A pre-vote is granted for any later term.
+        """
         if request.pre_vote:
             return request.term > self.term
-        is_free = self.voted_for in ("", sender)
-        return request.term == self.term and is_free and self.role is Role.FOLLOWER
+        is_vote_available = self.voted_for in ("", sender)
+        return request.term == self.term and is_vote_available and self.role is Role.FOLLOWER
 
     def on_vote_response(self, sender: VoterId, response: VoteResponse) -> None:
-        """Counts a vote that was granted in the election or pre-vote that is going on."""
+        """Counts a vote granted in the current election or pre-vote."""
         if response.pre_vote:
             is_current = self.role is Role.PRE_CANDIDATE and response.term == self.term + 1
         else:
@@ -110,9 +114,9 @@
             self.count_votes()
 
     def transfer_leadership(self, target: VoterId) -> None:
-        """Hands leadership to the target, or to the most advanced voter where it is empty.
+        """Transfers the leadership to the target, or if it is "" to the most up-to-date voter.
 
-        Nothing is proposed meanwhile, for one election timeout at the most.
+        Proposals are ignored until the transfer completes, for at most one election timeout.
         """
         candidates = [voter for voter in self.log.membership.voters if voter != self.voter_id]
         if self.role is not Role.LEADER or not candidates or (target and target not in candidates):
@@ -127,6 +131,6 @@
             self.send_entries(self.transfer_target, is_heartbeat=True)
 
     def on_timeout_now(self, request: TimeoutNow) -> None:
-        """The leader of this term hands over: an election begins at once."""
+        """Starts an election at once, as requested by the leader of this term."""
         if request.term == self.term and self.voter_id in self.log.membership.voters:
             self.start_election(leadership_transfer=True)
--- a/pumicenotch/consensus/inputs.py
+++ b/pumicenotch/consensus/inputs.py
@@ -1,4 +1,4 @@
-"""What happens to a voter: everything that `Voter.step` takes."""
+"""The inputs of `Voter.step`."""
 
 from typing import Any, NamedTuple
 
@@ -6,42 +6,42 @@
 
 
 class Tick(NamedTuple):
-    """Time has passed; due or not is for the voter to see."""
+    """Time has advanced; the voter checks its own timers."""
 
 
 class MessageReceived(NamedTuple):
-    """A message of another voter."""
+    """A message from another voter has been received."""
 
     sender: VoterId
     message: Message
 
 
 class Persisted(NamedTuple):
-    """The write of that serial, and all before it, are durable."""
+    """The `Persist` effect of this serial and all earlier ones are durable."""
 
     serial: int
 
 
 class Propose(NamedTuple):
-    """Append the command to the log; without effect where this voter does not lead."""
+    """Appends a command to the log; ignored unless this voter is the leader."""
 
     command: Any
 
 
 class RequestRead(NamedTuple):
-    """Confirm that this voter still leads: answered by `ReadReady` or `ReadFailed` with the key."""
+    """Requests a linearizable read; `ReadReady` or `ReadFailed` with the same key answers it."""
 
     key: Any
 
 
 class ChangeMembership(NamedTuple):
-    """Append a change of at most one voter; without effect where it cannot be made now."""
+    """Appends a change of at most one voter; ignored while no change can be made."""
 
     membership: ClusterMembership
 
 
 class TransferLeadership(NamedTuple):
-    """Hand leadership over to the target, or to the most advanced voter where it is empty."""
+    """Transfers the leadership to `target`, or if it is "" to the most up-to-date voter."""
 
     target: VoterId
 
--- a/pumicenotch/consensus/log.py
+++ b/pumicenotch/consensus/log.py
@@ -1,12 +1,18 @@
-"""The log as one voter has it: a snapshot, and the entries after it. Indexes count from 1."""
+"""One voter's log: a snapshot and the entries after it. Log indexes start at 1."""
 
 from pumicenotch.consensus.messages import ClusterMembership, Entry, EntryKind
 
 
 class Log:
-    """The entries after the snapshot, and the membership that the newest of them sets.
+    """A snapshot, the entries after it, and the membership in force.
 
-    Membership is as of the newest entry that changes it, committed or not (thesis, 4.1).
+    The membership is that of the newest entry that changes it, committed or not (thesis, 4.1).
+
+    Args:
+        membership: The membership as of the snapshot, or the first membership.
+        snapshot_index: The index of the last entry that the snapshot covers; 0 if there is none.
+        snapshot_term: The term of that entry.
+        snapshot: The applied state as of that entry.
     """
 
     def __init__(
@@ -26,16 +32,16 @@
 
     @property
     def last_index(self) -> int:
-        """The index of the last entry, or of the snapshot's where there is none after it."""
+        """The index of the last entry, or of the snapshot if no entry follows it."""
         return self.snapshot_index + len(self.entries)
 
     @property
     def last_term(self) -> int:
-        """The term of the last entry."""
+        """The term of the last entry, or of the snapshot if no entry follows it."""
         return self.entries[-1].term if self.entries else self.snapshot_term
 
     def term_at(self, index: int) -> int:
-        """The term of that entry; -1 where it is before the snapshot's end or after the last."""
+        """Returns the term of an entry; -1 if the entry is compacted or after the last one."""
         if index == self.snapshot_index:
             return self.snapshot_term
         if not self.snapshot_index < index <= self.last_index:
@@ -43,30 +49,30 @@
         return self.entries[index - self.snapshot_index - 1].term
 
     def entry_at(self, index: int) -> Entry:
-        """The entry of that index, which must be after the snapshot."""
+        """Returns the entry at an index, which must be after the snapshot."""
         return self.entries[index - self.snapshot_index - 1]
 
     def entries_from(self, index: int, max_entries: int | None = None) -> tuple[Entry, ...]:
-        """Entries from that index on, up to so many."""
+        """Returns the entries from an index on, at most `max_entries` if it is given."""
         start = index - self.snapshot_index - 1
         end = None if max_entries is None else start + max_entries
         return tuple(self.entries[start:end])
 
     def append(self, entry: Entry) -> None:
-        """Adds the entry after the last."""
+        """Appends an entry; an entry that changes the membership takes effect at once."""
         self.entries.append(entry)
         if entry.kind is EntryKind.MEMBERSHIP:
             self.membership = entry.data
             self.membership_index = self.last_index
 
     def truncate_from(self, index: int) -> None:
-        """Removes everything from that index on."""
+        """Removes the entries from an index on, and reverts a membership change among them."""
         del self.entries[index - self.snapshot_index - 1 :]
         if self.membership_index >= index:
             self.find_membership()
 
     def find_membership(self) -> None:
-        """Takes the membership from the newest entry that sets it, or from the snapshot."""
+        """Sets the membership from the newest entry that changes it, or else from the snapshot."""
         self.membership = self.snapshot_membership
         self.membership_index = self.snapshot_index
         for index in range(self.last_index, self.snapshot_index, -1):
@@ -76,7 +82,7 @@
                 return
 
     def compact(self, index: int, snapshot: bytes) -> None:
-        """Replaces all entries up to that index by the snapshot, which holds them."""
+        """Replaces the entries up to an index by a snapshot that covers them."""
         compacted = self.entries[: index - self.snapshot_index]
         for entry in compacted:
             if entry.kind is EntryKind.MEMBERSHIP:
--- a/pumicenotch/consensus/membership_changes.py
+++ b/pumicenotch/consensus/membership_changes.py
@@ -1,4 +1,4 @@
-"""Changes of membership, one voter at a time (thesis, 4.1 to 4.3, with the correction of 2015)."""
+"""Membership changes, one voter at a time (thesis, 4.1 to 4.3, with the correction of 2015)."""
 
 from collections.abc import Callable, Mapping
 
@@ -14,19 +14,19 @@
 
 
 class MembershipChanges(LogReplication):
-    """What a leader may change, and when."""
+    """Appends membership changes at the leader, and decides when a change is allowed."""
 
     def can_change_membership(self) -> bool:
-        """Whether no change is uncommitted, and an entry of this term is committed.
+        """Returns whether no change is uncommitted and an entry of this term is committed.
 
-        Without the latter, changes by two leaders could have majorities with no voter in common
-        (the correction of 2015).
+        Without a committed entry of this term, changes made by two leaders could be committed by
+        majorities that have no voter in common (the correction of 2015).
         """
         is_committed = self.log.membership_index <= self.commit_index
         return is_committed and self.log.term_at(self.commit_index) == self.term
 
     def change_membership(self, membership: ClusterMembership) -> None:
-        """Appends the change; without effect where it cannot be made now."""
+        """Appends a membership change; ignored unless this leader may change the membership now."""
         if self.role is not Role.LEADER or self.transfer_target or not self.can_change_membership():
             return
         if not is_single_change(self.log.membership, membership):
@@ -35,12 +35,15 @@
         self.replicate()
 
     def is_caught_up(self, member: VoterId) -> bool:
-        """Whether a learner has so much of the log that as a voter it would hold nothing up."""
+        """Returns whether a learner has every committed entry and as a voter delays no commit."""
         return self.match_index.get(member, 0) >= self.commit_index > 0
 
 
 def is_single_change(current: ClusterMembership, proposed: ClusterMembership) -> bool:
-    """Whether at most one voter is added or removed, some stay, and no member is listed twice."""
+    """Returns whether the proposal is valid and adds or removes at most one voter.
+
+    A valid membership has at least one voter and lists no member twice.
+    """
     changed_voters = set(proposed.voters) ^ set(current.voters)
     has_duplicates = len(set(proposed.members)) < len(proposed.members)
     return bool(proposed.voters) and len(changed_voters) <= 1 and not has_duplicates
@@ -51,29 +54,33 @@
     joining: Mapping[str, VoterId],
     is_alive: Callable[[VoterId], bool],
 ) -> ClusterMembership | None:
-    """The next change that a leader is to propose, for those that want to be voters.
+    """Returns the next membership that the leader proposes to admit processes that ask to join.
+
+    A process is admitted in steps: its former incarnations are removed, it becomes a learner, and
+    it becomes a voter once it has caught up.
 
     Args:
         voter: The leader.
-        joining: By name, the processes that want to be voters as they are now.
-        is_alive: Whether a process was heard from lately; the name of one that was is taken.
+        joining: The processes that ask to join, by name.
+        is_alive: Whether a process has responded recently. The name of a live process cannot be
+            taken over.
 
     Returns:
-        The membership with the change, or None where nothing is to change, or not yet.
+        The changed membership, or None if no change is needed or possible now.
     """
     membership = voter.log.membership
     if voter.role is not Role.LEADER or not voter.can_change_membership():
         return None
     for name, joining_id in sorted(joining.items()):
-        former = [
+        former_members = [
             member
             for member in membership.members
             if voter_name(member) == name and member != joining_id
         ]
-        if any(member == voter.voter_id or is_alive(member) for member in former):
+        if any(member == voter.voter_id or is_alive(member) for member in former_members):
             continue
-        if former:
-            return _without(membership, former)
+        if former_members:
+            return _without_members(membership, former_members)
         if joining_id in membership.voters:
             continue
         if joining_id not in membership.learners:
@@ -83,7 +90,7 @@
     return None
 
 
-def _without(membership: ClusterMembership, removed: list[VoterId]) -> ClusterMembership:
+def _without_members(membership: ClusterMembership, removed: list[VoterId]) -> ClusterMembership:
     return ClusterMembership(
         tuple(voter for voter in membership.voters if voter not in removed),
         tuple(learner for learner in membership.learners if learner not in removed),
--- a/pumicenotch/consensus/messages.py
+++ b/pumicenotch/consensus/messages.py
@@ -1,7 +1,8 @@
-"""The messages among voters, and the one table from their types to the words on the wire.
+"""The messages between voters and their encoding.
 
-A message travels as a list: its wire name, then its fields in order. Decoding raises
-`MessageDecodeError` for whatever a voter does not send.
+A message is encoded as a list of its wire name and its fields in order. `CONSENSUS_MESSAGES` and
+`BOOTSTRAP_MESSAGES` map wire names to message types. Decoding raises `MessageDecodeError` for
+anything that a voter would not send.
 """
 
 from collections.abc import Set as AbstractSet
@@ -11,35 +12,35 @@
 from pumicenotch.errors import InputError
 
 VoterId: TypeAlias = str
-"""One process that takes part, as NAME/INCARNATION; the empty string stands for none.
+"""A process that takes part in consensus, as NAME/INCARNATION; "" if there is none.
 
-A process that has lost its log is another voter under the same name.
+A process that has lost its log is a different voter with the same name.
 """
 
 
 class ClusterMembership(NamedTuple):
-    """Who takes part: `voters` count for majorities, `learners` only receive the log."""
+    """The members of the cluster: `voters` form majorities, `learners` only receive the log."""
 
     voters: tuple[VoterId, ...] = ()
     learners: tuple[VoterId, ...] = ()
 
     @property
     def members(self) -> tuple[VoterId, ...]:
-        """All that receive the log: voters, then learners."""
+        """The members that receive the log: voters, then learners."""
         return self.voters + self.learners
 
     def has_majority(self, voter_ids: AbstractSet[VoterId]) -> bool:
-        """Whether those are more than half of the voters."""
+        """Returns whether the given ids include more than half of the voters."""
         return 2 * sum(voter in voter_ids for voter in self.voters) > len(self.voters)
 
 
 def voter_name(voter_id: VoterId) -> str:
-    """The name under which every incarnation of that voter goes."""
+    """Returns the name that all incarnations of a voter share."""
     return voter_id.partition("/")[0]
 
 
 class EntryKind(StrEnum):
-    """What a log entry is; the values are the words on the wire."""
+    """The kind of a log entry; the values are part of the wire format."""
 
     COMMAND = "do"
     MEMBERSHIP = "seats"
@@ -51,21 +52,21 @@
 
     term: int
     kind: EntryKind
-    data: Any  # of COMMAND: what was proposed; of MEMBERSHIP: a ClusterMembership; else None
+    data: Any  # the proposed command, the ClusterMembership, or None for NO_OP
 
 
 class RequestVote(NamedTuple):
-    """A candidate's request, or a pre-candidate's (thesis, 3.4 and 9.6)."""
+    """Requests a vote or pre-vote for the sender (thesis, 3.4 and 9.6)."""
 
     term: int
     last_log_index: int
     last_log_term: int
-    pre_vote: bool  # only asks whether the vote would be granted
-    leadership_transfer: bool  # voters that hear a leader need not refuse (thesis, 4.2.3)
+    pre_vote: bool  # asks whether the vote would be granted, without changing terms
+    leadership_transfer: bool  # granted even while a leader is alive (thesis, 4.2.3)
 
 
 class VoteResponse(NamedTuple):
-    """Answers RequestVote."""
+    """Responds to RequestVote."""
 
     term: int
     vote_granted: bool
@@ -73,40 +74,41 @@
 
 
 class AppendEntries(NamedTuple):
-    """A leader's entries, or its heartbeat where there are none."""
+    """Replicates a leader's entries; without entries, a heartbeat."""
 
     term: int
     prev_log_index: int
     prev_log_term: int
     entries: tuple[Entry, ...]
     leader_commit: int
-    heartbeat_round: int  # a read waits for a majority's answers to a round begun after it
+    # A read completes once a majority has responded to a round that started after the read.
+    heartbeat_round: int
 
 
 class AppendResponse(NamedTuple):
-    """Answers AppendEntries."""
+    """Responds to AppendEntries."""
 
     term: int
     success: bool
-    log_index: int  # success: the log matches the leader's up to it; else: try again after it
+    log_index: int  # if successful, the last matching index; if not, the index to retry after
     heartbeat_round: int
 
 
 class InstallSnapshot(NamedTuple):
-    """One chunk of a snapshot."""
+    """Transfers one chunk of a snapshot."""
 
     term: int
     last_included_index: int
     last_included_term: int
     membership: ClusterMembership  # as of the last included entry
-    offset: int
+    offset: int  # bytes
     data: bytes
-    done: bool  # this is the last chunk
+    done: bool  # whether this is the last chunk
     heartbeat_round: int
 
 
 class InstallSnapshotResponse(NamedTuple):
-    """Answers InstallSnapshot."""
+    """Responds to InstallSnapshot."""
 
     term: int
     last_included_index: int
@@ -115,32 +117,32 @@
 
 
 class TimeoutNow(NamedTuple):
-    """Leadership transfer (thesis, 3.10): the target starts an election at once."""
+    """Tells the target of a leadership transfer to start an election at once (thesis, 3.10)."""
 
     term: int
 
 
 class Discover(NamedTuple):
-    """Bootstrap: asks what the other process knows of a cluster."""
+    """Bootstrap: asks whether the recipient knows of a cluster."""
 
     sender: VoterId
 
 
 class Uninitialized(NamedTuple):
-    """Bootstrap: the sender knows of no cluster; it may have promised itself to a founder."""
+    """Bootstrap: the sender knows of no cluster; `promised_founder` is "" without a promise."""
 
     sender: VoterId
     promised_founder: VoterId
 
 
 class Initialized(NamedTuple):
-    """Bootstrap: the sender knows of a cluster."""
+    """Bootstrap: the sender takes part in a cluster."""
 
     sender: VoterId
 
 
 class Bootstrapped(NamedTuple):
-    """Bootstrap: the founder has made a cluster of those voters."""
+    """Bootstrap: the founder has created a cluster with this first membership."""
 
     founder: VoterId
     membership: ClusterMembership
@@ -157,7 +159,8 @@
 )
 BootstrapMessage = Discover | Uninitialized | Initialized | Bootstrapped
 
-# The words on the wire. The two methods name the notices that carry the messages under them.
+# Wire names by message type, and the methods of the notifications that carry the messages. Other
+# versions of this program read them, so they must not change.
 CONSENSUS_METHOD = "agree"
 CONSENSUS_MESSAGES: dict[str, type[Any]] = {
     "ask-vote": RequestVote,
@@ -182,36 +185,37 @@
 
 
 class MessageDecodeError(InputError):
-    """What was received is no message that voters send."""
+    """A received value is not a valid message between voters."""
 
     def __init__(self, place: str, problem: str) -> None:
-        remedy = "run programs of compatible versions in one fleet"
+        remedy = "run compatible versions of the program in one fleet"
         super().__init__(problem, place=place, remedy=remedy)
 
 
 class UnknownVoterError(InputError):
-    """A message among voters comes from a process that is none of this cluster's."""
+    """A message between voters was sent by a process that is not configured as a voter."""
 
     def __init__(self, place: str, name: str) -> None:
-        remedy = "name all voters in the file of each voter"
-        super().__init__(f"{name} is no voter of this fleet", place=place, remedy=remedy)
+        remedy = "list all voters in the configuration of each voter"
+        super().__init__(f"{name} is not a voter of this fleet", place=place, remedy=remedy)
 
 
 def encode_message(message: Message | BootstrapMessage) -> list[Any]:
-    """The message as its wire name and fields, for MessagePack."""
+    """Returns the wire name and the fields of a message, ready for MessagePack."""
     return [WIRE_NAMES[type(message)], *message]
 
 
 def decode_message(params: Any) -> Message:
-    """The message among voters that `encode_message` wrote.
+    """Returns the consensus message that `encode_message` encoded.
 
     Raises:
-        MessageDecodeError: It is none, or a field is of another type or below 0.
+        MessageDecodeError: The value is not a consensus message, or a field has the wrong type or a
+            negative number.
     """
     message: Message = _decode(params, CONSENSUS_MESSAGES)
     match message:
         case AppendEntries():
-            entries = tuple(_decode_entry(entry) for entry in _iterable(message.entries))
+            entries = tuple(_decode_entry(entry) for entry in _require_list(message.entries))
             return message._replace(entries=entries)
         case InstallSnapshot():
             return message._replace(membership=decode_membership(message.membership))
@@ -219,10 +223,10 @@
 
 
 def decode_bootstrap_message(params: Any) -> BootstrapMessage:
-    """The bootstrap message that `encode_message` wrote.
+    """Returns the bootstrap message that `encode_message` encoded.
 
     Raises:
-        MessageDecodeError: It is none.
+        MessageDecodeError: The value is not a bootstrap message, or a field has the wrong type.
     """
     message: BootstrapMessage = _decode(params, BOOTSTRAP_MESSAGES)
     if isinstance(message, Bootstrapped):
@@ -231,31 +235,33 @@
 
 
 def decode_membership(value: Any) -> ClusterMembership:
-    """The membership as a pair of lists of voter ids.
+    """Returns the membership encoded as a pair of lists of voter ids.
 
     Raises:
-        MessageDecodeError: It is no such pair.
+        MessageDecodeError: The value is not such a pair.
     """
     try:
         voters, learners = value
         membership = ClusterMembership(tuple(voters), tuple(learners))
     except (TypeError, ValueError):
-        raise MessageDecodeError("membership", f"{value!r:.60} is no pair of lists") from None
+        raise MessageDecodeError("membership", f"{value!r:.60} is not a pair of lists") from None
     for voter_id in membership.members:
         if not isinstance(voter_id, str) or "/" not in voter_id:
-            raise MessageDecodeError("membership", f"{voter_id!r:.60} is no NAME/INCARNATION")
+            raise MessageDecodeError(
+                "membership", f"{voter_id!r:.60} is not of the form NAME/INCARNATION"
+            )
     return membership
 
 
 def _decode(params: Any, message_types: dict[str, type[Any]]) -> Any:
-    """The message with its own fields checked; values nested in them are still as on the wire."""
+    """Returns the message with its fields checked; nested values are not decoded yet."""
     try:
         wire_name, *values = params
         message_type = message_types[wire_name]
         message = message_type._make(values)
     except (KeyError, TypeError, ValueError) as error:
-        problem = f"no message: {type(error).__name__} {error}"[:200]
-        raise MessageDecodeError("message among voters", problem) from None
+        problem = f"not a valid message: {type(error).__name__} {error}"[:200]
+        raise MessageDecodeError("message between voters", problem) from None
     for field, value in message._asdict().items():
         _check_field(f"{wire_name}.{field}", message_type.__annotations__[field], value)
     return message
@@ -263,15 +269,15 @@
 
 def _check_field(place: str, field_type: Any, value: Any) -> None:
     if field_type in (int, bool, bytes, str) and type(value) is not field_type:
-        problem = f"{field_type.__name__} is wanted, not {value!r:.40}"
+        problem = f"{field_type.__name__} expected, got {value!r:.40}"
         raise MessageDecodeError(place, problem)
     if field_type is int and value < 0:
-        raise MessageDecodeError(place, f"{value} is below 0")
+        raise MessageDecodeError(place, f"{value} is negative")
 
 
-def _iterable(value: Any) -> Any:
+def _require_list(value: Any) -> Any:
     if not isinstance(value, list | tuple):
-        raise MessageDecodeError("append.entries", f"{value!r:.60} is no list")
+        raise MessageDecodeError("append.entries", f"{value!r:.60} is not a list")
     return value
 
 
@@ -280,8 +286,8 @@
         term, kind, data = value
         entry_kind = EntryKind(kind)
     except (TypeError, ValueError):
-        raise MessageDecodeError("append.entries", f"no entry: {value!r:.60}") from None
+        raise MessageDecodeError("append.entries", f"not a valid entry: {value!r:.60}") from None
     if type(term) is not int:
-        raise MessageDecodeError("append.entries", f"no entry: {value!r:.60}")
+        raise MessageDecodeError("append.entries", f"not a valid entry: {value!r:.60}")
     is_membership = entry_kind is EntryKind.MEMBERSHIP
     return Entry(term, entry_kind, decode_membership(data) if is_membership else data)
--- a/pumicenotch/consensus/persistence.py
+++ b/pumicenotch/consensus/persistence.py
@@ -1,4 +1,4 @@
-"""Which of a voter's term, vote and entries are durable, and what waits until they are."""
+"""Tracks which of a voter's changes are durable and defers the messages that depend on them."""
 
 from collections.abc import Iterable
 from typing import NamedTuple
@@ -9,7 +9,7 @@
 
 
 class UnfinishedWrite(NamedTuple):
-    """A write that was asked for and is not durable yet."""
+    """A write that was requested and is not durable yet."""
 
     serial: int
     first_index: int
@@ -17,23 +17,33 @@
 
 
 class DeferredMessage(NamedTuple):
-    """A message that may leave once the write of that serial is durable."""
+    """A message that may be sent once the write of this serial is durable."""
 
     serial: int
     send: Send
 
 
 class Persistence:
-    """Turns changes into writes, and defers messages until the writes before them are durable."""
+    """Combines changes into writes and defers messages until the writes before them are durable.
+
+    Attributes:
+        serial: The serial of the last write.
+        persisted_serial: The serial of the last durable write.
+        persisted_index: The log index up to which all entries are durable.
+        unfinished_writes: The writes that are not durable yet, in order.
+        deferred_messages: The messages that wait for a write.
+        is_changed: Whether anything has changed since the last write.
+        first_changed_index: The lowest index changed since the last write; 0 if no entry was.
+    """
 
     def __init__(self) -> None:
-        self.serial = 0  # of the last write
+        self.serial = 0
         self.persisted_serial = 0
-        self.persisted_index = 0  # entries up to it are durable
+        self.persisted_index = 0
         self.unfinished_writes: list[UnfinishedWrite] = []
         self.deferred_messages: list[DeferredMessage] = []
-        self.is_changed = False  # since the last write
-        self.first_changed_index = 0  # 0: no entry was changed
+        self.is_changed = False
+        self.first_changed_index = 0
 
     @property
     def is_complete(self) -> bool:
@@ -41,23 +51,23 @@
         return self.serial == self.persisted_serial
 
     def term_or_vote_changed(self) -> None:
-        """The term or the vote is to be written."""
+        """Records that the term or the vote must be written."""
         self.is_changed = True
 
     def entries_changed(self, first_index: int) -> None:
-        """Entries from that index on are to be written."""
+        """Records that the entries from an index on must be written."""
         self.is_changed = True
         self.first_changed_index = min(self.first_changed_index or first_index, first_index)
         self.persisted_index = min(self.persisted_index, first_index - 1)
 
     def snapshot_installed(self, last_included_index: int) -> None:
-        """The log was replaced by a snapshot."""
+        """Records that a snapshot has replaced the log; unfinished writes no longer matter."""
         self.is_changed = True
         self.persisted_index = last_included_index
         self.unfinished_writes = []
 
     def take_write(self, term: int, voted_for: VoterId, log: Log) -> Persist | None:
-        """The write of all that has changed since the last; None where nothing has."""
+        """Returns the write of all changes since the last write, or None if there are none."""
         if not self.is_changed:
             return None
         self.serial += 1
@@ -68,21 +78,21 @@
         return Persist(self.serial, term, voted_for, first_index, log.entries_from(first_index))
 
     def defer(self, sends: Iterable[Send]) -> None:
-        """Keeps the messages until the last write is durable."""
+        """Holds messages back until the last write is durable."""
         self.deferred_messages += [DeferredMessage(self.serial, send) for send in sends]
 
     def finish_write(self, serial: int) -> list[Send]:
-        """All writes up to the serial are durable; returns the messages that may leave now."""
+        """Marks all writes up to a serial as durable; returns the messages that may be sent now."""
         self.persisted_serial = max(self.persisted_serial, serial)
         while self.unfinished_writes and self.unfinished_writes[0].serial <= serial:
             self.persisted_index = self.unfinished_writes.pop(0).last_index
-        # An entry that was replaced since its write is durable only once the replacement is.
+        # An entry replaced by a later write is durable only once the later write is.
         for write in self.unfinished_writes:
             self.persisted_index = min(self.persisted_index, write.first_index - 1)
-        released = [
+        sendable = [
             deferred.send for deferred in self.deferred_messages if deferred.serial <= serial
         ]
         self.deferred_messages = [
             deferred for deferred in self.deferred_messages if deferred.serial > serial
         ]
-        return released
+        return sendable
--- a/pumicenotch/consensus/reads.py
+++ b/pumicenotch/consensus/reads.py
@@ -1,7 +1,7 @@
-"""Linearizable reads by a round of heartbeats (thesis, 6.4).
+"""Linearizable reads confirmed by a round of heartbeats (thesis, 6.4).
 
-A lease would save the round, but it trusts clocks to run alike, and a process not to be stopped
-between its look at the clock and its answer.
+A leader lease would avoid the round, but it relies on clocks that run at the same rate and on a
+process that is not paused between reading the clock and sending the response.
 """
 
 from collections.abc import Mapping
@@ -11,10 +11,10 @@
 
 
 class PendingRead(NamedTuple):
-    """A read that waits for a majority's answers to a heartbeat round."""
+    """A read that waits for a majority to respond to a heartbeat round."""
 
     key: Any
-    read_index: int  # the commit index when it was asked for
+    read_index: int  # the commit index when the read was requested
     heartbeat_round: int
 
 
@@ -24,7 +24,7 @@
     leader_id: VoterId,
     acknowledged_round: Mapping[VoterId, int],
 ) -> bool:
-    """Whether a majority has answered a heartbeat that was sent after the read was asked for."""
+    """Returns whether a majority has responded to a heartbeat sent after the read was requested."""
     acknowledged = {
         member
         for member, heartbeat_round in acknowledged_round.items()
--- a/pumicenotch/consensus/replication.py
+++ b/pumicenotch/consensus/replication.py
@@ -1,4 +1,4 @@
-"""Log replication (thesis, 3.5 and 3.6): a leader's entries to followers, and the commit index."""
+"""Log replication from leader to followers and the commit index (thesis, 3.5 and 3.6)."""
 
 from pumicenotch.consensus.effects import ApplyEntry, ReadReady
 from pumicenotch.consensus.messages import (
@@ -14,12 +14,12 @@
 
 
 class LogReplication(VoterState):
-    """What leaders and followers do with the log."""
+    """Replicates entries as leader, stores them as follower, and commits them."""
 
-    # As the leader
+    # Leader
 
     def append_to_log(self, entry: Entry) -> None:
-        """Appends an entry of this leader; `replicate` or the next heartbeat sends it."""
+        """Appends an entry at the leader; `replicate` or the next heartbeat sends it."""
         self.log.append(entry)
         self.persistence.entries_changed(self.log.last_index)
         for member in self.log.membership.members:
@@ -27,12 +27,12 @@
             self.responded_at_ms.setdefault(member, self.now_ms)
 
     def replicate(self) -> None:
-        """Sends each other member the entries that it lacks."""
+        """Sends every other member the entries from its next index on."""
         for member in self.other_members():
             self.send_entries(member)
 
     def send_heartbeats(self) -> None:
-        """Begins a round of heartbeats, which carry entries where there are any to send."""
+        """Starts a heartbeat round; heartbeats carry the entries that a member lacks."""
         self.heartbeat_round += 1
         self.deadline_ms = self.now_ms + self.HEARTBEAT_INTERVAL_MS
         for member in self.other_members():
@@ -40,10 +40,11 @@
         self.confirm_reads()
 
     def send_entries(self, member: VoterId, is_heartbeat: bool = False) -> None:
-        """Sends the entries that the member lacks, or a chunk of the snapshot that holds them.
+        """Sends a member its next entries, or a snapshot chunk if they are compacted.
 
-        They are taken as received until the member says otherwise: a lost message shows when it
-        refuses the next heartbeat.
+        The next index advances as if the entries were received. If the message is lost, the member
+        rejects the next heartbeat and the next index is reset. Snapshot chunks are sent with
+        heartbeats only.
         """
         prev_log_index = self.next_index[member] - 1
         if prev_log_index < self.log.snapshot_index:
@@ -64,7 +65,7 @@
             self.next_index[member] = prev_log_index + len(entries) + 1
 
     def send_snapshot_chunk(self, member: VoterId) -> None:
-        """Sends the next chunk of the snapshot that the member has not confirmed."""
+        """Sends the first snapshot chunk that the member has not acknowledged."""
         offset = self.snapshot_offset.get(member, 0)
         data = self.log.snapshot[offset : offset + self.MAX_SNAPSHOT_CHUNK_BYTES]
         chunk = InstallSnapshot(
@@ -80,7 +81,7 @@
         self.send(member, chunk)
 
     def on_append_response(self, sender: VoterId, response: AppendResponse) -> None:
-        """Moves the member's indexes, commits what a majority has, and sends what is missing."""
+        """Updates the member's indexes, advances the commit index and sends further entries."""
         if not self.is_response_of_member(sender, response.term):
             return
         self.record_response(sender, response.heartbeat_round)
@@ -88,45 +89,45 @@
             self.record_match(sender, response.log_index)
             self.advance_commit_index()
         else:
-            retry_after = min(self.next_index[sender] - 1, response.log_index)
-            self.next_index[sender] = max(self.match_index.get(sender, 0), retry_after) + 1
+            retry_after_index = min(self.next_index[sender] - 1, response.log_index)
+            self.next_index[sender] = max(self.match_index.get(sender, 0), retry_after_index) + 1
         if self.next_index[sender] <= self.log.last_index:
             self.send_entries(sender)
         if sender == self.transfer_target and self.has_entire_log(sender):
             self.send(sender, TimeoutNow(self.term))
 
     def is_response_of_member(self, sender: VoterId, term: int) -> bool:
-        """Whether a response in that term is to this leader, and its sender a member."""
+        """Returns whether this voter leads the response's term and the sender is a member."""
         return self.role is Role.LEADER and term == self.term and sender in self.next_index
 
     def record_response(self, sender: VoterId, heartbeat_round: int) -> None:
-        """Notes that the member is alive, and which round of heartbeats it has answered."""
+        """Records the time of the response and the latest heartbeat round acknowledged."""
         self.responded_at_ms[sender] = self.now_ms
         latest_round = self.acknowledged_round.get(sender, 0)
         self.acknowledged_round[sender] = max(latest_round, heartbeat_round)
         self.confirm_reads()
 
     def record_match(self, member: VoterId, log_index: int) -> None:
-        """The member's log matches this leader's up to that index."""
+        """Records that the member's log matches the leader's up to an index."""
         self.match_index[member] = max(self.match_index.get(member, 0), log_index)
         self.next_index[member] = max(self.next_index[member], log_index + 1)
 
     def has_entire_log(self, member: VoterId) -> bool:
-        """Whether the member has every entry of this leader."""
+        """Returns whether the member's log matches the leader's up to the last entry."""
         return self.match_index.get(member, 0) == self.log.last_index
 
     def members_with_entry(self, index: int) -> set[VoterId]:
-        """Those that have the entry durably."""
+        """Returns the members that have stored an entry durably."""
         members = {member for member, match in self.match_index.items() if match >= index}
         if self.persistence.persisted_index >= index:
             members.add(self.voter_id)
         return members
 
     def advance_commit_index(self) -> None:
-        """Commits what a majority has.
+        """Commits the entries that a majority has stored.
 
-        Only an entry of the leader's own term is committed by counting, and those before it with it
-        (thesis, 3.6.2).
+        Only entries of the leader's own term are committed by counting replicas. Earlier entries
+        are committed together with them (thesis, 3.6.2).
         """
         for index in range(self.log.last_index, self.commit_index, -1):
             if self.log.term_at(index) != self.term:
@@ -136,31 +137,32 @@
                 return
 
     def confirm_reads(self) -> None:
-        """Answers the reads whose round of heartbeats a majority has answered."""
+        """Completes the reads whose heartbeat round a majority has acknowledged."""
         if not self.pending_reads or self.role is not Role.LEADER:
             return
-        waiting = []
+        unconfirmed = []
         for read in self.pending_reads:
             membership = self.log.membership
             if is_confirmed(read, membership, self.voter_id, self.acknowledged_round):
                 self.effects.append(ReadReady(read.key, read.read_index))
             else:
-                waiting.append(read)
-        self.pending_reads = waiting
+                unconfirmed.append(read)
+        self.pending_reads = unconfirmed
 
-    # As a follower
+    # Follower
 
     def on_leader_contact(self, leader_id: VoterId) -> None:
-        """A message of this term's leader has come."""
+        """Handles any message of the term's leader: follows it and resets the election timer."""
         self.become_follower(self.term, leader_id)
         self.last_leader_contact_ms = self.now_ms
         self.reset_election_timer()
 
     def on_append_entries(self, sender: VoterId, request: AppendEntries) -> None:
-        """Takes the leader's entries where they fit to this log, and refuses them where not."""
+        """Stores the leader's entries if they follow a matching entry, else rejects them."""
         if request.prev_log_index < self.log.snapshot_index:
             skipped = self.log.snapshot_index - request.prev_log_index
-            if skipped > len(request.entries):  # in the snapshot: committed, hence the same
+            if skipped > len(request.entries):
+                # The snapshot covers all of these entries: they are committed and thus identical.
                 last_index = request.prev_log_index + len(request.entries)
                 self.respond(sender, True, last_index, request.heartbeat_round)
                 return
@@ -170,10 +172,10 @@
                 entries=request.entries[skipped:],
             )
         if self.log.term_at(request.prev_log_index) != request.prev_log_term:
-            retry_after = self.conflict_index(request.prev_log_index)
-            self.respond(sender, False, retry_after, request.heartbeat_round)
+            retry_after_index = self.conflict_index(request.prev_log_index)
+            self.respond(sender, False, retry_after_index, request.heartbeat_round)
             return
-        self.take_entries(request)
+        self.store_entries(request)
         last_index = request.prev_log_index + len(request.entries)
         self.respond(sender, True, last_index, request.heartbeat_round)
         self.commit_up_to(min(request.leader_commit, last_index))
@@ -181,11 +183,11 @@
     def respond(
         self, leader_id: VoterId, success: bool, log_index: int, heartbeat_round: int
     ) -> None:
-        """Answers a leader's entries or snapshot."""
+        """Sends an AppendResponse for the leader's entries or snapshot."""
         self.send(leader_id, AppendResponse(self.term, success, log_index, heartbeat_round))
 
-    def take_entries(self, request: AppendEntries) -> None:
-        """Appends the entries that are missing, in the place of those that conflict with them."""
+    def store_entries(self, request: AppendEntries) -> None:
+        """Appends missing entries, after truncating the log at the first conflicting entry."""
         for index, entry in enumerate(request.entries, request.prev_log_index + 1):
             if self.log.term_at(index) == entry.term:
                 continue
@@ -195,17 +197,17 @@
             self.persistence.entries_changed(index)
 
     def conflict_index(self, prev_log_index: int) -> int:
-        """The index before the whole term that conflicts: one refusal a term, not one an entry."""
+        """Returns the index before the conflicting term: one rejection per term, not per entry."""
         index = min(prev_log_index, self.log.last_index + 1)
         conflicting_term = self.log.term_at(index)
         while index > self.log.snapshot_index and self.log.term_at(index) == conflicting_term:
             index -= 1
         return max(index, self.commit_index)
 
-    # As either
+    # Leader and follower
 
     def commit_up_to(self, index: int) -> None:
-        """Has the entries up to that index applied; a leader that they remove steps down."""
+        """Applies the entries up to an index; steps down if they remove this leader."""
         while self.commit_index < index:
             self.commit_index += 1
             entry = self.log.entry_at(self.commit_index)
@@ -215,5 +217,6 @@
             and self.voter_id not in self.log.membership.voters
         )
         if self.role is Role.LEADER and is_removed:
-            self.send_heartbeats()  # with the commit index: the last that followers hear from here
+            # Followers learn the new commit index from these last heartbeats.
+            self.send_heartbeats()
             self.become_follower(self.term, "")
--- a/pumicenotch/consensus/snapshot_receiver.py
+++ b/pumicenotch/consensus/snapshot_receiver.py
@@ -1,4 +1,4 @@
-"""A snapshot on its way to a follower, put together from its chunks."""
+"""Assembles a snapshot that a follower receives in chunks."""
 
 from typing import NamedTuple
 
@@ -6,7 +6,7 @@
 
 
 class SnapshotSource(NamedTuple):
-    """Which snapshot the chunks are of."""
+    """Identifies the snapshot that a chunk belongs to."""
 
     leader_id: VoterId
     term: int
@@ -14,14 +14,14 @@
 
 
 class SnapshotReceiver:
-    """The chunks received so far. A chunk of another snapshot begins it anew."""
+    """Collects consecutive chunks; a chunk of another snapshot discards those received before."""
 
     def __init__(self) -> None:
         self.source: SnapshotSource | None = None
         self.data = b""
 
     def receive(self, sender: VoterId, chunk: InstallSnapshot) -> bool:
-        """Takes the chunk if it is the next one; whether the snapshot is complete with it."""
+        """Stores the chunk if it is the next one; returns whether it completes the snapshot."""
         source = SnapshotSource(sender, chunk.term, chunk.last_included_index)
         if self.source != source:
             self.source = source
--- a/pumicenotch/consensus/voter.py
+++ b/pumicenotch/consensus/voter.py
@@ -1,7 +1,7 @@
-"""One voter: its inputs, and which part of the algorithm takes each.
+"""The voter: dispatches its inputs to the parts of the algorithm.
 
-It is safe whatever clocks do: time only says when to try for a leader, never who leads or what is
-committed.
+Safety does not depend on clocks: time decides when a voter starts an election, never which voter
+leads or which entries are committed.
 """
 
 from typing import Any
@@ -38,10 +38,10 @@
 
 
 class Voter(LeaderElection, SnapshotInstallation, MembershipChanges):
-    """A voter or learner; one that has restarted may be given its term, vote and log."""
+    """A voter or learner. To restart one, restore its persisted term, vote and log."""
 
     def step(self, now_ms: float, event: Input) -> list[Effect]:
-        """Takes one input; returns what is to be done, in order. Time never goes back."""
+        """Handles one input and returns the effects in order; a time before the last is ignored."""
         self.now_ms = max(self.now_ms, now_ms)
         match event:
             case Tick():
@@ -61,7 +61,7 @@
         return self.take_effects()
 
     def take_effects(self) -> list[Effect]:
-        """What the input has brought about; sends wait until all changes before are durable."""
+        """Returns the effects of the input; messages are deferred until all changes are durable."""
         effects = self.effects
         self.effects = []
         write = self.persistence.take_write(self.term, self.voted_for, self.log)
@@ -73,7 +73,7 @@
         return [*effects, WakeAt(self.deadline_ms)]
 
     def on_tick(self) -> None:
-        """Sends heartbeats or begins an election, when either is due."""
+        """Sends heartbeats or starts a pre-vote once the timer has expired."""
         if self.now_ms < self.deadline_ms:
             return
         if self.role is Role.LEADER:
@@ -84,16 +84,20 @@
             self.reset_election_timer()
 
     def on_heartbeat_timeout(self) -> None:
-        """Sends heartbeats, or steps down where a majority answers no more."""
+        """Sends heartbeats, or steps down if no majority responds any more (thesis, 6.2)."""
         if not self.has_active_quorum():
             self.become_follower(self.term, "")
             return
         if self.transfer_target and self.now_ms >= self.transfer_deadline_ms:
-            self.transfer_target = ""  # it did not take over: go on
+            # The target did not take over in time: this leader accepts proposals again.
+            self.transfer_target = ""
         self.send_heartbeats()
 
     def on_message(self, sender: VoterId, message: Message) -> None:
-        """Takes a message of another voter, and its term if that is later."""
+        """Handles a message of another voter, after adopting the message's term if it is later.
+
+        A granted pre-vote carries the term of the election that may follow, so it is not adopted.
+        """
         if isinstance(message, RequestVote):
             self.on_request_vote(sender, message)
             return
@@ -121,22 +125,23 @@
                 self.on_timeout_now(message)
 
     def on_persisted(self, serial: int) -> None:
-        """Releases what waited for the write, and commits what a majority has with it."""
+        """Sends the messages that waited for a write; a leader's commit index may advance."""
         self.effects += self.persistence.finish_write(serial)
         if self.role is Role.LEADER:
             self.advance_commit_index()
 
     def propose(self, command: Any) -> None:
-        """Appends the command and sends it; without effect where this voter cannot propose."""
+        """Appends and replicates a command; ignored unless leading, and during a transfer."""
         if self.role is not Role.LEADER or self.transfer_target:
             return
         self.append_to_log(Entry(self.term, EntryKind.COMMAND, command))
         self.replicate()
 
     def request_read(self, key: Any) -> None:
-        """Begins a round of heartbeats; `ReadReady` follows once a majority has answered it.
+        """Starts a heartbeat round; `ReadReady` follows once a majority has responded to it.
 
-        It never follows where another leader may have committed more.
+        A leader without a committed entry of its own term rejects the read, because its commit
+        index may be behind that of an earlier leader. A leader that was replaced gets no majority.
         """
         if self.role is not Role.LEADER or self.log.term_at(self.commit_index) != self.term:
             self.effects.append(ReadFailed(key))
