--- a/pumicenotch/membership/__init__.py
+++ b/pumicenotch/membership/__init__.py
@@ -1,5 +1,6 @@
-"""Group membership: which members are believed to be alive.
+"""Group membership: which members of the fleet are believed to be alive.
 
-SWIM (2002) with suspicion and incarnations, and Lifeguard's local health awareness (2017). What it
-says is an opinion: nothing that must be safe rests on it alone. No I/O and no clock.
+The package implements SWIM (2002) with suspicion and incarnations, and Lifeguard's local health
+awareness (2017). Its result is only a belief: nothing that must be safe relies on it alone. The
+package performs no I/O and reads no clock.
 """
--- a/pumicenotch/membership/events.py
+++ b/pumicenotch/membership/events.py
@@ -1,4 +1,4 @@
-"""The inputs of `SwimMembership.step` and the effects that it asks of its carrier."""
+"""The events that `SwimMembership.step` takes and the effects that it returns."""
 
 from typing import NamedTuple
 
@@ -6,18 +6,18 @@
 
 
 class Tick(NamedTuple):
-    """The time of a `WakeAt` has come."""
+    """The time requested by the last `WakeAt` has been reached."""
 
 
 class MessageReceived(NamedTuple):
-    """A message from the member that listens at `address`."""
+    """A message was received from the member that listens at `address`."""
 
     address: str
     message: Message
 
 
 class SetPhase(NamedTuple):
-    """This member enters another phase, and announces it."""
+    """Changes this member's phase and announces the change."""
 
     phase: MemberPhase
 
@@ -26,26 +26,26 @@
 
 
 class Send(NamedTuple):
-    """Send a message. The receiver is an address, since a seed's name is not known at first."""
+    """Sends a message. The recipient is an address because the name of a seed may be unknown."""
 
     address: str
     message: Message
 
 
 class MemberUpdated(NamedTuple):
-    """What is known of a member has changed."""
+    """The state, phase or identity known of a member has changed."""
 
     update: Update
 
 
 class NameConflict(NamedTuple):
-    """A later process uses this member's name."""
+    """A process that started later uses this member's name."""
 
     namesake: MemberIdentity
 
 
 class WakeAt(NamedTuple):
-    """Put in a `Tick` at that time; the latest one replaces those before."""
+    """Requests a `Tick` event at `at_ms`; replaces any earlier request."""
 
     at_ms: float
 
--- a/pumicenotch/membership/full_state.py
+++ b/pumicenotch/membership/full_state.py
@@ -1,4 +1,4 @@
-"""When and with whom all that is known is exchanged: it heals what gossip has missed."""
+"""The schedule of full state exchanges, which repair what gossip has missed (push-pull)."""
 
 import random
 from collections.abc import Iterable, Iterator, Sequence
@@ -6,49 +6,64 @@
 from pumicenotch.membership.member_table import MemberTable
 from pumicenotch.membership.messages import MAX_UPDATES_PER_MESSAGE, FullState, Update
 
-# Between two exchanges, in protocol periods. The first ones follow sooner.
+# The longest interval between two exchanges, in protocol periods. The first intervals are shorter.
 MAX_EXCHANGE_PERIODS = 15
-# After the first exchange so many go to seeds: processes started together meet there.
+# The first exchanges go to seeds, so that processes started together find each other.
 SEED_EXCHANGES = 4
 
 
 class FullStateExchange:
-    """The schedule of this member's full state exchanges. Times are in ms."""
+    """Schedules this member's full state exchanges and chooses their peers. Times are in ms.
 
-    def __init__(self, now: float, period_ms: float, seeds: Sequence[str]) -> None:
-        self.next_at = now
+    Args:
+        now_ms: The current time; the first exchange starts at once.
+        period_ms: The protocol period.
+        seeds: The addresses of members to join by, without this member's own.
+
+    Attributes:
+        next_at: When the next exchange starts, in ms.
+        count: The number of exchanges since this member last knew of no live member.
+    """
+
+    def __init__(self, now_ms: float, period_ms: float, seeds: Sequence[str]) -> None:
+        self.next_at = now_ms
         self.count = 0
         self._period_ms = period_ms
         self._seeds = seeds
 
-    def is_scheduled(self, now: float) -> bool:
-        """Whether the next exchange is to begin."""
-        return now >= self.next_at
+    def is_scheduled(self, now_ms: float) -> bool:
+        """Returns whether the next exchange must start."""
+        return now_ms >= self.next_at
 
-    def choose_peer(self, now: float, table: MemberTable, rng: random.Random) -> str | None:
-        """Return the address for an exchange that begins now, and schedule the next.
+    def choose_peer(self, now_ms: float, table: MemberTable, rng: random.Random) -> str | None:
+        """Returns the address of the peer for an exchange now, and schedules the next exchange.
 
-        At first it is a seed, so that no two groups form; then in turn a live member, a dead one
-        (so that the two sides of a healed partition find each other) and a seed.
+        The first exchanges go to seeds, so that no two separate groups form. Later exchanges go in
+        turn to a live member, a dead member (so that the two sides of a healed partition find each
+        other) and a seed. Returns None if no address is known.
         """
-        # Sooner at first: a new member knows few, and few know it.
+        # The first intervals are short: a new member knows few members, and few know it.
         periods = min(MAX_EXCHANGE_PERIODS, 2.0**self.count)
-        self.next_at = now + periods * self._period_ms
+        self.next_at = now_ms + periods * self._period_ms
         self.count += 1
         alive = table.addresses_of(sorted(table.alive()))
         dead = table.addresses_of(sorted(table.dead()))
-        turns = (alive, dead, self._seeds)
-        preferred = self._seeds if self.count <= SEED_EXCHANGES else turns[self.count % len(turns)]
+        candidate_groups = (alive, dead, self._seeds)
+        preferred = (
+            self._seeds
+            if self.count <= SEED_EXCHANGES
+            else candidate_groups[self.count % len(candidate_groups)]
+        )
         candidates = preferred or self._seeds or alive
         if not alive:
-            self.next_at = now + self._period_ms
+            self.next_at = now_ms + self._period_ms
             self.count = 0
         return rng.choice(candidates) if candidates else None
 
 
-def pages(updates: Iterable[Update], reply_wanted: bool) -> Iterator[FullState]:
-    """Divide updates into messages; a reply is wanted to the last of them alone."""
-    known = tuple(updates)
-    for start in range(0, len(known), MAX_UPDATES_PER_MESSAGE):
+def paginate(updates: Iterable[Update], reply_wanted: bool) -> Iterator[FullState]:
+    """Splits updates into messages; only the last message may request a reply."""
+    all_updates = tuple(updates)
+    for start in range(0, len(all_updates), MAX_UPDATES_PER_MESSAGE):
         end = start + MAX_UPDATES_PER_MESSAGE
-        yield FullState(known[start:end], reply_wanted and end >= len(known))
+        yield FullState(all_updates[start:end], reply_wanted and end >= len(all_updates))
--- a/pumicenotch/membership/messages.py
+++ b/pumicenotch/membership/messages.py
@@ -1,7 +1,7 @@
-"""The messages of the membership protocol, and their form on the wire.
+"""The messages of the membership protocol and their encoding.
 
-On the wire a message is `[kind, *fields]`. Kinds and the order of fields are fixed: members of
-earlier versions read them. `MESSAGE_TYPES` is the one table from the wire's words to types.
+A message is encoded as `[kind, *fields]`. Kinds and the order of fields must not change, because
+members of earlier versions read them. `MESSAGE_TYPES` maps kinds to message types.
 """
 
 from collections.abc import Mapping
@@ -11,29 +11,29 @@
 from pumicenotch.errors import InputError
 
 MAX_UPDATES_PER_MESSAGE = 64
-MAX_TEXT_LENGTH = 64
-MAX_ERROR_LENGTH = 200
+MAX_TEXT_LENGTH = 64  # characters, of each name, address or id
+MAX_ERROR_LENGTH = 200  # characters
 
 ERROR_PLACE = "membership message"
-ERROR_REMEDY = "run programs that speak one version of this protocol"
+ERROR_REMEDY = "run programs that use the same version of this protocol"
 
 
 class MessageDecodeError(InputError):
-    """A payload is not of the form that members send."""
+    """A received payload is not a valid membership message."""
 
     code = "membership-message"
 
 
 class MemberPhase(IntEnum):
-    """What a member says of itself. The numbers are those on the wire."""
+    """The phase that a member announces of itself; the numbers are part of the wire format."""
 
     JOINING = 0
     SERVING = 1
     DRAINING = 2
-    LEFT = 3  # it has shut down, and will not answer
+    LEFT = 3  # the member has shut down and will not respond
 
 
-# The words of status answers.
+# The labels of the phases in status responses.
 PHASE_LABELS: Mapping[MemberPhase, str] = {
     MemberPhase.JOINING: "joining",
     MemberPhase.SERVING: "serving",
@@ -43,7 +43,7 @@
 
 
 class MemberState(IntEnum):
-    """What other members believe of a member. Within one incarnation the higher value prevails."""
+    """The state that other members believe; within one incarnation the higher value prevails."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -54,12 +54,12 @@
     """One process of a member.
 
     Attributes:
-        name: the member's name, which its later processes take over.
-        address: where it listens, HOST:PORT.
-        process_id: drawn at the start of the process, unique to it.
-        started_at_ms: Unix time at its start. It orders the processes of one name, nothing else.
-        zone: the zone that it runs in.
-        region: the region that it runs in.
+        name: The member's name, which is reused by its later processes.
+        address: The address where the process listens, HOST:PORT.
+        process_id: A unique id drawn when the process starts.
+        started_at_ms: Unix time when the process started; used only to order processes of one name.
+        zone: The zone that the process runs in.
+        region: The region that the process runs in.
     """
 
     name: str
@@ -71,14 +71,15 @@
 
 
 class Update(NamedTuple):
-    """What is known of one member: the unit of gossip.
+    """The knowledge about one member: the unit of gossip.
 
     Attributes:
-        member: whom it is about.
-        incarnation: raised by the member itself, to refute a suspicion or to announce a phase.
-        phase: what the member last said of itself.
-        state: what is believed of it.
-        reported_by: who first believed that; a suspicion is confirmed by different reporters.
+        member: The member that the update describes.
+        incarnation: Incremented by the member itself to refute a suspicion or announce a phase.
+        phase: The phase last announced by the member.
+        state: The believed state of the member.
+        reported_by: The member that first reported the state; distinct reporters confirm a
+            suspicion.
     """
 
     member: MemberIdentity
@@ -94,21 +95,21 @@
 
     @property
     def precedence(self) -> tuple[int, str, int, int, int]:
-        """Of two updates about one member the one of higher precedence replaces the other."""
+        """The sort key of updates about one member; the update with the higher key prevails."""
         member = self.member
         return (member.started_at_ms, member.process_id, self.incarnation, self.state, self.phase)
 
 
 class Ping(NamedTuple):
-    """A probe, direct or on behalf of another member. Answered by an Ack."""
+    """Probes a member, directly or on behalf of another member. An Ack is the response."""
 
     sequence_number: int
-    updates: tuple[Update, ...]  # the first is the sender's own
-    broadcasts: tuple[object, ...]  # (key, value) pairs; checked where they are taken in
+    updates: tuple[Update, ...]  # the first describes the sender
+    broadcasts: tuple[object, ...]  # (key, value) pairs, validated by `Broadcasts.receive`
 
 
 class Ack(NamedTuple):
-    """The answer to a Ping or, relayed, to a PingRequest."""
+    """Responds to a Ping or, when relayed, to a PingRequest."""
 
     sequence_number: int
     updates: tuple[Update, ...]
@@ -116,23 +117,26 @@
 
 
 class Nack(NamedTuple):
-    """The member asked by a PingRequest has no answer yet, but is itself reachable (Lifeguard)."""
+    """Responds to a PingRequest whose target has not responded in time (Lifeguard).
+
+    The Nack shows that the relaying member itself is reachable.
+    """
 
     sequence_number: int
 
 
 class PingRequest(NamedTuple):
-    """Asks the receiver to ping `target` and to relay the Ack (SWIM's ping-req)."""
+    """Requests the receiver to ping `target` and to relay the Ack (SWIM's ping-req)."""
 
     sequence_number: int
     target: str
 
 
 class FullState(NamedTuple):
-    """A page of all that the sender knows: push-pull synchronization."""
+    """One page of the sender's full state, for push-pull synchronization."""
 
     updates: tuple[Update, ...]
-    reply_wanted: bool  # whether the receiver is to send its own full state
+    reply_wanted: bool  # whether the receiver must respond with its own full state
 
 
 Message = Ping | Ack | Nack | PingRequest | FullState
@@ -148,15 +152,15 @@
 
 
 def encode(message: Message) -> list[object]:
-    """Return the message as plain values, as MessagePack carries them."""
+    """Returns the message as plain values for MessagePack."""
     return [_KINDS[type(message)], *message]
 
 
 def decode(payload: Any) -> Message:
-    """Return the message that `encode` gave.
+    """Returns the message that `encode` encoded.
 
     Raises:
-        MessageDecodeError: the payload is no message that a member sends.
+        MessageDecodeError: The payload is not a valid message.
     """
     try:
         return _decode(payload)
@@ -170,7 +174,7 @@
     kind = payload[0]
     message = MESSAGE_TYPES[kind]._make(payload[1:])
     if not isinstance(message, FullState) and type(message.sequence_number) is not int:
-        raise _decode_error(f"{kind}: its sequence number is no whole number")
+        raise _decode_error(f"{kind}: the sequence number is not an integer")
     match message:
         case Ping() | Ack():
             decoded: Message = message._replace(
@@ -179,7 +183,7 @@
         case FullState():
             decoded = message._replace(updates=_decode_updates(message.updates))
         case PingRequest(_, target) if not isinstance(target, str):
-            raise _decode_error(f"{kind}: its target is no name")
+            raise _decode_error(f"{kind}: the target is not a string")
         case _:
             decoded = message
     return decoded
@@ -187,7 +191,7 @@
 
 def _decode_updates(rows: Any) -> tuple[Update, ...]:
     if len(rows) > MAX_UPDATES_PER_MESSAGE:
-        raise _decode_error(f"{len(rows)} updates, {MAX_UPDATES_PER_MESSAGE} are allowed")
+        raise _decode_error(f"{len(rows)} updates, at most {MAX_UPDATES_PER_MESSAGE} are allowed")
     return tuple(map(_decode_update, rows))
 
 
@@ -203,11 +207,15 @@
         reported_by,
     )
     if not all(isinstance(text, str) and len(text) <= MAX_TEXT_LENGTH for text in texts):
-        raise _decode_error(f"update of {member!r:.80}: a text is longer than {MAX_TEXT_LENGTH}")
+        raise _decode_error(
+            f"update of {member!r:.80}: a field is not a string of length 0 to {MAX_TEXT_LENGTH}"
+        )
     if not member.name:
         raise _decode_error(f"update of {member!r:.80}: the name is empty")
     if type(incarnation) is not int or incarnation < 0 or type(member.started_at_ms) is not int:
-        raise _decode_error(f"update of {member.name}: incarnation or start is no whole number")
+        raise _decode_error(
+            f"update of {member.name}: incarnation or started_at_ms is not a valid integer"
+        )
     return Update(member, incarnation, MemberPhase(phase), MemberState(state), reported_by)
 
 
--- a/pumicenotch/membership/probing.py
+++ b/pumicenotch/membership/probing.py
@@ -1,4 +1,4 @@
-"""Failure detection: SWIM's round of pings and ping requests, Lifeguard's local health."""
+"""Failure detection: SWIM's pings and ping requests, with Lifeguard's local health."""
 
 import math
 import random
@@ -7,109 +7,126 @@
 from pumicenotch.membership.member_table import MemberTable
 from pumicenotch.membership.messages import MemberState
 
-# For an answer to a ping. After it other members are asked to ping; many times a round trip.
+# The timeout of a direct ping, many times a round trip. After it, other members are asked to ping.
 ACK_TIMEOUT_MS = 300.0
-# Members that are asked to ping for this one: SWIM's k.
+# SWIM's k: the number of helpers, members that are asked to ping on behalf of this one.
 INDIRECT_PROBES = 3
-# The highest local health multiplier less one: Lifeguard's S.
+# Lifeguard's S: the maximum of the local health multiplier minus one.
 MAX_HEALTH_SCORE = 8
 
 
 class LocalHealth:
-    """Lifeguard's local health multiplier: a degraded member lengthens its own timeouts."""
+    """Lifeguard's local health multiplier: a degraded member lengthens its own timeouts.
+
+    Attributes:
+        score: 0 while this member is healthy, up to `MAX_HEALTH_SCORE`.
+    """
 
     def __init__(self) -> None:
-        self.score = 0  # 0 is healthy
+        self.score = 0
 
     @property
     def multiplier(self) -> int:
-        """By how much this member's period and timeouts are lengthened."""
+        """The factor that lengthens this member's protocol period and probe timeouts."""
         return 1 + self.score
 
     def adjust(self, change: int) -> None:
-        """Raise the score after missed answers, lower it after answers in time."""
+        """Raises the score after missed responses and lowers it after timely ones."""
         self.score = min(MAX_HEALTH_SCORE, max(0, self.score + change))
 
 
 class Probe(NamedTuple):
-    """A probe that has not been answered yet."""
+    """A probe whose target has not responded yet."""
 
     sequence_number: int
     target: str
-    deadline: float
-    indirect: bool  # whether other members were asked to ping
+    deadline_ms: float
+    indirect: bool  # whether other members were asked to ping the target
 
 
 class RelayedPing(NamedTuple):
-    """A ping that this member has sent on behalf of another."""
+    """A ping that this member has sent on behalf of another member."""
 
     requester_address: str
     requester_sequence_number: int
-    deadline: float
+    deadline_ms: float
 
 
 class Prober:
-    """The probes that this member has sent, its own and those for others. Times are in ms."""
+    """Tracks the probes of this member and the pings it relays for others. Times are in ms.
+
+    Args:
+        rng: The source of random choices.
+        health: This member's local health, updated by the results of its probes.
+
+    Attributes:
+        current: The probe in progress, or None.
+    """
 
     def __init__(self, rng: random.Random, health: LocalHealth) -> None:
         self.current: Probe | None = None
         self._rng = rng
         self._health = health
-        self._round: list[str] = []  # the members still to be probed, in reverse
+        self._remaining: list[str] = []  # members still to be probed in this round, last one first
         self._sequence_number = 0
         self._missing_nacks = 0
         self._has_helpers = False
-        self._relayed: dict[int, RelayedPing] = {}
+        self._relayed_pings: dict[int, RelayedPing] = {}
 
     def clear_round(self) -> None:
-        """Draw a new order of members before the next probe."""
-        self._round = []
-
-    def next_deadline(self) -> float:
-        """Return when the next probe or relayed ping expires."""
-        probe_deadline = math.inf if self.current is None else self.current.deadline
-        return min([probe_deadline, *(relayed.deadline for relayed in self._relayed.values())])
+        """Ends the round, so that the next probe starts one in a new random order."""
+        self._remaining = []
+
+    def next_deadline_ms(self) -> float:
+        """Returns when the next probe or relayed ping expires; infinity if there is none."""
+        probe_deadline_ms = math.inf if self.current is None else self.current.deadline_ms
+        return min(
+            [probe_deadline_ms, *(relayed.deadline_ms for relayed in self._relayed_pings.values())]
+        )
 
     # Own probes
 
-    def start(self, now: float, table: MemberTable) -> Probe | None:
-        """Begin to probe the next member of the round; None if there is none to probe.
+    def start(self, now_ms: float, table: MemberTable) -> Probe | None:
+        """Starts to probe the next member of the round.
+
+        Each member is probed once per round, and every round has a new random order, so that a
+        failed member is probed by some other member within a bounded time (SWIM, 4.3).
 
-        Each member is probed once in a round, and every round has a new order, so that a failed one
-        is probed by some member within a bounded time (SWIM, 4.3).
+        Returns:
+            The probe, or None if another probe is in progress or no member is alive.
         """
         if self.current is not None:
             return None
         target = self._next_target(table)
         if target is None:
             return None
-        deadline = now + ACK_TIMEOUT_MS * self._health.multiplier
-        self.current = Probe(self._next_sequence_number(), target, deadline, False)
+        deadline_ms = now_ms + ACK_TIMEOUT_MS * self._health.multiplier
+        self.current = Probe(self._next_sequence_number(), target, deadline_ms, False)
         return self.current
 
     def _next_target(self, table: MemberTable) -> str | None:
         alive = set(table.alive())
-        while self._round:
-            name = self._round.pop()
+        while self._remaining:
+            name = self._remaining.pop()
             if name in alive:
                 return name
-        self._round = sorted(alive)
-        self._rng.shuffle(self._round)
-        return self._round.pop() if self._round else None
+        self._remaining = sorted(alive)
+        self._rng.shuffle(self._remaining)
+        return self._remaining.pop() if self._remaining else None
 
     def _next_sequence_number(self) -> int:
         self._sequence_number += 1
         return self._sequence_number
 
-    def is_expired(self, now: float) -> bool:
-        """Whether the present stage of the probe has had no answer in time."""
-        return self.current is not None and now >= self.current.deadline
+    def is_expired(self, now_ms: float) -> bool:
+        """Returns whether the current stage of the probe, direct or indirect, has timed out."""
+        return self.current is not None and now_ms >= self.current.deadline_ms
 
-    def go_indirect(self, now: float, table: MemberTable) -> list[str]:
-        """Return the members to be asked for a ping of the target.
+    def start_indirect(self, now_ms: float, table: MemberTable) -> list[str]:
+        """Starts the indirect stage and returns the members to send ping requests to.
 
-        Suspects are not asked: in a partition many fail at once, and those beyond it could not say
-        anything.
+        Suspected members are not chosen: in a partition many members become suspected at once, and
+        those on the other side cannot respond.
         """
         assert self.current is not None
         target = self.current.target
@@ -121,15 +138,15 @@
         helpers = self._rng.sample(candidates, min(INDIRECT_PROBES, len(candidates)))
         self._missing_nacks = len(helpers)
         self._has_helpers = bool(helpers)
-        deadline = now + 2.0 * ACK_TIMEOUT_MS * self._health.multiplier
-        self.current = self.current._replace(deadline=deadline, indirect=True)
+        deadline_ms = now_ms + 2.0 * ACK_TIMEOUT_MS * self._health.multiplier
+        self.current = self.current._replace(deadline_ms=deadline_ms, indirect=True)
         return helpers
 
     def fail(self) -> str:
-        """End the probe without an answer, and return its target.
+        """Ends the probe without a response and returns its target.
 
-        Helpers that sent not even a Nack suggest that this member is the one in trouble (Lifeguard,
-        4.1).
+        Missing Nacks of helpers indicate that this member itself is degraded, so they raise its
+        health score (Lifeguard, 4.1).
         """
         assert self.current is not None
         self._health.adjust(self._missing_nacks if self._has_helpers else 1)
@@ -138,31 +155,35 @@
         return target
 
     def on_ack(self, sequence_number: int) -> None:
-        """The target, or a helper for it, has answered."""
+        """Completes the probe after an Ack of the target, direct or relayed by a helper."""
         if self.current is not None and self.current.sequence_number == sequence_number:
             self.current = None
             self._health.adjust(-1)
 
     def on_nack(self, sequence_number: int) -> None:
-        """A helper has no answer of the target, but is reachable."""
+        """Records that a helper is reachable although the target has not responded to it."""
         if self.current is not None and self.current.sequence_number == sequence_number:
             self._missing_nacks = max(0, self._missing_nacks - 1)
 
-    # Pings on behalf of others
+    # Relayed pings
 
-    def relay(self, now: float, requester_address: str, requester_sequence_number: int) -> int:
-        """Note a ping on behalf of another member, and return its own sequence number."""
+    def add_relayed_ping(
+        self, now_ms: float, requester_address: str, requester_sequence_number: int
+    ) -> int:
+        """Records a ping on behalf of another member and returns the sequence number to use."""
         sequence_number = self._next_sequence_number()
-        self._relayed[sequence_number] = RelayedPing(
-            requester_address, requester_sequence_number, now + ACK_TIMEOUT_MS
+        self._relayed_pings[sequence_number] = RelayedPing(
+            requester_address, requester_sequence_number, now_ms + ACK_TIMEOUT_MS
         )
         return sequence_number
 
-    def take_relayed(self, sequence_number: int) -> RelayedPing | None:
-        """Return the request that an Ack answers, if it is one of a relayed ping."""
-        return self._relayed.pop(sequence_number, None)
+    def take_relayed_ping(self, sequence_number: int) -> RelayedPing | None:
+        """Removes and returns the relayed ping that an Ack responds to; None if there is none."""
+        return self._relayed_pings.pop(sequence_number, None)
 
-    def take_expired_relays(self, now: float) -> list[RelayedPing]:
-        """Return the requests whose ping had no answer in time."""
-        expired = [number for number, each in self._relayed.items() if now >= each.deadline]
-        return [self._relayed.pop(number) for number in expired]
+    def take_expired_relayed_pings(self, now_ms: float) -> list[RelayedPing]:
+        """Removes and returns the relayed pings that have timed out."""
+        expired = [
+            number for number, ping in self._relayed_pings.items() if now_ms >= ping.deadline_ms
+        ]
+        return [self._relayed_pings.pop(number) for number in expired]
--- a/pumicenotch/membership/swim.py
+++ b/pumicenotch/membership/swim.py
@@ -1,7 +1,8 @@
-"""SWIM with Lifeguard's extensions, as a reducer: events go in, effects come out.
+"""SWIM with Lifeguard's extensions as a reducer: events go in, effects come out.
 
-A member probes one other in each period, asks some to probe it too where that one does not answer,
-suspects it, and declares it dead unless it refutes the suspicion. Updates travel with the probes.
+In each protocol period a member probes one other member. If that member does not respond, some
+others are asked to probe it too. If they get no response either, the member is suspected, and
+declared dead unless it refutes the suspicion in time. Updates are piggybacked on the probes.
 """
 
 import random
@@ -18,9 +19,9 @@
     Tick,
     WakeAt,
 )
-from pumicenotch.membership.full_state import FullStateExchange, pages
+from pumicenotch.membership.full_state import FullStateExchange, paginate
 from pumicenotch.membership.gossip import Broadcasts, GossipBuffer
-from pumicenotch.membership.member_table import MemberTable, Merge
+from pumicenotch.membership.member_table import MemberTable, MergeResult
 from pumicenotch.membership.messages import (
     Ack,
     FullState,
@@ -35,32 +36,33 @@
 )
 from pumicenotch.membership.probing import INDIRECT_PROBES, LocalHealth, Prober
 
-# Between two probes of one member; each member is probed once a period on average.
+# The protocol period. A member starts one probe per period and, on average, is probed once.
 PERIOD_MS = 1000.0
-# In one message, with the sender's own: some hundred bytes each, a packet or two in all.
+# The maximum number of updates in one message, the sender's own included. An update takes a few
+# hundred bytes, so a message fits in one or two packets.
 MAX_GOSSIP_UPDATES = 12
 
 
 class SwimMembership:
     """One member's view of the group.
 
-    `step` is the one way in. Between steps the carrier may read `me`, `table`, `health` and
-    `broadcasts`.
+    All state changes go through `step`. Between steps the caller may read `me`, `table`, `health`
+    and `broadcasts`.
     """
 
     def __init__(
-        self, me: MemberIdentity, now: float, seeds: Iterable[str], rng: random.Random
+        self, me: MemberIdentity, now_ms: float, seeds: Iterable[str], rng: random.Random
     ) -> None:
-        """Start to join.
+        """Starts to join the group.
 
         Args:
-            me: this member.
-            now: the present time, ms.
-            seeds: addresses of members to join by; this member's own is ignored.
-            rng: the source of all random choices.
+            me: This member.
+            now_ms: The current time.
+            seeds: The addresses of members to join by; this member's own address is ignored.
+            rng: The source of all random choices.
         """
         self.me = me
-        self.now = now
+        self.now_ms = now_ms
         self.phase = MemberPhase.JOINING
         self.incarnation = 1
         self.table = MemberTable(PERIOD_MS)
@@ -68,15 +70,15 @@
         self.broadcasts = Broadcasts()
         self.health = LocalHealth()
         self.prober = Prober(rng, self.health)
-        self.next_probe_at = now
+        self.next_probe_at = now_ms
         other_seeds = [seed for seed in seeds if seed != me.address]
-        self.exchange = FullStateExchange(now, PERIOD_MS, other_seeds)
+        self.exchange = FullStateExchange(now_ms, PERIOD_MS, other_seeds)
         self._rng = rng
         self._effects: list[Effect] = []
 
-    def step(self, now: float, event: Event) -> list[Effect]:
-        """Take one event and return the effects that are wanted, a `WakeAt` last."""
-        self.now = max(self.now, now)
+    def step(self, now_ms: float, event: Event) -> list[Effect]:
+        """Handles one event and returns its effects in order, the last one a `WakeAt`."""
+        self.now_ms = max(self.now_ms, now_ms)
         match event:
             case Tick():
                 self._on_tick()
@@ -90,55 +92,57 @@
         return effects
 
     def next_wake_at(self) -> float:
-        """Return when the next `Tick` is wanted."""
-        return min(self.next_probe_at, self.prober.next_deadline(), self.table.next_deadline())
+        """Returns the time at which the next `Tick` is required, in ms."""
+        return min(
+            self.next_probe_at, self.prober.next_deadline_ms(), self.table.next_deadline_ms()
+        )
 
     def state_of(self, name: str) -> MemberState:
-        """Return what this member believes of another; one that is not known counts as dead."""
+        """Returns the believed state of another member; an unknown member counts as dead."""
         return self.table.state_of(name)
 
     def own_update(self) -> Update:
-        """Return what this member says of itself."""
+        """Returns the update that this member announces about itself."""
         return Update(self.me, self.incarnation, self.phase, MemberState.ALIVE, self.me.name)
 
     def members(self) -> Mapping[str, Update]:
-        """Return all known members by name, this one included."""
+        """Returns all known members by name, this one included."""
         return {self.me.name: self.own_update(), **self.table.updates}
 
-    # Time
+    # Timers
 
     def _on_tick(self) -> None:
-        for relayed in self.prober.take_expired_relays(self.now):
+        for relayed in self.prober.take_expired_relayed_pings(self.now_ms):
             self._send(relayed.requester_address, Nack(relayed.requester_sequence_number))
-        for name in self.table.expired_suspicions(self.now):
+        for name in self.table.expired_suspicions(self.now_ms):
             self._report(name, MemberState.DEAD)
-        if self.prober.is_expired(self.now):
+        if self.prober.is_expired(self.now_ms):
             self._on_probe_expired()
-        if self.now >= self.next_probe_at:
+        if self.now_ms >= self.next_probe_at:
             self._begin_period()
 
     def _begin_period(self) -> None:
-        self.next_probe_at = self.now + PERIOD_MS * self.health.multiplier
-        probe = self.prober.start(self.now, self.table)
+        self.next_probe_at = self.now_ms + PERIOD_MS * self.health.multiplier
+        probe = self.prober.start(self.now_ms, self.table)
         if probe is not None:
             self._ping(probe.target, probe.sequence_number)
-        if self.exchange.is_scheduled(self.now):
-            address = self.exchange.choose_peer(self.now, self.table, self._rng)
+        if self.exchange.is_scheduled(self.now_ms):
+            address = self.exchange.choose_peer(self.now_ms, self.table, self._rng)
             if address is not None:
                 self._send_full_state(address, reply_wanted=True)
-        for name in self.table.remove_expired(self.now):
+        for name in self.table.remove_expired(self.now_ms):
             self.gossip.discard(name)
 
     def _on_probe_expired(self) -> None:
         probe = self.prober.current
         assert probe is not None
         if not probe.indirect:
-            helpers = self.prober.go_indirect(self.now, self.table)
+            helpers = self.prober.start_indirect(self.now_ms, self.table)
             for address in self.table.addresses_of(helpers):
                 self._send(address, PingRequest(probe.sequence_number, probe.target))
             return
         target = self.prober.fail()
-        # A member that is suspected already has its suspicion confirmed by this (Lifeguard, 4.2).
+        # If the member is already suspected, this report confirms the suspicion (Lifeguard, 4.2).
         if self.table.state_of(target) is not MemberState.DEAD:
             self._report(target, MemberState.SUSPECT)
 
@@ -160,14 +164,16 @@
                 self.prober.on_nack(sequence_number)
             case PingRequest(sequence_number, target):
                 if target in self.table:
-                    self._ping(target, self.prober.relay(self.now, address, sequence_number))
+                    self._ping(
+                        target, self.prober.add_relayed_ping(self.now_ms, address, sequence_number)
+                    )
             case FullState(updates, reply_wanted):
                 self._receive(updates, ())
                 if reply_wanted:
                     self._send_full_state(address, reply_wanted=False)
 
     def _on_ack(self, sequence_number: int) -> None:
-        relayed = self.prober.take_relayed(sequence_number)
+        relayed = self.prober.take_relayed_ping(sequence_number)
         if relayed is not None:
             self._ack(relayed.requester_address, relayed.requester_sequence_number, "")
         else:
@@ -176,33 +182,35 @@
     def _receive(self, updates: Iterable[Update], broadcasts: Iterable[object]) -> None:
         for update in updates:
             if update.member.name == self.me.name:
-                self._on_update_of_me(update)
+                self._on_update_about_self(update)
             else:
                 self._merge(update)
         for item in broadcasts:
             self.broadcasts.receive(item)
 
     def _merge(self, update: Update) -> None:
-        merge = self.table.merge(self.now, update)
-        if merge is not Merge.IGNORED:
+        result = self.table.merge(self.now_ms, update)
+        if result is not MergeResult.IGNORED:
             self.gossip.enqueue(update.member.name)
-        if merge is Merge.CHANGED:
+        if result is MergeResult.CHANGED:
             self._effects.append(MemberUpdated(update))
 
-    def _on_update_of_me(self, update: Update) -> None:
+    def _on_update_about_self(self, update: Update) -> None:
         if update.member.process_id != self.me.process_id:
-            self._on_update_of_namesake(update)
+            self._on_update_about_namesake(update)
         elif update.state is not MemberState.ALIVE and update.incarnation >= self.incarnation:
-            # Refuted by a higher incarnation. Some answer of this member must have come late.
+            # A higher incarnation refutes the suspicion or death. This member must have responded
+            # late, so its health score is raised.
             self.incarnation = update.incarnation + 1
             self.health.adjust(1)
             self.gossip.enqueue(self.me.name)
 
-    def _on_update_of_namesake(self, update: Update) -> None:
-        """Another process has had, or has, this member's name."""
+    def _on_update_about_namesake(self, update: Update) -> None:
+        """Handles an update about another process that uses or has used this member's name."""
         other = update.member
         if update.is_dead_or_left:
-            # An earlier process that seems to have started later: the clock was set back since.
+            # An earlier process appears to have started later because the clock was set back since.
+            # This member takes a later start time, so that its own updates prevail.
             if other.started_at_ms >= self.me.started_at_ms:
                 self.me = self.me._replace(started_at_ms=other.started_at_ms + 1)
                 self.gossip.enqueue(self.me.name)
@@ -222,10 +230,10 @@
         return self.broadcasts.payload()
 
     def _gossip_for(self, receiver: str) -> tuple[Update, ...]:
-        """Return the updates that go with a message, this member's own first.
+        """Returns the updates to send with a message, this member's own first.
 
-        A receiver that is suspected or declared dead is sent that update always, so that it can
-        refute it at once (Lifeguard's buddy system).
+        A receiver that is suspected or declared dead is always sent the update about itself, so
+        that it can refute the update at once (Lifeguard's buddy system).
         """
         updates = [self.own_update()]
         if receiver in self.table and self.table.state_of(receiver) is not MemberState.ALIVE:
@@ -238,7 +246,7 @@
 
     def _send_full_state(self, address: str, reply_wanted: bool) -> None:
         others = (self.table.updates[name] for name in sorted(self.table.updates))
-        for page in pages([self.own_update(), *others], reply_wanted):
+        for page in paginate([self.own_update(), *others], reply_wanted):
             self._send(address, page)
 
     def _send(self, address: str, message: Message) -> None:
@@ -247,7 +255,7 @@
     # This member
 
     def _set_phase(self, phase: MemberPhase) -> None:
-        """Announce a phase. One that leaves tells some members at once, not by probes alone."""
+        """Announces a phase; a member that leaves also sends its update to some members at once."""
         if phase is self.phase:
             return
         self.phase = phase
@@ -261,5 +269,5 @@
 
 
 def _sender_of(updates: tuple[Update, ...]) -> str:
-    """Return the sender of gossip, which begins with its own update; "" if there is none."""
+    """Returns the sender's name, taken from its own update at the front; "" if there are none."""
     return updates[0].member.name if updates else ""
--- a/tests/membership/test_swim.py
+++ b/tests/membership/test_swim.py
@@ -219,7 +219,7 @@
 
 def test_confirmations_shorten_a_suspicion() -> None:
     me = member_that_suspects_n()
-    alone = me.table.suspicions["n"].deadline
+    alone = me.table.suspicions["n"].deadline_ms
     for by in ("a", "b", "c", "c"):
         receive(
             me,
@@ -227,7 +227,7 @@
             "x",
             Ping(2, (update_of(state=MemberState.SUSPECT)._replace(reported_by=by),), ()),
         )
-    assert me.table.suspicions["n"].deadline - 1.0 == pytest.approx(
+    assert me.table.suspicions["n"].deadline_ms - 1.0 == pytest.approx(
         (alone - 1.0) / SUSPICION_TIMEOUT_RATIO
     )
 
@@ -258,7 +258,7 @@
 
 def test_a_failed_probe_confirms_a_suspicion() -> None:
     me = member_that_suspects_n()
-    alone = me.table.suspicions["n"].deadline
+    alone = me.table.suspicions["n"].deadline_ms
     now = 1.0
     while (
         len(me.table.suspicions["n"].reporters) == 1 and now < alone
@@ -272,4 +272,4 @@
             ):
                 receive(me, now, effect.address, Ack(effect.message.sequence_number, (), ()))
     assert me.table.suspicions["n"].reporters == {ME.name, "x"}
-    assert me.table.suspicions["n"].deadline < alone
+    assert me.table.suspicions["n"].deadline_ms < alone
