--- a/pumicenotch/regions/__init__.py
+++ b/pumicenotch/regions/__init__.py
@@ -1,4 +1,4 @@
-"""Failover between zones and regions: which fraction of whose traffic goes where.
+"""Failover between zones and regions: which fraction of each zone's traffic is served where.
 
-The modules decide only: they have neither I/O nor a clock.
+The modules only compute decisions: they perform no I/O and read no clock.
 """
--- a/pumicenotch/regions/zones.py
+++ b/pumicenotch/regions/zones.py
@@ -6,41 +6,43 @@
 
 from pumicenotch.errors import InputError
 
-DISTANCE_IN_REGION_MS = 1.0  # where nobody has measured it
-DISTANCE_BETWEEN_REGIONS_MS = 100.0  # likewise
+# Default distances between two zones whose distance was not measured.
+DISTANCE_IN_REGION_MS = 1.0
+DISTANCE_BETWEEN_REGIONS_MS = 100.0
 
 
 class ZoneState(StrEnum):
-    """What was found of a zone; the values are the words of statuses and of the fleet's log."""
+    """The state of a zone; the values are used in status responses and in the fleet's log."""
 
     HEALTHY = "well"
     DEGRADED = "weak"
-    """It is reached and serves far less of its requests than other zones."""
+    """The zone is reachable but serves a far smaller fraction of its requests than other zones."""
     PARTITIONED = "cut"
-    """It runs and is not reached from other zones."""
+    """The zone's members run but cannot be reached from other zones."""
     LOST = "lost"
-    """It is not reached, and nothing is heard of it."""
+    """The zone cannot be reached and its members send no reports."""
     EVACUATED = "emptied"
-    """An operator has emptied it."""
+    """An operator has evacuated the zone."""
     RECOVERING = "returning"
-    """It ramps up after it was lost, partitioned or evacuated."""
+    """The zone ramps up after it was lost, partitioned or evacuated."""
 
 
 class Zone(NamedTuple):
-    """A zone and its capacity."""
+    """A zone, its capacity and its state."""
 
     name: str
     region: str
-    capacity: float  # work a second, as observed
+    capacity: float  # observed capacity, work per second
     state: ZoneState = ZoneState.HEALTHY
-    reserve_fraction: float = 0.1  # of the capacity, kept from other zones' traffic
-    ramp_fraction: float = 1.0  # of the capacity that a recovering zone may use by now
+    reserve_fraction: float = 0.1  # fraction of the capacity withheld from other zones' traffic
+    ramp_fraction: float = 1.0  # fraction of the capacity available while the zone is recovering
 
     @property
     def usable_capacity(self) -> float:
-        """Work a second that may be sent to the zone in its state.
+        """The work per second that may be sent to the zone in its current state.
 
-        A partitioned zone serves those who reach it; no plan reaches them.
+        A partitioned zone keeps its capacity: it still serves the callers that can reach it, and
+        these callers receive no new plan.
         """
         if self.state in (ZoneState.LOST, ZoneState.EVACUATED):
             return 0.0
@@ -48,12 +50,12 @@
 
     @property
     def is_recovering(self) -> bool:
-        """Whether the zone ramps up."""
+        """Whether the zone is ramping up."""
         return self.state is ZoneState.RECOVERING
 
     @property
     def accepts_failover(self) -> bool:
-        """Whether the zone may take traffic of other zones."""
+        """Whether the zone may serve traffic of other zones."""
         return self.state in (ZoneState.HEALTHY, ZoneState.RECOVERING)
 
 
@@ -61,7 +63,7 @@
     """A class of requests."""
 
     name: str
-    weight: float  # priority of a unit of its work
+    weight: float  # priority of one unit of the class's work
 
 
 class Flow(NamedTuple):
@@ -71,54 +73,65 @@
     traffic_class: str
 
 
-Demand = Mapping[Flow, float]  # work a second
-Distances = Mapping[tuple[str, str], float]  # between two zones by name, ms
+Demand = Mapping[Flow, float]  # work per second
+Distances = Mapping[tuple[str, str], float]  # measured ms between two zones, by their names
 
 
 class InvalidTrafficPlanError(InputError):
-    """Zones or demand from which no plan can be made."""
+    """The zones or the demand are invalid, so that no plan can be computed."""
 
 
-def check(zones: Iterable[Zone], traffic_classes: Iterable[TrafficClass], demand: Demand) -> None:
-    """Checks the inputs of a plan.
+def check_inputs(
+    zones: Iterable[Zone], traffic_classes: Iterable[TrafficClass], demand: Demand
+) -> None:
+    """Validates the inputs of a plan.
 
     Raises:
-        InvalidTrafficPlanError: A zone is named twice or out of range, or demand is negative or of
-            an unknown class.
+        InvalidTrafficPlanError: Two zones have the same name, a value of a zone is out of range, or
+            a demand is negative or of an unknown class.
     """
     zones = list(zones)
     if len({zone.name for zone in zones}) < len(zones):
-        raise InvalidTrafficPlanError("a zone stands twice", remedy="name each zone once")
+        raise InvalidTrafficPlanError("a zone is listed twice", remedy="list each zone once")
     for zone in zones:
         check_zone(zone)
-    known = {traffic_class.name for traffic_class in traffic_classes}
+    known_classes = {traffic_class.name for traffic_class in traffic_classes}
     for (origin, traffic_class), work in demand.items():
-        if traffic_class not in known or work < 0.0:
+        if traffic_class not in known_classes or work < 0.0:
             raise InvalidTrafficPlanError(
-                f"{work:g} of {traffic_class!r}; known: {', '.join(sorted(known))}",
+                f"{work:g} for class {traffic_class!r};"
+                f" known classes: {', '.join(sorted(known_classes))}",
                 place=f"demand of {origin}",
             )
 
 
 def check_zone(zone: Zone) -> None:
-    """Checks one zone; raises InvalidTrafficPlanError."""
+    """Validates one zone.
+
+    Raises:
+        InvalidTrafficPlanError: The state is unknown or a value is out of range.
+    """
     place = f"zone {zone.name}"
     if zone.state not in tuple(ZoneState):
         raise InvalidTrafficPlanError(
-            f"state {zone.state!r}; allowed: {', '.join(ZoneState)}", place=place
+            f"state {zone.state!r}; allowed states: {', '.join(ZoneState)}", place=place
         )
-    is_fraction = 0.0 <= zone.reserve_fraction < 1.0 and 0.0 <= zone.ramp_fraction <= 1.0
-    if zone.capacity < 0.0 or not is_fraction:
+    has_valid_fractions = 0.0 <= zone.reserve_fraction < 1.0 and 0.0 <= zone.ramp_fraction <= 1.0
+    if zone.capacity < 0.0 or not has_valid_fractions:
         raise InvalidTrafficPlanError(
-            f"room {zone.capacity:g}, reserve {zone.reserve_fraction:g},"
-            f" warm {zone.ramp_fraction:g}",
+            f"capacity {zone.capacity:g}, reserve fraction {zone.reserve_fraction:g},"
+            f" ramp fraction {zone.ramp_fraction:g}",
             place=place,
-            remedy="give a room from 0, a reserve from 0 below 1, and warm from 0 to 1",
+            remedy="set capacity >= 0, 0 <= reserve fraction < 1 and 0 <= ramp fraction <= 1",
         )
 
 
 def distance_ms(zones: Mapping[str, Zone], distances: Distances, origin: str, target: str) -> float:
-    """The distance between two zones; where it was not measured, by whether they share a region."""
+    """Returns the distance between two zones in ms.
+
+    A distance that was not measured has a default, which depends on whether the zones share a
+    region.
+    """
     if origin == target:
         return 0.0
     measured = distances.get((origin, target), distances.get((target, origin)))
--- a/tests/regions/test_traffic_plan.py
+++ b/tests/regions/test_traffic_plan.py
@@ -202,10 +202,14 @@
 @pytest.mark.parametrize(
     ("zones", "demand", "word"),
     [
-        ([Zone("a", "r", 1.0), Zone("a", "r", 1.0)], {}, "stands twice"),
-        ([Zone("a", "r", 1.0, cast(ZoneState, "odd"))], {}, "state 'odd'; allowed: well, weak"),
-        ([Zone("a", "r", -1.0)], {}, "room -1"),
-        ([Zone("a", "r", 1.0)], {Flow("a", "none"): 1.0}, "'none'; known: bake"),
+        ([Zone("a", "r", 1.0), Zone("a", "r", 1.0)], {}, "listed twice"),
+        (
+            [Zone("a", "r", 1.0, cast(ZoneState, "odd"))],
+            {},
+            "state 'odd'; allowed states: well, weak",
+        ),
+        ([Zone("a", "r", -1.0)], {}, "capacity -1"),
+        ([Zone("a", "r", 1.0)], {Flow("a", "none"): 1.0}, "'none'; known classes: bake"),
     ],
 )
 def test_inputs_without_a_plan_are_rejected_by_name(
