--- a/tests/compatibility/test_consensus.py
+++ b/tests/compatibility/test_consensus.py
@@ -138,11 +138,11 @@
         super().__init__(seed, voter_count, loss)
         self.digest, self.messages = hashlib.sha256(), 0
 
-    def post(self, sender: str, recipient: str, message: Any) -> None:
+    def send(self, sender: str, recipient: str, message: Any) -> None:
         self.messages += 1
         data = msgpack.packb([self.now_ms, sender, recipient, encode_message(message)])
         self.digest.update(data)
-        super().post(sender, recipient, message)
+        super().send(sender, recipient, message)
 
 
 def transcript(seed: int, voter_count: int, loss: float) -> dict[str, Any]:
@@ -153,24 +153,24 @@
         one, other = random.sample(names, 2)
         match random.randrange(8):
             case 0:
-                cluster.down.add(one)
-            case 1 | 2 if cluster.down:
-                cluster.restart(sorted(cluster.down)[0])
+                cluster.stopped.add(one)
+            case 1 | 2 if cluster.stopped:
+                cluster.restart(sorted(cluster.stopped)[0])
             case 3:
-                cluster.cut.add((one, other))
+                cluster.blocked_links.add((one, other))
             case 4:
-                cluster.cut.clear()
+                cluster.blocked_links.clear()
             case 5 if (leader := cluster.leader()) and cluster.voters[leader].commit_index:
                 voter = cluster.voters[leader]
                 voter.compact(voter.commit_index, cluster.snapshot(voter.commit_index))
             case 6 if leader := cluster.leader():
-                cluster.put(leader, TransferLeadership(""))
+                cluster.step_voter(leader, TransferLeadership(""))
             case 7 if leader := cluster.leader():
-                cluster.put(leader, RequestRead(number))
-                cluster.put(leader, ChangeMembership(cluster.membership))
+                cluster.step_voter(leader, RequestRead(number))
+                cluster.step_voter(leader, ChangeMembership(cluster.membership))
             case _:
                 if leader := cluster.leader():
-                    cluster.put(leader, Propose(f"{number}"))
+                    cluster.step_voter(leader, Propose(f"{number}"))
         cluster.run(random.uniform(10.0, 900.0))
     return {
         "messages": cluster.messages,
--- a/tests/consensus/cluster.py
+++ b/tests/consensus/cluster.py
@@ -1,4 +1,4 @@
-"""Voters in simulated time, with messages delayed, lost, copied and cut, and with restarts."""
+"""A simulated cluster: voters, a faulty network and restarts, in simulated time."""
 
 import random
 from collections import deque
@@ -32,29 +32,35 @@
 from pumicenotch.consensus.state import Role
 from pumicenotch.consensus.voter import Voter
 
-ABC = ClusterMembership(("a/1", "b/1", "c/1"))
+THREE_VOTERS = ClusterMembership(("a/1", "b/1", "c/1"))
 
 
 class Delivery(NamedTuple):
-    """A message on its way."""
+    """A message in flight."""
 
     deliver_at_ms: float
-    number: int  # in the order of sending
+    number: int  # position in the order of sending
     sender: VoterId
     recipient: VoterId
     message: Message
 
 
 class Cluster:
-    """Voters in simulated time, with a network that loses, delays and copies messages.
+    """Voters in simulated time, with a network that loses, delays and duplicates messages.
+
+    The cluster asserts that all voters apply the same entries in log order and that a term has one
+    leader.
 
     Attributes:
-        down: voters that are stopped, and keep everything.
-        cut: pairs of sender and recipient between which nothing is delivered.
-        committed: what any voter has applied, by index.
-        applied: the last index that each voter has applied.
-        leaders: by term.
-        read_results: in the order in which they came.
+        loss: The probability that a message is lost, and that it is duplicated.
+        stopped: The voters that are paused; they keep their whole state.
+        blocked_links: Pairs of sender and recipient between which no message is delivered.
+        committed: The entries that any voter has applied, by log index.
+        applied: The last log index that each voter has applied.
+        leaders: The leader of each term.
+        read_results: The results of reads, in order of completion.
+        leader_changes: The number of times that a voter became the leader.
+        sent: The number of messages sent and not lost.
     """
 
     STEP_MS = 5.0
@@ -69,8 +75,8 @@
         self.membership = ClusterMembership(tuple(f"{name}/1" for name in names))
         self.now_ms = 0.0
         self.voters = {voter_id: self.new_voter(voter_id) for voter_id in self.membership.voters}
-        self.down: set[VoterId] = set()
-        self.cut: set[tuple[VoterId, VoterId]] = set()
+        self.stopped: set[VoterId] = set()
+        self.blocked_links: set[tuple[VoterId, VoterId]] = set()
         self.in_flight: list[Delivery] = []
         self.committed: dict[int, Entry] = {}
         self.applied: dict[VoterId, int] = {}
@@ -82,16 +88,16 @@
     def new_voter(self, voter_id: VoterId) -> Voter:
         return self.voter_type(voter_id, self.now_ms, self.membership, self.random.uniform)
 
-    def put(self, voter_id: VoterId, event: Input) -> None:
-        """Gives the voter an input and carries its effects out."""
+    def step_voter(self, voter_id: VoterId, event: Input) -> None:
+        """Gives a voter an input and executes the effects."""
         voter = self.voters[voter_id]
-        todo = deque(voter.step(self.now_ms, event))
-        while todo:
-            match todo.popleft():
+        effects = deque(voter.step(self.now_ms, event))
+        while effects:
+            match effects.popleft():
                 case Persist(serial):
-                    todo += voter.step(self.now_ms, Persisted(serial))
+                    effects += voter.step(self.now_ms, Persisted(serial))
                 case Send(recipient, message):
-                    self.post(voter_id, recipient, message)
+                    self.send(voter_id, recipient, message)
                 case ApplyEntry(index, entry):
                     assert self.committed.setdefault(index, entry) == entry
                     assert index == self.applied.get(voter_id, 0) + 1
@@ -107,10 +113,10 @@
 
     @staticmethod
     def snapshot(index: int) -> bytes:
-        return b"%d " % index * 6000  # several chunks
+        return b"%d " % index * 6000  # large enough for several chunks
 
-    def post(self, sender: VoterId, recipient: VoterId, message: Message) -> None:
-        if recipient not in self.voters or (sender, recipient) in self.cut:
+    def send(self, sender: VoterId, recipient: VoterId, message: Message) -> None:
+        if recipient not in self.voters or (sender, recipient) in self.blocked_links:
             return
         for _ in range(2 if self.random.random() < self.loss else 1):
             if self.random.random() >= self.loss:
@@ -125,50 +131,54 @@
         end_ms = self.now_ms + duration_ms
         while self.now_ms < end_ms:
             self.now_ms += self.STEP_MS
-            self.deliver_due()
+            self.deliver_messages()
             for voter_id in list(self.voters):
-                if voter_id not in self.down:
-                    self.put(voter_id, Tick())
-
-    def deliver_due(self) -> None:
-        due = [item for item in self.in_flight if item.deliver_at_ms <= self.now_ms]
-        self.in_flight = [item for item in self.in_flight if item.deliver_at_ms > self.now_ms]
-        for item in sorted(due, key=lambda item: (item.deliver_at_ms, item.number)):
-            if item.recipient not in self.down:
-                data = msgpack.packb(encode_message(item.message))
+                if voter_id not in self.stopped:
+                    self.step_voter(voter_id, Tick())
+
+    def deliver_messages(self) -> None:
+        arrived = [delivery for delivery in self.in_flight if delivery.deliver_at_ms <= self.now_ms]
+        self.in_flight = [
+            delivery for delivery in self.in_flight if delivery.deliver_at_ms > self.now_ms
+        ]
+        for delivery in sorted(
+            arrived, key=lambda delivery: (delivery.deliver_at_ms, delivery.number)
+        ):
+            if delivery.recipient not in self.stopped:
+                data = msgpack.packb(encode_message(delivery.message))
                 message = decode_message(msgpack.unpackb(data, use_list=False))
-                self.put(item.recipient, MessageReceived(item.sender, message))
+                self.step_voter(delivery.recipient, MessageReceived(delivery.sender, message))
 
     def leader(self) -> VoterId:
-        """Of those that lead and are not down, the one of the latest term; "" if there is none."""
+        """Returns the leader of the latest term that is not stopped; "" if there is none."""
         leaders = [
             voter_id
             for voter_id, voter in self.voters.items()
-            if voter.role is Role.LEADER and voter_id not in self.down
+            if voter.role is Role.LEADER and voter_id not in self.stopped
         ]
         return max(leaders, key=lambda voter_id: self.voters[voter_id].term, default="")
 
     def await_leader(self, within_ms: float = 20_000.0) -> VoterId:
-        """Runs until somebody leads with a majority and has committed an entry."""
+        """Runs until a leader has a majority and a committed entry, and returns the leader."""
         deadline_ms = self.now_ms + within_ms
         while not (
             (voter_id := self.leader())
             and self.voters[voter_id].has_active_quorum()
             and self.voters[voter_id].commit_index
         ):
-            assert self.now_ms < deadline_ms, "no leader"
+            assert self.now_ms < deadline_ms, "no leader within the time limit"
             self.run(50.0)
         return voter_id
 
     def restart(self, voter_id: VoterId) -> None:
-        """What was persisted is there again, and nothing else."""
-        old = self.voters[voter_id]
-        new = self.new_voter(voter_id)
-        new.term = old.term
-        new.voted_for = old.voted_for
-        new.log = old.log
-        new.commit_index = old.log.snapshot_index
-        new.persistence.persisted_index = old.log.last_index
-        self.voters[voter_id] = new
-        self.applied[voter_id] = old.log.snapshot_index
-        self.down.discard(voter_id)
+        """Restarts a voter with its persisted state; all volatile state is lost."""
+        former = self.voters[voter_id]
+        restarted = self.new_voter(voter_id)
+        restarted.term = former.term
+        restarted.voted_for = former.voted_for
+        restarted.log = former.log
+        restarted.commit_index = former.log.snapshot_index
+        restarted.persistence.persisted_index = former.log.last_index
+        self.voters[voter_id] = restarted
+        self.applied[voter_id] = former.log.snapshot_index
+        self.stopped.discard(voter_id)
--- a/tests/consensus/test_explorer.py
+++ b/tests/consensus/test_explorer.py
@@ -1,4 +1,7 @@
-"""Consensus explored state by state, with seeded bugs that must be found."""
+"""Guards against violations of safety in any order of events, by exploring a model's states.
+
+Faulty voters, each with one seeded bug, check that the exploration finds violations.
+"""
 
 from typing import Any
 
@@ -26,9 +29,10 @@
     three,
 )
 from pumicenotch.lab.explore import Explorer
-from tests.consensus.cluster import ABC
+from tests.consensus.cluster import THREE_VOTERS
 
-SHORT = 6_000  # states in CI; `python -m pumicenotch.lab.consensus_model` goes on to a million each
+# States explored in CI. `python -m pumicenotch.lab.consensus_model` explores a million per model.
+MAX_STATES = 6_000
 
 
 @pytest.mark.parametrize("narrow", [False, True], ids=["wide", "deep"])
@@ -36,15 +40,15 @@
 def test_no_violation_is_reachable_within_the_bounds(
     name: str, bounds: Bounds, narrow: bool
 ) -> None:
-    found = long_form(bounds, SHORT, narrow)
+    found = long_form(bounds, MAX_STATES, narrow)
     assert not found.violation, found.text()
-    assert found.states >= SHORT
+    assert found.states >= MAX_STATES
 
 
 @pytest.mark.parametrize("name, bounds", LONG, ids=[name for name, _ in LONG])
 def test_no_violation_on_random_walks_through_several_elections(name: str, bounds: Bounds) -> None:
-    """Walks by chance, each through several elections."""
-    model = three(Bounds(*(3 * most for most in bounds)))
+    """Random walks reach deeper states than the breadth-first search."""
+    model = three(Bounds(*(3 * bound for bound in bounds)))
     found = Explorer(model.after, model.wrong).wander(led(model), 2, 12, 120)
     assert not found.violation, found.text()
     assert found.depth > 30
@@ -55,7 +59,7 @@
         return request.term == self.term or request.pre_vote
 
 
-class CountsOldTerms(Voter):
+class CommitsEarlierTerms(Voter):
     MAX_ENTRIES_PER_MESSAGE = 1
 
     def advance_commit_index(self) -> None:
@@ -65,21 +69,21 @@
                 return
 
 
-class Careful(Voter):
+class SendsSingleEntries(Voter):
     MAX_ENTRIES_PER_MESSAGE = 1
 
 
-class ReadsAtOnce(Voter):
+class ReadsWithoutHeartbeats(Voter):
     def request_read(self, key: Any) -> None:
         self.effects.append(ReadReady(key, self.commit_index))
 
 
-class ChangesAtOnce(Voter):
+class ChangesWithoutCommit(Voter):
     def can_change_membership(self) -> bool:
         return self.log.membership_index <= self.commit_index
 
 
-ROOT_AND_A, ROOT_AND_B = (
+LOG_WITH_A, LOG_WITH_B = (
     (ROOT, Entry(2, EntryKind.COMMAND, "a")),
     (ROOT, Entry(3, EntryKind.COMMAND, "b")),
 )
@@ -94,24 +98,26 @@
 WITHOUT_A = ClusterMembership(("b/1", "c/1", "d/1"))
 
 
-def elections(voter: type[Voter]) -> tuple[ConsensusModel, Any]:
-    model = ConsensusModel(list(ABC.voters), ABC, Bounds(timeouts=2, proposals=0), voter=voter)
+def election_model(voter: type[Voter]) -> tuple[ConsensusModel, Any]:
+    model = ConsensusModel(
+        list(THREE_VOTERS.voters), THREE_VOTERS, Bounds(timeouts=2, proposals=0), voter=voter
+    )
     return model, model.first()
 
 
-def older_entry(voter: type[Voter]) -> tuple[ConsensusModel, Any]:
+def earlier_term_model(voter: type[Voter]) -> tuple[ConsensusModel, Any]:
     """Figure 8 of the thesis: a leads again with an entry of term 2, c has another of term 3."""
     bounds = Bounds(timeouts=2, proposals=0)
     model = ConsensusModel(
-        list(ABC.voters),
-        ABC,
+        list(THREE_VOTERS.voters),
+        THREE_VOTERS,
         bounds,
         voter=voter,
         patient=frozenset({"b/1"}),
         cut=frozenset({("a/1", "c/1"), ("c/1", "a/1")}),
     )
-    same = {"term": 4, "commit_index": 1}
-    leads = {
+    common = {"term": 4, "commit_index": 1}
+    leader_fields = {
         "role": Role.LEADER,
         "next_index": {"a/1": 2, "b/1": 2, "c/1": 2},
         "match_index": {"b/1": 1},
@@ -119,22 +125,22 @@
     return model, model.first(
         **{
             "a/1": {
-                **same,
-                "entries": (*ROOT_AND_A, Entry(4, EntryKind.NO_OP, None)),
-                **leads,
+                **common,
+                "entries": (*LOG_WITH_A, Entry(4, EntryKind.NO_OP, None)),
+                **leader_fields,
                 "voted_for": "a/1",
             },
-            "b/1": {**same, "entries": (ROOT,), "voted_for": "a/1"},
-            "c/1": {**same, "entries": ROOT_AND_B},
+            "b/1": {**common, "entries": (ROOT,), "voted_for": "a/1"},
+            "c/1": {**common, "entries": LOG_WITH_B},
         },
     )
 
 
-def reads(voter: type[Voter]) -> tuple[ConsensusModel, Any]:
+def read_model(voter: type[Voter]) -> tuple[ConsensusModel, Any]:
     cut = frozenset({("a/1", "b/1"), ("a/1", "c/1"), ("b/1", "a/1"), ("c/1", "a/1")})
     model = ConsensusModel(
-        list(ABC.voters),
-        ABC,
+        list(THREE_VOTERS.voters),
+        THREE_VOTERS,
         Bounds(timeouts=1, proposals=0, reads=1),
         voter=voter,
         cut=cut,
@@ -143,12 +149,14 @@
     return model, led(model)
 
 
-def changes(voter: type[Voter]) -> tuple[ConsensusModel, Any]:
-    """The case behind the correction of 2015: a has added e in term 1, heard by nobody; b leads term 2 and
-    takes a out.
+def membership_change_model(voter: type[Voter]) -> tuple[ConsensusModel, Any]:
+    """The case behind the correction of 2015.
+
+    In term 1, a appended a change that adds e, and no other voter received it. In term 2, b is the
+    leader and removes a.
     """
     names = list(FIVE.voters)
-    reach = {
+    open_links = {
         ("a/1", "d/1"),
         ("a/1", "e/1"),
         ("d/1", "a/1"),
@@ -156,7 +164,7 @@
         ("b/1", "c/1"),
         ("c/1", "b/1"),
     }
-    cut = frozenset((one, other) for one in names for other in names) - reach
+    cut = frozenset((sender, recipient) for sender in names for recipient in names) - open_links
     model = ConsensusModel(
         names,
         FOUR,
@@ -166,8 +174,8 @@
         cut=frozenset(cut),
         patient=frozenset({"c/1", "d/1", "e/1"}),
     )
-    old = {"term": 2, "voted_for": "b/1", "entries": (ROOT,), "commit_index": 1}
-    leads = {
+    follower_fields = {"term": 2, "voted_for": "b/1", "entries": (ROOT,), "commit_index": 1}
+    leader_fields = {
         "role": Role.LEADER,
         "next_index": dict.fromkeys(FOUR.voters, 2),
         "match_index": {"c/1": 1, "d/1": 1},
@@ -175,30 +183,38 @@
     return model, model.first(
         **{
             "a/1": {
-                **old,
+                **follower_fields,
                 "voted_for": "",
                 "entries": (ROOT, Entry(1, EntryKind.MEMBERSHIP, FIVE)),
             },
-            "b/1": {**old, "entries": (ROOT, Entry(2, EntryKind.NO_OP, None)), **leads},
-            "c/1": old,
-            "d/1": old,
+            "b/1": {
+                **follower_fields,
+                "entries": (ROOT, Entry(2, EntryKind.NO_OP, None)),
+                **leader_fields,
+            },
+            "c/1": follower_fields,
+            "d/1": follower_fields,
         },
     )
 
 
-SEEDED = [
-    (elections, VotesTwice, Voter, "two leaders"),
-    (older_entry, CountsOldTerms, Careful, "agreed"),
-    (reads, ReadsAtOnce, Voter, "stale read"),
-    (changes, ChangesAtOnce, Voter, "agreed"),
+SEEDED_BUGS = [
+    (election_model, VotesTwice, Voter, "two leaders"),
+    (earlier_term_model, CommitsEarlierTerms, SendsSingleEntries, "agreed"),
+    (read_model, ReadsWithoutHeartbeats, Voter, "stale read"),
+    (membership_change_model, ChangesWithoutCommit, Voter, "agreed"),
 ]
 
 
 @pytest.mark.parametrize(
-    "model, bug, sound, what", SEEDED, ids=[bug.__name__ for _, bug, _, _ in SEEDED]
+    "make_model, faulty, correct, expected_violation",
+    SEEDED_BUGS,
+    ids=[faulty.__name__ for _, faulty, _, _ in SEEDED_BUGS],
 )
-def test_seeded_bugs_are_found(model: Any, bug: type[Voter], sound: type[Voter], what: str) -> None:
-    made, first = model(bug)
-    assert what in made.explore(first, 60_000).violation
-    made, first = model(sound)
-    assert not (found := made.explore(first, SHORT)).violation, found.text()
+def test_seeded_bugs_are_found(
+    make_model: Any, faulty: type[Voter], correct: type[Voter], expected_violation: str
+) -> None:
+    model, first = make_model(faulty)
+    assert expected_violation in model.explore(first, 60_000).violation
+    model, first = make_model(correct)
+    assert not (found := model.explore(first, MAX_STATES)).violation, found.text()
--- a/tests/consensus/test_faults.py
+++ b/tests/consensus/test_faults.py
@@ -1,4 +1,7 @@
-"""Elections, reads and leadership transfer in long runs with faults."""
+"""Guards against diverging logs, stale reads and needless elections in runs with faults.
+
+The faults are lost, delayed and duplicated messages, blocked links, paused voters and restarts.
+"""
 
 import pytest
 from hypothesis import given, settings
@@ -29,34 +32,34 @@
     cluster = Cluster(seed, voter_count, loss)
     rng, voter_ids = cluster.random, list(cluster.voters)
     for number in range(40):
-        one, other = rng.sample(voter_ids, 2)
+        selected, other = rng.sample(voter_ids, 2)
         match rng.randrange(9):
             case 0:
-                cluster.down.add(one)
+                cluster.stopped.add(selected)
             case 1 | 2:
-                if cluster.down:
-                    cluster.restart(sorted(cluster.down)[0])
+                if cluster.stopped:
+                    cluster.restart(sorted(cluster.stopped)[0])
             case 3:
-                cluster.cut.add((one, other))  # one way
+                cluster.blocked_links.add((selected, other))  # in one direction
             case 4:
-                cluster.cut.clear()
+                cluster.blocked_links.clear()
             case 5 if (leader := cluster.leader()) and cluster.voters[leader].commit_index:
                 voter = cluster.voters[leader]
                 voter.compact(voter.commit_index, cluster.snapshot(voter.commit_index))
             case 6 if leader := cluster.leader():
-                cluster.put(leader, TransferLeadership(""))
+                cluster.step_voter(leader, TransferLeadership(""))
             case 7 if leader := cluster.leader():
-                cluster.put(leader, RequestRead(number))
+                cluster.step_voter(leader, RequestRead(number))
             case _:
                 for voter_id in voter_ids:
                     if cluster.voters[voter_id].role is Role.LEADER:
-                        cluster.put(voter_id, Propose(f"{number} by {voter_id}"))
+                        cluster.step_voter(voter_id, Propose(f"{number} by {voter_id}"))
         cluster.run(rng.uniform(10.0, 600.0))
-    cluster.cut.clear()
-    for voter_id in sorted(cluster.down):
+    cluster.blocked_links.clear()
+    for voter_id in sorted(cluster.stopped):
         cluster.restart(voter_id)
-    for _ in range(10):  # a leader may be about to hand over, or lose its place
-        cluster.put(cluster.await_leader(60_000.0), Propose("last"))
+    for _ in range(10):  # a proposal is lost if the leader is transferring or loses the leadership
+        cluster.step_voter(cluster.await_leader(60_000.0), Propose("last"))
         cluster.run(3000.0)
     assert any(entry.data == "last" for entry in cluster.committed.values())
     assert len(set(cluster.applied.values())) == 1 or loss > 0.0
@@ -65,66 +68,66 @@
     assert len(set(cluster.applied.values())) == 1
 
 
-def test_flapping_connection_changes_no_leader() -> None:
+def test_flapping_connection_does_not_change_the_leader() -> None:
     cluster = Cluster(4, 5)
     leader = cluster.await_leader()
     other = next(voter_id for voter_id in cluster.voters if voter_id != leader)
-    for _ in range(
-        20
-    ):  # the link of one voter to all comes and goes, longer than an election takes
-        cluster.cut |= {(other, voter_id) for voter_id in cluster.voters} | {
+    # Each interruption of one voter's links lasts longer than an election timeout.
+    for _ in range(20):
+        cluster.blocked_links |= {(other, voter_id) for voter_id in cluster.voters} | {
             (voter_id, other) for voter_id in cluster.voters
         }
         cluster.run(2500.0)
-        cluster.cut.clear()
+        cluster.blocked_links.clear()
         cluster.run(700.0)
     assert cluster.leader() == leader and cluster.leader_changes == 1
 
 
-@pytest.mark.parametrize("way", ["deaf", "mute"])
-def test_leader_cut_off_one_way_steps_down(way: str) -> None:
+@pytest.mark.parametrize("fault", ["deaf", "mute"])
+def test_leader_partitioned_in_one_direction_steps_down(fault: str) -> None:
     cluster = Cluster(5, 5)
     leader = cluster.await_leader()
     others = [voter_id for voter_id in cluster.voters if voter_id != leader]
-    cluster.cut = {
-        (leader, voter_id) if way == "mute" else (voter_id, leader) for voter_id in others
+    cluster.blocked_links = {
+        (leader, voter_id) if fault == "mute" else (voter_id, leader) for voter_id in others
     }
     cluster.run(8000.0)
     assert cluster.voters[leader].role is not Role.LEADER
     assert cluster.leader() in others
 
 
-def test_stopped_leader_that_wakes_reads_nothing_stale() -> None:
+def test_resumed_former_leader_completes_no_stale_read() -> None:
     cluster = Cluster(6, 3)
     leader = cluster.await_leader()
-    cluster.down.add(leader)  # as SIGSTOP: it keeps everything
+    cluster.stopped.add(leader)  # like SIGSTOP: the process keeps its state
     cluster.run(10_000.0)
-    second = cluster.leader()
-    assert second and second != leader
-    cluster.put(second, Propose("news"))
+    new_leader = cluster.leader()
+    assert new_leader and new_leader != leader
+    cluster.step_voter(new_leader, Propose("news"))
     cluster.run(1000.0)
-    cluster.down.clear()
-    cluster.put(leader, RequestRead("stale?"))  # before it hears of anything
-    cluster.put(leader, Propose("lost"))
+    cluster.stopped.clear()
+    # The former leader has not received a message of the new leader yet.
+    cluster.step_voter(leader, RequestRead("stale?"))
+    cluster.step_voter(leader, Propose("lost"))
     cluster.run(3000.0)
     assert [type(result) for result in cluster.read_results] == [ReadFailed]
     assert "lost" not in [entry.data for entry in cluster.committed.values()]
 
 
-def test_read_sees_what_was_committed_before() -> None:
+def test_read_index_includes_entries_committed_before_the_read() -> None:
     cluster = Cluster(7, 5)
     leader = cluster.await_leader()
-    cluster.put(leader, Propose("x"))
+    cluster.step_voter(leader, Propose("x"))
     cluster.run(500.0)
-    agreed = max(cluster.committed)
-    cluster.put(leader, RequestRead(1))
+    last_committed = max(cluster.committed)
+    cluster.step_voter(leader, RequestRead(1))
     cluster.run(500.0)
-    assert cluster.read_results == [ReadReady(1, agreed)]
+    assert cluster.read_results == [ReadReady(1, last_committed)]
 
 
 def test_leadership_transfer_is_faster_than_an_election() -> None:
     cluster = Cluster(8, 5)
     leader = cluster.await_leader()
-    cluster.put(leader, TransferLeadership(""))
-    cluster.run(200.0)  # a fifth of the shortest silence that would bring an election
+    cluster.step_voter(leader, TransferLeadership(""))
+    cluster.run(200.0)  # a fifth of the shortest election timeout
     assert cluster.leader() not in ("", leader)
--- a/tests/consensus/test_messages.py
+++ b/tests/consensus/test_messages.py
@@ -1,4 +1,4 @@
-"""Messages that no voter sends are refused."""
+"""Guards against malformed messages of another program or version reaching a voter."""
 
 from typing import Any
 
@@ -13,17 +13,17 @@
 )
 
 
-def test_unreadable_message_is_refused_with_its_place() -> None:
-    wrong: list[Any] = [[], 7, ["vote"], ["vote", 1, 2, True], ["append", -1, 0, 0, [], 0, 0]]
-    wrong += [
+def test_malformed_message_raises_a_decode_error() -> None:
+    malformed: list[Any] = [[], 7, ["vote"], ["vote", 1, 2, True], ["append", -1, 0, 0, [], 0, 0]]
+    malformed += [
         ["append", 1, 0, 0, [[1, "x", 0]], 0, 0],
         ["install", 1, 1, 1, [["a"], []], 0, b"", True, 0],
     ]
-    for told in wrong:
+    for payload in malformed:
         with pytest.raises(MessageDecodeError):
-            decode_message(told)
+            decode_message(payload)
     with pytest.raises(MessageDecodeError, match="bootstrap"):
         Bootstrap("a/1", ["a"]).receive("b/1", Discover("c/1"))
-    for told in ([], 7, ["who"], ["who", 7], ["fresh", "a/1"], ["vote", 1, True, False]):
+    for payload in ([], 7, ["who"], ["who", 7], ["fresh", "a/1"], ["vote", 1, True, False]):
         with pytest.raises(MessageDecodeError):
-            decode_bootstrap_message(told)
+            decode_bootstrap_message(payload)
--- a/tests/consensus/test_voter.py
+++ b/tests/consensus/test_voter.py
@@ -1,4 +1,7 @@
-"""Single steps of one voter: what is durable, what is sent, and the role it takes."""
+"""Guards against faults in single steps of one voter.
+
+For example, a message sent before its vote is durable, or a log truncated by a snapshot.
+"""
 
 from pumicenotch.consensus.effects import (
     Persist,
@@ -17,11 +20,11 @@
 )
 from pumicenotch.consensus.state import Role
 from pumicenotch.consensus.voter import Voter
-from tests.consensus.cluster import ABC
+from tests.consensus.cluster import THREE_VOTERS
 
 
-def test_nothing_is_sent_before_what_it_rests_on_is_persisted() -> None:
-    voter = Voter("a/1", 0.0, ABC, lambda low, high: low)
+def test_messages_are_sent_only_after_the_vote_is_persisted() -> None:
+    voter = Voter("a/1", 0.0, THREE_VOTERS, lambda low, high: low)
     request = RequestVote(1, 0, 0, False, False)
     effects = voter.step(5000.0, MessageReceived("b/1", request))
     writes = [effect for effect in effects if isinstance(effect, Persist)]
@@ -35,8 +38,8 @@
     assert [effect.recipient for effect in sent] == ["b/1"]
 
 
-def test_replaced_entry_counts_only_once_persisted_again() -> None:
-    voter = Voter("a/1", 0.0, ABC, lambda low, high: low)
+def test_replaced_entry_is_durable_only_after_its_replacement_is_persisted() -> None:
+    voter = Voter("a/1", 0.0, THREE_VOTERS, lambda low, high: low)
     first = (Entry(1, EntryKind.NO_OP, None), Entry(1, EntryKind.COMMAND, "x"))
     voter.step(1.0, MessageReceived("b/1", AppendEntries(1, 0, 0, first, 0, 1)))
     voter.step(
@@ -49,16 +52,18 @@
     assert voter.persistence.persisted_index == 1
 
 
-def test_snapshot_keeps_entries_that_the_leader_may_have_counted() -> None:
-    voter = Voter("a/1", 0.0, ABC, lambda low, high: low)
+def test_snapshot_that_matches_the_log_keeps_later_entries() -> None:
+    voter = Voter("a/1", 0.0, THREE_VOTERS, lambda low, high: low)
     entries = tuple(Entry(1, EntryKind.COMMAND, number) for number in range(3))
     voter.step(1.0, MessageReceived("b/1", AppendEntries(1, 0, 0, entries, 0, 1)))
-    voter.step(2.0, MessageReceived("b/1", InstallSnapshot(1, 2, 1, ABC, 0, b"state", True, 2)))
+    voter.step(
+        2.0, MessageReceived("b/1", InstallSnapshot(1, 2, 1, THREE_VOTERS, 0, b"state", True, 2))
+    )
     assert (voter.log.last_index, voter.commit_index) == (3, 2)
 
 
 def test_candidate_follows_the_leader_of_a_later_term() -> None:
-    voter = Voter("a/1", 0.0, ABC, lambda low, high: low)
+    voter = Voter("a/1", 0.0, THREE_VOTERS, lambda low, high: low)
     voter.role, voter.term, voter.voted_for = Role.CANDIDATE, 3, "a/1"
     voter.step(1.0, MessageReceived("b/1", AppendEntries(4, 0, 0, (), 0, 1)))
     assert (voter.role, voter.term, voter.voted_for, voter.leader_id) == (
