--- a/tests/regions/test_traffic_plan.py
+++ b/tests/regions/test_traffic_plan.py
@@ -1,4 +1,7 @@
-"""The plan of which traffic goes where: properties over drawn fleets, and the cases by name."""
+"""Guards against traffic without a route, overloaded zones and traffic shifts in too large steps.
+
+Properties are checked for random fleets, and single cases by example.
+"""
 
 import random
 from collections.abc import Mapping
@@ -17,7 +20,7 @@
     TrafficClass("preview", 2.0),
     TrafficClass("submit", 6.0),
 ]
-ROUNDED = 1e-3  # of what a plan promises: parts have four places
+ROUNDING_TOLERANCE = 1e-3  # fractions in a plan have four decimal digits
 DrawnFleet = tuple[list[Zone], dict[Flow, float], dict[tuple[str, str], float]]
 
 
@@ -47,8 +50,8 @@
     return zones, demand, distance
 
 
-def even(load: float, **states: ZoneState) -> DrawnFleet:
-    """Three zones of one region, alike, each with that load of its own."""
+def equal_zones(load: float, **states: ZoneState) -> DrawnFleet:
+    """Returns three equal zones of one region; each has `load` times its capacity as demand."""
     zones = [
         Zone(name, "r", 100.0, states.get(name, ZoneState.HEALTHY)) for name in ("a", "b", "c")
     ]
@@ -61,7 +64,7 @@
     return zones, demand, {}
 
 
-def served(plan: TrafficPlan, demand: Mapping[Flow, float], origin: str) -> float:
+def served_fraction(plan: TrafficPlan, demand: Mapping[Flow, float], origin: str) -> float:
     own = {flow: work for flow, work in demand.items() if flow.origin == origin}
     rejected = sum(plan.fractions(flow).get(REJECTED, 0.0) * work for flow, work in own.items())
     return 1.0 - rejected / sum(own.values())
@@ -75,7 +78,7 @@
     zones, demand, distance = fleet
     plan = make_plan(1, zones, TRAFFIC_CLASSES, demand, distance)
     for key in demand:
-        assert sum(plan.fractions(key).values()) == pytest.approx(1.0, abs=ROUNDED)
+        assert sum(plan.fractions(key).values()) == pytest.approx(1.0, abs=ROUNDING_TOLERANCE)
     load = planned_load(plan, demand)
     for zone in zones:
         usable = 0.0 if zone.state in (ZoneState.LOST, ZoneState.EVACUATED) else zone.capacity
@@ -86,12 +89,12 @@
             if route.target == zone.name == route.origin
         )
         foreign = load.get(zone.name, 0.0) - own
-        slack = ROUNDED * (1.0 + sum(demand.values()))
-        nobody_comes = sum(demand[key] for key in demand if key[0] == zone.name) < 1e-6
-        assert nobody_comes or load.get(zone.name, 0.0) <= usable + slack
+        slack = ROUNDING_TOLERANCE * (1.0 + sum(demand.values()))
+        has_no_demand = sum(demand[key] for key in demand if key[0] == zone.name) < 1e-6
+        assert has_no_demand or load.get(zone.name, 0.0) <= usable + slack
         assert foreign <= max(0.0, usable - zone.reserve_fraction * zone.capacity) + slack
         if zone.state in (ZoneState.DEGRADED, ZoneState.PARTITIONED):
-            assert foreign <= slack, "takes nothing from others"
+            assert foreign <= slack, "must take no traffic of other zones"
     random.Random(seed).shuffle(zones)
     keys = list(demand)
     random.Random(seed).shuffle(keys)
@@ -102,7 +105,7 @@
 
 @settings(deadline=None)
 @given(fleets())
-def test_no_zone_rejects_its_own_traffic_for_other_zones(fleet: DrawnFleet) -> None:
+def test_a_healthy_zone_serves_its_own_traffic_first(fleet: DrawnFleet) -> None:
     zones, demand, distance = fleet
     plan = make_plan(1, zones, TRAFFIC_CLASSES, demand, distance)
     for zone in zones:
@@ -114,23 +117,23 @@
             * demand[Flow(zone.name, traffic_class.name)]
             for traffic_class in TRAFFIC_CLASSES
         )
-        assert kept == pytest.approx(min(own, zone.capacity), abs=ROUNDED * (1.0 + own))
+        assert kept == pytest.approx(min(own, zone.capacity), abs=ROUNDING_TOLERANCE * (1.0 + own))
 
 
-def test_all_traffic_stays_at_home_while_all_zones_are_healthy() -> None:
-    zones, demand, distance = even(0.85)
+def test_all_traffic_is_served_in_its_origin_while_all_zones_are_healthy() -> None:
+    zones, demand, distance = equal_zones(0.85)
     plan = make_plan(1, zones, TRAFFIC_CLASSES, demand, distance)
     assert all(route.origin == route.target for route in plan.routes)
 
 
-def test_a_lost_zones_traffic_fails_over_by_weight_as_far_as_there_is_capacity() -> None:
-    zones, demand, distance = even(0.85, a=ZoneState.LOST)
+def test_traffic_of_a_lost_zone_fails_over_by_weight_up_to_the_capacity() -> None:
+    zones, demand, distance = equal_zones(0.85, a=ZoneState.LOST)
     plan = make_plan(1, zones, TRAFFIC_CLASSES, demand, distance)
     assert (
         plan.fractions(Flow("a", "submit")).keys() == {"b", "c"}
         or plan.fractions(Flow("a", "submit"))[REJECTED] > 0.0
     )
-    assert served(plan, demand, "b") == served(plan, demand, "c") == 1.0
+    assert served_fraction(plan, demand, "b") == served_fraction(plan, demand, "c") == 1.0
     assert (
         planned_load(plan, demand)["b"]
         == pytest.approx(90.0, abs=0.1)
@@ -140,12 +143,12 @@
         Flow("a", "preview")
     ) == {REJECTED: 1.0}
     assert plan.fractions(Flow("a", "submit"))["b"] == plan.fractions(Flow("a", "submit"))["c"], (
-        "neither is preferred"
+        "neither of two equal zones is preferred"
     )
 
 
 def test_nothing_fails_over_while_all_zones_are_degraded() -> None:
-    zones, demand, distance = even(
+    zones, demand, distance = equal_zones(
         1.2, a=ZoneState.DEGRADED, b=ZoneState.DEGRADED, c=ZoneState.DEGRADED
     )
     plan = make_plan(1, zones, TRAFFIC_CLASSES, demand, distance)
@@ -154,7 +157,7 @@
     } == set()
 
 
-def test_nearer_zones_are_filled_first_and_a_region_is_near_where_not_measured() -> None:
+def test_nearer_zones_are_filled_first_and_unmeasured_distances_depend_on_the_region() -> None:
     zones = [
         Zone("a", "r1", 0.0, ZoneState.LOST),
         Zone("b", "r1", 50.0, reserve_fraction=0.0),
@@ -168,39 +171,45 @@
 
 @settings(deadline=None, max_examples=60)
 @given(fleets(), st.sampled_from([0.05, 0.2, 1.0]))
-def test_steps_reach_the_plan_and_no_step_adds_more_than_its_fraction_to_a_zone(
+def test_steps_reach_the_goal_and_no_step_exceeds_the_limit_of_a_zone(
     fleet: DrawnFleet, max_step_fraction: float
 ) -> None:
     zones, demand, distance = fleet
-    well = [zone._replace(state=ZoneState.HEALTHY) for zone in zones]
-    held = make_plan(1, well, TRAFFIC_CLASSES, demand, distance)
-    new = make_plan(2, zones, TRAFFIC_CLASSES, demand, distance)
-    rooms = {zone.name: zone.capacity for zone in zones}
+    healthy_zones = [zone._replace(state=ZoneState.HEALTHY) for zone in zones]
+    plan = make_plan(1, healthy_zones, TRAFFIC_CLASSES, demand, distance)
+    goal = make_plan(2, zones, TRAFFIC_CLASSES, demand, distance)
+    capacities = {zone.name: zone.capacity for zone in zones}
     for _ in range(200):
-        before, held = held, step_towards(held, new, zones, demand, max_step_fraction)
+        before, plan = plan, step_towards(plan, goal, zones, demand, max_step_fraction)
         for key in demand:
-            assert sum(held.fractions(key).values()) == pytest.approx(1.0, abs=ROUNDED)
-        was, now = planned_load(before, demand), planned_load(held, demand)
-        for name, room in rooms.items():
-            slack = ROUNDED * (1.0 + sum(demand.values()))
-            assert now.get(name, 0.0) - was.get(name, 0.0) <= max_step_fraction * room + slack
+            assert sum(plan.fractions(key).values()) == pytest.approx(1.0, abs=ROUNDING_TOLERANCE)
+        old_load, new_load = planned_load(before, demand), planned_load(plan, demand)
+        for name, capacity in capacities.items():
+            slack = ROUNDING_TOLERANCE * (1.0 + sum(demand.values()))
+            assert (
+                new_load.get(name, 0.0) - old_load.get(name, 0.0)
+                <= max_step_fraction * capacity + slack
+            )
         for zone in zones:
             if zone.state in (ZoneState.LOST, ZoneState.EVACUATED):
                 assert not [
                     route
-                    for route in held.routes
-                    if route.target == zone.name and route not in new.routes
+                    for route in plan.routes
+                    if route.target == zone.name and route not in goal.routes
                 ]
-        if held == before:
+        if plan == before:
             break
     for key in demand:
-        was, will = held.fractions(key), new.fractions(key)
-        off = max(abs(was.get(one, 0.0) - will.get(one, 0.0)) for one in {*was, *will})
-        assert off <= 0.01 or not any(rooms.values()), (key, was, will)
+        actual, expected = plan.fractions(key), goal.fractions(key)
+        difference = max(
+            abs(actual.get(target, 0.0) - expected.get(target, 0.0))
+            for target in {*actual, *expected}
+        )
+        assert difference <= 0.01 or not any(capacities.values()), (key, actual, expected)
 
 
 @pytest.mark.parametrize(
-    ("zones", "demand", "word"),
+    ("zones", "demand", "pattern"),
     [
         ([Zone("a", "r", 1.0), Zone("a", "r", 1.0)], {}, "listed twice"),
         (
@@ -212,8 +221,8 @@
         ([Zone("a", "r", 1.0)], {Flow("a", "none"): 1.0}, "'none'; known classes: bake"),
     ],
 )
-def test_inputs_without_a_plan_are_rejected_by_name(
-    zones: list[Zone], demand: dict[Flow, float], word: str
+def test_invalid_inputs_are_rejected_with_the_invalid_value(
+    zones: list[Zone], demand: dict[Flow, float], pattern: str
 ) -> None:
-    with pytest.raises(InvalidTrafficPlanError, match=word):
+    with pytest.raises(InvalidTrafficPlanError, match=pattern):
         make_plan(1, zones, TRAFFIC_CLASSES, demand, {})
