--- a/pumicenotch/consensus/persistence.py
+++ b/pumicenotch/consensus/persistence.py
@@ -61,7 +61,7 @@
         self.persisted_index = min(self.persisted_index, first_index - 1)
 
     def snapshot_installed(self, last_included_index: int) -> None:
-        """Records that a snapshot has replaced the log; unfinished writes no longer matter."""
+        """Records that a snapshot has replaced the log and the entries of unfinished writes."""
         self.is_changed = True
         self.persisted_index = last_included_index
         self.unfinished_writes = []
--- a/pumicenotch/consensus/state.py
+++ b/pumicenotch/consensus/state.py
@@ -43,8 +43,8 @@
     """
 
     HEARTBEAT_INTERVAL_MS = 100.0  # several round trips between regions
-    # The minimum; each timeout is drawn between one and two times this value. A follower misses ten
-    # heartbeats before it starts an election.
+    # The minimum; each timeout is drawn between one and two times this value. A follower must miss
+    # ten heartbeats to start an election, so occasional losses start none.
     ELECTION_TIMEOUT_MS = 1000.0
     MAX_ENTRIES_PER_MESSAGE = 16  # entries are up to 64 KB each, and a message must fit in a frame
     MAX_SNAPSHOT_CHUNK_BYTES = 16 * 1024
@@ -107,7 +107,7 @@
             self.effects.append(LeaderChanged(leader_id, self.term))
 
     def leader_is_alive(self) -> bool:
-        """Returns whether this voter leads or heard from a leader within an election timeout."""
+        """Returns whether this voter leads or had contact with a leader in an election timeout."""
         if self.role is Role.LEADER:
             return True
         return self.now_ms - self.last_leader_contact_ms < self.ELECTION_TIMEOUT_MS
--- a/pumicenotch/regions/zone_health.py
+++ b/pumicenotch/regions/zone_health.py
@@ -279,9 +279,9 @@
         ]
 
     def is_isolated(self, observer: str, views: dict[str, ZoneView]) -> bool:
-        """Returns whether an observer believes so many members dead that it must be isolated.
+        """Returns whether an observer believes most members of all other zones dead.
 
-        Members of its own zone are not counted.
+        The observer itself is then assumed to be partitioned.
         """
         own_zone = self.observer_zones[observer]
         others = [view for zone, view in views.items() if zone != own_zone]
