--- a/benchmarks/capacity/hollow.py
+++ b/benchmarks/capacity/hollow.py
@@ -182,7 +182,7 @@
                 members.table.install(self.day.now, each)
             members.gossip.clear()
             members.prober.clear_round()
-            members.exchange.count = TABLE_READY + self.chance.randrange(3)
+            members.exchange.exchange_count = TABLE_READY + self.chance.randrange(3)
             members.exchange.next_at = self.day.now + self.chance.uniform(0.0, PAGES_MS)
             assert len(members.table) >= len(self.news), name
 
--- a/pumicenotch/membership/full_state.py
+++ b/pumicenotch/membership/full_state.py
@@ -22,12 +22,12 @@
 
     Attributes:
         next_at: When the next exchange starts, in ms.
-        count: The number of exchanges since this member last knew of no live member.
+        exchange_count: The number of exchanges since this member last knew of no live member.
     """
 
     def __init__(self, now_ms: float, period_ms: float, seeds: Sequence[str]) -> None:
         self.next_at = now_ms
-        self.count = 0
+        self.exchange_count = 0
         self._period_ms = period_ms
         self._seeds = seeds
 
@@ -43,21 +43,21 @@
         other) and a seed. Returns None if no address is known.
         """
         # The first intervals are short: a new member knows few members, and few know it.
-        periods = min(MAX_EXCHANGE_PERIODS, 2.0**self.count)
+        periods = min(MAX_EXCHANGE_PERIODS, 2.0**self.exchange_count)
         self.next_at = now_ms + periods * self._period_ms
-        self.count += 1
+        self.exchange_count += 1
         alive = table.addresses_of(sorted(table.alive()))
         dead = table.addresses_of(sorted(table.dead()))
         candidate_groups = (alive, dead, self._seeds)
         preferred = (
             self._seeds
-            if self.count <= SEED_EXCHANGES
-            else candidate_groups[self.count % len(candidate_groups)]
+            if self.exchange_count <= SEED_EXCHANGES
+            else candidate_groups[self.exchange_count % len(candidate_groups)]
         )
         candidates = preferred or self._seeds or alive
         if not alive:
             self.next_at = now_ms + self._period_ms
-            self.count = 0
+            self.exchange_count = 0
         return rng.choice(candidates) if candidates else None
 
 
