--- a/benchmarks/capacity/hollow.py
+++ b/benchmarks/capacity/hollow.py
@@ -183,7 +183,7 @@
             members.gossip.clear()
             members.prober.clear_round()
             members.exchange.exchange_count = TABLE_READY + self.chance.randrange(3)
-            members.exchange.next_at = self.day.now + self.chance.uniform(0.0, PAGES_MS)
+            members.exchange.next_exchange_at_ms = self.day.now + self.chance.uniform(0.0, PAGES_MS)
             assert len(members.table) >= len(self.news), name
 
     def start_hollow(self) -> None:
--- a/pumicenotch/lab/hollow_instance.py
+++ b/pumicenotch/lab/hollow_instance.py
@@ -83,8 +83,10 @@
                 )
                 members.table.install(self.now_ms, update)
         members.exchange.exchange_count = SEED_EXCHANGES + 1 + chance.randrange(3)
-        members.exchange.next_at = self.now_ms + after_ms
-        members.exchange.next_at += chance.uniform(0.0, MAX_EXCHANGE_PERIODS * PERIOD_MS)
+        members.exchange.next_exchange_at_ms = self.now_ms + after_ms
+        members.exchange.next_exchange_at_ms += chance.uniform(
+            0.0, MAX_EXCHANGE_PERIODS * PERIOD_MS
+        )
         members.next_probe_at = self.now_ms + after_ms + chance.uniform(0.0, PERIOD_MS)
 
     def forget_all(self) -> None:
--- a/pumicenotch/membership/full_state.py
+++ b/pumicenotch/membership/full_state.py
@@ -21,19 +21,19 @@
         seeds: The addresses of members to join by, without this member's own.
 
     Attributes:
-        next_at: When the next exchange starts, in ms.
+        next_exchange_at_ms: When the next exchange starts.
         exchange_count: The number of exchanges since this member last knew of no live member.
     """
 
     def __init__(self, now_ms: float, period_ms: float, seeds: Sequence[str]) -> None:
-        self.next_at = now_ms
+        self.next_exchange_at_ms = now_ms
         self.exchange_count = 0
         self._period_ms = period_ms
         self._seeds = seeds
 
     def is_scheduled(self, now_ms: float) -> bool:
         """Returns whether the next exchange must start."""
-        return now_ms >= self.next_at
+        return now_ms >= self.next_exchange_at_ms
 
     def choose_peer(self, now_ms: float, table: MemberTable, rng: random.Random) -> str | None:
         """Returns the address of the peer for an exchange now, and schedules the next exchange.
@@ -44,7 +44,7 @@
         """
         # The first intervals are short: a new member knows few members, and few know it.
         periods = min(MAX_EXCHANGE_PERIODS, 2.0**self.exchange_count)
-        self.next_at = now_ms + periods * self._period_ms
+        self.next_exchange_at_ms = now_ms + periods * self._period_ms
         self.exchange_count += 1
         alive = table.addresses_of(sorted(table.alive()))
         dead = table.addresses_of(sorted(table.dead()))
@@ -56,7 +56,7 @@
         )
         candidates = preferred or self._seeds or alive
         if not alive:
-            self.next_at = now_ms + self._period_ms
+            self.next_exchange_at_ms = now_ms + self._period_ms
             self.exchange_count = 0
         return rng.choice(candidates) if candidates else None
 
