--- a/pumicenotch/fleet/__init__.py
+++ b/pumicenotch/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""What the fleet has agreed: members, budgets, drains, halts. No I/O, no clock."""
+"""Fleet state agreed by consensus: members, budgets, drains, releases, halts. No I/O, no clock."""
--- a/pumicenotch/fleet/drains/__init__.py
+++ b/pumicenotch/fleet/drains/__init__.py
@@ -1,1 +1,1 @@
-"""Drain permits: which members may go out of service now, under the fleet's disruption budgets."""
+"""Drain permits: which members may leave service now, within the fleet's disruption budgets."""
--- a/pumicenotch/fleet/drains/budgets.py
+++ b/pumicenotch/fleet/drains/budgets.py
@@ -1,7 +1,9 @@
 """Disruption budgets: how many members may be unavailable at once.
 
-A budget speaks of groups of members (each zone, one cell, all replicas of a service). For each
-group it limits how many members may be unavailable, how many must serve, or how much capacity.
+A budget applies to groups of members, for example each zone, one cell, or all replicas of a
+service. For each group it sets one limit: a maximum of unavailable members, a minimum of available
+members, a minimum of available capacity, or that replicas and callers of a service are never
+unavailable together.
 """
 
 from collections.abc import Iterable, Iterator
@@ -9,64 +11,65 @@
 
 from pumicenotch.errors import InputError
 
-# The kinds of groups that a budget may speak of, as files of ours name them.
+# Kinds of groups that a budget may apply to, as named in configuration files.
 BUDGET_SCOPES = ("fleet", "zone", "region", "cell", "service", "callers")
 
-# The status of a member, as snapshots and status answers name it.
+# Values of a member's status in snapshots and status answers.
 SERVING = "serving"
 DRAINING = "draining"
 STOPPED = "out"
 
-UNLIMITED = -1  # the limit of a budget that does not set it
-CAPACITY_TOLERANCE = 1e-9  # of sums of capacities, against rounding
+UNLIMITED = -1  # value of a limit that a budget does not set
+CAPACITY_TOLERANCE = 1e-9  # tolerance for rounding in sums of capacities
 
 
 class InvalidBudgetError(InputError):
-    """A budget that limits nothing, or sets what can never hold."""
+    """A budget with none or several limits, or with a limit that can never hold."""
 
     def __init__(self, location: str, problem: str) -> None:
         super().__init__(problem, place=location, remedy="change the budget in its file")
 
 
 class Member(NamedTuple):
-    """One process that the fleet counts, or a replica of a service that no process of ours runs on.
+    """A process that the fleet counts, or a manual member, which runs no process of this program.
 
-    Snapshots and `join` entries write it as a list: the order of its fields is part of both.
+    Snapshots and `join` entries write a member as a list, so the order of the fields is part of
+    both formats.
     """
 
     name: str
-    process_id: str  # of its process; "" for a member without a process of ours
+    process_id: str  # "" for a manual member
     zone: str = ""
     region: str = ""
     cell: str = ""
-    serves: tuple[str, ...] = ()  # the services that it is a replica or a proxy of
-    uses: tuple[str, ...] = ()  # the services that it calls
-    capacity: float = 1.0  # in the unit that the operators count in
+    serves: tuple[str, ...] = ()  # services that the member is a replica or a proxy of
+    uses: tuple[str, ...] = ()  # services that the member calls
+    capacity: float = 1.0  # in a unit chosen by the operators
     voter: bool = False
     status: str = SERVING
-    failure: str = ""  # why a majority of observers finds it failed; "" if it does not
-    previous_process_ids: tuple[str, ...] = ()  # the latest last
+    failure: str = ""  # why a majority of the voters finds the member failed; "" if none does
+    previous_process_ids: tuple[str, ...] = ()  # oldest first
 
 
 class Budget(NamedTuple):
     """A limit on the unavailable members of each group of one kind.
 
-    Exactly one limit is set. Snapshots and entries write it as a list.
+    Exactly one limit is set. Snapshots and log entries write a budget as a list, so the order of
+    the fields is part of both formats.
     """
 
     name: str
     scope: str  # one of BUDGET_SCOPES
-    group: str = ""  # the only group it speaks of; "": each of its scope
+    group: str = ""  # the only group that is limited; "" for every group of the scope
     max_unavailable: int = UNLIMITED
     min_available: int = UNLIMITED
-    min_capacity_fraction: float = float(UNLIMITED)  # of the group's whole capacity
-    separate_callers: bool = (
-        False  # a service's replicas and callers are never unavailable together
-    )
+    min_capacity_fraction: float = float(UNLIMITED)  # fraction of the group's total capacity
+    # Whether a service's replicas and callers must never be unavailable together.
+    separate_callers: bool = False
 
 
 def check_budget(budget: Budget) -> Budget:
-    """Returns the budget; raises InvalidBudgetError."""
+    """Returns the budget unchanged; raises InvalidBudgetError if it is invalid."""
     place = f"budget {budget.name}"
     limits = (
         budget.max_unavailable >= 0,
@@ -89,7 +92,7 @@
 
 
 def read_budget(value: Any) -> Budget:
-    """Returns the budget that a list on the wire holds; raises InvalidBudgetError."""
+    """Returns the budget decoded from its list on the wire; raises InvalidBudgetError."""
     try:
         budget = Budget._make(value)
         texts = (budget.name, budget.scope, budget.group)
@@ -108,7 +111,7 @@
 
 
 def groups_of(budget: Budget, member: Member) -> Iterator[str]:
-    """Yields those groups of the budget that the member belongs to."""
+    """Yields the budget's groups that the member belongs to."""
     match budget.scope:
         case "fleet":
             groups: tuple[str, ...] = ("",)
@@ -127,7 +130,7 @@
 
 
 class GroupOutages:
-    """One group of one budget: its members, and how many of them are unavailable."""
+    """Counts the members of one group of one budget, and how many of them are unavailable."""
 
     def __init__(self, budget: Budget, group: str) -> None:
         self.budget = budget
@@ -136,23 +139,24 @@
         self.unavailable = 0
         self.capacity = 0.0
         self.lost_capacity = 0.0
-        self.unavailable_replicas = 0  # counted where the budget separates callers
+        # Counted only if the budget separates callers.
+        self.unavailable_replicas = 0
         self.unavailable_callers = 0
 
     @property
     def available(self) -> int:
-        """How many of its members are available."""
+        """The number of available members."""
         return self.members - self.unavailable
 
     def add(self, member: Member, unavailable: bool) -> None:
-        """Counts a member of the group."""
+        """Adds a member of the group to the counts."""
         self.members += 1
         self.capacity += member.capacity
         if unavailable:
             self.add_unavailable(member)
 
     def add_unavailable(self, member: Member) -> None:
-        """Counts a member that was added before as unavailable."""
+        """Counts a member as unavailable that was added to the group as available."""
         self.unavailable += 1
         self.lost_capacity += member.capacity
         if self.budget.separate_callers:
@@ -160,12 +164,12 @@
             self.unavailable_callers += self.group in member.uses
 
     def label(self) -> str:
-        """Returns the names of the budget and the group, for messages."""
+        """Returns the names of the budget and of the group, for messages."""
         group = f" {self.group}" if self.group else ""
         return f"budget {self.budget.name}: {self.budget.scope}{group}"
 
     def refusal(self, member: Member) -> str:
-        """Returns why this member may not become unavailable too; "" if it may."""
+        """Returns why the member may not become unavailable as well; "" if it may."""
         budget = self.budget
         if 0 <= budget.max_unavailable < self.unavailable + 1:
             limit = f"{self.unavailable} of at most {budget.max_unavailable} are out"
@@ -181,7 +185,7 @@
         return self.conflict(member)
 
     def conflict(self, member: Member) -> str:
-        """Returns which of the service's callers or replicas stand against it; "" if none do."""
+        """Returns which unavailable callers or replicas conflict with the member; "" if none do."""
         if not self.budget.separate_callers:
             return ""
         if self.group in member.serves and self.unavailable_callers:
@@ -191,11 +195,11 @@
         return ""
 
     def violation(self) -> str:
-        """Returns how the group exceeds its budget already; "" if it does not."""
+        """Returns how the group already exceeds its budget; "" if it does not."""
         budget = self.budget
         if 0 <= budget.max_unavailable < self.unavailable:
             return f"{self.label()}: {self.unavailable} out of at most {budget.max_unavailable}"
-        # A group that is smaller than its minimum can do no more than be available whole.
+        # A group smaller than its minimum is within its budget while all its members are available.
         if budget.min_available >= 0 and self.available < min(budget.min_available, self.members):
             return f"{self.label()}: {self.available} serve of at least {budget.min_available}"
         remaining = self.capacity - self.lost_capacity
@@ -208,18 +212,18 @@
 
 
 class OutageCounts:
-    """The groups of all budgets at one moment."""
+    """Outage counts of the groups of all budgets at one point in time."""
 
     def __init__(self, budgets: Iterable[Budget], members: Iterable[tuple[Member, bool]]) -> None:
-        """Counts `members`, each with whether it is unavailable."""
+        """Counts `members`, which are pairs of a member and whether the member is unavailable."""
         self.budgets = tuple(budgets)
-        self.groups: dict[tuple[str, str], GroupOutages] = {}  # by names of budget and group
+        self.groups: dict[tuple[str, str], GroupOutages] = {}  # by budget and group name
         for member, unavailable in members:
             for group in self.groups_of(member):
                 group.add(member, unavailable)
 
     def groups_of(self, member: Member) -> list[GroupOutages]:
-        """Returns the groups that a member belongs to."""
+        """Returns the counts of all groups that the member belongs to."""
         groups = []
         for budget in self.budgets:
             for name in groups_of(budget, member):
--- a/pumicenotch/fleet/drains/lifecycle.py
+++ b/pumicenotch/fleet/drains/lifecycle.py
@@ -1,4 +1,4 @@
-"""The lifecycle of members: they join, serve, drain by permit or on their own, stop and fail."""
+"""The lifecycle of members: join, serve, drain with or without a permit, stop and fail."""
 
 from typing import NamedTuple
 
@@ -20,24 +20,25 @@
     DrainPermit,
 )
 
-MAX_PREVIOUS_PROCESS_IDS = 8  # a message of an older one was lost long ago
-SILENT = "silent"  # the failure of a member that a majority of the voters does not hear of
+# Messages of processes before the last 8 of a name are no longer in transit.
+MAX_PREVIOUS_PROCESS_IDS = 8
+SILENT = "silent"  # failure of a member that a majority of the voters believes dead
 
 
 class CurrentMember(NamedTuple):
-    """A member, if the process that speaks for it still has its name."""
+    """A member, or the refusal of a report by a process that does not have the member's name."""
 
     member: Member | None
     refusal: ApplyResult
 
 
 class MemberLifecycle(DrainScheduler):
-    """Applies what processes report of themselves, and what voters find of them."""
+    """Applies reports of processes about themselves, and findings of voters about processes."""
 
     def join(self, command: JoinMember) -> ApplyResult:
-        """A process says what it is, and takes its name over from an earlier process.
+        """Registers a process, which takes its member name over from an earlier process.
 
-        Whether the earlier process has ended is for the leader to judge before it proposes this.
+        The leader proposes this command only once it finds that the earlier process has ended.
         """
         member = command.member
         known = self.members.get(member.name)
@@ -60,7 +61,7 @@
             return ApplyResult(True, "known")
         else:
             previous = (*known.previous_process_ids, known.process_id)
-        # Unavailable until it reports that it serves: its start may fail still.
+        # The member is unavailable until the process reports that it serves, as its start may fail.
         self.members[member.name] = member._replace(
             status=STOPPED, previous_process_ids=previous[-MAX_PREVIOUS_PROCESS_IDS:]
         )
@@ -68,9 +69,9 @@
         return ApplyResult(True, "joined")
 
     def report_serving(self, command: ReportServing) -> ApplyResult:
-        """A process is in service: a permit of an earlier one of its name ends here.
+        """Marks a member as serving, and ends the permit of an earlier process of the same name.
 
-        A late report of the process that the permit was given to ends nothing.
+        A late report of the process that holds the permit does not end the permit.
         """
         name = command.name
         member, refusal = self._current_member(name, command.process_id)
@@ -87,7 +88,7 @@
         return ApplyResult(True, "serving")
 
     def report_termination(self, command: ReportTermination) -> ApplyResult:
-        """A process drains without a permit: counted at once, never refused."""
+        """Records a drain without a permit, which is counted at once and never refused."""
         name, process_id, reason = command
         member, refusal = self._current_member(name, process_id)
         if member is None:
@@ -106,9 +107,10 @@
         return ApplyResult(True, "counted")
 
     def start_drain(self, command: StartDrain) -> ApplyResult:
-        """The holder of a permit is about to drain, and may do so only once this has succeeded.
+        """Lets a permit's holder start to drain, which it may do only once this has succeeded.
 
-        So a permit that was taken back is not used, however late its holder hears of it.
+        A withdrawn permit is therefore never used, however late its holder learns of the
+        withdrawal.
         """
         name, process_id, epoch = command
         member, refusal = self._current_member(name, process_id)
@@ -120,7 +122,7 @@
         if not permit.started:
             if self.halts:
                 return ApplyResult(False, self.halt_reason())
-            # Since it was given, others may have failed, and a budget may have been lowered.
+            # Since the permit was given, members may have failed or a budget may have been lowered.
             if permit.kind in BUDGETED_PERMITS and (
                 violation := self.violation_with(member, permit)
             ):
@@ -131,7 +133,7 @@
         return ApplyResult(True, "begun", epoch)
 
     def report_stopped(self, command: ReportStopped) -> ApplyResult:
-        """A process has drained and is about to exit."""
+        """Records that a process has drained and is about to exit."""
         member, refusal = self._current_member(command.name, command.process_id)
         if member is None:
             return refusal
@@ -141,7 +143,7 @@
         return ApplyResult(True, "out")
 
     def set_failure(self, command: SetFailure) -> ApplyResult:
-        """A majority of the voters finds a member failed, or recovered."""
+        """Records that the voters find a member failed, or recovered if the reason is empty."""
         name, process_id, reason = command
         member, refusal = self._current_member(name, process_id)
         if member is None:
@@ -154,7 +156,7 @@
         return ApplyResult(True, "noted")
 
     def return_permit(self, command: ReturnPermit) -> ApplyResult:
-        """The holder returns a permit that it has not used."""
+        """Ends a permit that its holder returns unused."""
         name, process_id, epoch = command
         member, refusal = self._current_member(name, process_id)
         if member is None:
--- a/pumicenotch/fleet/drains/operator_requests.py
+++ b/pumicenotch/fleet/drains/operator_requests.py
@@ -1,4 +1,7 @@
-"""Operators' requests: drains, overrides, budgets, halts. Each carries an id and a reason."""
+"""Operators' requests: drains, overrides, budgets and halts.
+
+Each request carries an id that identifies its retries, and each but a change of budgets a reason.
+"""
 
 from collections.abc import Iterable
 
@@ -16,14 +19,14 @@
 )
 from pumicenotch.fleet.replicated.records import OVERRIDE_PERMIT, ApplyResult, FleetHalt
 
-MAX_LISTED_NAMES = 5  # in one message
+MAX_LISTED_NAMES = 5  # member names listed in one message
 
 
 class OperatorRequests(MemberLifecycle):
-    """Applies operators' requests, and records the answers for their retries."""
+    """Applies operators' requests, and records the answers so that retries change nothing."""
 
     def request_drain(self, command: RequestDrain) -> ApplyResult:
-        """Queues drains of members; the result says who has a permit and who waits for what."""
+        """Queues drains. The result names the members with permits, or those that wait and why."""
         return self.record_answer(command.request_id, self._queue_drains(command))
 
     def _queue_drains(self, command: RequestDrain) -> ApplyResult:
@@ -54,7 +57,7 @@
         return ApplyResult(True, f"waiting: {_join_names(waiting)}; {waiting[0]}: {reason}")
 
     def cancel_drain(self, command: CancelDrain) -> ApplyResult:
-        """Withdraws queued drains and unused permits; a member without a process serves again."""
+        """Withdraws queued drains and unused permits. A member without a process serves again."""
         draining = []
         for name in command.names:
             member = self.members.get(name)
@@ -82,7 +85,10 @@
         return self.record_answer(command.request_id, result)
 
     def override_budgets(self, command: OverrideBudgets) -> ApplyResult:
-        """Gives a permit whatever the budgets say, but not while halted, nor to a majority."""
+        """Gives a member a permit regardless of the budgets.
+
+        Refused during a halt, and for a voter without which no majority of voters would remain.
+        """
         return self.record_answer(command.request_id, self._override(command))
 
     def _override(self, command: OverrideBudgets) -> ApplyResult:
@@ -92,8 +98,10 @@
             return ApplyResult(False, f"no member {name}")
         if self.halts:
             return ApplyResult(False, self.halt_reason())
-        is_last_voter = member.voter and self.unavailable_voters() >= self.max_unavailable_voters()
-        if is_last_voter and not self.is_unavailable(member):
+        breaks_majority = (
+            member.voter and self.unavailable_voters() >= self.max_unavailable_voters()
+        )
+        if breaks_majority and not self.is_unavailable(member):
             return ApplyResult(False, "a majority of the voters must stay: no override helps")
         self.dequeue_member(name)
         if name not in self.permits:
@@ -107,7 +115,7 @@
     def revoke_permit(self, command: RevokePermit) -> ApplyResult:
         """Ends the permit of a member that will not return.
 
-        The member stays unavailable until it serves or is forgotten.
+        The member remains unavailable until it serves again or is forgotten.
         """
         name = command.name
         permit = self.permits.get(name)
@@ -124,7 +132,7 @@
         return self.record_answer(command.request_id, result)
 
     def forget_member(self, command: ForgetMember) -> ApplyResult:
-        """Removes a member for good, from the counts too."""
+        """Removes a member permanently, also from the outage counts."""
         name = command.name
         member = self.members.get(name)
         if member is None:
@@ -143,7 +151,8 @@
     def set_budgets(self, command: SetBudgets) -> ApplyResult:
         """Replaces all budgets.
 
-        No unavailable member is called back by a lower one; nobody follows until it fits.
+        A lowered budget does not return unavailable members to service, but no further member
+        leaves service until the budget allows it.
         """
         self.budgets = command.budgets
         names = ", ".join(budget.name for budget in command.budgets) or "none"
@@ -154,13 +163,13 @@
         return self.record_answer(command.request_id, result)
 
     def halt(self, command: HaltFleet) -> ApplyResult:
-        """Stops all steps that can wait. The request id tells its copies, however they come."""
+        """Halts all steps that can wait. Copies of a halt have the same request id."""
         self.halts[command.request_id] = FleetHalt(command.operator, command.reason)
         self.record_event(f"HALT by {command.operator}: {command.reason}")
         return self.record_answer(command.request_id, ApplyResult(True, self.halt_reason()))
 
     def resume(self, command: ResumeFleet) -> ApplyResult:
-        """Ends those halts that the operator has seen, and no later one."""
+        """Ends the halts that the operator has seen. Later halts stay in force."""
         for request_id in command.halts:
             self.halts.pop(request_id, None)
         remaining = f"; still {self.halt_reason()}" if self.halts else ""
@@ -170,7 +179,7 @@
 
 
 def _join_names(names: Iterable[str]) -> str:
-    """Returns the first few names and how many more there are."""
+    """Returns the first MAX_LISTED_NAMES names and the number of the others."""
     listed = list(names)
     more = len(listed) - MAX_LISTED_NAMES
     suffix = f" and {more} more" if more > 0 else ""
--- a/pumicenotch/fleet/drains/scheduler.py
+++ b/pumicenotch/fleet/drains/scheduler.py
@@ -1,8 +1,8 @@
-"""Who may drain: the queue of drains, the permits given, and what the budgets allow.
+"""The drain scheduler: which queued drains get permits within the disruption budgets.
 
-A member is unavailable if it holds a permit, drains, has stopped, or has failed. A permit ends only
-when its member is back in service as a new process, when its holder returns it, or when an operator
-revokes it with a reason.
+A member is unavailable if it holds a permit, drains, has stopped, has failed, or if its agent
+reports its server as down. A permit ends only when its member is back in service as a new process,
+when its holder returns the permit, or when an operator withdraws or revokes it with a reason.
 """
 
 from collections.abc import Iterable
@@ -29,29 +29,30 @@
     RecordedAnswer,
 )
 
-MAX_EVENTS = 500  # some days of an ordinary fleet, some 50 KB
-MAX_ANSWERS = 1000  # to operators' requests, so that a retry changes nothing
+MAX_EVENTS = 500  # length of the event history: several days of a typical fleet, about 50 KB
+MAX_ANSWERS = 1000  # recorded answers to operators' requests, so that a retry changes nothing
 
 
 class DrainScheduler:
-    """Members, budgets, permits and halts, and what follows from them."""
+    """Owns the members, budgets, permits and halts, and grants permits to queued drains."""
 
     def __init__(self) -> None:
-        self.log_index = 0  # of the entry applied last
+        self.log_index = 0  # log index of the last applied entry
         self.voters: tuple[str, ...] = ()
         self.members: dict[str, Member] = {}
         self.budgets: tuple[Budget, ...] = ()
         self.queue: list[QueuedDrain] = []
         self.permits: dict[str, DrainPermit] = {}
-        self.wait_reasons: dict[str, str] = {}  # by member in the queue, as of the last entry
+        self.wait_reasons: dict[str, str] = {}  # by name of queued member, as of the last entry
         self.halts: dict[str, FleetHalt] = {}  # by request id
         self.answers: dict[str, RecordedAnswer] = {}  # by request id
         self.history: list[Event] = []
         self.releases = Releases(self)
-        # Counting 1,000 members takes milliseconds, and hundreds of entries may come in a second.
+        # Cached because counting 1,000 members takes milliseconds, and hundreds of entries may be
+        # applied per second.
         self.cached_counts: CachedCounts | None = None
 
-    # For operators
+    # Events and answers for operators
 
     def record_event(self, text: str) -> None:
         """Adds a line to the fleet's event history."""
@@ -59,7 +60,7 @@
         del self.history[:-MAX_EVENTS]
 
     def record_answer(self, request_id: str, result: ApplyResult) -> ApplyResult:
-        """Remembers the answer to an operator's request, and returns it."""
+        """Records the answer to an operator's request for its retries, and returns the answer."""
         self.answers[request_id] = RecordedAnswer(result.ok, result.text)
         if len(self.answers) > MAX_ANSWERS:
             del self.answers[next(iter(self.answers))]
@@ -72,10 +73,10 @@
         halts = (f"by {operator}: {reason}" for operator, reason in self.halts.values())
         return "halted: " + "; ".join(halts)
 
-    # Who is unavailable
+    # Unavailable members
 
     def is_unavailable(self, member: Member) -> bool:
-        """Tells whether the member counts as unavailable."""
+        """Returns whether the member counts as unavailable."""
         return (
             member.status != SERVING
             or bool(member.failure)
@@ -92,48 +93,55 @@
         return max(0, (len(self.voters) - 1) // 2)
 
     def outage_counts(self) -> OutageCounts:
-        """Counts the unavailable members of all groups anew."""
+        """Returns the outage counts of all groups, counted without the cache."""
         members = self.members.values()
-        return OutageCounts(self.budgets, ((each, self.is_unavailable(each)) for each in members))
+        return OutageCounts(
+            self.budgets, ((member, self.is_unavailable(member)) for member in members)
+        )
 
     def violations(self) -> list[str]:
-        """Returns how groups exceed their budgets."""
+        """Returns how groups exceed their budgets, one text per group."""
         groups = self.outage_counts().groups.values()
         return [violation for group in groups if (violation := group.violation())]
 
     def violation_with(self, member: Member, permit: DrainPermit) -> str:
-        """Returns which budget would be exceeded if this permit's holder started its drain now.
+        """Returns which budget would be exceeded if this permit's holder drained now; "" if none.
 
-        Counted are the unavailable members, and of those whose permits are not in use only the ones
-        with an earlier permit: if all counted, all would wait for each other for ever.
+        Members whose permits are not in use count as unavailable only if their permits are
+        earlier. If all of them counted, they could all wait for each other forever.
         """
         counts = self._current_counts()
         if not any(group.violation() for group in counts.groups_of(member)):
             return ""
         members = self.members.values()
         earlier = OutageCounts(
-            self.budgets, ((each, self._is_unavailable_before(each, permit)) for each in members)
+            self.budgets, ((other, self._is_unavailable_before(other, permit)) for other in members)
         )
         groups = earlier.groups_of(member)
         return next((violation for group in groups if (violation := group.violation())), "")
 
     def _is_unavailable_before(self, member: Member, permit: DrainPermit) -> bool:
-        other = self.permits.get(member.name)
-        if other is None or other.started or member.status != SERVING or member.failure:
+        other_permit = self.permits.get(member.name)
+        if (
+            other_permit is None
+            or other_permit.started
+            or member.status != SERVING
+            or member.failure
+        ):
             return self.is_unavailable(member)
-        return (other.epoch, other.name) <= (permit.epoch, permit.name)
+        return (other_permit.epoch, other_permit.name) <= (permit.epoch, permit.name)
 
     def _current_counts(self) -> OutageCounts:
         return self.cached_counts.outages if self.cached_counts else self.outage_counts()
 
     def invalidate_counts(self) -> None:
-        """Notes that other members are unavailable than before."""
+        """Discards the cached outage counts, after a change of which members are unavailable."""
         self.cached_counts = None
 
-    # The queue
+    # Queue and permits
 
     def enqueue_drain(self, name: str, reason: str, requested_by: str) -> None:
-        """Queues a drain of that member."""
+        """Queues a drain of the named member."""
         self.queue.append(QueuedDrain(name, self.log_index, reason, requested_by))
 
     def dequeue_drain(self, request: QueuedDrain) -> None:
@@ -141,14 +149,15 @@
         self.queue.remove(request)
 
     def dequeue_member(self, name: str) -> None:
-        """Removes the drains of that member from the queue."""
+        """Removes the drains of the named member from the queue."""
         self.queue = [request for request in self.queue if request.name != name]
 
     def grant_permits(self) -> None:
-        """Gives every permit that fits, in the order of the requests.
+        """Grants every permit that fits the budgets, in the order of the requests.
 
-        A request that does not fit blocks later ones in its groups, and no others: so no drain
-        waits for ever behind one of another group, nor is it overtaken within its own.
+        A request that does not fit blocks later requests in its groups, and no other requests. No
+        drain waits behind one of an unrelated group, and none is starved by later requests of its
+        own groups.
         """
         self.wait_reasons.clear()
         if not self.queue:
@@ -159,7 +168,7 @@
             return
         counts = self.cached_counts or CachedCounts(self.outage_counts(), self.unavailable_voters())
         outages, unavailable_voters = counts
-        first_waiting: dict[int, str] = {}  # by the group's identity: who waits there first
+        first_waiting: dict[int, str] = {}  # name of the first waiting member, by id() of the group
         waiting: list[QueuedDrain] = []
         for request in self.queue:
             member = self.members[request.name]
@@ -183,14 +192,14 @@
         self.cached_counts = CachedCounts(outages, unavailable_voters)
 
     def _voter_refusal(self, member: Member, was_unavailable: bool, unavailable_voters: int) -> str:
-        others = unavailable_voters - was_unavailable
-        if not member.voter or others < self.max_unavailable_voters():
+        other_unavailable_voters = unavailable_voters - was_unavailable
+        if not member.voter or other_unavailable_voters < self.max_unavailable_voters():
             return ""
         return f"{unavailable_voters} of {len(self.voters)} voters are out: a majority must stay"
 
     def give_permit(self, member: Member, kind: str, reason: str) -> None:
         """Gives the member a permit whose epoch is the current log index."""
-        # A member without a process is drained by whoever asked, on seeing the permit.
+        # A member without a process is drained by the requester as soon as there is a permit.
         started = not member.process_id
         epoch = self.log_index
         self.permits[member.name] = DrainPermit(
@@ -201,7 +210,7 @@
         self.record_event(f"permit for {member.name} (epoch {epoch}): {reason}")
 
     def end_permit(self, name: str, reason: str) -> None:
-        """Ends that member's permit."""
+        """Ends the permit of the named member."""
         permit = self.permits.pop(name)
         self.record_event(f"permit of {name} (epoch {permit.epoch}) ends: {reason}")
 
@@ -212,10 +221,10 @@
     groups: Iterable[GroupOutages],
     first_waiting: dict[int, str],
 ) -> str:
-    """Returns why the member's groups do not let it drain; "" if they do.
+    """Returns why the budgets of the member's groups do not let it drain; "" if they do.
 
-    One that is thought to be unavailable is counted already, but may serve in truth: so it may go
-    only where its groups are within their budgets with it.
+    A member found unavailable is already counted, but may in fact still serve. It may drain only
+    if its groups, with the member counted, are within their budgets.
     """
     if was_unavailable:
         refusals = (group.violation() or group.conflict(member) for group in groups)
--- a/pumicenotch/fleet/replicated/__init__.py
+++ b/pumicenotch/fleet/replicated/__init__.py
@@ -1,1 +1,1 @@
-"""What the voters have agreed: the state, the commands that change it, and its snapshots."""
+"""The replicated state of the fleet, the commands that change the state, and its snapshots."""
--- a/pumicenotch/fleet/replicated/commands.py
+++ b/pumicenotch/fleet/replicated/commands.py
@@ -1,6 +1,7 @@
-"""The commands of the log that speak of members, drains, budgets and halts.
+"""Commands of the replicated log on members, drains, budgets and halts.
 
-`registry` maps the verbs of the wire to these types. Those of releases are in `releases.commands`.
+`registry` maps the verbs on the wire to these types. The commands on releases are in
+`releases.commands`.
 """
 
 from typing import NamedTuple
@@ -9,7 +10,10 @@
 
 
 class BootstrapFleet(NamedTuple):
-    """The first command: the fleet's name, voters, budgets, and members without a process."""
+    """Creates the fleet. This is the first command of a log.
+
+    `manual_members` are members without a process of this program.
+    """
 
     fleet: str
     voters: tuple[str, ...]
@@ -18,20 +22,20 @@
 
 
 class JoinMember(NamedTuple):
-    """A process says what it is."""
+    """Registers a process as the current one of a member name."""
 
     member: Member
 
 
 class ReportServing(NamedTuple):
-    """A process is in service."""
+    """Reports that a process is in service."""
 
     name: str
     process_id: str
 
 
 class ReportTermination(NamedTuple):
-    """A process drains without a permit, as it was told to end."""
+    """Reports that a process drains without a permit because it was told to end."""
 
     name: str
     process_id: str
@@ -39,7 +43,7 @@
 
 
 class StartDrain(NamedTuple):
-    """The holder of a permit is about to drain."""
+    """Asks to start the drain of a permit's holder."""
 
     name: str
     process_id: str
@@ -47,14 +51,17 @@
 
 
 class ReportStopped(NamedTuple):
-    """A process has drained and is about to exit."""
+    """Reports that a process has drained and is about to exit."""
 
     name: str
     process_id: str
 
 
 class SetFailure(NamedTuple):
-    """A majority of the voters finds a member failed; an empty reason: it has recovered."""
+    """Records that a majority of the voters finds a member failed.
+
+    An empty reason means that the member has recovered.
+    """
 
     name: str
     process_id: str
@@ -62,7 +69,7 @@
 
 
 class ReturnPermit(NamedTuple):
-    """The holder returns a permit that it has not used."""
+    """Returns a permit that its holder has not used."""
 
     name: str
     process_id: str
@@ -70,7 +77,7 @@
 
 
 class RequestDrain(NamedTuple):
-    """An operator wants members drained."""
+    """Asks for permits to drain members."""
 
     request_id: str
     names: tuple[str, ...]
@@ -79,7 +86,7 @@
 
 
 class CancelDrain(NamedTuple):
-    """An operator withdraws requests for drains and permits that are not in use."""
+    """Withdraws drain requests, and permits whose holders have not started to drain."""
 
     request_id: str
     names: tuple[str, ...]
@@ -88,7 +95,7 @@
 
 
 class OverrideBudgets(NamedTuple):
-    """An operator gives a permit whatever the budgets say."""
+    """Gives a member a permit regardless of the budgets."""
 
     request_id: str
     name: str
@@ -97,7 +104,7 @@
 
 
 class RevokePermit(NamedTuple):
-    """An operator ends the permit of a member that will not return."""
+    """Ends the permit of a member that will not return."""
 
     request_id: str
     name: str
@@ -106,7 +113,7 @@
 
 
 class ForgetMember(NamedTuple):
-    """An operator removes a member for good."""
+    """Removes a member permanently."""
 
     request_id: str
     name: str
@@ -115,7 +122,7 @@
 
 
 class SetBudgets(NamedTuple):
-    """An operator replaces all budgets."""
+    """Replaces all budgets."""
 
     request_id: str
     budgets: tuple[Budget, ...]
@@ -123,7 +130,7 @@
 
 
 class HaltFleet(NamedTuple):
-    """Anybody stops all steps that can wait."""
+    """Halts all steps that can wait. Any process may send it, not only an operator."""
 
     request_id: str
     operator: str
@@ -131,7 +138,7 @@
 
 
 class ResumeFleet(NamedTuple):
-    """An operator ends the halts with these request ids."""
+    """Ends the halts with these request ids."""
 
     request_id: str
     halts: tuple[str, ...]
--- a/pumicenotch/fleet/replicated/fields.py
+++ b/pumicenotch/fleet/replicated/fields.py
@@ -1,6 +1,7 @@
-"""Readers for the fields of log entries.
+"""Readers that check and convert the fields of log entries.
 
-A leader reads an entry before it proposes it, and each voter reads it again where it applies it.
+A leader reads each entry before it proposes the entry. Each voter reads the entry again to apply
+it.
 """
 
 from collections.abc import Callable
@@ -11,17 +12,18 @@
 
 MAX_TEXT_LENGTH = 200
 MAX_NAME_LENGTH = 64
-MAX_NAMES = 1024  # in one request
-MAX_SERVICES = 64  # of one member: those it serves and those it calls
+MAX_NAMES = 1024  # names in one request
+MAX_SERVICES = 64  # services of one member, served and called together
 MAX_CAPACITY = 1e9
 
 FieldReader = Callable[[Any], Any]
 
 
 class InvalidCommandError(InputError):
-    """An entry that is none of this fleet's commands, or whose fields hold the wrong values.
+    """An entry with an unknown verb, or with fields of the wrong number, type or value.
 
-    A leader refuses to propose such an entry; a voter skips one that is agreed all the same.
+    A leader refuses to propose an invalid entry. A voter skips an invalid entry that was committed
+    nevertheless.
     """
 
     def __init__(self, problem: str, *, location: str = "fleet command") -> None:
@@ -31,7 +33,7 @@
 
 
 def read_text(value: Any) -> str:
-    """Returns a text of up to MAX_TEXT_LENGTH characters; raises InvalidCommandError."""
+    """Returns a string of up to MAX_TEXT_LENGTH characters; raises InvalidCommandError."""
     if not isinstance(value, str) or len(value) > MAX_TEXT_LENGTH:
         raise InvalidCommandError(
             f"a text of up to {MAX_TEXT_LENGTH} letters is wanted, not {value!r:.40}"
@@ -49,21 +51,21 @@
 
 
 def read_names(value: Any) -> tuple[str, ...]:
-    """Returns one name or more, without duplicates; raises InvalidCommandError."""
+    """Returns one or more names without duplicates; raises InvalidCommandError."""
     if not isinstance(value, list | tuple) or not 0 < len(value) <= MAX_NAMES:
         raise InvalidCommandError(f"1 to {MAX_NAMES} names are wanted")
     return tuple(dict.fromkeys(read_name(item) for item in value))
 
 
 def read_reason(value: Any) -> str:
-    """Returns a text that is not blank; raises InvalidCommandError."""
+    """Returns a string that is not blank; raises InvalidCommandError."""
     if not read_text(value).strip():
         raise InvalidCommandError("a reason is wanted: it stands in the log")
     return str(value)
 
 
 def read_number(value: Any) -> int:
-    """Returns a whole number from 0 up; raises InvalidCommandError."""
+    """Returns a non-negative integer; raises InvalidCommandError."""
     if type(value) is not int or value < 0:
         raise InvalidCommandError(f"a whole number is wanted, not {value!r:.40}")
     return value
@@ -110,5 +112,5 @@
 
 
 def read_members(value: Any) -> tuple[Member, ...]:
-    """Returns members, or none; raises InvalidCommandError."""
+    """Returns a possibly empty list of members; raises InvalidCommandError."""
     return tuple(map(read_member, value))
--- a/pumicenotch/fleet/replicated/records.py
+++ b/pumicenotch/fleet/replicated/records.py
@@ -1,59 +1,61 @@
-"""The records that the replicated state is made of, beside members and budgets.
+"""Records of the replicated state, besides members and budgets.
 
-Snapshots write them as lists, so the order of their fields is part of the stored form.
+Snapshots write each record as a list, so the order of its fields is part of the stored format.
 """
 
 from typing import Any, NamedTuple
 
 from pumicenotch.fleet.drains.budgets import Member, OutageCounts
 
-# What a drain permit was given for. The values stand in snapshots.
+# Kinds of drain permits, as stored in snapshots.
 DRAIN_PERMIT = "drain"
 RELEASE_PERMIT = "release"
-TERMINATION_PERMIT = "term"  # the process was told to end and could not wait
+TERMINATION_PERMIT = "term"  # for a process that was told to end and could not wait
 OVERRIDE_PERMIT = "override"
+# Kinds whose holders may start to drain only within the budgets.
 BUDGETED_PERMITS = (DRAIN_PERMIT, RELEASE_PERMIT)
 
-WIRE_MEMBER_FIELDS = 9  # the first fields of Member: what a process tells of itself
+# Number of leading fields of Member that a process reports about itself in a `join` entry.
+WIRE_MEMBER_FIELD_COUNT = 9
 
 
 class ApplyResult(NamedTuple):
-    """What applying one entry of the log came to."""
+    """The result of applying one log entry."""
 
     ok: bool
-    text: str  # for whoever sent the entry
+    text: str  # message for the sender of the entry
     value: Any = None
 
 
 class DrainPermit(NamedTuple):
-    """The right of one process to drain."""
+    """Permission for one process to drain."""
 
     name: str
     process_id: str
-    epoch: int  # the log index at which it was given: the higher of two is the later
+    epoch: int  # log index at which the permit was given; a later permit has a higher epoch
     kind: str
     reason: str
-    started: bool = False  # its holder is draining
+    started: bool = False  # whether the holder has started to drain
 
 
 class QueuedDrain(NamedTuple):
-    """One member's place in the queue for drain permits."""
+    """A member's entry in the queue for drain permits."""
 
     name: str
-    requested_at: int  # the log index of the request
+    requested_at: int  # log index of the request
     reason: str
     requested_by: str
 
 
 class FleetHalt(NamedTuple):
-    """While one is in force, no step begins that could wait."""
+    """A halt of the fleet. While a halt is in force, no step that can wait begins."""
 
     operator: str
     reason: str
 
 
 class RecordedAnswer(NamedTuple):
-    """The answer to an operator's request, for its retries."""
+    """The answer to an operator's request, stored so that retries get the same answer."""
 
     ok: bool
     text: str
@@ -67,12 +69,12 @@
 
 
 class CachedCounts(NamedTuple):
-    """Who is unavailable, as counted after the last entry that changed it."""
+    """Outage counts as of the last entry that changed which members are unavailable."""
 
     outages: OutageCounts
     unavailable_voters: int
 
 
 def member_to_wire(member: Member) -> tuple[Any, ...]:
-    """Returns the fields that a `join` entry carries."""
-    return tuple(member[:WIRE_MEMBER_FIELDS])
+    """Returns the member's fields that a `join` entry carries."""
+    return tuple(member[:WIRE_MEMBER_FIELD_COUNT])
--- a/pumicenotch/fleet/replicated/registry.py
+++ b/pumicenotch/fleet/replicated/registry.py
@@ -1,6 +1,6 @@
-"""The one table from the verbs of log entries to commands.
+"""The table that maps the verbs of log entries to commands.
 
-The verbs are part of the wire and of every stored log: they never change.
+The verbs are part of the wire protocol and of every stored log, so they never change.
 """
 
 from collections.abc import Iterable, Sequence
@@ -27,16 +27,18 @@
 
 Command = BootstrapFleet | MemberCommand | OperatorCommand | ReleaseCommand
 
-FIRST_LEVEL = 1  # of entries that every version of this program reads
-RELEASES_LEVEL = 2  # of the entries that speak of releases
+# Levels of entries. An entry is proposed only once the fleet is at its level, which the fleet
+# reaches when all voters read entries of that level.
+FIRST_LEVEL = 1  # level of entries that every version of this program reads
+RELEASES_LEVEL = 2  # level of entries on releases
 
 
 class CommandSpec(NamedTuple):
-    """How the entries of one verb are read and applied."""
+    """How entries of one verb are decoded and applied."""
 
     command: type[Any]
-    handler: str  # the method of FleetState, for release commands of Releases
-    readers: tuple[FieldReader, ...]  # one for each field of the command
+    handler: str  # name of the method of FleetState, or of Releases for release commands
+    readers: tuple[FieldReader, ...]  # one per field of the command
     level: int = FIRST_LEVEL
 
 
@@ -134,11 +136,12 @@
     ),
 }
 
-# Verbs that only a leader proposes by itself.
+# Verbs that only the leader proposes, on its own behalf. Requests with these verbs are refused.
 LEADER_VERBS = frozenset(("begin", "against", "level", "word", "usual", "soaked", "harm"))
 
-# After these as many members are unavailable as before, or their handlers say when it is otherwise.
-_STABLE_COUNT_COMMANDS = (
+# Commands that leave the same members unavailable, or whose handlers update or invalidate the
+# cached counts themselves.
+_COMMANDS_KEEPING_COUNTS = (
     fleet.RequestDrain,
     fleet.StartDrain,
     fleet.HaltFleet,
@@ -164,8 +167,8 @@
     """Returns the fields after an entry's verb.
 
     Raises:
-        InvalidCommandError: there are more or fewer fields, or one holds a wrong value.
-        ValueError: a reader of another subject refuses a value.
+        InvalidCommandError: the number of fields or the value of a field is wrong.
+        ValueError: a reader of an additional subject rejects a value.
     """
     verb = entry[0]
     if len(entry) != len(readers) + 1:
@@ -178,19 +181,19 @@
 
 
 def changes_counts(command: Command) -> bool:
-    """Tells whether other members may be unavailable after this command than before."""
-    return not isinstance(command, _STABLE_COUNT_COMMANDS)
+    """Returns whether the command may change which members are unavailable."""
+    return not isinstance(command, _COMMANDS_KEEPING_COUNTS)
 
 
 def request_id_of(command: Command) -> str:
-    """Returns the id of an operator's request, by which its retries are known; "" for others."""
+    """Returns the request id that identifies retries of an operator's command; "" for others."""
     if isinstance(command, OperatorCommand | ReleaseOperatorCommand):
         return command.request_id
     return ""
 
 
 def member_of(command: Command) -> str:
-    """Returns the one member that the command speaks of; "" if it speaks of several or none."""
+    """Returns the name of the only member that the command concerns; "" if several or none."""
     if isinstance(command, fleet.JoinMember):
         return command.member.name
     if isinstance(command, MemberCommand | releases.NodeCommand):
@@ -199,25 +202,25 @@
 
 
 def subjects_by_verb(subjects: Iterable[ReplicatedSubject]) -> dict[str, ReplicatedSubject]:
-    """Returns the owner of each further verb; raises ValueError where a verb has two."""
-    owners: dict[str, ReplicatedSubject] = {}
+    """Returns the subject of each additional verb; raises ValueError if a verb is already taken."""
+    subject_by_verb: dict[str, ReplicatedSubject] = {}
     for subject in subjects:
         for verb in subject.verbs:
-            if verb in REGISTRY or verb in owners:
+            if verb in REGISTRY or verb in subject_by_verb:
                 raise ValueError(
-                    f"subject {subject.name}: the verb {verb} has an owner already:"
-                    " name it otherwise"
+                    f"subject {subject.name}: the verb {verb} is already taken:"
+                    " use a verb of another name"
                 )
-            owners[verb] = subject
-    return owners
+            subject_by_verb[verb] = subject
+    return subject_by_verb
 
 
-_VERBS: dict[type[Any], str] = {spec.command: verb for verb, spec in REGISTRY.items()}
+_VERB_BY_COMMAND: dict[type[Any], str] = {spec.command: verb for verb, spec in REGISTRY.items()}
 
 
 def encode_command(command: Command) -> tuple[Any, ...]:
-    """Returns the entry (verb, field, ...) of a command, as `decode_command` reads it."""
-    verb = _VERBS[type(command)]
+    """Returns the entry (verb, field, ...) of a command, in the format of `decode_command`."""
+    verb = _VERB_BY_COMMAND[type(command)]
     match command:
         case fleet.JoinMember(member):
             return verb, member_to_wire(member)
--- a/pumicenotch/fleet/replicated/snapshot.py
+++ b/pumicenotch/fleet/replicated/snapshot.py
@@ -1,7 +1,7 @@
-"""Snapshots of the replicated state, for voters that lack the entries.
+"""Snapshots of the replicated state, for voters that lack the log entries.
 
-A snapshot is a line of JSON and after it the bytes of the further subjects as they are, since some
-of those hold megabytes. The keys of the JSON are part of the stored form.
+A snapshot is a line of JSON, followed by the raw bytes of the additional subjects, some of which
+hold megabytes. The keys of the JSON are part of the stored format.
 """
 
 import json
@@ -20,22 +20,23 @@
 from pumicenotch.fleet.replicated.state import FleetState
 from pumicenotch.fleet.replicated.subject import ReplicatedSubject, UnknownSubjectError
 
-FIRST_FORM = 1
-RELEASES_FORM = 2
-SUBJECTS_FORM = 3
-KNOWN_FORMS = (FIRST_FORM, RELEASES_FORM, SUBJECTS_FORM)
+# Format versions. A snapshot has the lowest version that can represent its content.
+FIRST_FORMAT = 1
+RELEASES_FORMAT = 2
+SUBJECTS_FORMAT = 3
+KNOWN_FORMATS = (FIRST_FORMAT, RELEASES_FORMAT, SUBJECTS_FORMAT)
 MAX_PROBLEM_LENGTH = 200
 
 
 def dump(state: FleetState) -> bytes:
-    """Returns the same bytes for the same state."""
+    """Returns the snapshot of a state. Equal states have equal snapshots."""
     header = _dump_header(state)
     level = state.releases.level
     subjects = [subject for subject in state.subjects.values() if level >= subject.level]
     if not subjects:
         return _compact_json(header)
     sections = [subject.dump() for subject in subjects]
-    header["form"] = SUBJECTS_FORM
+    header["form"] = SUBJECTS_FORMAT
     header["books"] = [
         (subject.name, len(section)) for subject, section in zip(subjects, sections, strict=True)
     ]
@@ -45,7 +46,7 @@
 def _dump_header(state: FleetState) -> dict[str, Any]:
     has_releases = state.releases.level > 1
     header: dict[str, Any] = {
-        "form": RELEASES_FORM if has_releases else FIRST_FORM,
+        "form": RELEASES_FORMAT if has_releases else FIRST_FORMAT,
         "index": state.log_index,
         "fleet": state.fleet,
         "voters": state.voters,
@@ -70,16 +71,16 @@
     """Returns the state that `dump` wrote.
 
     Raises:
-        InvalidCommandError: the data is no snapshot, or of a form that this program does not know.
-        UnknownSubjectError: it has a subject that is not among `subjects`.
+        InvalidCommandError: the data is not a snapshot, or has an unknown format version.
+        UnknownSubjectError: the snapshot has a subject that is not among `subjects`.
     """
     header_line, _, sections = data.partition(b"\n")
     try:
         header = json.loads(header_line)
-        if header["form"] not in KNOWN_FORMS:
+        if header["form"] not in KNOWN_FORMATS:
             raise InvalidCommandError(
-                f"a state of form {header['form']!r}: {KNOWN_FORMS} are known:"
-                " a newer program is wanted",
+                f"format version {header['form']!r} is not one of {KNOWN_FORMATS}:"
+                " use a newer program",
                 location="snapshot",
             )
         state = _load_header(header, subjects)
@@ -87,7 +88,7 @@
     except (InvalidCommandError, UnknownSubjectError):
         raise
     except (KeyError, TypeError, ValueError, IndexError) as error:
-        problem = f"no state of a fleet: {type(error).__name__} {error}"
+        problem = f"invalid fleet state: {type(error).__name__} {error}"
         raise InvalidCommandError(problem[:MAX_PROBLEM_LENGTH], location="snapshot") from None
     state.grant_permits()
     return state
@@ -120,13 +121,13 @@
 
 
 def _load_subjects(state: FleetState, lengths: Iterable[tuple[str, int]], sections: bytes) -> None:
-    """Loads each subject from its section; the sections follow in the order of `lengths`."""
+    """Loads each subject from its section. Sections are in the order of `lengths`."""
     sizes = list(lengths)
     for name, _ in sizes:
         if name not in state.subjects:
             raise UnknownSubjectError(name)
     if sum(size for _, size in sizes) != len(sections):
-        raise ValueError("its subjects are cut short or followed by something else")
+        raise ValueError("the sections of the subjects are truncated or followed by other data")
     start = 0
     for name, size in sizes:
         state.subjects[name].load(sections[start : start + size])
--- a/pumicenotch/fleet/replicated/state.py
+++ b/pumicenotch/fleet/replicated/state.py
@@ -1,7 +1,7 @@
-"""What the fleet has agreed: one state, and one way for an entry of the log to change it.
+"""The replicated state machine of the fleet.
 
-The same entries lead to the same state at every voter. So a permit needs no entry of its own: it
-follows from the others.
+Log entries are the only way to change the state, and the same entries lead to the same state at
+every voter. Granting a permit therefore needs no entry: it follows from the other entries.
 """
 
 from collections.abc import Sequence
@@ -26,10 +26,10 @@
 
 
 class FleetState(OperatorRequests):
-    """The replicated state machine: members, drains, halts, releases and further subjects."""
+    """The replicated state: members, drains, halts, releases and additional subjects."""
 
     def __init__(self, subjects: Sequence[ReplicatedSubject] = ()) -> None:
-        """Takes further subjects of the log; raises ValueError where two claim one verb."""
+        """Adds the additional subjects; raises ValueError if one claims a verb that is taken."""
         super().__init__()
         self.fleet = ""
         ordered = sorted(subjects, key=lambda subject: subject.name)
@@ -37,7 +37,7 @@
         self.subject_by_verb = subjects_by_verb(ordered)
 
     def apply(self, log_index: int, entry: Any) -> ApplyResult:
-        """Applies the entry (verb, field, ...) at that log index. It raises nothing."""
+        """Applies the entry (verb, field, ...) at that log index. Raises nothing."""
         self.log_index = log_index
         subject = self._subject_of(entry)
         try:
@@ -50,14 +50,14 @@
 
     def _apply_command(self, verb: str, command: Command) -> ApplyResult:
         request_id = request_id_of(command)
-        if request_id in self.answers:  # a retry, however it came: nothing changes
+        if request_id in self.answers:  # a retry changes nothing
             return ApplyResult(*self.answers[request_id])
         if changes_counts(command):
             self.invalidate_counts()
         owner = self.releases if isinstance(command, ReleaseCommand) else self
         result: ApplyResult = getattr(owner, REGISTRY[verb].handler)(command)
         self.releases.advance_all(member_of(command))
-        if not isinstance(command, RequestDrain):  # which gives permits itself, to report them
+        if not isinstance(command, RequestDrain):  # its handler grants permits itself
             self.grant_permits()
         return result
 
@@ -68,10 +68,10 @@
         return self.subject_by_verb.get(verb) if isinstance(verb, str) else None
 
     def _apply_to_subject(self, subject: ReplicatedSubject, entry: Sequence[Any]) -> ApplyResult:
-        """Applies a subject's entry: it changes no member, so no permit follows from it."""
+        """Applies a subject's entry. Subjects change no member, so no permit has to be granted."""
         verb = entry[0]
         fields = decode_fields(entry, subject.verbs[verb])
-        if self.releases.level < subject.level:  # voters that cannot read it skip it too
+        if self.releases.level < subject.level:  # voters without the subject skip it too
             level = self.releases.level
             return ApplyResult(
                 False, f"{verb} is of level {subject.level}: the fleet is at {level}"
@@ -80,7 +80,7 @@
         return ApplyResult(result.ok, result.text, result.value)
 
     def check(self, entry: Any) -> None:
-        """Raises ValueError for an entry that cannot be read."""
+        """Raises ValueError if the entry cannot be decoded."""
         subject = self._subject_of(entry)
         if subject is None:
             decode_command(entry)
@@ -88,22 +88,22 @@
             decode_fields(entry, subject.verbs[entry[0]])
 
     def admit(self, entry: Any) -> None:
-        """Called before a leader proposes an entry; raises ValueError if its subject refuses."""
+        """Lets an entry's subject refuse it before the leader proposes it; raises ValueError."""
         subject = self._subject_of(entry)
         if subject is not None:
             subject.admit(entry[0], decode_fields(entry, subject.verbs[entry[0]]))
 
     def level_of(self, verb: str) -> int:
-        """Returns the level that all voters must have before an entry of this verb is proposed."""
+        """Returns the level that all voters must read before an entry of this verb is proposed."""
         if verb in self.subject_by_verb:
             return self.subject_by_verb[verb].level
         return REGISTRY[verb].level if verb in REGISTRY else FIRST_LEVEL
 
     def bootstrap(self, command: BootstrapFleet) -> ApplyResult:
-        """Sets what a new fleet begins with.
+        """Sets the name, voters, budgets and manual members of a new fleet.
 
-        Its manual members are replicas of services without a process of ours, which an operator
-        drains and returns.
+        Manual members are replicas of services that run no process of this program. An operator
+        drains them and returns them to service.
         """
         if self.fleet:
             return ApplyResult(True, "begun already")
@@ -118,6 +118,6 @@
 
 
 def error_code(error: Exception) -> str | None:
-    """Returns the code of an error that has a type of its own for operators."""
+    """Returns the code that identifies an error in answers to other programs; None without one."""
     code = getattr(error, "code", None)
     return code if isinstance(code, str) else None
--- a/pumicenotch/fleet/replicated/subject.py
+++ b/pumicenotch/fleet/replicated/subject.py
@@ -1,7 +1,7 @@
-"""The interface between the fleet's replicated state and a subject that another package adds to it.
+"""The interface of additional subjects, which other packages add to the replicated state.
 
-A voter's log carries the entries of every subject. The state hands a subject the entries whose
-verbs are its own, and carries the subject's bytes in its snapshots.
+A voter's log carries the entries of all subjects. The state passes each subject the entries with
+the subject's verbs, and stores the subject's bytes in snapshots.
 """
 
 from collections.abc import Mapping
@@ -12,56 +12,56 @@
 
 
 class SubjectResult(Protocol):
-    """What an entry came to, in the form of `records.ApplyResult`."""
+    """The result of applying an entry, with the fields of `records.ApplyResult`."""
 
     @property
     def ok(self) -> bool:
-        """Whether the entry changed the subject as it was meant to."""
+        """Whether the entry had its intended effect."""
 
     @property
     def text(self) -> str:
-        """For whoever sent the entry."""
+        """The message for the sender of the entry."""
 
     @property
     def value(self) -> Any:
-        """A result; of a refusal its error's code, if it has one."""
+        """The result; for a refusal the error code, if there is one."""
 
 
 class ReplicatedSubject(Protocol):
-    """One subject of the state. The same entries lead to the same content at every voter."""
+    """A subject of the replicated state. Equal entries lead to equal content at every voter."""
 
     @property
     def name(self) -> str:
-        """The key of the subject in snapshots: it never changes."""
+        """The key of the subject in snapshots, which never changes."""
 
     @property
     def level(self) -> int:
-        """The level of the fleet's entries from which on all voters read this subject's."""
+        """The lowest fleet level at which all voters read this subject's entries."""
 
     @property
     def verbs(self) -> Mapping[str, tuple[FieldReader, ...]]:
-        """The verbs of its entries, with a reader for each field; a reader raises ValueError."""
+        """The verbs of the subject's entries, with a reader per field. Readers raise ValueError."""
 
     def admit(self, verb: str, args: tuple[Any, ...]) -> None:
-        """Called by a leader before it proposes an entry; raises ValueError to refuse it."""
+        """Called by a leader before it proposes an entry; raises ValueError to refuse the entry."""
 
     def apply(self, index: int, verb: str, args: tuple[Any, ...]) -> SubjectResult:
-        """Applies the entry at that log index, its fields as read; raises nothing."""
+        """Applies the entry at that log index, given its decoded fields; raises nothing."""
 
     def dump(self) -> bytes:
-        """Returns the same bytes for the same content."""
+        """Returns the content as bytes. Equal content gives equal bytes."""
 
     def load(self, data: bytes) -> None:
-        """Replaces the content by what `dump` gave; raises ValueError on anything else."""
+        """Replaces the content with the result of a `dump`; raises ValueError on other data."""
 
 
 class UnknownSubjectError(InputError):
-    """Another voter's state has a subject that this voter does not have."""
+    """A snapshot of another voter has a subject that this voter does not have."""
 
     def __init__(self, name: str) -> None:
         super().__init__(
-            f"it has the subject {name!r}, which this voter does not have",
-            place="the fleet's state",
+            f"the subject {name!r} is not known to this voter",
+            place="fleet snapshot",
             remedy="give its file the block that the other voters' files have for it, or start it"
             " with a newer program",
         )
