--- a/pumicenotch/fleet/voter/__init__.py
+++ b/pumicenotch/fleet/voter/__init__.py
@@ -1,1 +1,1 @@
-"""A voter's process: its replica of the log, what a leader decides, and the answers to requests."""
+"""The process of a voter: its replica of the log, the leader's duties, and answers to requests."""
--- a/pumicenotch/fleet/voter/failure_detector.py
+++ b/pumicenotch/fleet/voter/failure_detector.py
@@ -1,6 +1,6 @@
-"""What the leader concludes of members: who has failed, and whose name is taken.
+"""Failure detection at the leader: which members have failed, and which names are in use.
 
-Voters tell the leader whom they believe dead; members send heartbeats to the leader itself.
+Voters report to the leader which members they believe dead. Members send heartbeats to the leader.
 """
 
 from collections.abc import Collection, Iterator, Mapping
@@ -13,49 +13,59 @@
 from pumicenotch.membership.messages import MemberState
 from pumicenotch.membership.swim import SwimMembership
 
-OVERLOADED = "overloaded"  # the failure of a member that says so itself
+OVERLOADED = "overloaded"  # failure of a member that reports itself overloaded
 NEVER_MS = float("-inf")
-OPINION_LIFETIME_MS = 5000.0  # of a voter's opinion: some lost ones change nothing
-# For gossip of a member to reach a voter: many times what it takes among a thousand.
+# A voter's report counts for this long after its arrival, so a few lost reports change nothing.
+REPORT_LIFETIME_MS = 5000.0
+# A member that gossip has not mentioned for this long is dead. Gossip among a thousand members
+# takes a small fraction of this time to reach a voter.
 GOSSIP_TIMEOUT_MS = 15_000.0
-NAME_LEASE_MS = 3000.0  # a name's process that was heard from this lately keeps it
+NAME_LEASE_MS = 3000.0  # time after its last heartbeat for which a process keeps its member name
 
 
-class Observation(NamedTuple):
-    """One voter's opinion."""
+class DeadMembersReport(NamedTuple):
+    """The members that one voter believes dead, as of its last report."""
 
     at_ms: float
     dead: frozenset[str]
 
 
 class Heartbeat(NamedTuple):
-    """The last one of a member since this process leads."""
+    """The last heartbeat of a member since this process became leader."""
 
     at_ms: float
     overloaded: bool
 
 
 class LastHeartbeat(NamedTuple):
-    """When a member's process last sent a heartbeat."""
+    """The process that last sent a heartbeat under a member's name, and when it did."""
 
     process_id: str
     at_ms: float
 
 
 class SilentMembers:
-    """Whom one voter believes dead, or has not heard of for too long."""
+    """Finds the members that a voter believes dead, or has not heard of in gossip for too long."""
 
     def __init__(self) -> None:
-        self.unknown_since_ms: dict[str, float] = {}  # counted members that no gossip speaks of
+        # Members of the fleet that gossip does not mention, by name.
+        self.unknown_since_ms: dict[str, float] = {}
 
     def dead(
-        self, now_ms: float, me: str, counted: Mapping[str, Member], members: SwimMembership
+        self, now_ms: float, own_name: str, counted: Mapping[str, Member], members: SwimMembership
     ) -> list[str]:
-        """Returns those that the fleet counts, without this voter and members without a process."""
+        """Returns the names of dead members, sorted.
+
+        Args:
+            now_ms: the current time.
+            own_name: the name of this voter, which is left out.
+            counted: the members that the fleet counts; those without a process are left out.
+            members: the membership as known by gossip.
+        """
         return sorted(
             name
             for name, member in counted.items()
-            if member.process_id and name != me and self._is_dead(now_ms, name, members)
+            if member.process_id and name != own_name and self._is_dead(now_ms, name, members)
         )
 
     def _is_dead(self, now_ms: float, name: str, members: SwimMembership) -> bool:
@@ -66,87 +76,96 @@
 
 
 class FailureDetector:
-    """A leader's, from when it begins to lead. It remembers nothing that must last."""
+    """Concludes which members have failed from voters' reports and members' heartbeats.
+
+    A voter creates a new detector whenever it becomes leader. A detector holds no lasting state.
+    """
 
     def __init__(self, now_ms: float, members: Mapping[str, Member]) -> None:
-        self.observations: dict[str, Observation] = {}  # by voter
+        self.reports: dict[str, DeadMembersReport] = {}  # by voter
         self.heartbeats: dict[str, Heartbeat] = {}
-        # Who sent heartbeats to the former leader counts as heard: its name is not available.
+        # Each process may have sent heartbeats to the former leader, so all names count as in use.
         self.last_heartbeats = {
             name: LastHeartbeat(member.process_id, now_ms) for name, member in members.items()
         }
 
     def observe(self, now_ms: float, voter: str, dead: Collection[str]) -> None:
-        """Takes a voter's opinion."""
-        self.observations[voter] = Observation(now_ms, frozenset(dead))
+        """Records which members a voter believes dead."""
+        self.reports[voter] = DeadMembersReport(now_ms, frozenset(dead))
 
     def on_heartbeat(self, now_ms: float, name: str, process_id: str, overloaded: bool) -> None:
-        """Takes a member's heartbeat."""
+        """Records a member's heartbeat."""
         self.last_heartbeats[name] = LastHeartbeat(process_id, now_ms)
         self.heartbeats[name] = Heartbeat(now_ms, overloaded)
 
     def is_name_taken(self, now_ms: float, member: Member, interval_ms: float) -> bool:
-        """Tells whether the process that has this name is alive, so that no other may take it."""
-        last = self.last_heartbeats.get(member.name)
-        is_recent = last is not None and now_ms - last.at_ms < NAME_LEASE_MS + interval_ms
+        """Returns whether the member's process is alive, so that no other may take its name."""
+        heartbeat = self.last_heartbeats.get(member.name)
+        is_recent = heartbeat is not None and now_ms - heartbeat.at_ms < NAME_LEASE_MS + interval_ms
         return is_recent and member.status == SERVING
 
     def findings(
         self, now_ms: float, voters: int, members: Mapping[str, Member], interval_ms: float
     ) -> Iterator[SetFailure]:
-        """Yields the members that have failed or recovered.
+        """Yields a command for each member that has failed or recovered.
 
-        A member has failed if a majority of the voters believes it dead, or if it says itself that
-        it is overloaded. It takes as much to recover, and its own heartbeat: a new leader that has
-        heard of nobody yet knows of no change.
+        A member has failed if a majority of the voters believes it dead, or if it reports itself
+        overloaded. A member has recovered if a majority believes it alive and the leader has a
+        recent heartbeat. A new leader without reports and heartbeats therefore finds no change.
         """
-        oldest_ms = now_ms - OPINION_LIFETIME_MS
-        opinions = [each.dead for each in self.observations.values() if each.at_ms >= oldest_ms]
-        if 2 * len(opinions) <= voters:
+        oldest_ms = now_ms - REPORT_LIFETIME_MS
+        recent_reports = [
+            report.dead for report in self.reports.values() if report.at_ms >= oldest_ms
+        ]
+        if 2 * len(recent_reports) <= voters:
             return
         for name, member in list(members.items()):
             if not member.process_id or member.status != SERVING:
                 continue
-            failure = self._failure_of(member, opinions, voters, oldest_ms - interval_ms)
+            failure = self._failure_of(member, recent_reports, voters, oldest_ms - interval_ms)
             if failure != member.failure:
                 yield SetFailure(name, member.process_id, failure)
 
     def _failure_of(
-        self, member: Member, opinions: list[frozenset[str]], voters: int, oldest_ms: float
+        self, member: Member, recent_reports: list[frozenset[str]], voters: int, oldest_ms: float
     ) -> str:
         heartbeat = self.heartbeats.get(member.name, Heartbeat(NEVER_MS, False))
-        dead = sum(member.name in opinion for opinion in opinions)
-        if 2 * dead > voters:
+        dead_reports = sum(member.name in report for report in recent_reports)
+        if 2 * dead_reports > voters:
             return SILENT
-        if heartbeat.at_ms >= oldest_ms and 2 * (len(opinions) - dead) > voters:
+        if heartbeat.at_ms >= oldest_ms and 2 * (len(recent_reports) - dead_reports) > voters:
             return OVERLOADED if heartbeat.overloaded else ""
         return member.failure
 
 
 class AnnouncedLevel(NamedTuple):
-    """The level of entries that a voter says it reads."""
+    """The highest level of entries that a voter reads, as of its last report."""
 
     at_ms: float
     level: int
 
 
 class VoterLevels:
-    """The levels that the voters have announced to the leader since it leads."""
+    """Tracks the entry levels that voters have announced since this process became leader."""
 
     def __init__(self) -> None:
         self.announced: dict[str, AnnouncedLevel] = {}
 
     def observe(self, now_ms: float, voter: str, level: int) -> None:
-        """Takes a voter's announcement."""
+        """Records the level that a voter announces."""
         self.announced[voter] = AnnouncedLevel(now_ms, level)
 
     def voters_without(self, level: int, voters: Collection[str]) -> list[str]:
-        """Returns the voters that have not announced that level."""
-        unknown = AnnouncedLevel(NEVER_MS, FIRST_LEVEL)
-        return [name for name in voters if self.announced.get(name, unknown).level < level]
-
-    def common(self, now_ms: float, voters: int) -> int:
-        """Returns the level that all voters read; the first while some were not heard lately."""
-        oldest_ms = now_ms - OPINION_LIFETIME_MS
-        levels = [each.level for each in self.announced.values() if each.at_ms >= oldest_ms]
+        """Returns the voters that have not announced that they read the level."""
+        default = AnnouncedLevel(NEVER_MS, FIRST_LEVEL)
+        return [name for name in voters if self.announced.get(name, default).level < level]
+
+    def common_level(self, now_ms: float, voters: int) -> int:
+        """Returns the level that all voters read; FIRST_LEVEL if any has not reported recently."""
+        oldest_ms = now_ms - REPORT_LIFETIME_MS
+        levels = [
+            announcement.level
+            for announcement in self.announced.values()
+            if announcement.at_ms >= oldest_ms
+        ]
         return min(levels) if len(levels) >= voters else FIRST_LEVEL
--- a/pumicenotch/fleet/voter/hints.py
+++ b/pumicenotch/fleet/voter/hints.py
@@ -1,4 +1,4 @@
-"""What the leader tells members and agents of themselves, with each heartbeat and report."""
+"""Hints: the leader's answers to heartbeats of members and to reports of agents."""
 
 from pumicenotch.fleet.agent.hint import AgentHint
 from pumicenotch.fleet.member.hint import MemberHint
@@ -8,7 +8,7 @@
 
 
 def member_hint(reports: Reports, name: str, process_id: str, interval_ms: float) -> MemberHint:
-    """Returns what is agreed of that member's process."""
+    """Returns the agreed state of a member's process."""
     state = reports.state
     member = state.members.get(name)
     permit = state.permits.get(name)
@@ -26,17 +26,17 @@
 
 
 def agent_hint(state: FleetState, name: str, interval_ms: float) -> AgentHint:
-    """Returns what an agent is to do with its node, and which versions it is to store."""
+    """Returns what an agent has to do with its node, and which versions it has to store."""
     releases = state.releases
     node = releases.nodes.get(name)
     member = state.members.get(name)
     permit = state.permits.get(name)
     next_step = releases.next_step(node) if node is not None else NO_STEP
-    concerned = [release for release in releases.open_releases() if name in release.nodes]
+    node_releases = [release for release in releases.open_releases() if name in release.nodes]
     versions = [
         next_step.version,
-        *(release.version for release in concerned),
-        *(release.replaces for release in concerned),
+        *(release.version for release in node_releases),
+        *(release.replaces for release in node_releases),
     ]
     return AgentHint(
         is_member=member is not None,
--- a/pumicenotch/fleet/voter/node.py
+++ b/pumicenotch/fleet/voter/node.py
@@ -1,7 +1,7 @@
-"""A voter's process.
+"""The process of a voter.
 
-Whoever leads proposes what is requested, concludes from all voters' observations who has failed,
-and tells holders of their permits.
+The leader among the voters proposes requested entries, concludes from the voters' reports which
+members have failed, and notifies holders of their permits.
 """
 
 from typing import Any
@@ -48,7 +48,7 @@
 )
 from pumicenotch.sender import Sender
 
-# Requests that are neither entries nor reads.
+# Verbs of requests that are neither log entries nor reads of the state.
 LOCAL_STATUS_VERB = "local"
 HEARTBEAT_VERB = "mine"
 AGENT_REPORT_VERB = "agent"
@@ -56,45 +56,50 @@
 
 
 class VoterNode(ProposerNode):
-    """Beside a member's inputs it takes requests of operators, members and agents.
+    """A member that also handles requests from operators, members and agents.
 
-    It answers them while it leads; a follower answers with the leader's address.
+    The leader answers them. A follower refuses them with the leader's address, except a request
+    for the local status and a halt, which every member handles.
     """
 
-    # Between checks of what a leader has to propose: well below what a person notices.
-    LEADER_CHECK_MS = 250.0
-    OPINION_MS = 1000.0  # between a voter's messages to the leader on whom it believes dead
-    # For the leadership transfer and the report of its exit, before the process exits.
-    TRANSFER_MS = 1500.0
+    # Interval between checks for commands to propose. Well below a delay that a person notices.
+    LEADER_CHECK_INTERVAL_MS = 250.0
+    # Interval between a voter's reports to the leader of the members that it believes dead.
+    VOTER_REPORT_INTERVAL_MS = 1000.0
+    # Time for the leadership transfer and for the report of the stop, before the process exits.
+    TRANSFER_TIMEOUT_MS = 1500.0
 
     def __init__(self, setup: VoterSetup) -> None:
         super().__init__(setup)
         self.setup = setup
         self.pending_reads: dict[int, PendingRead] = {}
-        self.last_read = 0
+        self.last_read_key = 0
         self.silent_members = SilentMembers()
-        self.analysis = CanaryAnalysis()  # while it leads
-        self.check_at_ms = self.now_ms
-        self.opinion_at_ms = self.now_ms
+        self.analysis = CanaryAnalysis()  # created anew whenever this voter becomes leader
+        self.next_check_at_ms = self.now_ms
+        self.next_report_at_ms = self.now_ms
         self.exit_at_ms = float("inf")
 
     def wake_at_ms(self) -> float:
-        """Returns when the next input `time` is due."""
-        return min(super().wake_at_ms(), self.voter.deadline_ms, self.check_at_ms, self.exit_at_ms)
+        """Returns when the next `time` input is due."""
+        return min(
+            super().wake_at_ms(), self.voter.deadline_ms, self.next_check_at_ms, self.exit_at_ms
+        )
 
     def on_time(self) -> None:
-        """Does what is due: the replica's timers, a leader's checks, its exit."""
-        # In service is a voter whose replica has a vote: until then a majority may be without it.
+        """Runs the replica's timers, the periodic checks and the exit when they are due."""
+        # A voter serves only once its replica has a vote: if it counted as available before that,
+        # a drain of another voter could leave no majority.
         self.set_serving(self.replica in self.voter.log.membership.voters, False)
         super().on_time()
         if self.now_ms >= self.voter.deadline_ms:
             self.step_voter(Tick())
-        if self.now_ms >= self.check_at_ms:
-            self.check_at_ms = self.now_ms + self.LEADER_CHECK_MS
-            self.find_fleet()
+        if self.now_ms >= self.next_check_at_ms:
+            self.next_check_at_ms = self.now_ms + self.LEADER_CHECK_INTERVAL_MS
+            self.advance_bootstrap()
             self.expire_proposals()
-            self._send_opinion()
-            self._lead()
+            self._report_to_leader()
+            self._run_leader_duties()
         if self.now_ms >= self.exit_at_ms or (self.is_stopping and self.stop_reported):
             self.exit_at_ms = float("inf")
             self.effects.append(Exit())
@@ -119,7 +124,7 @@
                 super().receive(sender, method, params)
 
     def on_leader_changed(self) -> None:
-        """Starts over as a new leader, or refuses what a former leader had under way."""
+        """Resets the leader's state in a new leader; refuses pending proposals in a follower."""
         if self.voter.leader_id == self.replica:
             self.joining_replicas = {}
             self.detector = FailureDetector(self.now_ms, self.state.members)
@@ -133,9 +138,9 @@
     # Requests
 
     def on_request(self, connection_id: int, message_id: int, verb: str, args: Any) -> None:
-        """Answers a request, or has it agreed first."""
+        """Answers a request at once, or after its entry is applied or its read confirmed."""
         fields = tuple(args) if isinstance(args, list | tuple) else ()
-        # A halt is in force here at once; the leader learns of it by gossip.
+        # A halt is in force in this process at once. The leader learns of it by gossip.
         is_local_halt = verb == "halt" and not self.leads
         if verb == LOCAL_STATUS_VERB or is_local_halt:
             super().on_request(connection_id, message_id, verb, fields)
@@ -152,10 +157,10 @@
     ) -> None:
         requested_verbs = (REGISTRY.keys() - LEADER_VERBS) | self.state.subject_by_verb.keys()
         if verb in READ_VERBS:
-            self.last_read += 1
+            self.last_read_key += 1
             read = PendingRead(connection_id, message_id, verb, args)
-            self.pending_reads[self.last_read] = read
-            self.step_voter(RequestRead(self.last_read))
+            self.pending_reads[self.last_read_key] = read
+            self.step_voter(RequestRead(self.last_read_key))
         elif verb == HEARTBEAT_VERB:
             self._answer_heartbeat(connection_id, message_id, args)
         elif verb == AGENT_REPORT_VERB:
@@ -168,7 +173,7 @@
             self.refuse(connection_id, message_id, error)
 
     def on_connection_closed(self, connection_id: int) -> None:
-        """Forgets whom to answer on that connection."""
+        """Drops the pending answers for a connection. Its proposals stay in the log."""
         for index, pending in list(self.pending.items()):
             if pending.connection_id == connection_id:
                 self.pending[index] = pending._replace(connection_id=NO_CONNECTION)
@@ -179,13 +184,13 @@
         }
 
     def reports(self) -> Reports:
-        """Returns what operators may read now."""
+        """Returns the tables for operators as of now."""
         membership = self.voter.log.membership
         leader = LeaderInfo(self.me.name, self.voter.term, membership.voters, membership.learners)
         return Reports(self.now_ms, Sources(self.state, leader, self.analysis, self.durations))
 
     def answer_read(self, key: int) -> None:
-        """The read may be answered from the state as it is."""
+        """Answers a read from the current state, which is known to be up to date."""
         read = self.pending_reads.pop(key, None)
         if read is None:
             return
@@ -198,7 +203,7 @@
         self.respond(read.connection_id, read.message_id, answer)
 
     def fail_read(self, key: int) -> None:
-        """This process does not lead any more."""
+        """Refuses a read, as this process no longer leads."""
         read = self.pending_reads.pop(key, None)
         if read is not None:
             self.refuse_as_follower(read.connection_id, read.message_id)
@@ -217,7 +222,7 @@
                 self.refuse(connection_id, message_id, RequestError(REFUSED, problem))
 
     def _answer_agent(self, connection_id: int, message_id: int, args: tuple[Any, ...]) -> None:
-        """Takes an agent's report; it is agreed where it is new."""
+        """Answers an agent's report with a hint, and proposes the report if it is new."""
         try:
             report = decode_command(("word", *args))
         except InvalidCommandError as error:
@@ -232,40 +237,40 @@
         hint = agent_hint(self.state, report.name, self.heartbeat_interval())
         self.respond(connection_id, message_id, hint.to_wire())
 
-    # What a leader sees to
+    # Periodic duties
 
-    def _send_opinion(self) -> None:
-        """Tells the leader whom this voter believes dead, and what entries it reads."""
-        if self.now_ms < self.opinion_at_ms:
+    def _report_to_leader(self) -> None:
+        """Reports the members that this voter believes dead, and its level, to the leader."""
+        if self.now_ms < self.next_report_at_ms:
             return
-        self.opinion_at_ms = self.now_ms + self.OPINION_MS
-        me = self.me.name
-        dead = self.silent_members.dead(self.now_ms, me, self.state.members, self.members)
+        self.next_report_at_ms = self.now_ms + self.VOTER_REPORT_INTERVAL_MS
+        own_name = self.me.name
+        dead = self.silent_members.dead(self.now_ms, own_name, self.state.members, self.members)
         if self.leads:
-            self.detector.observe(self.now_ms, me, dead)
-            self.voter_levels.observe(self.now_ms, me, self.level)
+            self.detector.observe(self.now_ms, own_name, dead)
+            self.voter_levels.observe(self.now_ms, own_name, self.level)
         elif address := self.leader_address():
             self.notify(address, "sees", *dead, self.level)
 
-    def _lead(self) -> None:
+    def _run_leader_duties(self) -> None:
         if not self.leads or not self.voter.can_change_membership():
             return
         if not self.state.fleet:
             names = tuple(sorted(self.voter_addresses))
-            first = self.setup
+            setup = self.setup
             self.propose_command(
-                BootstrapFleet(self.fleet, names, first.budgets, first.manual_members)
+                BootstrapFleet(self.fleet, names, setup.budgets, setup.manual_members)
             )
             return
-        self._agree_on_halts()
+        self._propose_gossiped_halt()
         self._detect_failures()
         self._raise_level()
         for finding in self.analysis.findings(self.now_ms, self.state):
             self.propose_command(finding)
         self._change_membership()
 
-    def _agree_on_halts(self) -> None:
-        """Proposes a halt that members gossip, and ends the gossip of one that is over."""
+    def _propose_gossiped_halt(self) -> None:
+        """Proposes a halt that is gossiped, or ends the gossip of a halt that was resumed."""
         halt = self.halt_gossip.current()
         if not halt.key:
             return
@@ -282,14 +287,14 @@
             self.propose_command(failure)
 
     def _raise_level(self) -> None:
-        """Proposes the level that all voters read, but not while a release may have to go back."""
-        common = self.voter_levels.common(self.now_ms, len(self.voter_addresses))
+        """Proposes the level that all voters read, but not while a release may be rolled back."""
+        common_level = self.voter_levels.common_level(self.now_ms, len(self.voter_addresses))
         releases = self.state.releases
-        if common > releases.level and not releases.active_releases():
-            self.propose_command(SetLevel(common))
+        if common_level > releases.level and not releases.active_releases():
+            self.propose_command(SetLevel(common_level))
 
     def _change_membership(self) -> None:
-        membership = next_membership(self.voter, self.joining_replicas, self._is_replica_heard)
+        membership = next_membership(self.voter, self.joining_replicas, self._has_replica_responded)
         if membership is None:
             return
         learners = ", ".join(membership.learners) or "none"
@@ -301,15 +306,15 @@
             if replica not in membership.voters
         }
 
-    def _is_replica_heard(self, replica: str) -> bool:
+    def _has_replica_responded(self, replica: str) -> bool:
         return self.now_ms - self.voter.responded_at_ms.get(replica, NEVER_MS) < NAME_LEASE_MS
 
     # Exit
 
     def stop(self) -> None:
-        """Transfers the leadership before this process exits: nobody waits for an election."""
+        """Transfers the leadership before this process exits, so that no election is needed."""
         if not self.is_stopping:
-            self.exit_at_ms = self.now_ms + self.TRANSFER_MS
+            self.exit_at_ms = self.now_ms + self.TRANSFER_TIMEOUT_MS
             if self.leads:
                 self.step_voter(TransferLeadership(""))
         super().stop()
--- a/pumicenotch/fleet/voter/pending.py
+++ b/pumicenotch/fleet/voter/pending.py
@@ -1,12 +1,13 @@
-"""What a leader has under way for those that asked."""
+"""Requests that a leader has not answered yet."""
 
 from typing import Any, NamedTuple
 
-NO_CONNECTION = -1  # the leader's own proposal, or its client is gone
+# Connection id of the leader's own proposals, and of proposals whose client has disconnected.
+NO_CONNECTION = -1
 
 
 class PendingProposal(NamedTuple):
-    """A proposed entry whose client waits for agreement; kept by log index."""
+    """A proposed entry whose client waits until it is applied; stored by log index."""
 
     term: int
     connection_id: int
@@ -15,7 +16,7 @@
 
 
 class PendingRead(NamedTuple):
-    """A read that waits until it is known that this process still leads."""
+    """A read that waits for confirmation that this process still leads."""
 
     connection_id: int
     message_id: int
--- a/pumicenotch/fleet/voter/proposals.py
+++ b/pumicenotch/fleet/voter/proposals.py
@@ -1,4 +1,4 @@
-"""What a leader proposes: commands of clients and its own, checked before they are agreed."""
+"""Proposals of a leader: commands of clients and its own, which are checked first."""
 
 from typing import Any
 
@@ -18,9 +18,10 @@
 class ProposerNode(ReplicaNode):
     """Proposes entries while it leads, and answers their clients once they are applied."""
 
-    # For a proposal, until its client hears that nobody agreed: a change of leaders fits in.
+    # Time after which a client is answered that no majority has agreed. A change of leader takes
+    # less.
     PROPOSAL_TIMEOUT_MS = 3000.0
-    # So that all members' heartbeats cost a leader a bounded fraction of a core.
+    # Bounds the fraction of a core that a leader spends on the heartbeats of all members.
     HEARTBEAT_MS_PER_MEMBER = 5.0
 
     def __init__(self, setup: VoterSetup) -> None:
@@ -31,16 +32,16 @@
         self.durations = DrainDurations()
 
     def heartbeat_interval(self) -> float:
-        """Returns the ms between a member's heartbeats: more among many members."""
+        """Returns the interval between a member's heartbeats in ms, which grows with the fleet."""
         return max(self.HEARTBEAT_MS, self.HEARTBEAT_MS_PER_MEMBER * len(self.state.members))
 
     # Proposals
 
     def propose(self, connection_id: int, message_id: int, entry: tuple[Any, ...]) -> None:
-        """Proposes an entry, unless it cannot be read or is not safe now: then it is refused."""
+        """Proposes an entry, or refuses one that cannot be decoded or is not safe now."""
         try:
             self.state.check(entry)
-            if reason := self._refusal_of(entry):
+            if reason := self._refusal_reason(entry):
                 self.refuse(connection_id, message_id, RequestError(REFUSED, reason))
                 return
             self.state.admit(entry)
@@ -48,7 +49,7 @@
             refusal = RequestError(REFUSED, str(error), error_code(error))
             self.refuse(connection_id, message_id, refusal)
             return
-        if entry[0] == "halt":  # in force for this process at once, whenever it is agreed
+        if entry[0] == "halt":  # in force in this process before it is agreed
             self.halt_gossip.replace(*entry[1:])
         index = self.voter.log.last_index + 1
         expires_at_ms = self.now_ms + self.PROPOSAL_TIMEOUT_MS
@@ -56,19 +57,18 @@
             self.voter.term, connection_id, message_id, expires_at_ms
         )
         self.step_voter(Propose(entry))
-        if (
-            self.voter.log.last_index < index and index in self.pending
-        ):  # leadership is being transferred
+        # Nothing is appended while the leadership is being transferred.
+        if self.voter.log.last_index < index and index in self.pending:
             del self.pending[index]
             problem = "the leader hands over: ask again"
             self.refuse(connection_id, message_id, RequestError(NO_MAJORITY, problem, ""))
 
     def propose_command(self, command: Command) -> None:
-        """Proposes a command of the leader itself."""
+        """Proposes a command on the leader's own behalf."""
         self.propose(NO_CONNECTION, 0, encode_command(command))
 
     def expire_proposals(self) -> None:
-        """Tells clients that wait too long that nobody has agreed yet."""
+        """Refuses proposals that were not agreed in time. They may still be agreed later."""
         problem = "no majority of the voters has agreed in time: it may come to pass still"
         for index, pending in list(self.pending.items()):
             if self.now_ms >= pending.expires_at_ms:
@@ -76,8 +76,8 @@
                 error = RequestError(NO_MAJORITY, problem)
                 self.refuse(pending.connection_id, pending.message_id, error)
 
-    def _refusal_of(self, entry: tuple[Any, ...]) -> str:
-        """Returns why the leader must not propose an entry now; "" if it may."""
+    def _refusal_reason(self, entry: tuple[Any, ...]) -> str:
+        """Returns why the leader must not propose the entry now; "" if it may."""
         verb = entry[0]
         if verb == "join":
             name, process_id = entry[1][:2]
@@ -85,7 +85,7 @@
                 return reason
         if verb != "level" and (reason := self._level_problem(verb)):
             return reason
-        if verb not in ("move", "began") or not self.has_unagreed_halt():
+        if verb not in ("move", "began") or not self.has_unapplied_halt():
             return ""
         permit = self.state.permits.get(entry[1]) if verb == "began" else None
         return "" if permit is not None and permit.started else self.halt_reason()
@@ -109,8 +109,8 @@
             f" understand it first; not heard so of {', '.join(below) or 'nobody: wait'}"
         )
 
-    def has_unagreed_halt(self) -> bool:
-        """Tells whether members gossip a halt that is not in the log yet."""
+    def has_unapplied_halt(self) -> bool:
+        """Returns whether a halt is gossiped that is not applied yet."""
         key = self.halt_gossip.current().key
         return bool(key) and key not in self.state.answers
 
@@ -119,7 +119,7 @@
     def on_applied(
         self, index: int, entry: Entry, result: ApplyResult, permit_holders: set[str]
     ) -> None:
-        """Answers the client of an applied entry, and tells new holders of their permits."""
+        """Answers the client of an applied entry, and notifies new holders of their permits."""
         if entry.kind is EntryKind.COMMAND:
             self.durations.observe(
                 self.now_ms, permit_holders, self.state.permits, self.state.wait_reasons
@@ -140,7 +140,7 @@
             self.respond(connection_id, message_id, answer)
 
     def _notify_permit_holders(self, previous_holders: set[str]) -> None:
-        """Tells new holders of their permits at once: they ask by themselves too."""
+        """Notifies new holders of permits at once; otherwise they learn of them by heartbeat."""
         if not self.leads:
             return
         for name in sorted(self.state.permits.keys() - previous_holders):
@@ -149,7 +149,7 @@
                 self.notify(address, "permitted", self.state.permits[name].epoch)
 
     def refuse_as_follower(self, connection_id: int, message_id: int) -> None:
-        """Answers a request that only a leader may answer with the leader's address."""
+        """Refuses a request that only the leader answers, with the leader's address if known."""
         address = self.leader_address()
         if address:
             problem = f"{voter_name(self.voter.leader_id)} leads"
@@ -159,6 +159,6 @@
         self.refuse(connection_id, message_id, error)
 
     def refuse(self, connection_id: int, message_id: int, error: RequestError) -> None:
-        """Answers a request with an error, if its client is still there."""
+        """Answers a request with an error, unless its client has disconnected."""
         if connection_id != NO_CONNECTION:
             super().refuse(connection_id, message_id, error)
--- a/pumicenotch/fleet/voter/replica.py
+++ b/pumicenotch/fleet/voter/replica.py
@@ -1,6 +1,7 @@
 """A member with a replica of the log.
 
-Here its replica gets a vote, and the log's entries reach the replicated state.
+This layer obtains a vote for the replica, and applies committed log entries to the replicated
+state.
 """
 
 from abc import abstractmethod
@@ -43,32 +44,34 @@
 from pumicenotch.fleet.replicated.subject import ReplicatedSubject
 from pumicenotch.sender import Sender
 
-NO_RESULT = ApplyResult(False, "")  # of entries that are the log's own
+# Result of entries that are not commands, such as membership changes.
+NO_RESULT = ApplyResult(False, "")
 
 
 class VoterSetup(NamedTuple):
-    """What a voter's process is made from."""
+    """The parameters of a voter's process."""
 
     member: MemberSetup
-    voters: Mapping[str, str]  # the addresses of all voters by name, this one's too
-    budgets: tuple[Budget, ...] = ()  # that a new fleet begins with
-    manual_members: tuple[Member, ...] = ()  # likewise
-    make_subjects: Callable[[], Sequence[ReplicatedSubject]] = tuple  # empty ones, for each state
+    voters: Mapping[str, str]  # addresses of all voters, including this one, by name
+    budgets: tuple[Budget, ...] = ()  # initial budgets of a new fleet
+    manual_members: tuple[Member, ...] = ()  # initial manual members of a new fleet
+    # Creates empty additional subjects for a new state.
+    make_subjects: Callable[[], Sequence[ReplicatedSubject]] = tuple
 
 
 class Leadership(NamedTuple):
-    """Who leads, as this voter knows it."""
+    """The current leader, as known to this voter."""
 
-    address: str  # "": nobody
+    address: str  # "" if no leader is known
     is_leader: bool
-    in_touch: bool  # with a majority as its leader, or with its leader
+    in_touch: bool  # whether a leader has contact with a majority, or a follower with its leader
 
 
 class ReplicaNode(MemberNode):
-    """Carries out what the replica wants; `step_voter` is the way to it."""
+    """Owns a consensus replica, passes inputs to it and carries out its effects."""
 
-    # Entries after which they make way for a snapshot: some hundred KB.
-    COMPACT_AT = 1024
+    # Number of log entries, some hundred KB, above which a snapshot replaces them.
+    COMPACTION_THRESHOLD = 1024
 
     def __init__(self, setup: VoterSetup) -> None:
         super().__init__(setup.member)
@@ -76,31 +79,32 @@
         self.replica = f"{self.me.name}/{self.me.process_id}"
         self.bootstrap = Bootstrap(self.replica, self.voter_addresses)
         self.voter = self._new_voter(ClusterMembership())
-        self.joining_replicas: dict[str, str] = {}  # by name: replicas that want a vote
+        self.joining_replicas: dict[str, str] = {}  # replicas that request a vote, by voter name
         self.make_subjects = setup.make_subjects
         self.state = FleetState(setup.make_subjects())
-        self.cannot_read_state = False  # this program does not understand it: the process exits
+        # Set if this program cannot read the agreed state. The process then exits.
+        self.cannot_read_state = False
 
     def _new_voter(self, membership: ClusterMembership) -> Voter:
         return Voter(self.replica, self.now_ms, membership, self.rng.uniform)
 
     @property
     def leads(self) -> bool:
-        """Whether this voter leads."""
+        """Whether this voter is the leader."""
         return self.voter.role is Role.LEADER
 
     @property
     def level(self) -> int:
-        """The highest level of entries that this process reads."""
+        """The highest entry level that this process reads."""
         subjects = self.state.subjects.values()
         return max([release.PROGRAM_LEVEL, *(subject.level for subject in subjects)])
 
     def leader_address(self) -> str:
-        """Returns the leader's address; "" if nobody leads, as far as this process knows."""
+        """Returns the leader's address; "" if this process knows of no leader."""
         return self.voter_addresses.get(voter_name(self.voter.leader_id), "")
 
     def leadership(self) -> Leadership:
-        """Returns who leads, for a carrier that hands it on to another reducer."""
+        """Returns the current leader, for callers that pass it on to another state machine."""
         address = self.leader_address()
         if self.leads:
             in_touch = self.voter.has_active_quorum()
@@ -108,23 +112,23 @@
             in_touch = bool(address) and self.voter.leader_is_alive()
         return Leadership(address, self.leads, in_touch)
 
-    # Getting a vote
+    # Bootstrap and joining
 
-    def find_fleet(self) -> None:
-        """Asks for a vote until the replica has one; then passes the bootstrap on for a while."""
+    def advance_bootstrap(self) -> None:
+        """Requests a vote until the replica has one, then forwards the bootstrap for a while."""
         if self.voter.log.last_index > 0:
             self.bootstrap.has_log = True
             if self.replica in self.voter.log.membership.members:
                 return
         self._send_bootstrap(self.bootstrap.on_tick(self.now_ms))
-        self._take_bootstrapped_membership()
+        self._adopt_bootstrapped_membership()
 
-    def _take_bootstrapped_membership(self) -> None:
+    def _adopt_bootstrapped_membership(self) -> None:
         membership = self.bootstrap.membership
         log = self.voter.log
         if membership is not None and not log.membership.voters and log.last_index == 0:
             self.voter = self._new_voter(membership)
-            self.log(f"the fleet is founded: {', '.join(membership.voters)}")
+            self.log(f"fleet bootstrapped with voters {', '.join(membership.voters)}")
             self._send_bootstrap(self.bootstrap.on_tick(self.now_ms))
 
     def _send_bootstrap(self, sends: list[SendToName]) -> None:
@@ -155,17 +159,17 @@
         if wants_vote and self.leads and replica not in self.voter.log.membership.voters:
             self.joining_replicas[name] = replica
         self._send_bootstrap(self.bootstrap.receive(replica, message))
-        self._take_bootstrapped_membership()
+        self._adopt_bootstrapped_membership()
 
-    # The replica
+    # Consensus replica
 
     def step_voter(self, event: Input) -> None:
-        """Gives the replica an input, and carries out its effects."""
+        """Passes an input to the replica, and carries out the resulting effects."""
         pending = self.voter.step(self.now_ms, event)
         while pending and not self.cannot_read_state:
             effect = pending.pop(0)
             match effect:
-                case Persist(serial):  # in memory: a process that exits returns as another replica
+                case Persist(serial):  # the log is in memory: a restarted process is a new replica
                     pending += self.voter.step(self.now_ms, Persisted(serial))
                 case Send(to, message):
                     if address := self.voter_addresses.get(voter_name(to)):
@@ -193,48 +197,48 @@
         self.on_applied(index, entry, result, permit_holders)
         log = self.voter.log
         entries = log.last_index - log.snapshot_index
-        if entries > self.COMPACT_AT and self.voter.commit_index == index:
+        if entries > self.COMPACTION_THRESHOLD and self.voter.commit_index == index:
             self.voter.compact(index, snapshot.dump(self.state))
 
     def _restore(self, index: int, data: bytes) -> None:
         try:
             self.state = snapshot.load(data, self.make_subjects())
         except ValueError as error:
-            self._give_up(str(error))
+            self._exit_unreadable(str(error))
             return
-        self.log(f"takes the fleet's state as of {index}")
+        self.log(f"restored the fleet's state from a snapshot at log index {index}")
         self._check_level()
 
     def _check_level(self) -> None:
         if self.state.releases.level > self.level:
-            self._give_up(
-                f"the fleet is at level {self.state.releases.level}, and this voter reads entries"
-                f" up to level {self.level}: give its file the blocks that the other voters' files"
-                " have, or start it with a newer program"
+            self._exit_unreadable(
+                f"the fleet is at level {self.state.releases.level}, but this voter reads entries"
+                f" only up to level {self.level}: give its file the blocks that the other voters'"
+                " files have, or start it with a newer program"
             )
 
-    def _give_up(self, reason: str) -> None:
-        """Ends a voter that cannot read what is agreed: its state would differ from the others'."""
+    def _exit_unreadable(self, reason: str) -> None:
+        """Exits a voter that cannot read the agreed state, as its own state would diverge."""
         self.cannot_read_state = True
-        self.log(f"this voter ends: {reason}")
+        self.log(f"this voter exits: {reason}")
         self.effects.append(Exit())
 
-    # What comes of it
+    # Hooks for subclasses
 
     @abstractmethod
     def on_leader_changed(self) -> None:
-        """Another voter leads, or nobody."""
+        """Called when the leader has changed or is unknown."""
 
     @abstractmethod
     def on_applied(
         self, index: int, entry: Entry, result: ApplyResult, permit_holders: set[str]
     ) -> None:
-        """The entry is in the state; `permit_holders` held a permit before it."""
+        """Called after an entry was applied; `permit_holders` held permits before the entry."""
 
     @abstractmethod
     def answer_read(self, key: int) -> None:
-        """The read may be answered from the state as it is."""
+        """Called when a read may be answered from the current state."""
 
     @abstractmethod
     def fail_read(self, key: int) -> None:
-        """This process does not lead any more."""
+        """Called when a read cannot be answered because this process no longer leads."""
--- a/pumicenotch/fleet/voter/reports.py
+++ b/pumicenotch/fleet/voter/reports.py
@@ -1,4 +1,4 @@
-"""What operators read of the fleet: tables of the agreed state and of what the leader has seen.
+"""Reports for operators: tables of the replicated state and of the leader's measurements.
 
 The keys of the tables are part of the command's `--json` output and never change.
 """
@@ -14,14 +14,14 @@
 from pumicenotch.fleet.replicated.records import QueuedDrain
 from pumicenotch.fleet.replicated.state import FleetState
 
-MAX_ROWS = 200  # of a table in one answer: some 30 KB
+MAX_ROWS = 200  # rows of a table in one answer, about 30 KB
 READ_VERBS = ("status", "why", "log", "halts", "releases", "one_release", "waves")
 
-Table = dict[str, Any]  # JSON, by the names that operators know
+Table = dict[str, Any]  # JSON object
 
 
 class InvalidReadError(InputError):
-    """What is read is not there, or the arguments are of another type."""
+    """A read of something that does not exist, or with arguments of the wrong type."""
 
     def __init__(self, verb: str, problem: str) -> None:
         remedy = "see `fleet status` and `release status` for what there is"
@@ -29,7 +29,7 @@
 
 
 class LeaderInfo(NamedTuple):
-    """Who answers, and who takes part in its consensus group."""
+    """The answering leader and the membership of its consensus group."""
 
     name: str
     term: int
@@ -38,7 +38,7 @@
 
 
 class Sources(NamedTuple):
-    """What the tables are made from."""
+    """The data from which the tables are built."""
 
     state: FleetState
     leader: LeaderInfo
@@ -47,7 +47,7 @@
 
 
 class Reports:
-    """Answers the reads of one moment."""
+    """Answers reads as of one point in time."""
 
     def __init__(self, now_ms: float, sources: Sources) -> None:
         self.now_ms = now_ms
@@ -72,13 +72,13 @@
             case ["waves", [*fractions], bool(mixed), str(order)]:
                 table = {"waves": self.waves(tuple(map(float, fractions)), mixed, order)}
             case ["why", str(name)]:
-                table = self.one_member(name)
+                table = self.member_details(name)
             case _:
                 raise InvalidReadError(verb, "other values are wanted")
         return table
 
     def events(self, count: int) -> Table:
-        """Returns the last events, the latest last."""
+        """Returns the last `count` events, but at most MAX_ROWS, the latest last."""
         rows = [
             {"index": event.log_index, "what": event.text}
             for event in self.state.history[-max(1, count) :]
@@ -88,13 +88,15 @@
     # Releases
 
     def releases(self) -> Table:
-        """Returns all releases, and the versions that the fleet is on."""
-        known = self.state.releases
-        rows = [self._release_row(each) for each in list(known.releases.values())[-MAX_ROWS:]]
-        return {"level": known.level, "stands": known.current_versions, "releases": rows}
+        """Returns the latest releases, and the fleet's current versions."""
+        releases = self.state.releases
+        rows = [
+            self._release_row(release) for release in list(releases.releases.values())[-MAX_ROWS:]
+        ]
+        return {"level": releases.level, "stands": releases.current_versions, "releases": rows}
 
     def one_release(self, name: str) -> Table:
-        """Returns a release with a row for each of its nodes; raises InvalidReadError."""
+        """Returns a release with one row per node; raises InvalidReadError."""
         release = self.state.releases.releases.get(name)
         if release is None:
             raise InvalidReadError("one_release", f"no release {name}")
@@ -103,7 +105,7 @@
     def waves(
         self, fractions: tuple[float, ...], mixed: bool, order: str
     ) -> tuple[tuple[str, ...], ...]:
-        """Returns the waves of all nodes that an agent has reported on."""
+        """Returns planned waves of all nodes that an agent has reported on."""
         nodes = self.state.releases.nodes
         members = [member for member in self.state.members.values() if member.name in nodes]
         return plan_waves(members, fractions=fractions, mixed=mixed, order=order)
@@ -134,7 +136,7 @@
         }
 
     def _release_nodes(self, release: Release) -> list[Table]:
-        """Returns what runs where: for when the release is halted half way."""
+        """Returns one row per node with its running version, for releases halted part-way."""
         rows = [
             self._release_node(release, name, number)
             for number, wave in enumerate(release.waves, 1)
@@ -159,9 +161,9 @@
     # Members and drains
 
     def status(self) -> Table:
-        """Returns the fleet at a glance: who is unavailable, who waits, what exceeds its budget."""
+        """Returns the unavailable and the waiting members, the budgets, and open releases."""
         state = self.state
-        unavailable = [each for each in state.members.values() if state.is_unavailable(each)]
+        unavailable = [member for member in state.members.values() if state.is_unavailable(member)]
         groups = list(state.outage_counts().groups.values())
         open_releases = state.releases.open_releases()
         return {
@@ -174,12 +176,14 @@
             "halted": state.halt_reason(),
             "members": len(state.members),
             "out": len(unavailable),
-            "rows": [self._member_row(each) for each in unavailable[:MAX_ROWS]],
-            "waiting": [self._waiting_row(each) for each in state.queue[:MAX_ROWS]],
-            "budgets": [_budget_row(each) for each in groups[:MAX_ROWS]],
+            "rows": [self._member_row(member) for member in unavailable[:MAX_ROWS]],
+            "waiting": [self._waiting_row(request) for request in state.queue[:MAX_ROWS]],
+            "budgets": [_budget_row(group) for group in groups[:MAX_ROWS]],
             "over": state.violations()[:MAX_ROWS],
             "level": state.releases.level,
-            "releases": [{"name": each.name, "stands": each.description} for each in open_releases],
+            "releases": [
+                {"name": release.name, "stands": release.description} for release in open_releases
+            ],
         }
 
     def _member_row(self, member: Member) -> Table:
@@ -204,8 +208,8 @@
             "ms": self.durations.elapsed_ms(self.now_ms, request.name),
         }
 
-    def one_member(self, name: str) -> Table:
-        """Returns why a member waits and about how long, or its status; raises InvalidReadError."""
+    def member_details(self, name: str) -> Table:
+        """Returns a member's status and, if it waits, why and how long; raises InvalidReadError."""
         if name not in self.state.members:
             raise InvalidReadError("why", f"no member {name}")
         member = self.state.members[name]
@@ -221,16 +225,16 @@
         return table
 
     def _budgets_of(self, member: Member) -> list[Table]:
-        """Returns the groups that a member counts in, and who is unavailable in each."""
+        """Returns the groups that the member belongs to, with their unavailable members."""
         state = self.state
         outages = state.outage_counts()
-        unavailable = [each for each in state.members.values() if state.is_unavailable(each)]
+        unavailable = [other for other in state.members.values() if state.is_unavailable(other)]
         rows = []
         for group in outages.groups_of(member):
             names = [
                 other.name
                 for other in unavailable
-                if any(each is group for each in outages.groups_of(other))
+                if any(other_group is group for other_group in outages.groups_of(other))
             ]
             rows.append(
                 {
@@ -246,7 +250,7 @@
         return [request.name for request in self.state.queue].index(name)
 
     def describe_wait(self, name: str) -> str:
-        """Returns why a queued drain waits and about how long, for its process."""
+        """Returns why a queued drain waits and the estimated wait, as a text for the member."""
         drain_s = self.durations.median_ms() / 1000.0
         estimate = f", of about {drain_s:.0f} s each" if self.durations.durations_ms else ""
         return f"{self.state.wait_reasons[name]}; {self._queued_before(name)} before it{estimate}"
