--- a/tests/fleet/harness.py
+++ b/tests/fleet/harness.py
@@ -1,5 +1,6 @@
-"""Several real processes, the relay's faults between them, and a script that waits for events. The ledger
-judges by what gateways and pools saw; who is out is seen from outside.
+"""Runs fleets of real processes, with network faults by a relay, under the control of a script.
+
+The ledger checks what gateways and pools observed. Unavailable servers are detected from outside.
 """
 
 import asyncio
@@ -19,8 +20,8 @@
 from pumicenotch.lab.server_process import Launch
 from pumicenotch.lab.world import Gateways, Stage, World
 
-WAIT_S = 120.0  # far above what any of it takes: reached only where something is wrong
-LAST_S = 12.0  # for the last answers: beyond every time limit
+WAIT_TIMEOUT_S = 120.0  # far above the duration of any step, so that only a fault exceeds it
+LAST_ANSWERS_TIMEOUT_S = 12.0  # above every time limit of a request
 
 ZONES = BudgetBlock(name="zones", each="zone", most_out=1)
 ALL = BudgetBlock(name="all", each="fleet", most_out=1)
@@ -33,7 +34,7 @@
     budgets: tuple[BudgetBlock, ...] = (ZONES,),
     work_ms: float = 30.0,
     calls: int = 0,
-    **more: Any,
+    **settings: Any,
 ) -> World:
     return World(
         stage=(
@@ -60,17 +61,17 @@
         length_s=600,
         warm_s=0,
         stop_ms=1500,
-        **more,
+        **settings,
     )
 
 
 class Scripted(FleetRun):
-    """A run that goes on as long as its script does."""
+    """A run that lasts as long as its script."""
 
     script: "Script"
 
     async def load(self, progress: Any) -> None:
-        """Tasks come as long as the script goes on."""
+        """Sends tasks as long as the script runs, then waits for the last answers."""
         loading = asyncio.create_task(super().load(progress))
         try:
             await self.until(lambda: self.ledger.ends)
@@ -78,47 +79,48 @@
         finally:
             self.stopped = True
             await loading
-        until = time.monotonic() + LAST_S
-        while self.clients.open and time.monotonic() < until:
+        deadline_s = time.monotonic() + LAST_ANSWERS_TIMEOUT_S
+        while self.clients.open and time.monotonic() < deadline_s:
             await asyncio.sleep(0.05)
 
-    async def until(self, met: Callable[[], Any], within_s: float = WAIT_S) -> None:
-        until = time.monotonic() + within_s
-        while not met():
-            if time.monotonic() > until:
+    async def until(self, condition: Callable[[], Any], within_s: float = WAIT_TIMEOUT_S) -> None:
+        deadline_s = time.monotonic() + within_s
+        while not condition():
+            if time.monotonic() > deadline_s:
                 raise TimeoutError(
-                    f"not within {within_s:g} s: out {sorted(self.out)}, drained {self.drained}"
+                    f"condition not met within {within_s:g} s:"
+                    f" unavailable {sorted(self.out)}, drained {self.drained}"
                 )
             await asyncio.sleep(0.02)
 
-    async def back(self, *names: str) -> dict[str, Any]:
-        """Those have drained and all are in service, by what is agreed and by what is seen."""
+    async def wait_until_available(self, *names: str) -> dict[str, Any]:
+        """Waits until the named nodes have drained and all nodes serve, as agreed and as observed."""
         await self.until(lambda: {int(name[1:]) for name in names} <= self.drained and not self.out)
         status: dict[str, Any] = await self.crew.agreed(
-            lambda status: not status["out"] and not status["waiting"], WAIT_S
+            lambda status: not status["out"] and not status["waiting"], WAIT_TIMEOUT_S
         )
         return status
 
-    async def permits(self, *names: str) -> dict[str, Any]:
-        """Exactly those hold one."""
+    async def wait_for_permits(self, *names: str) -> dict[str, Any]:
+        """Waits until exactly the named members hold permits."""
         status: dict[str, Any] = await self.crew.agreed(
             lambda status: {row["name"] for row in status["rows"] if row["permit"]} == set(names),
-            WAIT_S,
+            WAIT_TIMEOUT_S,
         )
         return status
 
-    async def replace(self, name: str) -> None:
-        """A voter is killed, and its next life has a seat."""
-        before = (await self.crew.ask("status"))["seats"]
+    async def replace_voter(self, name: str) -> None:
+        """Kills and restarts a voter, and waits until its new replica has a vote."""
+        previous = (await self.crew.ask("status"))["seats"]
         self.crew.signal(name, signal.SIGKILL)
         self.crew.boot(name)
         await self.crew.agreed(
             lambda status: (
-                len(status["seats"]) == len(before)
+                len(status["seats"]) == len(previous)
                 and [
-                    seat
-                    for seat in status["seats"]
-                    if seat.startswith(f"{name}/") and seat not in before
+                    replica
+                    for replica in status["seats"]
+                    if replica.startswith(f"{name}/") and replica not in previous
                 ]
             )
         )
@@ -129,15 +131,15 @@
         process.send_signal(number)
 
     def kill(self, name: str) -> None:
-        """It stays away: nobody starts it again before `again`."""
+        """Kills a server, which stays down until `restart`."""
         node = self.nodes[int(name[1:])]
         self.against.add(node.number)
         node.killed = node.left = True
-        node.ready = asyncio.Event()  # as if it were being started
+        node.ready = asyncio.Event()  # not ready until it is restarted
         self.node(name, signal.SIGKILL)
 
-    def plead(self, name: str) -> None:
-        """Its platform has it leave, and nobody starts it again before `restart`."""
+    def terminate(self, name: str) -> None:
+        """Sends SIGTERM to a server, which then stays down until `restart`."""
         node = self.nodes[int(name[1:])]
         self.against.add(node.number)
         node.left = True
@@ -151,15 +153,15 @@
         await self.again(node)
 
     def zone_of(self, zone: str) -> tuple[list[str], list[str]]:
-        """Who is in it, and all others."""
-        inside = [name for name, each in self.crew.zone.items() if each == zone]
+        """Returns the members in the zone, and all others."""
+        inside = [name for name, its_zone in self.crew.zone.items() if its_zone == zone]
         return inside, [name for name in self.crew.zone if name not in inside]
 
     async def operator(self, *words: str, at: str = "", group: str = "fleet") -> tuple[int, str]:
-        """`pumicenotch fleet ...` as an operator types it: exit status and standard output."""
-        places = [at] if at else [self.crew.real(name) for name in self.crew.voters]
+        """Runs `pumicenotch GROUP WORDS`, and returns the exit status and the output."""
+        addresses = [at] if at else [self.crew.real(name) for name in self.crew.voters]
         command = [sys.executable, "-m", "pumicenotch.cli", group, *words, "--fleet", "lab"]
-        command += [part for place in places for part in ("--at", place)]
+        command += [word for address in addresses for word in ("--at", address)]
         process = await asyncio.create_subprocess_exec(
             *command,
             stdout=asyncio.subprocess.PIPE,
@@ -170,31 +172,31 @@
         return process.returncode or 0, out.decode()
 
 
-class Played(Scripted):
-    """Servers that the platform starts."""
+class ServerRun(Scripted):
+    """A run whose servers are started by the platform."""
 
 
 class Releasing(Scripted, ReleaseRun):
-    """Servers that agents start."""
+    """A run whose servers are started by agents."""
 
     async def release(self, *words: str) -> tuple[int, str]:
         return await self.operator(*words, group="release")
 
 
 Script = Callable[[Any], Awaitable[None]]
-Made = TypeVar("Made", bound=Scripted)
+Run = TypeVar("Run", bound=Scripted)
 
 
-def play(script: Script, folder: Path, told: World, seed: int = 1) -> Played:
-    return played(Played, script, folder, told, seed)
+def run_script(script: Script, folder: Path, world: World, seed: int = 1) -> ServerRun:
+    return played(ServerRun, script, folder, world, seed)
 
 
-def played(kind: type[Made], script: Script, folder: Path, told: World, seed: int = 1) -> Made:
-    """The whole of it; what the ledger found is part of the verdict."""
-    made = kind(told, seed, Launch(), folder)
-    made.script = script
-    uvloop.run(made.run())
-    assert not made.ledger.broken, made.ledger.broken[:5]
-    assert made.most_over == 0, f"{made.most_over} over a budget"
-    assert made.ledger.ends, "no task was sent"
-    return made
+def played(run_type: type[Run], script: Script, folder: Path, world: World, seed: int = 1) -> Run:
+    """Runs the script, and asserts that the ledger found no fault and no budget was exceeded."""
+    run = run_type(world, seed, Launch(), folder)
+    run.script = script
+    uvloop.run(run.run())
+    assert not run.ledger.broken, run.ledger.broken[:5]
+    assert run.most_over == 0, f"{run.most_over} servers over a budget"
+    assert run.ledger.ends, "no task was sent"
+    return run
--- a/tests/fleet/test_drain_permits.py
+++ b/tests/fleet/test_drain_permits.py
@@ -1,5 +1,6 @@
-"""What the fleet has agreed: budgets, permits, halts; explored with late letters and crashes, with bugs
-seeded.
+"""Budgets, drain permits and halts in the replicated state.
+
+A model checker explores late and repeated messages and crashes; seeded bugs show that it finds faults.
 """
 
 import random
@@ -18,43 +19,45 @@
 from pumicenotch.fleet.replicated.state import FleetState
 from pumicenotch.lab.draining import LONG, Bounds, Draining, Quiet
 
-SHORT = 8_000
+MIN_EXPLORED_STATES = 8_000
 ZONES = Budget("zones", "zone", max_unavailable=1)
 
 
 class Fleet:
-    """A state and its log."""
+    """A replicated state, changed by log entries only."""
 
     def __init__(
-        self, *budgets: Budget, voters: tuple[str, ...] = ("v1", "v2", "v3"), hands: Any = ()
+        self, *budgets: Budget, voters: tuple[str, ...] = ("v1", "v2", "v3"), manual: Any = ()
     ) -> None:
         self.state = FleetState()
-        self.ids = 0
-        self.do("begin", "f", voters, budgets, tuple(member_to_wire(each) for each in hands))
+        self.requests = 0
+        self.apply(
+            "begin", "f", voters, budgets, tuple(member_to_wire(member) for member in manual)
+        )
 
-    def do(self, *entry: Any) -> ApplyResult:
+    def apply(self, *entry: Any) -> ApplyResult:
         return self.state.apply(self.state.log_index + 1, entry)
 
-    def member(self, name: str, zone: str = "", life: str = "1", **more: Any) -> None:
-        self.do("join", member_to_wire(Member(name, life, zone, **more)))
-        self.do("serving", name, life)
+    def add_member(self, name: str, zone: str = "", process_id: str = "1", **fields: Any) -> None:
+        self.apply("join", member_to_wire(Member(name, process_id, zone, **fields)))
+        self.apply("serving", name, process_id)
 
-    def ask(self, verb: str, *args: Any, by: str = "op") -> ApplyResult:
-        self.ids += 1
-        return self.do(verb, f"r{self.ids}", *args, by)
+    def request(self, verb: str, *args: Any, operator: str = "op") -> ApplyResult:
+        self.requests += 1
+        return self.apply(verb, f"r{self.requests}", *args, operator)
 
     def drain(self, *names: str) -> ApplyResult:
-        return self.ask("drain", names, "kernel")
+        return self.request("drain", names, "kernel")
 
-    def through(self, name: str, life: str = "1") -> None:
-        """From permit to gone."""
-        assert self.do("began", name, life, self.state.permits[name].epoch).ok
-        self.do("gone", name, life)
+    def complete_drain(self, name: str, process_id: str = "1") -> None:
+        """Starts the drain that the member's permit allows, and stops the process."""
+        assert self.apply("began", name, process_id, self.state.permits[name].epoch).ok
+        self.apply("gone", name, process_id)
 
-    def back(self, name: str, life: str) -> None:
-        held = self.state.members[name]
-        self.do("join", member_to_wire(held._replace(process_id=life)))
-        self.do("serving", name, life)
+    def rejoin(self, name: str, process_id: str) -> None:
+        member = self.state.members[name]
+        self.apply("join", member_to_wire(member._replace(process_id=process_id)))
+        self.apply("serving", name, process_id)
 
     @property
     def permits(self) -> list[str]:
@@ -63,200 +66,206 @@
 
 @pytest.fixture
 def fleet() -> Fleet:
-    made = Fleet(ZONES)
+    new_fleet = Fleet(ZONES)
     for name in ("a1", "a2", "a3", "b1", "b2"):
-        made.member(name, name[0])
-    return made
+        new_fleet.add_member(name, name[0])
+    return new_fleet
 
 
-def test_permits_follow_the_budgets_in_the_order_of_asking(fleet: Fleet) -> None:
-    said = fleet.drain("a1", "a2", "b1", "a3")
-    assert said.ok and "a2: budget zones: zone a: 1 of at most 1 are out" in said.text
+def test_permits_are_granted_within_the_budgets_in_request_order(fleet: Fleet) -> None:
+    result = fleet.drain("a1", "a2", "b1", "a3")
+    assert result.ok and "a2: budget zones: zone a: 1 of at most 1 are out" in result.text
     assert fleet.permits == ["a1", "b1"]
-    fleet.through("a1")
+    fleet.complete_drain("a1")
     assert fleet.permits == ["a1", "b1"]
-    fleet.back("a1", "2")
+    fleet.rejoin("a1", "2")
     assert fleet.permits == ["a2", "b1"]
     assert fleet.state.wait_reasons == {"a3": "budget zones: zone a: 1 of at most 1 are out"}
 
 
-def test_silence_frees_no_permit(fleet: Fleet) -> None:
+def test_a_failure_ends_no_permit(fleet: Fleet) -> None:
     fleet.drain("a1", "a2")
-    fleet.through("a1")
-    fleet.do("against", "a1", "1", "silent")
+    fleet.complete_drain("a1")
+    fleet.apply("against", "a1", "1", "silent")
     assert fleet.permits == ["a1"]
-    fleet.do("serving", "a1", "1")  # a late letter of the life that has gone
+    fleet.apply("serving", "a1", "1")  # a late report of the stopped process
     assert fleet.permits == ["a1"]
 
 
-def test_an_operator_may_free_a_permit_and_the_member_stays_counted(fleet: Fleet) -> None:
+def test_a_member_whose_permit_is_revoked_stays_unavailable_until_forgotten(fleet: Fleet) -> None:
     fleet.drain("a1", "a2")
-    fleet.through("a1")
-    assert fleet.ask("free", "a1", "burnt").ok
+    fleet.complete_drain("a1")
+    assert fleet.request("free", "a1", "burnt").ok
     assert (fleet.permits, fleet.state.members["a1"].status) == ([], STOPPED)
-    assert fleet.ask("forget", "a1", "burnt").ok
+    assert fleet.request("forget", "a1", "burnt").ok
     assert fleet.permits == ["a2"]
 
 
-def test_whoever_is_out_against_its_will_counts_first(fleet: Fleet) -> None:
-    fleet.do("against", "a3", "1", "silent")
+def test_failed_members_count_against_the_budget(fleet: Fleet) -> None:
+    fleet.apply("against", "a3", "1", "silent")
     fleet.drain("a1")
     assert fleet.permits == []
-    fleet.drain("a3")  # takes nothing more from anyone
+    fleet.drain("a3")  # a3 is already unavailable
     assert fleet.permits == ["a3"]
-    fleet.do("against", "a2", "1", "silent")  # a thought, and it may be wrong
+    fleet.apply("against", "a2", "1", "silent")  # a2 may in fact still serve
     fleet.drain("a2")
     assert fleet.permits == ["a3"]
-    fleet.do("against", "a2", "1", "")
-    fleet.ask("undrain", ("a2",), "x")
-    fleet.back("a3", "2")
+    fleet.apply("against", "a2", "1", "")
+    fleet.request("undrain", ("a2",), "x")
+    fleet.rejoin("a3", "2")
     assert fleet.permits == ["a1"]
 
 
-def test_one_that_cannot_wait_is_counted_at_once_and_never_refused(fleet: Fleet) -> None:
+def test_a_termination_is_counted_at_once_and_never_refused(fleet: Fleet) -> None:
     fleet.drain("a1")
-    fleet.through("a1")
-    assert fleet.do("leaving", "a2", "1", "SIGTERM").ok
+    fleet.complete_drain("a1")
+    assert fleet.apply("leaving", "a2", "1", "SIGTERM").ok
     assert fleet.permits == ["a1", "a2"]
     assert fleet.state.violations() == ["budget zones: zone a: 2 out of at most 1"]
     fleet.drain("a3")
-    fleet.back("a1", "2")
-    assert fleet.permits == ["a2"]  # a3 waits for a2 as well
-    fleet.back("a2", "2")
+    fleet.rejoin("a1", "2")
+    assert fleet.permits == ["a2"]  # a3 waits for a2 too
+    fleet.rejoin("a2", "2")
     assert fleet.permits == ["a3"]
 
 
-def test_a_permit_taken_back_is_not_used_however_late_its_holder_hears(fleet: Fleet) -> None:
+def test_a_withdrawn_permit_cannot_be_used_late(fleet: Fleet) -> None:
     fleet.drain("a1", "a2")
     epoch = fleet.state.permits["a1"].epoch
-    assert fleet.ask("undrain", ("a1",), "not today").ok
+    assert fleet.request("undrain", ("a1",), "not today").ok
     assert fleet.permits == ["a2"]
-    assert not fleet.do("began", "a1", "1", epoch).ok
-    again = fleet.state.permits["a2"].epoch
-    assert fleet.do("began", "a2", "1", again) == fleet.do("began", "a2", "1", again)  # told twice
-    assert not fleet.ask("undrain", ("a2",), "too late").ok
+    assert not fleet.apply("began", "a1", "1", epoch).ok
+    later_epoch = fleet.state.permits["a2"].epoch
+    # The report comes twice.
+    assert fleet.apply("began", "a2", "1", later_epoch) == fleet.apply(
+        "began", "a2", "1", later_epoch
+    )
+    assert not fleet.request("undrain", ("a2",), "too late").ok
 
 
-def test_a_permit_waits_where_others_have_gone_out_since(fleet: Fleet) -> None:
+def test_a_permit_is_unusable_while_later_failures_exceed_the_budget(fleet: Fleet) -> None:
     fleet.drain("a1")
     epoch = fleet.state.permits["a1"].epoch
-    fleet.do("against", "a2", "1", "silent")
-    said = fleet.do("began", "a1", "1", epoch)
-    assert (said.ok, said.text) == (False, "not now: budget zones: zone a: 2 out of at most 1")
-    fleet.do("against", "a2", "1", "")
-    assert fleet.do("began", "a1", "1", epoch).ok
-    fleet.do("against", "a2", "1", "silent")
-    assert fleet.do("began", "a1", "1", epoch).ok  # what has begun is not taken back
-
-
-def test_a_request_that_comes_twice_asks_once(fleet: Fleet) -> None:
-    first = fleet.do("drain", "same", ("a1",), "x", "op")
-    fleet.through("a1")
-    fleet.back("a1", "2")
-    assert fleet.do("drain", "same", ("a1",), "x", "op") == first
+    fleet.apply("against", "a2", "1", "silent")
+    result = fleet.apply("began", "a1", "1", epoch)
+    assert (result.ok, result.text) == (False, "not now: budget zones: zone a: 2 out of at most 1")
+    fleet.apply("against", "a2", "1", "")
+    assert fleet.apply("began", "a1", "1", epoch).ok
+    fleet.apply("against", "a2", "1", "silent")
+    assert fleet.apply("began", "a1", "1", epoch).ok  # a started drain goes on
+
+
+def test_a_retried_request_is_applied_once(fleet: Fleet) -> None:
+    first = fleet.apply("drain", "same", ("a1",), "x", "op")
+    fleet.complete_drain("a1")
+    fleet.rejoin("a1", "2")
+    assert fleet.apply("drain", "same", ("a1",), "x", "op") == first
     assert fleet.permits == []
 
 
-def test_a_name_is_taken_over_for_good(fleet: Fleet) -> None:
-    fleet.back("a1", "2")
-    assert not fleet.do("join", member_to_wire(Member("a1", "1", "a"))).ok
-    assert not fleet.do("leaving", "a1", "1", "late").ok
+def test_a_replaced_process_cannot_take_its_name_back(fleet: Fleet) -> None:
+    fleet.rejoin("a1", "2")
+    assert not fleet.apply("join", member_to_wire(Member("a1", "1", "a"))).ok
+    assert not fleet.apply("leaving", "a1", "1", "late").ok
     assert fleet.state.members["a1"].process_id == "2"
 
 
-def test_a_lower_budget_calls_nobody_back() -> None:
+def test_a_lowered_budget_ends_no_permit() -> None:
     fleet = Fleet(Budget("all", "fleet", max_unavailable=3))
-    for at in range(5):
-        fleet.member(f"n{at}")
+    for number in range(5):
+        fleet.add_member(f"n{number}")
     fleet.drain("n0", "n1", "n2")
-    fleet.through("n0")
-    fleet.ask("budget", (Budget("all", "fleet", max_unavailable=1),))
+    fleet.complete_drain("n0")
+    fleet.request("budget", (Budget("all", "fleet", max_unavailable=1),))
     assert fleet.permits == ["n0", "n1", "n2"] and fleet.state.violations()
     fleet.drain("n3")
-    for at in range(3):
+    for number in range(3):
         assert "n3" not in fleet.permits
-        if at:
-            fleet.through(f"n{at}")  # the permits that were given are used in turn
-        later = [
-            fleet.do("began", f"n{n}", "1", fleet.state.permits[f"n{n}"].epoch)
-            for n in range(at + 1, 3)
+        if number:
+            fleet.complete_drain(f"n{number}")  # granted permits are used one after the other
+        later_starts = [
+            fleet.apply("began", f"n{later}", "1", fleet.state.permits[f"n{later}"].epoch)
+            for later in range(number + 1, 3)
         ]
-        assert not any(said.ok for said in later)
-        fleet.back(f"n{at}", "2")
+        assert not any(start.ok for start in later_starts)
+        fleet.rejoin(f"n{number}", "2")
     assert fleet.permits == ["n3"]
 
 
-def test_a_majority_of_voters_is_refused_and_a_third_waits() -> None:
+def test_a_drain_of_a_majority_of_voters_is_refused_and_a_third_voter_waits() -> None:
     voters = ("v1", "v2", "v3", "v4", "v5")
     fleet = Fleet(voters=voters)
     for name in voters:
-        fleet.member(name, voter=True)
-    said = fleet.drain("v1", "v2", "v3")
-    assert not said.ok and "a majority must stay" in said.text
+        fleet.add_member(name, voter=True)
+    result = fleet.drain("v1", "v2", "v3")
+    assert not result.ok and "a majority must stay" in result.text
     fleet.drain("v1", "v2")
     fleet.drain("v3")
     assert fleet.permits == ["v1", "v2"]
     assert "a majority must stay" in fleet.state.wait_reasons["v3"]
-    assert not fleet.ask("override", "v3", "now").ok
+    assert not fleet.request("override", "v3", "now").ok
 
 
-def test_a_service_and_its_callers_are_never_out_together_and_neither_starves() -> None:
+def test_a_service_and_its_callers_are_never_unavailable_together_and_neither_starves() -> None:
     apart = Budget("apart", "service", separate_callers=True)
     replicas = Budget("replicas", "service", min_available=1)
-    hands = [Member("ledger-1", "", serves=("ledger",)), Member("ledger-2", "", serves=("ledger",))]
-    fleet = Fleet(apart, replicas, hands=hands)
-    for at in range(4):
-        fleet.member(f"n{at}", uses=("ledger",))
+    manual = [
+        Member("ledger-1", "", serves=("ledger",)),
+        Member("ledger-2", "", serves=("ledger",)),
+    ]
+    fleet = Fleet(apart, replicas, manual=manual)
+    for number in range(4):
+        fleet.add_member(f"n{number}", uses=("ledger",))
     fleet.drain("n0", "n1")
     fleet.drain("ledger-1")
-    fleet.drain("n2", "n3")  # asked later: they must not keep the replica waiting for ever
+    fleet.drain("n2", "n3")  # requested later, so they must not starve the replica
     assert fleet.permits == ["n0", "n1"]
     for name in ("n0", "n1"):
-        fleet.through(name)
-        fleet.back(name, "2")
+        fleet.complete_drain(name)
+        fleet.rejoin(name, "2")
     assert fleet.permits == ["ledger-1"]
-    assert fleet.ask("undrain", ("ledger-1",), "done").ok
+    assert fleet.request("undrain", ("ledger-1",), "done").ok
     assert fleet.permits == ["n2", "n3"]
 
 
-def test_least_capacity_counts_in_parts_of_the_group() -> None:
+def test_a_capacity_budget_limits_the_lost_fraction_of_a_group() -> None:
     fleet = Fleet(Budget("room", "zone", min_capacity_fraction=0.7))
     for name, capacity in (("big", 6.0), ("small", 2.0), ("other", 2.0)):
-        fleet.member(name, "a", capacity=capacity)
+        fleet.add_member(name, "a", capacity=capacity)
     fleet.drain("big", "small", "other")
-    assert fleet.permits == []  # big bars the others: it was first
+    assert fleet.permits == []  # big came first and blocks the others
     assert "40% of the capacity would be left" in fleet.state.wait_reasons["big"]
-    fleet.ask("undrain", ("big",), "no")
+    fleet.request("undrain", ("big",), "no")
     assert fleet.permits == ["small"]
 
 
-def test_a_halt_stops_what_has_not_begun_and_a_resume_ends_what_it_has_seen(fleet: Fleet) -> None:
+def test_a_halt_blocks_new_drains_and_a_resume_ends_only_the_halts_it_names(fleet: Fleet) -> None:
     fleet.drain("a1")
     fleet.drain("b1")
-    fleet.through("a1")
-    fleet.do("halt", "h1", "node a2", "smoke")
-    assert not fleet.do("began", "b1", "1", fleet.state.permits["b1"].epoch).ok
+    fleet.complete_drain("a1")
+    fleet.apply("halt", "h1", "node a2", "smoke")
+    assert not fleet.apply("began", "b1", "1", fleet.state.permits["b1"].epoch).ok
     fleet.drain("b2")
-    fleet.do("halt", "h2", "op", "fire")
-    assert not fleet.ask("override", "b2", "x").ok
-    assert not fleet.ask("resume", ("h1",), "smoke is gone").ok  # h2 came since
+    fleet.apply("halt", "h2", "op", "fire")
+    assert not fleet.request("override", "b2", "x").ok
+    assert not fleet.request("resume", ("h1",), "smoke is gone").ok  # h2 is later
     assert fleet.state.halt_reason() == "halted: by op: fire"
-    assert fleet.ask("resume", ("h2",), "fire is out").ok
-    assert fleet.do("began", "b1", "1", fleet.state.permits["b1"].epoch).ok
+    assert fleet.request("resume", ("h2",), "fire is out").ok
+    assert fleet.apply("began", "b1", "1", fleet.state.permits["b1"].epoch).ok
 
 
-def test_the_whole_state_goes_through_its_dump(fleet: Fleet) -> None:
+def test_a_snapshot_restores_the_whole_state(fleet: Fleet) -> None:
     fleet.drain("a1", "a2", "b1")
-    fleet.do("halt", "h", "op", "x")
-    same = load(dump(fleet.state))
-    assert dump(same) == dump(fleet.state) and same.wait_reasons == fleet.state.wait_reasons
-    assert same.apply(99, ("undrain", "u", ("a2",), "x", "op")).ok
-    for wrong in (b"", b"{}", b'{"form": 2}', dump(fleet.state)[:-1]):
+    fleet.apply("halt", "h", "op", "x")
+    restored = load(dump(fleet.state))
+    assert dump(restored) == dump(fleet.state) and restored.wait_reasons == fleet.state.wait_reasons
+    assert restored.apply(99, ("undrain", "u", ("a2",), "x", "op")).ok
+    for invalid in (b"", b"{}", b'{"form": 2}', dump(fleet.state)[:-1]):
         with pytest.raises(InvalidCommandError):
-            load(wrong)
+            load(invalid)
 
 
-WRONG: list[Any] = [
+INVALID_ENTRIES: list[Any] = [
     None,
     (),
     ("fly",),
@@ -271,8 +280,8 @@
 ]
 
 
-@pytest.mark.parametrize("entry", WRONG, ids=repr)
-def test_what_is_no_entry_is_refused_and_changes_nothing(fleet: Fleet, entry: Any) -> None:
+@pytest.mark.parametrize("entry", INVALID_ENTRIES, ids=repr)
+def test_an_invalid_entry_is_refused_and_changes_nothing(fleet: Fleet, entry: Any) -> None:
     before = dump(fleet.state)
     with pytest.raises(InvalidCommandError):
         decode_command(entry)
@@ -280,17 +289,17 @@
     assert dump(fleet.state) == before
 
 
-# Explored
+# Model checking
 
 
 @pytest.mark.parametrize("bounds", [bounds for _, bounds in LONG], ids=[name for name, _ in LONG])
-def test_explored(bounds: Bounds) -> None:
-    found = Draining(bounds).explore(SHORT)
-    assert not found.violation, found.text()
-    assert found.states >= SHORT
+def test_no_reachable_state_violates_a_budget_or_halt(bounds: Bounds) -> None:
+    outcome = Draining(bounds).explore(MIN_EXPLORED_STATES)
+    assert not outcome.violation, outcome.text()
+    assert outcome.states >= MIN_EXPLORED_STATES
 
 
-class FreedBySilence(Quiet):
+class PermitEndedByFailure(Quiet):
     def set_failure(self, command: SetFailure) -> ApplyResult:
         result = super().set_failure(command)
         name = command.name
@@ -300,7 +309,7 @@
         return result
 
 
-class FreedByOldLife(Quiet):
+class PermitEndedByLateReport(Quiet):
     def report_serving(self, command: ReportServing) -> ApplyResult:
         name = command.name
         if name in self.permits:
@@ -309,13 +318,13 @@
         return super().report_serving(command)
 
 
-class BeginsUnasked(Quiet):
+class DrainStartedOnRefusal(Quiet):
     def start_drain(self, command: StartDrain) -> ApplyResult:
         super().start_drain(command)
         return ApplyResult(True, "begun")
 
 
-class BeginsHalted(Quiet):
+class DrainStartedWhileHalted(Quiet):
     def start_drain(self, command: StartDrain) -> ApplyResult:
         halts, self.halts = self.halts, {}
         result = super().start_drain(command)
@@ -324,77 +333,83 @@
 
 
 SEEDED = [
-    (FreedBySilence, Bounds(asks=2, returns=0), "away by permit"),
-    (FreedByOldLife, Bounds(asks=2, crashes=1, returns=2, silences=0), "away by permit"),
+    (PermitEndedByFailure, Bounds(asks=2, returns=0), "away by permit"),
+    (PermitEndedByLateReport, Bounds(asks=2, crashes=1, returns=2, silences=0), "away by permit"),
     (
-        BeginsUnasked,
+        DrainStartedOnRefusal,
         Bounds(2, crashes=0, returns=0, copies=0, silences=0, undrains=1),
         "away by permit",
     ),
-    (BeginsHalted, Bounds(asks=1, halts=1), "after the halt"),
+    (DrainStartedWhileHalted, Bounds(asks=1, halts=1), "after the halt"),
 ]
 
 
-@pytest.mark.parametrize("bug, bounds, what", SEEDED, ids=[bug.__name__ for bug, _, _ in SEEDED])
-def test_seeded_bugs_are_found(bug: type[FleetState], bounds: Bounds, what: str) -> None:
-    assert what in Draining(bounds, bug).explore(100_000).violation
+@pytest.mark.parametrize(
+    "bug, bounds, violation", SEEDED, ids=[bug.__name__ for bug, _, _ in SEEDED]
+)
+def test_seeded_bugs_are_found(bug: type[FleetState], bounds: Bounds, violation: str) -> None:
+    assert violation in Draining(bounds, bug).explore(100_000).violation
 
 
 @settings(max_examples=60, deadline=None)
 @given(seed=st.integers(0, 100_000))
-def test_no_random_day_goes_over_a_budget_by_permit(seed: int) -> None:
-    """Entries by chance, old ones among them; judged from what the processes do."""
-    chance = random.Random(seed)
+def test_no_random_sequence_of_entries_exceeds_a_budget_by_permit(seed: int) -> None:
+    """Entries are random and some are repeated. Counted are the drains that processes start."""
+    rng = random.Random(seed)
     fleet = Fleet(
         ZONES,
         Budget("all", "fleet", max_unavailable=3),
         Budget("most", "region", min_capacity_fraction=0.5),
     )
-    names = [f"{zone}{at}" for zone in "abc" for at in range(3)]
-    lives = dict.fromkeys(names, 1)
+    names = [f"{zone}{number}" for zone in "abc" for number in range(3)]
+    process_numbers = dict.fromkeys(names, 1)
     for name in names:
-        fleet.member(name, name[0], region="r")
-    away: set[str] = set()
+        fleet.add_member(name, name[0], region="r")
+    draining: set[str] = set()
     sent: list[tuple[Any, ...]] = []
     for _ in range(120):
-        name, state = chance.choice(names), fleet.state
-        life = str(lives[name])
-        match chance.randrange(8):
+        name, state = rng.choice(names), fleet.state
+        process_id = str(process_numbers[name])
+        match rng.randrange(8):
             case 0:
-                fleet.drain(*chance.sample(names, chance.randint(1, 4)))
+                fleet.drain(*rng.sample(names, rng.randint(1, 4)))
             case 1:
-                fleet.ask("undrain", (name,), "x")
-            case 2 if name in away:
-                lives[name] += 1
-                away.discard(name)
-                fleet.back(name, str(lives[name]))
+                fleet.request("undrain", (name,), "x")
+            case 2 if name in draining:
+                process_numbers[name] += 1
+                draining.discard(name)
+                fleet.rejoin(name, str(process_numbers[name]))
             case 3:
-                fleet.do("against", name, life, chance.choice(["", "silent"]))
+                fleet.apply("against", name, process_id, rng.choice(["", "silent"]))
             case 4 if sent:
-                old = chance.choice(sent)  # once more
-                if fleet.do(*old).ok and old[0] == "began" and old[2] == str(lives[old[1]]):
-                    away.add(old[1])
+                repeated = rng.choice(sent)
+                if (
+                    fleet.apply(*repeated).ok
+                    and repeated[0] == "began"
+                    and repeated[2] == str(process_numbers[repeated[1]])
+                ):
+                    draining.add(repeated[1])
             case _ if (
                 name in state.permits
-                and state.permits[name].process_id == life
-                and name not in away
+                and state.permits[name].process_id == process_id
+                and name not in draining
             ):
-                sent.append(("began", name, life, state.permits[name].epoch))
-                if chance.random() < 0.7 and fleet.do(*sent[-1]).ok:
-                    away.add(name)
-                    sent.append(("gone", name, life))
+                sent.append(("began", name, process_id, state.permits[name].epoch))
+                if rng.random() < 0.7 and fleet.apply(*sent[-1]).ok:
+                    draining.add(name)
+                    sent.append(("gone", name, process_id))
         for zone in "abc":
-            assert sum(each[0] == zone for each in away) <= 1
-        assert len(away) <= 3
+            assert sum(other[0] == zone for other in draining) <= 1
+        assert len(draining) <= 3
         assert dump(load(dump(fleet.state))) == dump(fleet.state)
-        if state.cached_counts is not None:  # what is kept is what counting anew gives
-            tallies, voters_out = state.cached_counts
-            kept = {
-                key: (tally.members, tally.unavailable, tally.lost_capacity)
-                for key, tally in tallies.groups.items()
+        if state.cached_counts is not None:  # the cache must equal a new count
+            outages, unavailable_voters = state.cached_counts
+            cached = {
+                key: (group.members, group.unavailable, group.lost_capacity)
+                for key, group in outages.groups.items()
             }
-            anew = {
-                key: (tally.members, tally.unavailable, tally.lost_capacity)
-                for key, tally in state.outage_counts().groups.items()
+            recounted = {
+                key: (group.members, group.unavailable, group.lost_capacity)
+                for key, group in state.outage_counts().groups.items()
             }
-            assert (kept, voters_out) == (anew, state.unavailable_voters())
+            assert (cached, unavailable_voters) == (recounted, state.unavailable_voters())
--- a/tests/fleet/test_fleet_files.py
+++ b/tests/fleet/test_fleet_files.py
@@ -1,5 +1,6 @@
-"""Files of a fleet: what is wrong is named with its line and what is allowed; what is right comes whole to a
-server.
+"""Configuration files of a fleet.
+
+Errors name the line and the allowed values, and valid settings reach the server complete.
 """
 
 import json
@@ -41,15 +42,15 @@
 """
 
 
-def put(folder: Path, text: str) -> Path:
+def write_file(folder: Path, text: str) -> Path:
     path = folder / "file.hcl"
     path.write_text(text)
     return path
 
 
-def test_a_servers_block_comes_whole_through_the_compiled_plan(tmp_path: Path) -> None:
-    ours = ours_of(put(tmp_path, SERVER))
-    settings = ours.fleet
+def test_the_compiled_plan_keeps_a_servers_whole_fleet_block(tmp_path: Path) -> None:
+    configuration = ours_of(write_file(tmp_path, SERVER))
+    settings = configuration.fleet
     assert settings is not None and settings.member("x")[:7] == (
         "n3",
         "x",
@@ -59,27 +60,27 @@
         (),
         ("ledger",),
     )
-    assert compiled.load(compiled.dump(ours), "plan").fleet == settings
-    assert "n3 of accra" in compiled.describe(ours, [])["fleet"]
-    without = json.loads(compiled.dump(compiled.Ours()))
-    del without["fleet"]  # as an older program compiled it
-    assert compiled.load(json.dumps(without), "plan") == compiled.Ours()
-    wrong: list[Any] = [{"fleet": 1}, [], {"fleet": "a", "name": "b", "listen": 3, "voters": []}]
-    for each in wrong:
+    assert compiled.load(compiled.dump(configuration), "plan").fleet == settings
+    assert "n3 of accra" in compiled.describe(configuration, [])["fleet"]
+    older = json.loads(compiled.dump(compiled.Ours()))
+    del older["fleet"]  # older programs compiled no such field
+    assert compiled.load(json.dumps(older), "plan") == compiled.Ours()
+    invalid: list[Any] = [{"fleet": 1}, [], {"fleet": "a", "name": "b", "listen": 3, "voters": []}]
+    for value in invalid:
         with pytest.raises(ValueError, match="fleet"):
-            read_settings(each)
+            read_settings(value)
 
 
-def test_a_voters_file_says_all(tmp_path: Path) -> None:
-    settings, seed, _ = voter_of(put(tmp_path, VOTER + "seed = 4\n"))
+def test_a_voters_file_holds_all_settings_of_the_fleet(tmp_path: Path) -> None:
+    settings, seed, _ = voter_of(write_file(tmp_path, VOTER + "seed = 4\n"))
     assert seed == 4 and [name for name, _ in settings.names] == ["v1", "v2", "v3"]
     assert [budget.max_unavailable for budget in settings.budgets] == [1]
-    assert [hand.serves for hand in settings.manual_members] == [("ledger",)]
+    assert [member.serves for member in settings.manual_members] == [("ledger",)]
     assert settings.member("x").voter
 
 
 @pytest.mark.parametrize(
-    "text, fault",
+    "text, problem",
     [
         (VOTER.replace('voter "v3"', 'voter "v2"'), "voter v2: stands twice"),
         (
@@ -103,27 +104,27 @@
     ],
     ids=["twice", "two", "stranger", "empty", "each", "near", "address"],
 )
-def test_what_is_wrong_with_a_voters_file_is_named(tmp_path: Path, text: str, fault: str) -> None:
-    path = put(tmp_path, text)
-    with pytest.raises(InvalidFileError) as found:
+def test_errors_in_a_voters_file_are_located(tmp_path: Path, text: str, problem: str) -> None:
+    path = write_file(tmp_path, text)
+    with pytest.raises(InvalidFileError) as error:
         voter_of(path)
-    assert fault in str(found.value) and str(found.value).startswith(f"{path}:")
+    assert problem in str(error.value) and str(error.value).startswith(f"{path}:")
 
 
-def test_budgets_apart_are_for_services_alone(tmp_path: Path) -> None:
+def test_only_budgets_on_services_may_separate_callers(tmp_path: Path) -> None:
     with pytest.raises(InvalidFileError, match="apart: for each = service only"):
-        budgets_of(put(tmp_path, 'budget "x" {\n  each = "zone"\n  apart = true\n}\n'))
+        budgets_of(write_file(tmp_path, 'budget "x" {\n  each = "zone"\n  apart = true\n}\n'))
 
 
-def test_a_permit_that_is_told_is_begun_at_once() -> None:
-    """Not at the next word that is due anyway: among 300 members that was 1.5 s later, and drains took 1.35
-    times the shortest.
+def test_a_notified_permit_is_used_at_once() -> None:
+    """A member that waited for its next heartbeat started 1.5 s later among 300 members, and drains took
+    1.35 times the shortest possible time.
     """
-    me = MemberIdentity("n0", "n0:1", "1", 1, "a", "")
-    mate = MemberNode(
+    identity = MemberIdentity("n0", "n0:1", "1", 1, "a", "")
+    node = MemberNode(
         MemberSetup(
             fleet="f",
-            me=me,
+            me=identity,
             member=Member("n0", "1"),
             voters=("v:1",),
             seeds=(),
@@ -131,16 +132,18 @@
             seed=random.Random(1).getrandbits(9),
         )
     )
-    asks = [each for each in mate.step(1.0, "serve", True, False) if isinstance(each, SendRequest)]
+    requests = [
+        effect for effect in node.step(1.0, "serve", True, False) if isinstance(effect, SendRequest)
+    ]
     for verb in ("join", "serving", "mine"):
-        assert [each.verb for each in asks] == [verb]
+        assert [request.verb for request in requests] == [verb]
         result = (
             {"known": True, "standing": "serving", "permit": 0, "again_ms": 30_000}
             if verb == "mine"
             else {}
         )
-        effects = mate.step(2.0, "answered", asks[0].request_number, None, result)
-        asks = [each for each in effects if isinstance(each, SendRequest)]
-    assert not asks
-    effects = mate.step(100.0, "told", ("v1", "1", "v:1"), "permitted", (7,))
-    assert [each.args[-1] for each in effects if isinstance(each, SendRequest)] == [7]
+        effects = node.step(2.0, "answered", requests[0].request_number, None, result)
+        requests = [effect for effect in effects if isinstance(effect, SendRequest)]
+    assert not requests
+    effects = node.step(100.0, "told", ("v1", "1", "v:1"), "permitted", (7,))
+    assert [effect.args[-1] for effect in effects if isinstance(effect, SendRequest)] == [7]
