--- a/tests/fleet/configured.py
+++ b/tests/fleet/configured.py
@@ -94,10 +94,10 @@
         number = int(name[1:])
         self.keep_away(number, float("inf"))
         await self.until(lambda: all(sent.server != number for sent in self.ledger.open.values()))
-        self.node(name, signal.SIGSTOP)
+        self.signal_node(name, signal.SIGSTOP)
 
     def unpause(self, name: str) -> None:
-        self.node(name, signal.SIGCONT)
+        self.signal_node(name, signal.SIGCONT)
         self.keep_away(int(name[1:]), 0.0)
 
     def keep_away(self, number: int, until: float) -> None:
--- a/tests/fleet/harness.py
+++ b/tests/fleet/harness.py
@@ -125,7 +125,7 @@
             )
         )
 
-    def node(self, name: str, number: int) -> None:
+    def signal_node(self, name: str, number: int) -> None:
         process = self.nodes[int(name[1:])].process
         assert process is not None
         process.send_signal(number)
@@ -136,7 +136,7 @@
         self.against.add(node.number)
         node.killed = node.left = True
         node.ready = asyncio.Event()  # not ready until it is restarted
-        self.node(name, signal.SIGKILL)
+        self.signal_node(name, signal.SIGKILL)
 
     def terminate(self, name: str) -> None:
         """Sends SIGTERM to a server, which then stays down until `restart`."""
@@ -145,7 +145,7 @@
         node.left = True
         node.ready = asyncio.Event()
         self.ledger.leave(self.now(), node.number)
-        self.node(name, signal.SIGTERM)
+        self.signal_node(name, signal.SIGTERM)
 
     async def restart(self, name: str) -> None:
         node = self.nodes[int(name[1:])]
--- a/tests/fleet/test_distribution.py
+++ b/tests/fleet/test_distribution.py
@@ -311,7 +311,7 @@
         assert error[2] == "not-held" and "n0 does not hold the scope s9" in error[1]
         path = run.folder / "n0.hcl"
         path.write_text(path.read_text().replace('"s1"', '"s1", "s9"'))
-        run.node("n0", signal.SIGHUP)
+        run.signal_node("n0", signal.SIGHUP)
         async with asyncio.timeout(30.0):
             while (await run.crew.once("n0", "lookup", *key))[0] is not None:
                 await asyncio.sleep(0.05)
--- a/tests/fleet/test_drains.py
+++ b/tests/fleet/test_drains.py
@@ -32,14 +32,14 @@
 
 def test_a_suspended_permit_holder_keeps_its_permit_and_blocks_its_zone(tmp_path: Path) -> None:
     async def script(run: ServerRun) -> None:
-        run.node("n0", signal.SIGSTOP)
+        run.signal_node("n0", signal.SIGSTOP)
         await run.crew.drain("n0", "n2")  # in the same zone
         await run.wait_for_permits("n0")
         status = await run.crew.agreed(
             lambda status: any(row["against"] == "silent" for row in status["rows"])
         )
         assert [row["name"] for row in status["rows"]] == ["n0"] and not run.drained
-        run.node("n0", signal.SIGCONT)
+        run.signal_node("n0", signal.SIGCONT)
         await run.wait_until_available("n0", "n2")
 
     run = run_script(script, tmp_path, world())
