--- a/tests/fleet/configured.py
+++ b/tests/fleet/configured.py
@@ -18,7 +18,7 @@
 from pumicenotch.lab.crew import FLEET
 from pumicenotch.lab.server_process import Launch, Node
 from pumicenotch.lab.world import World
-from tests.fleet.harness import Scripted, played
+from tests.fleet.harness import ScriptedRun, run_scenario
 from tests.histories.configuration import Key, Published, Recorder, Value, faults
 
 TABLES = ("routes", "tenants", "homes", "policies")
@@ -48,7 +48,7 @@
     }
 
 
-class Configured(Scripted):
+class Configured(ScriptedRun):
     """Servers with the block `distribution`; `voter_block` and `server_block` add to it."""
 
     voter_block = ""
@@ -234,7 +234,7 @@
     script: Script, folder: Path, told: World, kind: type[Configured] = Configured
 ) -> Configured:
     """The whole of it; what was served is part of the verdict."""
-    made = played(kind, script, folder, told)
+    made = run_scenario(kind, script, folder, told)
     found = faults(made.recorder.reads, made.published)
     assert not found, found[:5]
     assert made.recorder.reads, "nothing was read"
--- a/tests/fleet/harness.py
+++ b/tests/fleet/harness.py
@@ -65,7 +65,7 @@
     )
 
 
-class Scripted(FleetRun):
+class ScriptedRun(FleetRun):
     """A run that lasts as long as its script."""
 
     script: "Script"
@@ -172,11 +172,11 @@
         return process.returncode or 0, out.decode()
 
 
-class ServerRun(Scripted):
+class ServerRun(ScriptedRun):
     """A run whose servers are started by the platform."""
 
 
-class Releasing(Scripted, ReleaseRun):
+class Releasing(ScriptedRun, ReleaseRun):
     """A run whose servers are started by agents."""
 
     async def release(self, *words: str) -> tuple[int, str]:
@@ -184,14 +184,16 @@
 
 
 Script = Callable[[Any], Awaitable[None]]
-Run = TypeVar("Run", bound=Scripted)
+Run = TypeVar("Run", bound=ScriptedRun)
 
 
 def run_script(script: Script, folder: Path, world: World, seed: int = 1) -> ServerRun:
-    return played(ServerRun, script, folder, world, seed)
+    return run_scenario(ServerRun, script, folder, world, seed)
 
 
-def played(run_type: type[Run], script: Script, folder: Path, world: World, seed: int = 1) -> Run:
+def run_scenario(
+    run_type: type[Run], script: Script, folder: Path, world: World, seed: int = 1
+) -> Run:
     """Runs the script, and asserts that the ledger found no fault and no budget was exceeded."""
     run = run_type(world, seed, Launch(), folder)
     run.script = script
--- a/tests/fleet/test_releases.py
+++ b/tests/fleet/test_releases.py
@@ -16,7 +16,7 @@
 from pumicenotch.lab.fleetrun import block
 from pumicenotch.lab.relay import Way
 from pumicenotch.lab.releaserun import OLD, agent_text, started, version
-from tests.fleet.harness import Releasing, played, world
+from tests.fleet.harness import Releasing, run_scenario, world
 
 
 def fleet(**more: Any) -> Any:
@@ -64,7 +64,7 @@
         _, said = await run.release("log", "r1")
         assert "HALT" not in said and said.count("may move to") == 4
 
-    assert played(Releasing, script, tmp_path, fleet()).most_out <= 2
+    assert run_scenario(Releasing, script, tmp_path, fleet()).most_out <= 2
 
 
 @pytest.mark.parametrize(
@@ -84,7 +84,7 @@
         await whole(run, OLD)
         assert len(run.had[bad]) == 1
 
-    played(Releasing, script, tmp_path, fleet())
+    run_scenario(Releasing, script, tmp_path, fleet())
 
 
 def test_a_version_that_ruins_what_all_share_goes_back(tmp_path: Path) -> None:
@@ -103,7 +103,7 @@
         await whole(run, OLD)
         assert len(run.had[bad]) == 1
 
-    played(Releasing, script, tmp_path, fleet(calls=1, database_most=400))
+    run_scenario(Releasing, script, tmp_path, fleet(calls=1, database_most=400))
 
 
 def test_half_a_copy_is_never_started_and_a_cut_zone_takes_no_step(tmp_path: Path) -> None:
@@ -136,7 +136,7 @@
         await whole(run, OLD)
         assert run.had[made] == {0} and run.drained == {0}
 
-    played(Releasing, script, tmp_path, fleet())
+    run_scenario(Releasing, script, tmp_path, fleet())
 
 
 def test_agents_are_released_beside_servers_that_go_on_and_a_mute_one_goes_back(
@@ -166,7 +166,7 @@
         assert servers == [node.process.pid for node in run.nodes if node.process is not None]
         assert not run.drained
 
-    played(AgentsToo, script, tmp_path, fleet(servers=2, voters=1, zones=1))
+    run_scenario(AgentsToo, script, tmp_path, fleet(servers=2, voters=1, zones=1))
 
 
 class AgentsToo(Releasing):
@@ -261,4 +261,4 @@
         with pytest.raises(RequestRefusedError, match="no way back over a level"):
             await run.plan("r3", OLD, waves=waves, level=2)
 
-    played(VotersToo, script, tmp_path, fleet(servers=2, zones=1))
+    run_scenario(VotersToo, script, tmp_path, fleet(servers=2, zones=1))
