--- a/pumicenotch/fleet/voter/reports.py
+++ b/pumicenotch/fleet/voter/reports.py
@@ -68,7 +68,7 @@
             case ["releases"]:
                 table = self.releases()
             case ["one_release", str(name)]:
-                table = self.one_release(name)
+                table = self.release_details(name)
             case ["waves", [*fractions], bool(mixed), str(order)]:
                 table = {"waves": self.waves(tuple(map(float, fractions)), mixed, order)}
             case ["why", str(name)]:
@@ -95,7 +95,7 @@
         ]
         return {"level": releases.level, "stands": releases.current_versions, "releases": rows}
 
-    def one_release(self, name: str) -> Table:
+    def release_details(self, name: str) -> Table:
         """Returns a release with one row per node; raises InvalidReadError."""
         release = self.state.releases.releases.get(name)
         if release is None:
--- a/tests/fleet/test_simulated_releases.py
+++ b/tests/fleet/test_simulated_releases.py
@@ -274,7 +274,7 @@
     held = day.state().releases.releases["r1"]
     assert held.halted_state == "going back" and "start refused" in held.reason
     leader = day.processes[day.leader()].core
-    rows = {row["name"]: row for row in leader.reports().one_release(held.name)["rows"]}  # type: ignore[union-attr]
+    rows = {row["name"]: row for row in leader.reports().release_details(held.name)["rows"]}  # type: ignore[union-attr]
     assert {row["runs"] for row in rows.values() if row["trouble"].startswith("start refused")} == {
         OLD
     }
