--- a/pumicenotch/fleet/drains/budgets.py
+++ b/pumicenotch/fleet/drains/budgets.py
@@ -156,7 +156,7 @@
             self.add_unavailable(member)
 
     def add_unavailable(self, member: Member) -> None:
-        """Counts a member as unavailable that was added to the group as available."""
+        """Counts a member that is already in the group as unavailable."""
         self.unavailable += 1
         self.lost_capacity += member.capacity
         if self.budget.separate_callers:
--- a/pumicenotch/fleet/drains/lifecycle.py
+++ b/pumicenotch/fleet/drains/lifecycle.py
@@ -41,26 +41,26 @@
         The leader proposes this command only once it finds that the earlier process has ended.
         """
         member = command.member
-        known = self.members.get(member.name)
-        if known is None:
+        existing = self.members.get(member.name)
+        if existing is None:
             previous: tuple[str, ...] = ()
-        elif not known.process_id:
+        elif not existing.process_id:
             return ApplyResult(
                 False, f"{member.name} is a member by hand: no process may take its name"
             )
-        elif member.process_id in known.previous_process_ids:
+        elif member.process_id in existing.previous_process_ids:
             return ApplyResult(
                 False, f"{member.name}: another process has taken this name since: end this one"
             )
-        elif known.process_id == member.process_id:
+        elif existing.process_id == member.process_id:
             self.members[member.name] = member._replace(
-                status=known.status,
-                failure=known.failure,
-                previous_process_ids=known.previous_process_ids,
+                status=existing.status,
+                failure=existing.failure,
+                previous_process_ids=existing.previous_process_ids,
             )
             return ApplyResult(True, "known")
         else:
-            previous = (*known.previous_process_ids, known.process_id)
+            previous = (*existing.previous_process_ids, existing.process_id)
         # The member is unavailable until the process reports that it serves, as its start may fail.
         self.members[member.name] = member._replace(
             status=STOPPED, previous_process_ids=previous[-MAX_PREVIOUS_PROCESS_IDS:]
@@ -162,8 +162,11 @@
         if member is None:
             return refusal
         permit = self.permits.get(name)
-        unused = (process_id, epoch, False)
-        if permit is not None and (permit.process_id, permit.epoch, permit.started) == unused:
+        unused_permit = (process_id, epoch, False)
+        if (
+            permit is not None
+            and (permit.process_id, permit.epoch, permit.started) == unused_permit
+        ):
             self.end_permit(name, "gives its permit back")
         return ApplyResult(True, "given back")
 
--- a/pumicenotch/fleet/voter/failure_detector.py
+++ b/pumicenotch/fleet/voter/failure_detector.py
@@ -105,7 +105,7 @@
         return is_recent and member.status == SERVING
 
     def findings(
-        self, now_ms: float, voters: int, members: Mapping[str, Member], interval_ms: float
+        self, now_ms: float, voter_count: int, members: Mapping[str, Member], interval_ms: float
     ) -> Iterator[SetFailure]:
         """Yields a command for each member that has failed or recovered.
 
@@ -117,23 +117,27 @@
         recent_reports = [
             report.dead for report in self.reports.values() if report.at_ms >= oldest_ms
         ]
-        if 2 * len(recent_reports) <= voters:
+        if 2 * len(recent_reports) <= voter_count:
             return
         for name, member in list(members.items()):
             if not member.process_id or member.status != SERVING:
                 continue
-            failure = self._failure_of(member, recent_reports, voters, oldest_ms - interval_ms)
+            failure = self._failure_of(member, recent_reports, voter_count, oldest_ms - interval_ms)
             if failure != member.failure:
                 yield SetFailure(name, member.process_id, failure)
 
     def _failure_of(
-        self, member: Member, recent_reports: list[frozenset[str]], voters: int, oldest_ms: float
+        self,
+        member: Member,
+        recent_reports: list[frozenset[str]],
+        voter_count: int,
+        oldest_ms: float,
     ) -> str:
         heartbeat = self.heartbeats.get(member.name, Heartbeat(NEVER_MS, False))
         dead_reports = sum(member.name in report for report in recent_reports)
-        if 2 * dead_reports > voters:
+        if 2 * dead_reports > voter_count:
             return SILENT
-        if heartbeat.at_ms >= oldest_ms and 2 * (len(recent_reports) - dead_reports) > voters:
+        if heartbeat.at_ms >= oldest_ms and 2 * (len(recent_reports) - dead_reports) > voter_count:
             return OVERLOADED if heartbeat.overloaded else ""
         return member.failure
 
@@ -160,7 +164,7 @@
         default = AnnouncedLevel(NEVER_MS, FIRST_LEVEL)
         return [name for name in voters if self.announced.get(name, default).level < level]
 
-    def common_level(self, now_ms: float, voters: int) -> int:
+    def common_level(self, now_ms: float, voter_count: int) -> int:
         """Returns the level that all voters read; FIRST_LEVEL if any has not reported recently."""
         oldest_ms = now_ms - REPORT_LIFETIME_MS
         levels = [
@@ -168,4 +172,4 @@
             for announcement in self.announced.values()
             if announcement.at_ms >= oldest_ms
         ]
-        return min(levels) if len(levels) >= voters else FIRST_LEVEL
+        return min(levels) if len(levels) >= voter_count else FIRST_LEVEL
--- a/pumicenotch/fleet/voter/node.py
+++ b/pumicenotch/fleet/voter/node.py
@@ -282,8 +282,8 @@
     def _detect_failures(self) -> None:
         members = self.state.members
         interval_ms = self.heartbeat_interval()
-        voters = len(self.voter_addresses)
-        for failure in self.detector.findings(self.now_ms, voters, members, interval_ms):
+        voter_count = len(self.voter_addresses)
+        for failure in self.detector.findings(self.now_ms, voter_count, members, interval_ms):
             self.propose_command(failure)
 
     def _raise_level(self) -> None:
