--- a/pumicenotch/control/__init__.py
+++ b/pumicenotch/control/__init__.py
@@ -1,8 +1,9 @@
 """The decisions of one server: admission, scheduling, timeouts, retries and load reports.
 
-A carrier makes one `AdmissionController` per server from its `ControllerSettings` and calls it for
-each event; the controller answers in the same call, through its `Actions`. Nothing here does I/O
-or reads a clock. docs/design.md describes the mechanisms and when each acts.
+A carrier (the server core, the simulator's adapter or a test) creates one `AdmissionController` per
+server from its `ControllerSettings` and calls it for each event. The controller responds within the
+call, through its `Actions`. This package does no I/O and reads no clock: callers pass the time.
+docs/design.md describes each mechanism and when it acts.
 """
 
 from pumicenotch.control.controller import AdmissionController
--- a/pumicenotch/control/answer_deadlines.py
+++ b/pumicenotch/control/answer_deadlines.py
@@ -1,4 +1,4 @@
-"""One answer for each request: before its caller gives up, and before the process stops."""
+"""Ensures that each request is answered before its caller gives up and before the process stops."""
 
 from collections.abc import Callable
 
@@ -7,9 +7,16 @@
 
 
 class AnswerDeadlines:
-    """All requests that are not finished, each with a timer for its last possible answer."""
+    """Owns all unfinished requests and a timer for the last possible answer to each.
 
-    SAFETY_MARGIN_MS = TICK_INTERVAL_MS + 10.0  # leaves time even where a tick comes late
+    Attributes:
+        requests: the unfinished requests, by request id.
+        last_arrival_at: arrivals after this time are rejected; infinite until a drain starts.
+        stops_at: when the process stops; infinite until a drain starts.
+    """
+
+    # Timers run on ticks. One tick interval and 10 ms leave time to answer when a tick is late.
+    SAFETY_MARGIN_MS = TICK_INTERVAL_MS + 10.0
 
     def __init__(
         self,
@@ -25,13 +32,16 @@
         self.stops_at = float("inf")
 
     def add(self, request: Request) -> None:
-        """Take a request that was read."""
+        """Adds a request that was read, and schedules its last possible answer."""
         self.requests[request.request_id] = request
         answer_by = min(request.expires_at, self.stops_at) - self.SAFETY_MARGIN_MS
         self.timers.schedule(answer_by, self.on_expiry, request)
 
     def start_draining(self, now: float, stops_at: float) -> None:
-        """Answer everything before the process stops."""
+        """Moves the last possible answer of every request to before `stops_at`.
+
+        Callers may keep sending for `drain_grace_ms`; later arrivals are rejected.
+        """
         self.last_arrival_at = now + self.drain_grace_ms
         self.stops_at = stops_at
         for request in self.requests.values():
--- a/pumicenotch/control/controller.py
+++ b/pumicenotch/control/controller.py
@@ -1,7 +1,8 @@
-"""The admission controller: what each event does to a request.
+"""The admission controller of one server: handles each event of a request's life.
 
-A request passes the answer deadlines, the idempotency keys, the limits and its tenant's queue; each
-of them passes it on, holds it or ends it. docs/design.md has the diagram.
+A request passes the answer deadlines, the idempotency keys, the concurrency and memory limits and
+its tenant's queue. Each of these stages passes the request on, queues it or answers it.
+docs/design.md has the diagram.
 """
 
 import random
@@ -33,11 +34,20 @@
 
 
 class AdmissionController:
-    """One server's decisions. Every method that takes `now` is an event; time never goes back."""
+    """Decides admission, scheduling, retries and load reports for one server.
 
-    MIN_START_FRACTION = 0.8  # of a run's estimate that must fit before the deadline to start it
-    REMAINING_RUN_FRACTION = 0.5  # of a run's estimate that follows its call, on the mean
-    MAX_BACKOFF_TO_RETRY = 0.1  # the backoff that one rejection in twenty makes: fewer are chance
+    A carrier calls the `on_...` methods, `start_draining` and `use_pools` with the current time in
+    ms, which must not decrease between calls. Actions go to the carrier within the same call. The
+    controller owns the state of all unfinished requests; its parts share one timer queue.
+    """
+
+    # A run starts only if this fraction of its estimated time fits before its deadline.
+    MIN_START_FRACTION = 0.8
+    # The mean fraction of a run's estimated time that follows its dependency call.
+    REMAINING_RUN_FRACTION = 0.5
+    # Callers are asked not to retry above this backoff, which corresponds to one rejection in
+    # twenty. Fewer rejections occur at random.
+    MAX_BACKOFF_TO_RETRY = 0.1
 
     def __init__(
         self,
@@ -74,18 +84,22 @@
         self.sampled_at = now
         actions.schedule_tick(TICK_INTERVAL_MS)
 
-    # Events
+    # Events from the carrier
 
     def on_request(self, now: float, incoming: IncomingRequest) -> None:
-        """Take a request that was read."""
+        """Admits, queues, replays or rejects a request that was read.
+
+        A request of an unknown tenant counts for tenant 0. A retry by idempotency key is answered
+        with the result of its original.
+        """
         if incoming.tenant_index >= self.scheduler.shares.tenant_count:
             incoming = incoming._replace(tenant_index=0)
         request_class = self.settings.request_classes[incoming.class_index]
         request = Request(now, incoming, request_class)
         waited_ms = now - request.arrived_at
-        time_ms = max(1.0, request.deadline - request.arrived_at)
+        time_to_deadline_ms = max(1.0, request.deadline - request.arrived_at)
         self.reporter.received += 1
-        self.shedder.on_request(waited_ms / time_ms, request_class.priority_weight)
+        self.shedder.on_request(waited_ms / time_to_deadline_ms, request_class.priority_weight)
         self.limit.used_memory_kb += request.memory_kb
         self.deadlines.add(request)
         request.pool = self.pools.pool_of(request.class_index)
@@ -100,19 +114,26 @@
         self.start_runs(now)
 
     def on_run_finished(self, now: float, request_id: int, outcome: Outcome) -> None:
-        """Take the end of a run, or of a replay."""
+        """Finishes a request whose run or replay ended, and starts queued requests.
+
+        The result of the run is its answer. Unknown request ids are ignored.
+        """
         request = self.deadlines.requests.get(request_id)
         if request is None:
             return
         self.calls.finish(request, now, Outcome.CANCELLED)
         if request.state is RequestState.RUNNING and outcome in (Outcome.OK, Outcome.ERROR):
-            self._learn(request, now)
+            self._record_run(request, now)
         request.is_answered = True
         self._finish(request, now)
         self._use_free_capacity(now)
 
     def on_dependency_needed(self, now: float, request_id: int) -> None:
-        """Take a run off the cores until its call to the dependency is over."""
+        """Takes a run off the cores and queues its dependency call.
+
+        A class with a degraded result skips a call that is still queued when the rest of the run
+        would no longer fit before the deadline.
+        """
         request = self.deadlines.requests.get(request_id)
         if request is None or request.state is not RequestState.RUNNING:
             return
@@ -126,7 +147,11 @@
         self._use_free_capacity(now)
 
     def on_dependency_finished(self, now: float, request_id: int, outcome: Outcome) -> None:
-        """Take the end of a call: the run goes on, or calls again, or fails."""
+        """Resumes, retries or fails a run whose dependency call ended.
+
+        After a failed call the run retries the call if that is allowed, else continues without the
+        call if its class has a degraded result, else fails.
+        """
         request = self.deadlines.requests.get(request_id)
         if request is None or request.state is not RequestState.AWAITING_DEPENDENCY:
             return
@@ -143,14 +168,19 @@
         self._use_free_capacity(now)
 
     def on_cancel(self, now: float, request_id: int) -> None:
-        """Release a request whose caller waits no more."""
+        """Releases a request whose caller no longer waits for an answer."""
         request = self.deadlines.requests.get(request_id)
         if request is not None and not request.is_answered:
             self._release(request, now)
             self._use_free_capacity(now)
 
     def start_draining(self, now: float, stops_at: float) -> None:
-        """Answer everything, and send callers elsewhere, before the process stops."""
+        """Starts to drain: reports the server as unhealthy and answers all requests in time.
+
+        Args:
+            now: the current time, ms.
+            stops_at: when the process stops, ms.
+        """
         self.deadlines.start_draining(now, stops_at)
         self.reporter.start_draining()
         self.actions.log(
@@ -158,7 +188,12 @@
         )
 
     def on_tick(self, now: float, gauge_values: tuple[float, ...]) -> None:
-        """Run what is scheduled, and close the control loops once a sample."""
+        """Runs expired timers and, once per sample, the control loops.
+
+        Args:
+            now: the current time, ms.
+            gauge_values: the values of the settings' gauges, in their order.
+        """
         self.actions.schedule_tick(TICK_INTERVAL_MS)
         self.timers.run_expired(now)
         self.gauges.update(gauge_values)
@@ -170,7 +205,10 @@
         self._use_free_capacity(now)
 
     def use_pools(self, now: float, pools: Pools | None) -> None:
-        """Use these class pools, or none, for all that is queued and runs from now on."""
+        """Replaces the class pools; None puts all classes into a single pool.
+
+        Requests that are queued or run move to their pools in the new plan.
+        """
         self.pools = pools or SinglePool(self.scheduler.shares)
         self.occupancy.pools = self.pools
         for request in self.deadlines.requests.values():
@@ -182,7 +220,10 @@
     # Admission
 
     def _await_original(self, request: Request, original_id: int, now: float) -> None:
-        """Serve a retry by key from its original, which it waits for while that is queued."""
+        """Answers a retry by idempotency key from its original.
+
+        The retry waits while the original is queued and memory suffices; else it is replayed now.
+        """
         original = self.deadlines.requests.get(original_id)
         if original is not None and original.original is not None:
             original = original.original
@@ -198,7 +239,10 @@
             self._replay(request, now)
 
     def _replay(self, request: Request, now: float) -> None:
-        """Answer with the original's result; its memory may be needed as soon as that has one."""
+        """Answers a retry with the result of its original, or fails it if memory is short.
+
+        The memory of a run is reserved first: the result may be copied as soon as it exists.
+        """
         if self.limit.reserve_run_memory(request, self.keys.memory_kb):
             request.state = RequestState.REPLAYING
             self.actions.replay_result(request.request_id)
@@ -206,7 +250,7 @@
             self.fail(request, now)
 
     def _admit(self, request: Request, now: float) -> None:
-        """Queue a request that is no replay, once what must be retained of it has memory."""
+        """Admits a request that is not a replay, if its idempotency key fits into memory."""
         is_keyed = request.request_class.idempotency is Idempotency.KEYED
         key_memory_kb = self.keys.key_memory_kb if is_keyed else 0.0
         fits = self.limit.fits_memory(self.keys.memory_kb + key_memory_kb)
@@ -221,7 +265,7 @@
             self.enqueue(request, now)
 
     def enqueue(self, request: Request, now: float) -> None:
-        """Queue a request, or reject it where its wait and run would take too long."""
+        """Queues a request, or rejects it if its wait and run would take too long."""
         wait_ms = self.admission.try_enqueue(request, now, self.pools)
         if wait_ms is None:
             self.timers.schedule(request.deadline, self.on_objective_missed, request)
@@ -241,14 +285,14 @@
     # Runs
 
     def start_runs(self, now: float) -> None:
-        """Start queued requests while there is capacity."""
+        """Starts queued requests while there is capacity, and rejects those that are too late."""
         while self.scheduler.waiting and self.limit.has_capacity(now):
             request = self.scheduler.next_request(now)
             if request is None:
                 return
-            ends_by = min(request.deadline, self.deadlines.stops_at)
+            must_end_by = min(request.deadline, self.deadlines.stops_at)
             run_ms = self.estimates.run_ms(request, now)
-            if now + self.MIN_START_FRACTION * run_ms > ends_by:
+            if now + self.MIN_START_FRACTION * run_ms > must_end_by:
                 self.reject(request, now)
             elif self.limit.reserve_run_memory(request, self.keys.memory_kb):
                 self.start_run(request, now)
@@ -256,7 +300,7 @@
                 return
 
     def start_run(self, request: Request, now: float) -> None:
-        """Start a request whose memory is reserved, and replay it to the retries that wait."""
+        """Starts a request whose memory is reserved, and replays its result to waiting retries."""
         self.scheduler.remove(request)
         self.scheduler.queues[request.tenant_index].running += 1
         self.occupancy.start(request, now)
@@ -267,8 +311,8 @@
             retry.original = None
             self._replay(retry, now)
 
-    def _learn(self, request: Request, now: float) -> None:
-        """Learn from a run that ended by itself."""
+    def _record_run(self, request: Request, now: float) -> None:
+        """Records the duration and lateness of a run that was not cancelled."""
         slot_ms = self.estimates.on_run_finished(request, now)
         self.limit.responses += 1
         self.limit.late_responses += now > request.deadline
@@ -277,7 +321,7 @@
         self.scheduler.response_ms.setdefault(request.tenant_index, []).append(response_ms)
 
     def _use_free_capacity(self, now: float) -> None:
-        """Send the calls whose turn it is, then start runs."""
+        """Sends the dependency calls that are ready, then starts runs."""
         while (request := self.calls.next_ready(now)) is not None:
             is_optional = request.request_class.degraded_weight > 0.0
             if is_optional and self.calls.is_too_late(request, now):
@@ -300,21 +344,21 @@
             self.shedder.unread_fraction,
         )
 
-    # Calls to the dependency
+    # Dependency calls
 
     def _skip_dependency(self, request: Request, now: float) -> None:
         self.actions.skip_dependency(request.request_id)
         self.occupancy.resume_after_call(request, now)
 
     def _skip_waiting_call(self, now: float, request: Request) -> None:
-        """Skip a call that still waits for its turn when the run could hardly end in time."""
+        """Skips a call that is still queued; a timer calls this when the deadline is close."""
         if self.calls.withdraw(request):
             self._skip_dependency(request, now)
 
     # Answers
 
     def _on_answer_deadline(self, now: float, request: Request) -> None:
-        """Answer at the last possible time, whatever the request is doing."""
+        """Answers a request at the last possible time, whatever its state."""
         if request.is_answered:
             return
         if request.state is RequestState.QUEUED:
@@ -323,7 +367,10 @@
             self.fail(request, now)
 
     def on_objective_missed(self, now: float, request: Request) -> None:
-        """Answer a request that is worth nothing late, unless its run goes on anyway."""
+        """Answers a request that missed its objective, if a late answer has no value.
+
+        A run that cannot be cancelled continues, and its result is sent.
+        """
         if request.request_class.late_weight > 0.0:
             return
         is_waiting = request.state is RequestState.QUEUED or self.calls.is_waiting(request)
@@ -338,10 +385,16 @@
         )
 
     def reject(self, request: Request, now: float, retry_after_ms: float = 0.0) -> None:
-        """Answer a request that has not run.
+        """Answers a request that has not run with a rejection.
 
-        While many are rejected, callers are asked not to retry: other servers are hardly better
-        off. A server that drains or warms up does not ask it, nor is it asked of high priority.
+        While the backoff is high, callers are asked not to retry, because other servers are
+        probably overloaded too. The request not to retry is omitted while the server drains or
+        warms up, and for high-priority requests.
+
+        Args:
+            request: the request.
+            now: the current time, ms.
+            retry_after_ms: the estimated wait, as a hint for the caller's next attempt.
         """
         weight = request.request_class.priority_weight
         do_not_retry = False
@@ -359,13 +412,16 @@
         self._release(request, now)
 
     def fail(self, request: Request, now: float) -> None:
-        """Answer a request as failed."""
+        """Answers a request as failed."""
         self.actions.fail(request.request_id)
         self.shedder.on_unserved(request.request_class.priority_weight)
         self._release(request, now)
 
     def _release(self, request: Request, now: float) -> None:
-        """Owe no answer any more: what has not started is over, what runs ends with its result."""
+        """Marks a request as answered, and ends it unless it runs.
+
+        A run is cancelled if possible; else the request finishes when the run ends.
+        """
         request.is_answered = True
         if request.state in (
             RequestState.QUEUED,
@@ -377,7 +433,7 @@
             self.actions.cancel_run(request.request_id)
 
     def _finish(self, request: Request, now: float) -> None:
-        """Free all that the request holds; the first retry that waits for it takes its place."""
+        """Frees all resources of a request, and admits its oldest waiting retry in its place."""
         state = request.state
         request.state = RequestState.FINISHED
         if state is RequestState.QUEUED:
--- a/pumicenotch/control/dependency_calls.py
+++ b/pumicenotch/control/dependency_calls.py
@@ -1,4 +1,4 @@
-"""Calls to the dependency: paced, and bounded by this server's quota of it."""
+"""Paces calls to the dependency and bounds them by this server's quota."""
 
 import random
 from bisect import insort
@@ -8,32 +8,44 @@
 from pumicenotch.control.timers import TICK_INTERVAL_MS, TimerQueue
 from pumicenotch.interface import Actions, DependencyKind, Idempotency, Outcome, RequestState
 
-# Outcomes which prove that a call did not take effect.
-WITHOUT_EFFECT = (Outcome.REJECTED, Outcome.UNREACHABLE, Outcome.NOT_STARTED)
+# Outcomes that prove that a call did not take effect.
+OUTCOMES_WITHOUT_EFFECT = (Outcome.REJECTED, Outcome.UNREACHABLE, Outcome.NOT_STARTED)
 
 
 class DependencyCalls:
-    """The calls of all runs: those that are open, and those that wait to be sent.
+    """Owns the dependency calls of all runs: the open ones and the queue of those to send.
 
-    They are sent at the rate at which the quota's calls come back, which their recent time tells.
+    A token bucket sends calls at the rate at which `max_open` concurrent calls of `mean_call_ms`
+    complete.
 
     Attributes:
-        max_open: how many calls may be open, those that linger included; may be below 1.
-        open: the requests whose calls are open.
-        lingering: how many calls timed out here and still occupy the dependency.
-        recent_ms: the recent time of a call; 0 until one has come back.
-        blocked_until: when the next call may start, where `max_open` is below 1.
+        max_open: how many calls may be open, lingering ones included; may be below 1.
+        open: the ids of the requests whose calls are open.
+        lingering: the number of calls that timed out on this server but still occupy the
+            dependency.
+        mean_call_ms: the moving mean of the duration of a call; 0 until a call has completed.
+        blocked_until: when the next call may start, if `max_open` is below 1.
     """
 
-    USED_QUOTA_FRACTION = 0.9  # calls linger after a timeout, and clocks differ a little
-    NEXT_TIER_CALLS_PER_CORE = 16.0  # never open at once: there the pace alone bounds the calls
-    TIMEOUT_FACTOR = 5.0  # times the recent time: hardly any call that comes back takes longer
-    MIN_TIMEOUT_FRACTION = 0.25  # of the time left
-    MAX_WINDOW_FRACTION = 0.5  # of the quota's window that one call may use up, below one call
-    MAX_ATTEMPTS = 3  # failing for the third time, the dependency is not merely overloaded
-    BURST_FRACTION = 0.25  # of the quota that may be sent at once
-    SMOOTHING = 0.1  # of the recent time, for each call
-    MIN_QUOTA = 0.01  # below which the wait for a quota is not told apart
+    # The rest of the quota covers calls that linger after a timeout, and clock differences.
+    USED_QUOTA_FRACTION = 0.9
+    # Open calls per core to a next tier, which has no quota. The limit is never reached in
+    # practice: the rate alone bounds these calls.
+    NEXT_TIER_CALLS_PER_CORE = 16.0
+    # The timeout as a multiple of `mean_call_ms`; hardly any call that completes takes longer.
+    TIMEOUT_FACTOR = 5.0
+    # The shortest timeout, as a fraction of the time to the deadline.
+    MIN_TIMEOUT_FRACTION = 0.25
+    # With a quota below one call, the fraction of the quota's window that one call may use.
+    MAX_WINDOW_FRACTION = 0.5
+    # Attempts per call. A dependency that fails for the third time is not merely overloaded.
+    MAX_ATTEMPTS = 3
+    # The fraction of the quota that may be sent in one burst.
+    BURST_FRACTION = 0.25
+    # The weight of one call in `mean_call_ms`.
+    SMOOTHING = 0.1
+    # A smaller quota counts as this value in the estimated wait, which stays finite.
+    MIN_QUOTA = 0.01
 
     def __init__(
         self,
@@ -53,35 +65,35 @@
         self.max_open = self.USED_QUOTA_FRACTION * quota
         self.open: set[int] = set()
         self.lingering = 0
-        self.recent_ms = 0.0
+        self.mean_call_ms = 0.0
         self.blocked_until = 0.0 if quota else float("inf")
         self._waiting: list[Request] = []
         self._tokens = 1.0
         self._refilled_at = 0.0
 
     def enqueue(self, now: float, request: Request) -> None:
-        """Let a run wait for its turn to call, unless it needs its call no more."""
+        """Queues the call of a run, unless the run no longer needs it."""
         if request.state is RequestState.AWAITING_DEPENDENCY and not request.is_answered:
             insort(self._waiting, request)
 
     def withdraw(self, request: Request) -> bool:
-        """Let a run wait no longer; False if it did not wait for its turn."""
+        """Removes a run's call from the queue; returns False if it was not queued."""
         if request not in self._waiting:
             return False
         self._waiting.remove(request)
         return True
 
     def is_waiting(self, request: Request) -> bool:
-        """Return whether a run waits for its turn to call."""
+        """Returns whether a run's call is queued."""
         return request in self._waiting
 
     def next_ready(self, now: float) -> Request | None:
-        """Return the next run that may call now, and let it wait no longer."""
-        gained = 1.0
-        if self.recent_ms:
-            gained = (now - self._refilled_at) * self.max_open / self.recent_ms
+        """Removes and returns the next run that may call now, or None."""
+        new_tokens = 1.0
+        if self.mean_call_ms:
+            new_tokens = (now - self._refilled_at) * self.max_open / self.mean_call_ms
         max_tokens = max(1.0, self.BURST_FRACTION * self.max_open)
-        self._tokens = min(max_tokens, self._tokens + gained)
+        self._tokens = min(max_tokens, self._tokens + new_tokens)
         self._refilled_at = now
         if (
             not self._waiting
@@ -93,7 +105,7 @@
         return self._waiting.pop(0)
 
     def send(self, request: Request, now: float) -> None:
-        """Make the call of a run whose turn it is."""
+        """Sends the call of a run that `next_ready` returned."""
         self._tokens -= 1.0
         request.dependency_attempts += 1
         request.dependency_called_at = now
@@ -108,9 +120,9 @@
             request_class.idempotency is Idempotency.IDEMPOTENT
             or request_class.degraded_weight > 0.0
         ):
-            # In time for a retry, or for a run without its call: the dependency may hang.
+            # The dependency may hang. The timeout leaves time for a retry or a degraded result.
             attempt_ms = max(
-                self.TIMEOUT_FACTOR * self.recent_ms,
+                self.TIMEOUT_FACTOR * self.mean_call_ms,
                 self.MIN_TIMEOUT_FRACTION * (request.deadline - now),
             )
             timeout_ms = min(timeout_ms, attempt_ms)
@@ -120,11 +132,11 @@
         return timeout_ms
 
     def finish(self, request: Request, now: float, outcome: Outcome) -> None:
-        """Close a run's call, if it has one open."""
+        """Closes the open call of a run, if there is one, and learns from its duration."""
         if request.request_id not in self.open:
             return
         self.open.remove(request.request_id)
-        took_ms = now - request.dependency_called_at
+        call_ms = now - request.dependency_called_at
         linger_ms = 0.0
         if outcome in (Outcome.TIMEOUT, Outcome.CANCELLED):
             linger_ms = self._linger_ms
@@ -132,47 +144,54 @@
             self._linger(now, 1)
             self._timers.schedule(now + linger_ms, self._linger, -1)
         if self.max_open < 1.0:
-            busy_ms = took_ms + linger_ms
+            busy_ms = call_ms + linger_ms
             self.blocked_until = request.dependency_called_at + busy_ms / self.max_open
-        # Calls that were given up or cut off took as long as we waited, which says nothing.
+        # The duration of a call that timed out or was cancelled is that of the wait for it, and
+        # tells nothing about the dependency.
         if outcome in (Outcome.OK, Outcome.ERROR):
-            if self.recent_ms:
-                self.recent_ms += self.SMOOTHING * (took_ms - self.recent_ms)
+            if self.mean_call_ms:
+                self.mean_call_ms += self.SMOOTHING * (call_ms - self.mean_call_ms)
             else:
-                self.recent_ms = took_ms
+                self.mean_call_ms = call_ms
 
     def _linger(self, now: float, calls: int) -> None:
         self.lingering += calls
 
     def expected_wait_ms(self, now: float) -> float:
-        """Return how long a call that is wanted now waits for its turn.
+        """Returns how long a call that is queued now would wait to be sent.
 
-        Beyond the calls that may be open, each one ahead takes the recent time of a call.
+        Each earlier call, beyond those that may be open, adds `mean_call_ms` divided by `max_open`.
         """
         open_calls = len(self._waiting) + len(self.open) + self.lingering
-        ahead = open_calls + 1 - max(1.0, self.max_open)
+        calls_ahead = open_calls + 1 - max(1.0, self.max_open)
         blocked_ms = max(0.0, self.blocked_until - now)
-        return blocked_ms + max(0.0, ahead) * self.recent_ms / max(self.max_open, self.MIN_QUOTA)
+        return blocked_ms + max(0.0, calls_ahead) * self.mean_call_ms / max(
+            self.max_open, self.MIN_QUOTA
+        )
 
     def may_retry(self, request: Request, now: float, outcome: Outcome) -> bool:
-        """Return whether a call may be made again after that outcome, and there is time for it."""
+        """Returns whether a call may be retried after `outcome` and there is time for the retry."""
         request_class = request.request_class
-        if outcome not in WITHOUT_EFFECT:
+        if outcome not in OUTCOMES_WITHOUT_EFFECT:
             if request_class.idempotency is not Idempotency.IDEMPOTENT:
                 return False
-            # A reset connection says nothing of the dependency; anything else does.
+            # A class with a degraded result retries only after a reset connection, which does not
+            # indicate a fault of the dependency. Any other failure does.
             if request_class.degraded_weight > 0.0 and outcome is not Outcome.RESET:
                 return False
             if request.dependency_attempts >= self.MAX_ATTEMPTS:
                 return False
-        return now + max(TICK_INTERVAL_MS, 2.0 * self.recent_ms) < request.deadline
+        return now + max(TICK_INTERVAL_MS, 2.0 * self.mean_call_ms) < request.deadline
 
     def retry_later(self, request: Request, now: float) -> None:
-        """Let a run wait for its turn again after a backoff with jitter."""
+        """Queues the call of a run again after a backoff with jitter."""
         jitter = self._random_uniform(0.5, 1.5)
-        backoff_ms = jitter * max(TICK_INTERVAL_MS, 0.5 * self.recent_ms)
+        backoff_ms = jitter * max(TICK_INTERVAL_MS, 0.5 * self.mean_call_ms)
         self._timers.schedule(now + backoff_ms, self.enqueue, request)
 
     def is_too_late(self, request: Request, now: float) -> bool:
-        """Return whether a call that starts now would hardly come back within the objective."""
-        return request.deadline - now < 2.0 * self.recent_ms
+        """Returns whether a call that starts now would probably end after the deadline.
+
+        The estimate of the call's duration is twice `mean_call_ms`.
+        """
+        return request.deadline - now < 2.0 * self.mean_call_ms
--- a/pumicenotch/control/fair_scheduler.py
+++ b/pumicenotch/control/fair_scheduler.py
@@ -1,4 +1,4 @@
-"""Whose request starts next: HWCS, the paper's Hammerstein-Wiener controller of slot shares."""
+"""Chooses the next request: HWCS, the paper's Hammerstein-Wiener controller of slot shares."""
 
 from bisect import insort
 from math import log
@@ -10,51 +10,71 @@
 from pumicenotch.control.tenant_queues import TenantQueues
 from pumicenotch.interface import Pools
 
+# Parameters of the paper's output compensator.
 OUTPUT_GAIN = 7.48
 OUTPUT_OFFSET = -0.08
+# Keeps the logarithm of a ratio finite.
 MIN_RATIO = 1e-6
-DEMOTION_RATIO = 3.0  # of response times, where one tenant of a pair is demoted
+# The set point for the ratio of response times in a pair with one demoted tenant.
+DEMOTION_RATIO = 3.0
 
 
 def compensate_output(ratio: float) -> float:
-    """Make the ratio of two tenants' response times linear in the control output."""
+    """Returns a value of the ratio of two response times that is linear in the control output."""
     return OUTPUT_GAIN * log(max(ratio, MIN_RATIO)) + OUTPUT_OFFSET
 
 
 class FairScheduler:
-    """A queue and a share of the slots for each tenant.
+    """Owns a queue and a share of the slots for each tenant.
 
-    Floors are reserved; the rest is split by a PI controller for each pair of neighbours, which
-    keeps the ratio of their response times at its set point. A sample goes through the active
-    tenants only: an idle one keeps its control output, and its queue is not long.
+    Each tenant has a reserved floor. The remaining slots are split by one PI controller for each
+    pair of tenants with consecutive indexes, which keeps the ratio of their response times at its
+    set point. A sample processes only active tenants, so its cost does not depend on the number of
+    configured tenants; an idle tenant keeps its control output.
 
     Attributes:
-        waiting: the tenants that have requests queued, by pool.
-        response_ms: the response times of this sample, by tenant.
+        queues: the queues of the tenants.
+        shares: the slots of the tenants.
+        pools: the current class pools.
+        waiting: for each pool, the sorted indexes of the tenants that have requests queued.
+        response_ms: the response times of the current sample, by tenant.
     """
 
     PROPORTIONAL_GAIN = 0.47
     INTEGRAL_GAIN = 0.16
+    # The set point of a pair, by `demoted` of its second tenant minus `demoted` of the first.
     SET_POINTS: ClassVar[dict[int, float]] = {
         0: compensate_output(1.0),
         1: compensate_output(DEMOTION_RATIO),
         -1: compensate_output(DEMOTION_RATIO**-1),
-    }  # by how much more demoted a tenant is than the one before it
-    LONG_QUEUE_FRACTION = 0.66  # of the longest allowed: the paper's 20 in 30
-    OVERLOAD_WINDOW = 4  # samples with a long queue that demote a tenant
-    MAX_QUEUE_LENGTH = 30.0  # however fast it empties
+    }
+    # A queue counts as long above this fraction of its maximum length: the paper's 20 of 30.
+    LONG_QUEUE_FRACTION = 0.66
+    # Consecutive samples with a long queue after which a tenant is demoted.
+    OVERLOAD_WINDOW = 4
+    # The maximum length of a queue, however fast it drains.
+    MAX_QUEUE_LENGTH = 30.0
+    # The lower bound of the maximum length of a queue.
     MIN_MAX_QUEUE_LENGTH = 2.0
-    MAX_QUEUE_TIME_FRACTION = 0.7  # of the objective: the rest is for the run and its calls
+    # Of the latency objective; the rest is for the run and its dependency calls.
+    MAX_QUEUE_TIME_FRACTION = 0.7
 
     def __init__(self, settings: ControllerSettings, total_slots: int) -> None:
         self.queues = TenantQueues(settings.tenants, settings.servers)
         self.shares = SlotShares(max(1, len(settings.tenants)), total_slots)
         self.waiting: dict[int, list[int]] = {}
         self.response_ms: dict[int, list[float]] = {}
-        self._monitored: set[int] = set()  # tenants whose queue is long, or who are demoted
+        # Tenants that have a long queue or are demoted.
+        self._monitored: set[int] = set()
 
     def on_sample(self, total_slots: int, mean_slot_ms: float, objective_ms: float) -> None:
-        """Close the control loop over the response times of this sample."""
+        """Runs the control loop on the response times of the sample that ended.
+
+        Args:
+            total_slots: the number of slots to split.
+            mean_slot_ms: how long a run holds its slot on average.
+            objective_ms: the mean latency objective.
+        """
         if total_slots != self.shares.total_slots:
             self.shares.rebuild(total_slots)
         self._update_demotions(mean_slot_ms, objective_ms)
@@ -65,10 +85,15 @@
         self.response_ms.clear()
         for tenant_index, mean_ms in means.items():
             if tenant_index - 1 in means:
-                self._control(tenant_index, mean_ms / means[tenant_index - 1])
+                self._update_control_output(tenant_index, mean_ms / means[tenant_index - 1])
 
-    def _control(self, tenant_index: int, ratio: float) -> None:
-        """Take one step of the PI controller, in its velocity form."""
+    def _update_control_output(self, tenant_index: int, ratio: float) -> None:
+        """Takes one step of the PI controller, in its velocity form.
+
+        Args:
+            tenant_index: the second tenant of the pair.
+            ratio: its mean response time, divided by that of the tenant before it.
+        """
         queue = self.queues[tenant_index]
         previous_queue = self.queues[tenant_index - 1]
         set_point = self.SET_POINTS[queue.demoted - previous_queue.demoted]
@@ -84,7 +109,7 @@
         self.shares.set_control_output(tenant_index, queue.control_output)
 
     def _update_demotions(self, mean_slot_ms: float, objective_ms: float) -> None:
-        """Demote tenants whose queue stays long; promote them once it has stayed short."""
+        """Demotes tenants whose queue stays long; promotes them once it has stayed short."""
         waiting = self.waiting_tenants()
         waiting_slots = sum(map(self.shares.__getitem__, waiting))
         for tenant_index in self._monitored.union(waiting):
@@ -109,11 +134,14 @@
                 self._monitored.discard(tenant_index)
 
     def waiting_tenants(self) -> list[int]:
-        """Return the tenants that have requests queued in any pool, by index."""
+        """Returns the tenants that have requests queued in any pool, by index."""
         return sorted({tenant for tenants in self.waiting.values() for tenant in tenants})
 
     def slots_of(self, tenant_index: int, pool: int, pool_slots: float) -> float:
-        """Return a tenant's slots of a pool, those of tenants with nothing queued divided."""
+        """Returns the slots of a pool for a tenant.
+
+        The slots of tenants that have nothing queued in the pool are divided among the others.
+        """
         tenants = self.waiting.get(pool, [])
         if tenant_index not in tenants:
             tenants = sorted([*tenants, tenant_index])
@@ -121,19 +149,19 @@
         return float(pool_slots * self.shares[tenant_index] / shares)
 
     def max_queue_length(self, slots: float, slot_ms: float, objective_ms: float) -> float:
-        """Return how many requests so many slots start within the time to spend in a queue."""
+        """Returns how many requests `slots` slots can start within the allowed queueing time."""
         length = slots * self.MAX_QUEUE_TIME_FRACTION * objective_ms / slot_ms
         return max(self.MIN_MAX_QUEUE_LENGTH, min(self.MAX_QUEUE_LENGTH, length))
 
     def enqueue(self, request: Request) -> None:
-        """Queue a request at the place of its sort key."""
+        """Queues a request in the order of sort keys."""
         queue = self.queues[request.tenant_index].by_pool.setdefault(request.pool, [])
         insort(queue, request)
         if len(queue) == 1:
             insort(self.waiting.setdefault(request.pool, []), request.tenant_index)
 
     def remove(self, request: Request) -> None:
-        """Take a request out of its queue, if it is there."""
+        """Removes a request from its queue, if it is queued."""
         pool = request.pool
         by_pool = self.queues[request.tenant_index].by_pool
         if request not in by_pool.get(pool, ()):
@@ -147,9 +175,10 @@
             del self.waiting[pool]
 
     def next_request(self, now: float) -> Request | None:
-        """Return the request that starts next: pools choose the class, shares the tenant.
+        """Returns the request that starts next, or None if no pool may start one.
 
-        The tenant that has the least of its share starts, with the first request of its queue.
+        The pools choose the pool. Within the pool, the tenant with the fewest running requests in
+        relation to its share starts the first request of its queue.
         """
         pool = self.pools.next_pool(now, self.waiting)
         if pool is None:
@@ -161,7 +190,10 @@
         return self.queues[tenant_index].by_pool[pool][0]
 
     def use_pools(self, pools: Pools) -> None:
-        """Queue by these pools from now on; all queued requests have been given theirs."""
+        """Replaces the pools and queues all requests again.
+
+        The caller has already set the new `pool` of each queued request.
+        """
         queues = [self.queues[tenant].by_pool for tenant in self.waiting_tenants()]
         queued = [
             request for by_pool in queues for pool in sorted(by_pool) for request in by_pool[pool]
--- a/pumicenotch/control/gauges.py
+++ b/pumicenotch/control/gauges.py
@@ -1,15 +1,18 @@
-"""The values that the worker pool reports with each tick."""
+"""The gauges that the worker pool reports with each tick."""
 
 import sys
 from collections.abc import Sequence
 
-CORE_UTILIZATION = "core_utilization"  # 0 to 1, over all cores
-RUNNABLE = "runnable"  # runs that have a core or wait for one
-OPEN_CONNECTIONS = "open_connections"  # of callers
+# Utilization of all cores, 0 to 1.
+CORE_UTILIZATION = "core_utilization"
+# Number of runs that have a core or wait for one.
+RUNNABLE = "runnable"
+# Number of open connections from callers.
+OPEN_CONNECTIONS = "open_connections"
 
 
 class Gauges:
-    """The latest values that the controller reads; 0 where a deployment reports none."""
+    """Holds the latest gauge values; a gauge that the deployment does not report is 0."""
 
     def __init__(self, names: Sequence[str]) -> None:
         positions = {name: position for position, name in enumerate(names)}
@@ -21,7 +24,7 @@
         self.open_connections = 0.0
 
     def update(self, values: Sequence[float]) -> None:
-        """Take the values of a tick, which may be fewer than there are names."""
+        """Stores the values of a tick, which may be fewer than the configured names."""
         count = len(values)
         self.core_utilization = (
             values[self._core_utilization_at] if self._core_utilization_at < count else 0.0
--- a/pumicenotch/control/idempotency_keys.py
+++ b/pumicenotch/control/idempotency_keys.py
@@ -1,4 +1,4 @@
-"""No keyed request takes effect twice: its key is retained from before it can run."""
+"""Retains idempotency keys from before a request can run, so that none takes effect twice."""
 
 from pumicenotch.control.request import Request
 from pumicenotch.control.timers import TimerQueue
@@ -6,9 +6,15 @@
 
 
 class IdempotencyKeys:
-    """The retained keys, each for the whole window in which retries may come."""
+    """Owns the retained keys, each for the whole window in which retries may arrive.
 
-    EXPIRY_MARGIN_MS = 20.0  # outlasts the last retry by more than one batch of events
+    Attributes:
+        key_memory_kb: the memory of one key, its result included.
+        retained: the ids of the requests whose keys are retained.
+    """
+
+    # A key outlasts the last possible retry by more than one batch of events.
+    EXPIRY_MARGIN_MS = 20.0
 
     def __init__(self, timers: TimerQueue, actions: Actions, key_memory_kb: float) -> None:
         self.timers = timers
@@ -17,7 +23,7 @@
         self.retained: set[int] = set()
 
     def retain(self, request: Request, now: float) -> None:
-        """Keep the key of a request until its window is over."""
+        """Retains the key of a request until its idempotency window ends."""
         window_ends_at = request.arrived_at + request.request_class.idempotency_window_ms
         expires_at = max(window_ends_at, now) + self.EXPIRY_MARGIN_MS
         self.retained.add(request.request_id)
@@ -25,7 +31,7 @@
         self.actions.retain_key(request.request_id, expires_at - now)
 
     def drop(self, request: Request, now: float) -> None:
-        """Forget the key of a request that ended without having run."""
+        """Drops the key of a request that ended without having run."""
         if request.request_id in self.retained:
             self._expire(now, request.request_id)
             self.actions.drop_key(request.request_id)
@@ -35,5 +41,5 @@
 
     @property
     def memory_kb(self) -> float:
-        """What all retained keys occupy."""
+        """The memory of all retained keys."""
         return self.key_memory_kb * len(self.retained)
--- a/pumicenotch/control/priority_shedder.py
+++ b/pumicenotch/control/priority_shedder.py
@@ -1,4 +1,4 @@
-"""Sheds requests by priority while the server cannot read all that it is sent."""
+"""Sheds requests by priority while the server cannot read all requests in time."""
 
 from collections.abc import Callable
 
@@ -8,22 +8,32 @@
 class PriorityShedder:
     """Admits low-priority requests with a probability that falls under overload.
 
-    It acts only where a class has far more weight than the mean, and only while reading is behind
-    or many high-priority requests are not served.
+    The shedder acts only if a class has far more weight than the mean of all classes, and only
+    while reading is behind or many high-priority requests are not served.
 
     Attributes:
-        high_priority: the least weight of high-priority requests; infinite where there are none.
-        unread_fraction: how much of its time to the deadline the mean request waits to be read.
+        high_priority: the lowest weight of high-priority requests; infinite if no class has one.
+        unread_fraction: the fraction of its time to the deadline that the mean request waits to be
+            read.
     """
 
-    HIGH_PRIORITY_RATIO = 2.0  # times the mean weight: below, shedding the others loses more
-    SHRINK_FACTOR = 0.6  # of the admitted fraction, a sample: a backlog fills faster than it drains
+    # A class has high priority above this multiple of the mean weight. Below it, shedding the other
+    # classes would lose more value than it protects.
+    HIGH_PRIORITY_RATIO = 2.0
+    # Factor of the admitted fraction per overloaded sample: a backlog fills faster than it drains.
+    SHRINK_FACTOR = 0.6
+    # Factor and addend of the admitted fraction per sample without overload.
     GROWTH_FACTOR = 1.1
     GROWTH_STEP = 0.01
+    # Reading is behind above this unread fraction.
     MAX_UNREAD_FRACTION = 0.1
-    MAX_UNSERVED_FRACTION = 0.3  # of high-priority requests
-    SMOOTHING = 0.05  # of the unread fraction, for each request
-    IDLE_DECAY = 0.5  # of the unread fraction, for a sample with no request
+    # Of the high-priority requests; the server is overloaded above it.
+    MAX_UNSERVED_FRACTION = 0.3
+    # The weight of one request in the unread fraction.
+    SMOOTHING = 0.05
+    # Factor of the unread fraction per sample without requests.
+    IDLE_DECAY = 0.5
+    # Lower bound of weights, which are divisors.
     MIN_WEIGHT = 1e-9
 
     def __init__(self, random_unit: Callable[[], float], classes: list[RequestClass]) -> None:
@@ -35,32 +45,41 @@
         if max_weight > self.HIGH_PRIORITY_RATIO * sum(weights) / len(weights):
             self.high_priority = max_weight
         self._min_admitted = (self._min_weight / max_weight) ** 2
-        self._admitted_fraction = 1.0  # of requests of the least weight
+        self._admitted_fraction = 1.0  # of requests with the lowest weight
         self.unread_fraction = 0.0
         self._high_priority_received = 0
         self._high_priority_unserved = 0
 
     def on_request(self, unread_fraction: float, weight: float) -> None:
-        """Count a request that was read after so much of its time."""
+        """Counts a request that was read.
+
+        Args:
+            unread_fraction: the fraction of its time to the deadline that passed before.
+            weight: its priority weight.
+        """
         self.unread_fraction += self.SMOOTHING * (unread_fraction - self.unread_fraction)
         self._high_priority_received += weight >= self.high_priority
 
     def on_unserved(self, weight: float) -> None:
-        """Count a request that was rejected or failed."""
+        """Counts a request that was rejected or failed."""
         self._high_priority_unserved += weight >= self.high_priority
 
     def sheds(self, weight: float) -> bool:
-        """Decide whether a request of this weight is rejected.
+        """Decides at random whether a request of this weight is rejected.
 
-        By the square of weights: while hardly any of the least are admitted, all of the
-        high-priority requests are.
+        The probability of admission grows with the square of the weight: all high-priority requests
+        are admitted, even when almost none of the lowest weight are.
         """
         if self.high_priority == float("inf"):
             return False
         return self._random_unit() > self._admitted_fraction * (weight / self._min_weight) ** 2
 
     def on_sample(self, received: int) -> None:
-        """Admit fewer or more low-priority requests from now on."""
+        """Lowers the admitted fraction if the sample was overloaded, else raises it.
+
+        Args:
+            received: the number of requests read in the sample.
+        """
         if not received:
             self.unread_fraction *= self.IDLE_DECAY
         max_unserved = self.MAX_UNSERVED_FRACTION * self._high_priority_received + 1
--- a/pumicenotch/control/queue_admission.py
+++ b/pumicenotch/control/queue_admission.py
@@ -1,4 +1,4 @@
-"""Whether a request may wait in its queue: by the time that its wait and its run would take."""
+"""Admits a request to its queue if its estimated wait and run fit before its deadline."""
 
 from bisect import bisect_left
 
@@ -10,14 +10,20 @@
 
 
 class QueueAdmission:
-    """Queues a request unless its wait and run would take too much of the time to its deadline."""
+    """Queues a request unless its wait and run would take too much of the time to its deadline.
+
+    The `MAX_..._FRACTION` constants bound the estimated sum of wait and run, as a fraction of the
+    time to the deadline. The estimates are rough.
+    """
 
-    # Of the time left, what wait and run may take together by a rough estimate:
     MAX_WAIT_FRACTION = 0.9
-    MAX_WAIT_FRACTION_WITHOUT_ESTIMATE = 1.05  # most runs are shorter than the mean
+    # If the caller gave no estimate of the work. Most runs are shorter than the mean.
+    MAX_WAIT_FRACTION_WITHOUT_ESTIMATE = 1.05
     MAX_WAIT_FRACTION_OVER_QUOTA = 0.25
-    MAX_RUN_FRACTION = 1.3  # where there is no wait
-    OVER_QUOTA_SLACK_FACTOR = 4.0  # in the queue, as if of little priority
+    # If the request need not wait.
+    MAX_RUN_FRACTION = 1.3
+    # Slack multiplier of a request over quota, which is queued like one of low priority.
+    OVER_QUOTA_SLACK_FACTOR = 4.0
 
     def __init__(
         self, scheduler: FairScheduler, estimates: RunEstimates, limit: ConcurrencyLimit
@@ -27,7 +33,12 @@
         self._limit = limit
 
     def try_enqueue(self, request: Request, now: float, pools: Pools) -> float | None:
-        """Queue a request; return the estimated wait for which it is rejected, if it is."""
+        """Queues a request if its wait and run fit before its deadline and the queue is not full.
+
+        Returns:
+            None if the request was queued, else the estimated wait in ms, which is 0 if a slot was
+            free but the run would take too long.
+        """
         scheduler = self._scheduler
         estimates = self._estimates
         tenant_index = request.tenant_index
@@ -62,7 +73,7 @@
         return None
 
     def _sort_key(self, request: Request, run_ms: float, over_quota: bool) -> float:
-        """Return the latest start that meets the objective, closer to arrival with priority."""
+        """Returns the latest start that meets the objective, moved towards arrival by priority."""
         slack_ms: float = max(0.0, request.deadline - request.arrived_at - run_ms)
         slack_ms /= request.request_class.priority_weight**0.5
         if over_quota:
--- a/pumicenotch/control/request.py
+++ b/pumicenotch/control/request.py
@@ -1,22 +1,23 @@
-"""A request on its way through the controller."""
+"""The state of a request in the controller."""
 
 from pumicenotch.interface import IncomingRequest, RequestClass, RequestState
 
 
 class Request:
-    """One attempt of a caller, as it was read, and how far it is.
+    """One attempt of a caller: the request as it was read, and its progress.
 
     Attributes:
-        deadline: when its latency objective ends.
-        expires_at: when its caller gives up.
-        estimated_work: its caller's estimate, if there is one.
+        deadline: when the latency objective ends.
+        expires_at: when the caller gives up.
+        estimated_work: the caller's estimate, if there is one.
         original: the queued request that this retry waits for.
-        waiting_retries: the retries that wait for this request, the oldest first.
-        sort_key: its place in its queue; the lowest starts first.
-        off_cores_ms: the time that its run has spent in calls; while one is open, less its start.
-        dependency_attempts: how often its open call was sent.
-        pool: the pool in which it waits or runs.
-        wait_fraction: how much of the usual wait its pool allows it.
+        waiting_retries: the retries that wait for this request, oldest first.
+        sort_key: the position in the queue; the request with the lowest key starts first.
+        off_cores_ms: the time that the run has spent in dependency calls. While a call is queued or
+            open, this is the time of the earlier calls minus the start time of the current one.
+        dependency_attempts: how often the current call was sent.
+        pool: the index of the pool in which the request waits or runs.
+        wait_fraction: the fraction of the usual wait that the pool allows.
     """
 
     __slots__ = (
@@ -80,7 +81,7 @@
         self.is_retry = False
 
     def promote_retry(self) -> "Request":
-        """Make the oldest of its waiting retries the original of the others, and return it."""
+        """Makes the oldest waiting retry the original of the others, and returns it."""
         original, *others = self.waiting_retries
         original.state = RequestState.QUEUED
         original.original = None
@@ -90,7 +91,7 @@
         return original
 
     def __lt__(self, other: "Request") -> bool:
-        """Order by sort key, and by arrival where those are the same."""
+        """Orders requests by sort key; equal keys are ordered by request id, as they arrived."""
         if self.sort_key != other.sort_key:
             return self.sort_key < other.sort_key
         return self.request_id < other.request_id
--- a/pumicenotch/control/run_estimates.py
+++ b/pumicenotch/control/run_estimates.py
@@ -1,4 +1,4 @@
-"""How long runs take, by what has been observed and what callers estimate."""
+"""Estimates how long runs take, from finished runs and from the estimates of callers."""
 
 from pumicenotch.control.concurrency_limit import ConcurrencyLimit
 from pumicenotch.control.dependency_calls import DependencyCalls
@@ -7,9 +7,10 @@
 
 
 class RunMeans:
-    """The moving means of a class of requests."""
+    """The moving means of the run time and the estimated work of a request class."""
 
-    SMOOTHING = 0.05  # for each run
+    # The weight of one run in the means.
+    SMOOTHING = 0.05
 
     __slots__ = ("estimated_work", "run_ms")
 
@@ -18,23 +19,28 @@
         self.estimated_work = estimated_work
 
     def add(self, run_ms: float, estimated_work: float) -> None:
-        """Learn from a run."""
+        """Adds a finished run to the means."""
         self.run_ms += self.SMOOTHING * (run_ms - self.run_ms)
         self.estimated_work += self.SMOOTHING * (estimated_work - self.estimated_work)
 
 
 class RunEstimates:
-    """Moving means of run times, by class, and of the time that a run holds a slot.
+    """Owns the moving means of run times, by class, and of the time that a run holds a slot.
 
     Attributes:
         objective_ms: the mean latency objective of all classes.
-        last_finished_at: when a run ended last, or when the cores were last empty.
+        last_finished_at: when a run last ended, or when a run last started on empty cores.
     """
 
-    SMOOTHING = 0.05  # for each run
-    INITIAL_SLOT_FRACTION = 0.125  # of the objective: eight runs in a row fit
-    STALL_FRACTION = 0.25  # of the time since a run ended, for each run on the cores
-    FIXED_FRACTION = 0.3  # of a run that does not depend on its estimated work
+    # The weight of one run in the mean slot time.
+    SMOOTHING = 0.05
+    # The slot time assumed at first, as a fraction of the objective: eight runs in sequence fit.
+    INITIAL_SLOT_FRACTION = 0.125
+    # For each run on the cores, the fraction of the time since the last run ended that the slot
+    # time is at least. The estimate thus grows during a stall.
+    STALL_FRACTION = 0.25
+    # The fractions of a run's time that are independent of, and proportional to, its work.
+    FIXED_FRACTION = 0.3
     VARIABLE_FRACTION = 0.7
 
     def __init__(
@@ -54,13 +60,17 @@
         self._slot_ms = 0.0
 
     def mean_slot_ms(self, now: float) -> float:
-        """Return how long a run holds its slot; it grows by itself while no run ends."""
+        """Returns how long a run holds its slot on average; grows while no run ends."""
         observed_ms = self._slot_ms or max(1.0, self.INITIAL_SLOT_FRACTION * self.objective_ms)
         stalled_ms = now - self.last_finished_at
         return max(observed_ms, self.STALL_FRACTION * stalled_ms * self._limit.on_cores)
 
     def run_ms(self, request: Request, now: float) -> float:
-        """Return how long a run takes, with its wait for the dependency if it has not started."""
+        """Returns how long a run of the request takes.
+
+        For a queued request of a class that calls the dependency, the estimate includes the wait to
+        send the call.
+        """
         wait_ms = 0.0
         if request.state is RequestState.QUEUED and request.class_index in self._calling_classes:
             wait_ms = self._calls.expected_wait_ms(now)
@@ -73,11 +83,11 @@
         return wait_ms + means.run_ms * (self.FIXED_FRACTION + relative_work)
 
     def on_dependency_needed(self, request: Request) -> None:
-        """Count on calls of requests of this class from now on."""
+        """Records that requests of this class call the dependency."""
         self._calling_classes.add(request.class_index)
 
     def on_run_finished(self, request: Request, now: float) -> float:
-        """Learn from a run, and return how long it held its slot."""
+        """Adds a finished run to the means, and returns how long it held its slot."""
         run_ms = now - request.started_at
         slot_ms = now - request.started_at - request.off_cores_ms
         work = request.estimated_work or 0.0
--- a/pumicenotch/control/settings.py
+++ b/pumicenotch/control/settings.py
@@ -6,33 +6,33 @@
 
 
 class ControllerSettings(NamedTuple):
-    """What a deployment's settings say of the decisions.
+    """The settings of a deployment that affect the controller's decisions.
 
     Attributes:
-        request_classes: the classes of requests, by index.
-        tenants: the tenants, by index; with none all requests are of one.
-        gauges: what the values are that come with each tick, in their order.
-        cores: of this server.
-        memory_kb: for requests, runs and kept idempotency keys.
-        run_memory_factor: the memory of a run, as a multiple of its request's.
-        key_memory_kb: what one idempotency key occupies, its result included.
-        starts_cold: whether the server has yet to warm up.
-        initial_speed: the fraction of its speed that a cold server starts with.
-        warm_up_ms: the time from there to full speed.
-        crash_load_factor: the runs on each core, at full speed, that crash the server.
-        drain_grace_ms: the time from the notice to drain in which callers still send.
-        servers: how many of them share the tenants' traffic.
-        callers: how many of them send to this server.
-        retry_after_supported: whether callers heed the wait that a rejection names.
-        max_retry_after_ms: the longest such wait.
-        cancel_mode: what the worker pool can do with a run that nobody waits for.
-        load_feedback: the value by which callers are told how much this server can take.
-        dependency_kind: who stands behind the dependency.
+        request_classes: the request classes, by index.
+        tenants: the tenants, by index; if empty, all requests belong to one tenant.
+        gauges: the names of the values that come with each tick, in their order.
+        cores: the number of cores of this server.
+        memory_kb: the memory for requests, runs and retained idempotency keys.
+        run_memory_factor: the memory of a run, as a multiple of the memory of its request.
+        key_memory_kb: the memory of one idempotency key, its result included.
+        starts_cold: whether the server still has to warm up.
+        initial_speed: the speed of a cold server, as a fraction of its full speed.
+        warm_up_ms: the time in which a cold server reaches full speed.
+        crash_load_factor: the number of runs per core, at full speed, that crash the server.
+        drain_grace_ms: how long callers may keep sending after the notice to drain.
+        servers: the number of servers that share the tenants' traffic.
+        callers: the number of callers that send to this server.
+        retry_after_supported: whether callers obey the retry delay of a rejection.
+        max_retry_after_ms: the longest retry delay.
+        cancel_mode: how the worker pool can stop a run whose result is no longer needed.
+        load_feedback: the kind of load value that is reported to callers.
+        dependency_kind: what serves the dependency calls.
         dependency_quota: how many calls to a shared dependency this server may have open.
-        dependency_window_ms: the time over which that quota holds on the mean.
+        dependency_window_ms: the window over which the mean of open calls must meet the quota.
         dependency_linger_ms: how long a call that timed out still occupies the dependency.
-        idle_timeout_ms: after which idle connections are closed.
-        listed_by_health: whether a server that is unhealthy leaves the list of endpoints.
+        idle_timeout_ms: the idle time after which connections are closed.
+        listed_by_health: whether an unhealthy server leaves the list of endpoints.
     """
 
     request_classes: list[RequestClass]
--- a/pumicenotch/control/single_pool.py
+++ b/pumicenotch/control/single_pool.py
@@ -1,4 +1,4 @@
-"""What stands in where no class pools are configured."""
+"""The implementation of `Pools` for a server without class pools."""
 
 from collections.abc import Collection
 
@@ -9,7 +9,7 @@
 
 
 class SinglePool:
-    """One pool of all classes, which has every slot."""
+    """One pool that contains all classes and all slots."""
 
     count = 1
 
@@ -17,23 +17,23 @@
         self._shares = shares
 
     def pool_of(self, class_index: int) -> int:
-        """Return the one pool."""
+        """Returns 0, the only pool."""
         return 0
 
     def request_received(self, now: float, pool: int, request: IncomingRequest) -> WaitAllowance:
-        """Allow every request the usual wait; none is taken for a retry."""
+        """Allows every request the usual wait, and treats none as a retry."""
         return FULL_WAIT
 
     def reserve_slot(self, now: float, query: SlotQuery) -> SlotOffer:
-        """Offer every slot."""
+        """Offers all slots of the server."""
         return SlotOffer(0, self._shares.total_slots, query.mean_slot_ms, query.has_capacity)
 
     def next_pool(self, now: float, waiting_pools: Collection[int]) -> int | None:
-        """Return the one pool if it has a request queued."""
+        """Returns 0 if the pool has a request queued, else None."""
         return 0 if waiting_pools else None
 
     def _ignore(self, *_: object) -> None:
-        """Nothing depends on this notice."""
+        """Ignores a notification: a single pool keeps no state."""
 
     retry_admitted = _ignore
     request_rejected = _ignore
--- a/pumicenotch/control/tenant_queues.py
+++ b/pumicenotch/control/tenant_queues.py
@@ -1,24 +1,26 @@
-"""The queues of tenants, with what the control loop knows of each tenant."""
+"""The queues of tenants, and the state that the fair scheduler keeps for each tenant."""
 
 from pumicenotch.control.request import Request
 from pumicenotch.interface import Tenant
 
 
 class TenantQueue:
-    """One tenant: its queued requests by pool, its runs, and its side of the control loop.
+    """The state of one tenant: queued requests, running requests, control loop and rate limit.
 
     Attributes:
         by_pool: the queued requests of each pool that has any, in the order of their sort keys.
-        control_error: the last sample's error of the pair that ends with this tenant.
-        control_output: the controller's output for that pair, v in the paper.
-        running: how many of its requests run, calls included.
-        demoted: whether it overloads the server, by the paper's overload detection.
-        samples_long: for how many samples its queue has been long.
-        samples_short: for how many samples it has not.
+        control_error: the last sample's error of the pair of this tenant and the one before it.
+        control_output: the PI controller's output for that pair, v in the paper.
+        running: the number of running requests, those in dependency calls included.
+        demoted: whether the tenant overloads the server, by the paper's overload detection.
+        samples_long: the number of consecutive samples with a long queue.
+        samples_short: the number of consecutive samples without one.
     """
 
-    BURST_MS = 4000.0  # of its rate that may be saved: arrivals at one server come in clumps
-    MIN_BURST = 4.0  # requests
+    # Token bucket depth, as time at the rate limit. Arrivals at a single server are bursty.
+    BURST_MS = 4000.0
+    # The minimum token bucket depth, in requests.
+    MIN_BURST = 4.0
 
     def __init__(self, rate_limit_per_s: float | None, servers: int) -> None:
         self.by_pool: dict[int, list[Request]] = {}
@@ -36,15 +38,20 @@
         self._refilled_at = 0.0
 
     def __len__(self) -> int:
-        """Return how many of its requests are queued."""
+        """Returns the number of queued requests in all pools."""
         return sum(map(len, self.by_pool.values()))
 
     def is_over_quota(self, now: float, takes_token: bool) -> bool:
-        """Return whether it sends faster than its rate limit; else take a token if asked to."""
+        """Returns whether the tenant exceeds its rate limit.
+
+        Args:
+            now: the current time, ms.
+            takes_token: whether to take a token if one is available.
+        """
         if self._rate_per_ms is None:
             return False
-        gained = (now - self._refilled_at) * self._rate_per_ms
-        self._tokens = min(self._max_tokens, self._tokens + gained)
+        new_tokens = (now - self._refilled_at) * self._rate_per_ms
+        self._tokens = min(self._max_tokens, self._tokens + new_tokens)
         self._refilled_at = now
         is_over = self._tokens < 1.0
         if takes_token and not is_over:
@@ -53,7 +60,10 @@
 
 
 class TenantQueues(dict[int, TenantQueue]):
-    """The tenants that have sent, by index; each is made when it is first asked for."""
+    """The queues of tenants, by index; a queue is created on first access.
+
+    Tenants that never send cost no memory.
+    """
 
     def __init__(self, tenants: list[Tenant], servers: int) -> None:
         super().__init__()
--- a/pumicenotch/interface.py
+++ b/pumicenotch/interface.py
@@ -1,6 +1,7 @@
-"""The types shared by the admission controller and its carriers.
+"""The types shared by the admission controller, the class pools and their carriers.
 
-No decision, default or state lives here. Times and spans are milliseconds.
+A carrier is the program part that calls a controller and carries out its actions. This module
+contains no decisions, settings or state. Times and durations are in milliseconds.
 """
 
 from collections.abc import Collection
@@ -11,13 +12,16 @@
 class Idempotency(Enum):
     """Whether a request may be executed more than once."""
 
-    IDEMPOTENT = auto()  # as often as wanted
-    KEYED = auto()  # once for each idempotency key
-    NONE = auto()  # once
+    # Any number of times.
+    IDEMPOTENT = auto()
+    # Once per idempotency key.
+    KEYED = auto()
+    # Once.
+    NONE = auto()
 
 
 class CancelMode(Enum):
-    """What the worker pool can do with a run that nobody waits for."""
+    """How the worker pool can stop a run whose result is no longer needed."""
 
     NONE = auto()
     KILL = auto()
@@ -25,20 +29,25 @@
 
 
 class LoadFeedback(Enum):
-    """The value by which a server tells its callers how much it can take."""
+    """The kind of load value that a server reports to its callers."""
 
     NONE = auto()
-    MIN_PRIORITY = auto()  # 0 to 1: the least priority that it admits
-    TOKENS = auto()  # how many requests each caller may have here
-    WEIGHT = auto()  # 0 to 1: this server's weight in load balancing
+    # The lowest priority that the server admits, 0 to 1.
+    MIN_PRIORITY = auto()
+    # How many requests each caller may have at this server.
+    TOKENS = auto()
+    # The server's weight in load balancing, 0 to 1.
+    WEIGHT = auto()
 
 
 class DependencyKind(Enum):
-    """Who stands behind the dependency that runs call."""
+    """What serves the dependency calls of runs."""
 
     NONE = auto()
-    SHARED = auto()  # all servers call it, and each has a quota of it
-    NEXT_TIER = auto()  # it has admission control of its own
+    # One service that all servers call; each server has a quota of open calls.
+    SHARED = auto()
+    # A next tier of servers with admission control of its own.
+    NEXT_TIER = auto()
 
 
 class Outcome(Enum):
@@ -55,25 +64,28 @@
 
 
 class RequestState(Enum):
-    """How far a request is."""
+    """The progress of a request in the controller."""
 
     QUEUED = auto()
-    AWAITING_ORIGINAL = auto()  # a retry of a request that is still queued
-    REPLAYING = auto()  # a retry that is answered with the original's result
+    # A retry whose original is still queued.
+    AWAITING_ORIGINAL = auto()
+    # A retry that is being answered with the result of its original.
+    REPLAYING = auto()
     RUNNING = auto()
-    AWAITING_DEPENDENCY = auto()  # off the cores, while its call is open
+    # A run that is off the cores while its dependency call is queued or open.
+    AWAITING_DEPENDENCY = auto()
     FINISHED = auto()
 
 
 class RequestClass(NamedTuple):
-    """What the settings say about one class of requests.
+    """The settings of one class of requests.
 
     Attributes:
         latency_objective_ms: the time from arrival within which an answer has its full value.
-        objective_per_work: added to the objective for each unit of a request's estimated work.
+        objective_per_work: the time added to the objective per unit of estimated work.
         timeout_ms: the time from arrival after which no answer is accepted.
         idempotency: whether requests may be executed more than once.
-        idempotency_window_ms: the time from arrival in which retries by key may come.
+        idempotency_window_ms: the time from arrival within which retries by key may arrive.
         priority_weight: the value of an answer within the objective; above 0.
         late_weight: the value of an answer after the objective, relative to one within it.
         degraded_weight: the value of an answer without the dependency, relative to one with it.
@@ -90,7 +102,12 @@
 
 
 class Tenant(NamedTuple):
-    """What the settings say about one tenant; without a rate limit no request is over quota."""
+    """The settings of one tenant.
+
+    Attributes:
+        quota: the tenant's configured share; the controller does not use it.
+        rate_limit_per_s: requests per second over all servers; None means no limit.
+    """
 
     quota: float
     rate_limit_per_s: float | None
@@ -101,16 +118,16 @@
 
     Attributes:
         request_id: unique among all requests of one controller.
-        class_index: the index of its class in the settings.
-        tenant_index: the index of its tenant in the settings; 0 stands for an unknown one.
-        waited_ms: how long it had arrived before it was read.
-        expires_at: when its caller gives up, if that is known.
-        estimated_work: the caller's estimate of its work, if there is one.
-        memory_kb: what it occupies before it runs.
-        original_id: the request that it retries by the same idempotency key, if there is one.
-        caller_id: the caller that sent it; 0 if unknown.
-        is_marked_retry: whether its caller marked it as a retry.
-        content_digest: equal for requests with the same content; 0 if unknown.
+        class_index: the index of the request's class in the settings.
+        tenant_index: the index of its tenant in the settings; 0 if the tenant is unknown.
+        waited_ms: the time between its arrival and the moment it was read.
+        expires_at: when the caller gives up; None if unknown.
+        estimated_work: the caller's estimate of the work; None if there is none.
+        memory_kb: the memory that the request occupies before it runs.
+        original_id: the earlier request with the same idempotency key, if this is a retry.
+        caller_id: the caller that sent the request; 0 if unknown.
+        is_marked_retry: whether the caller marked the request as a retry.
+        content_digest: equal for requests with equal content; 0 if unknown.
     """
 
     request_id: int
@@ -127,57 +144,68 @@
 
 
 class Actions(Protocol):
-    """What a controller asks of its carrier, all at the time of the event that it handles."""
+    """What a controller asks its carrier to do, within the call that delivers an event."""
 
     def start(self, request_id: int) -> None:
-        """Run the request, or resume it after `cancel_run` suspended it."""
+        """Runs the request, or resumes it after `cancel_run` suspended it."""
 
     def reject(self, request_id: int, do_not_retry: bool, retry_after_ms: float) -> None:
-        """Answer a request that has not run; `do_not_retry` asks not to try other servers."""
+        """Rejects a request that has not run.
+
+        Args:
+            request_id: the request.
+            do_not_retry: whether the caller is asked not to try other servers.
+            retry_after_ms: how long the caller should wait before it retries; 0 for no hint.
+        """
 
     def fail(self, request_id: int) -> None:
-        """Answer the request as failed."""
+        """Answers the request as failed."""
 
     def cancel_run(self, request_id: int) -> None:
-        """Stop a run that nobody waits for, as the settings' `CancelMode` says."""
+        """Stops a run whose result is no longer needed, by the settings' `CancelMode`."""
 
     def call_dependency(self, request_id: int, timeout_ms: float) -> None:
-        """Make the call that the run waits for."""
+        """Sends the dependency call of a run, which is cut off after `timeout_ms`."""
 
     def skip_dependency(self, request_id: int) -> None:
-        """Let the run go on without its call."""
+        """Continues a run without its dependency call."""
 
     def retain_key(self, request_id: int, ttl_ms: float) -> None:
-        """Keep the request's idempotency key, and its result once it has one."""
+        """Retains the idempotency key of a request, and its result when there is one."""
 
     def drop_key(self, request_id: int) -> None:
-        """Forget the idempotency key of a request that has not run."""
+        """Drops the idempotency key of a request that has not run."""
 
     def replay_result(self, request_id: int) -> None:
-        """Answer a retry with the result of its original, as soon as that has one."""
+        """Answers a retry with the result of its original, as soon as there is one."""
 
     def set_health(self, healthy: bool, cached: bool) -> None:
-        """Set the answer to health checks; `cached` answers them without touching a core."""
+        """Sets the answer to health checks.
+
+        Args:
+            healthy: the answer.
+            cached: whether checks are answered without using a core.
+        """
 
     def report_load(self, value: float) -> None:
-        """Tell callers the value of the settings' `LoadFeedback`."""
+        """Reports a load value to callers, of the kind that the settings' `LoadFeedback` names."""
 
     def set_idle_timeout(self, timeout_ms: float) -> None:
-        """Close connections that idle for longer."""
+        """Sets the idle time after which connections are closed."""
 
     def schedule_tick(self, after_ms: float) -> None:
-        """Call the controller's `on_tick` after that time."""
+        """Schedules a call of the controller's `on_tick`."""
 
     def log(self, text: str) -> None:
-        """Write a line to the log."""
+        """Writes a line to the log."""
 
 
 class WaitAllowance(NamedTuple):
-    """How long a request may wait, by its pool's rules.
+    """How long a request may wait in its pool.
 
     Attributes:
-        fraction: of the usual wait; at 0 the request is admitted only where a slot is free.
-        is_retry: whether the request is taken for a retry, marked or by its content.
+        fraction: the fraction of the usual wait; at 0 the request is admitted only to a free slot.
+        is_retry: whether the request counts as a retry, because it is marked or by its content.
     """
 
     fraction: float
@@ -185,14 +213,14 @@
 
 
 class SlotQuery(NamedTuple):
-    """A request that wants a slot.
+    """A request for a slot.
 
     Attributes:
         pool: the pool of the request's class.
-        is_retry: whether the request is taken for a retry.
-        over_quota: whether it is beyond its tenant's rate limit.
+        is_retry: whether the request counts as a retry.
+        over_quota: whether the request exceeds its tenant's rate limit.
         waiting_pools: the pools that have requests queued.
-        mean_slot_ms: how long a slot is held on the mean over all pools.
+        mean_slot_ms: how long a run holds a slot on average, over all pools.
         has_capacity: whether the server may start one more run.
     """
 
@@ -205,13 +233,13 @@
 
 
 class SlotOffer(NamedTuple):
-    """Where a request would wait for a slot.
+    """The pool in which a request would wait for a slot.
 
     Attributes:
-        pool: the pool in which it waits.
-        slots: how many slots that pool has.
-        slot_ms: how long each of them is held.
-        is_free: whether one of them is free now.
+        pool: the pool in which the request waits.
+        slots: the number of slots of the pool.
+        slot_ms: how long a run of the pool holds a slot on average.
+        is_free: whether a slot is free now.
     """
 
     pool: int
@@ -221,36 +249,40 @@
 
 
 class Pools(Protocol):
-    """What a controller asks of class pools, and what it notifies them of. Pools count from 0."""
+    """The class pools as seen by a controller, which queries and notifies them.
+
+    Attributes:
+        count: the number of pools; they are numbered from 0.
+    """
 
     count: int
 
     def pool_of(self, class_index: int) -> int:
-        """Return the pool of a class of requests."""
+        """Returns the pool of a class of requests."""
 
     def request_received(self, now: float, pool: int, request: IncomingRequest) -> WaitAllowance:
-        """Notify of a request that is no replay, and return how long it may wait."""
+        """Records a request that is not a replay, and returns how long it may wait."""
 
     def reserve_slot(self, now: float, query: SlotQuery) -> SlotOffer:
-        """Return where such a request would wait."""
+        """Returns the pool in which a request would wait, and the pool's slots."""
 
     def retry_admitted(self, tenant_index: int, caller_id: int) -> None:
-        """Notify of a retry that was queued though no slot was free."""
+        """Records a retry that was queued although no slot was free."""
 
     def request_rejected(self, now: float, pool: int, content_digest: int) -> None:
-        """Notify of a request that was rejected for want of a slot."""
+        """Records a request that was rejected for lack of a slot."""
 
     def slot_taken(self, now: float, pool: int, is_start: bool) -> None:
-        """Notify of a run that came onto the cores: at its start, or back from a call."""
+        """Records that a run occupies a slot, at its start or after a dependency call."""
 
     def slot_released(self, now: float, pool: int) -> None:
-        """Notify of a run that left the cores: at its end, or for a call."""
+        """Records that a run left its slot, at its end or for a dependency call."""
 
     def request_finished(self, now: float, pool: int, slot_ms: float) -> None:
-        """Notify of a run that ended, and of its time on the cores without calls."""
+        """Records how long a run that ended held a slot, without its dependency calls."""
 
     def tick(self, now: float, total_slots: int) -> None:
-        """Notify of the time and of the slots that there are to divide."""
+        """Updates the pools with the current time and the number of slots to allocate."""
 
     def next_pool(self, now: float, waiting_pools: Collection[int]) -> int | None:
-        """Return the pool whose request starts next, of those that have one queued."""
+        """Returns the waiting pool whose request starts next, or None if none may start one."""
--- a/tests/control/test_dependency_calls.py
+++ b/tests/control/test_dependency_calls.py
@@ -24,7 +24,7 @@
             dependency_linger_ms=linger_ms,
         )
         made = DependencyCalls(TimerQueue(), IgnoredActions(), Random(1), settings)
-        made.recent_ms = 100.0
+        made.mean_call_ms = 100.0
         made.blocked_until = 0.0
         return made
 
