--- a/pumicenotch/adapter/__init__.py
+++ b/pumicenotch/adapter/__init__.py
@@ -1,1 +1,1 @@
-"""Carries controllers on the simulator's wire; it decides nothing."""
+"""Runs admission controllers for the simulator, over a binary protocol on standard streams."""
--- a/pumicenotch/adapter/__main__.py
+++ b/pumicenotch/adapter/__main__.py
@@ -8,10 +8,16 @@
 
 
 def read_exactly(source: BinaryIO, size: int, what: str, batch: int) -> bytes:
-    """Return so many bytes.
+    """Returns exactly `size` bytes of the input.
+
+    Args:
+        source: the input.
+        size: the number of bytes.
+        what: what the bytes are, for the error message.
+        batch: the number of the batch, for the error message.
 
     Raises:
-        FrameDecodeError: The input ends before.
+        FrameDecodeError: The input ends earlier.
     """
     data = source.read(size)
     if len(data) < size:
@@ -20,11 +26,11 @@
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answer every batch until the input ends.
+    """Answers every batch until the input ends.
 
     Raises:
-        FrameDecodeError: A batch cannot be read.
-        InvalidStartValueError: An instance's start values cannot be read.
+        FrameDecodeError: A batch is invalid.
+        InvalidStartValueError: The start values of an instance are invalid.
     """
     host = Host()
     batch = 0
--- a/pumicenotch/adapter/codec.py
+++ b/pumicenotch/adapter/codec.py
@@ -1,7 +1,7 @@
-"""The simulator's wire: batches of events become typed messages, actions become records.
+"""The binary protocol of the simulator: decodes batches of events and encodes actions as records.
 
-This is where the wire's codes and units are mapped to the program's own. Times are microseconds on
-the wire and milliseconds in messages.
+This module maps the protocol's codes and units to the types of the program. Times are in
+microseconds in the protocol and in milliseconds in messages.
 """
 
 import struct
@@ -24,6 +24,7 @@
 from pumicenotch.errors import InputError
 from pumicenotch.interface import IncomingRequest, Outcome
 
+# Outcomes by their codes in the protocol.
 OUTCOMES = {
     0: Outcome.OK,
     13: Outcome.ERROR,
@@ -34,30 +35,34 @@
     1: Outcome.CANCELLED,
     9: Outcome.NOT_STARTED,
 }
-HAS_ESTIMATE = 1  # flag of a work item
+# Flag of a work item: its work is an estimate of the caller.
+HAS_ESTIMATE = 1
 
+# Layouts of frames and events; all numbers are big-endian.
 FRAME_LENGTH = struct.Struct(">I")
 CLOCK = struct.Struct(">Q")
 EVENT_CODE = struct.Struct(">H")
 INSTANCE_ID = struct.Struct(">H")
-HANDLE = struct.Struct(">Q")
+UINT64 = struct.Struct(">Q")
 ATTACH = struct.Struct(">QI")
 WORK_ITEM = struct.Struct(">QIIfBQQQHIIf")
 RESULT = struct.Struct(">QBI")
 DEPENDENCY_REPLY = struct.Struct(">QIB")
-RING = struct.Struct(">QB")
+TICK = struct.Struct(">QB")
 GAUGE_BYTES = 4
 
-BY_RECORD = struct.Struct(">HH")
-HANDLE_RECORD = struct.Struct(">HQ")
+# Layouts of the records in a reply; each begins with its code.
+INSTANCE_RECORD = struct.Struct(">HH")
+REQUEST_RECORD = struct.Struct(">HQ")
 REJECT_RECORD = struct.Struct(">HQBI")
-HANDLE_TIME_RECORD = struct.Struct(">HQI")
+REQUEST_TIME_RECORD = struct.Struct(">HQI")
 HEALTH_RECORD = struct.Struct(">HBB")
 LOAD_RECORD = struct.Struct(">Hf")
 TIME_RECORD = struct.Struct(">HI")
 TICK_RECORD = struct.Struct(">HIQ")
 TEXT_RECORD = struct.Struct(">HH")
 
+# Codes of records.
 START = 1000
 REJECT = 1010
 FAIL = 1020
@@ -73,115 +78,129 @@
 SCHEDULE_TICK = 1120
 LOG = 1130
 FAULT = 1140
-BY = 1150
+INSTANCE = 1150
 
 MAX_MICROSECONDS = 0xFFFFFFFF
 MAX_TEXT_BYTES = 0xFFFF
 
 
 class FrameDecodeError(InputError):
-    """A frame that cannot be read; the text says what is wrong and at which byte."""
+    """An invalid frame; the message names the problem and the byte at which it occurs."""
 
 
 class Decoded(NamedTuple):
-    """An event, and the offset of the byte after it."""
+    """A decoded event.
+
+    Attributes:
+        event: the event.
+        end: the offset of the byte after the event.
+    """
 
     event: Event
     end: int
 
 
-def microseconds(milliseconds: float) -> int:
-    """Return a time as the wire has it, within the wire's range."""
+def to_microseconds(milliseconds: float) -> int:
+    """Returns a time in microseconds, clipped to the range of the protocol."""
     return min(max(0, round(milliseconds * 1000.0)), MAX_MICROSECONDS)
 
 
 class Reply:
-    """The reply to a batch, and the instance to which its latest records belong."""
+    """The reply to one batch.
+
+    Attributes:
+        records: the encoded records.
+        instance_id: the instance to which the latest records belong; None if there are none.
+    """
 
     def __init__(self) -> None:
         self.records = bytearray()
         self.instance_id: int | None = None
 
     def clear(self) -> None:
-        """Begin the reply to another batch."""
+        """Clears the reply, for the next batch."""
         self.records.clear()
         self.instance_id = None
 
 
 class Encoder:
-    """Writes one instance's actions, behind its number wherever another's came before."""
+    """Writes the actions of one instance to the reply, as the controller's `Actions`.
+
+    The encoder writes a record with the instance's number first if the latest records belong to
+    another instance.
+    """
 
     def __init__(self, instance_id: int, reply: Reply) -> None:
         self.instance_id = instance_id
         self.reply = reply
-        self._by_record = BY_RECORD.pack(BY, instance_id)
+        self._instance_record = INSTANCE_RECORD.pack(INSTANCE, instance_id)
 
     def _write(self, record: bytes) -> None:
         if self.reply.instance_id != self.instance_id:
             self.reply.instance_id = self.instance_id
-            self.reply.records += self._by_record
+            self.reply.records += self._instance_record
         self.reply.records += record
 
     def start(self, request_id: int) -> None:
-        """Write that action."""
-        self._write(HANDLE_RECORD.pack(START, request_id))
+        """Writes a `start` record."""
+        self._write(REQUEST_RECORD.pack(START, request_id))
 
     def reject(self, request_id: int, do_not_retry: bool, retry_after_ms: float) -> None:
-        """Write that action."""
-        retry_after = microseconds(retry_after_ms)
+        """Writes a `reject` record."""
+        retry_after = to_microseconds(retry_after_ms)
         self._write(REJECT_RECORD.pack(REJECT, request_id, do_not_retry, retry_after))
 
     def fail(self, request_id: int) -> None:
-        """Write that action."""
-        self._write(HANDLE_RECORD.pack(FAIL, request_id))
+        """Writes a `fail` record."""
+        self._write(REQUEST_RECORD.pack(FAIL, request_id))
 
     def cancel_run(self, request_id: int) -> None:
-        """Write that action."""
-        self._write(HANDLE_RECORD.pack(CANCEL_RUN, request_id))
+        """Writes a `cancel_run` record."""
+        self._write(REQUEST_RECORD.pack(CANCEL_RUN, request_id))
 
     def call_dependency(self, request_id: int, timeout_ms: float) -> None:
-        """Write that action."""
-        timeout = microseconds(timeout_ms)
-        self._write(HANDLE_TIME_RECORD.pack(CALL_DEPENDENCY, request_id, timeout))
+        """Writes a `call_dependency` record."""
+        timeout = to_microseconds(timeout_ms)
+        self._write(REQUEST_TIME_RECORD.pack(CALL_DEPENDENCY, request_id, timeout))
 
     def skip_dependency(self, request_id: int) -> None:
-        """Write that action."""
-        self._write(HANDLE_RECORD.pack(SKIP_DEPENDENCY, request_id))
+        """Writes a `skip_dependency` record."""
+        self._write(REQUEST_RECORD.pack(SKIP_DEPENDENCY, request_id))
 
     def retain_key(self, request_id: int, ttl_ms: float) -> None:
-        """Write that action."""
-        self._write(HANDLE_TIME_RECORD.pack(RETAIN_KEY, request_id, microseconds(ttl_ms)))
+        """Writes a `retain_key` record."""
+        self._write(REQUEST_TIME_RECORD.pack(RETAIN_KEY, request_id, to_microseconds(ttl_ms)))
 
     def drop_key(self, request_id: int) -> None:
-        """Write that action."""
-        self._write(HANDLE_RECORD.pack(DROP_KEY, request_id))
+        """Writes a `drop_key` record."""
+        self._write(REQUEST_RECORD.pack(DROP_KEY, request_id))
 
     def replay_result(self, request_id: int) -> None:
-        """Write that action."""
-        self._write(HANDLE_RECORD.pack(REPLAY_RESULT, request_id))
+        """Writes a `replay_result` record."""
+        self._write(REQUEST_RECORD.pack(REPLAY_RESULT, request_id))
 
     def set_health(self, healthy: bool, cached: bool) -> None:
-        """Write that action."""
+        """Writes a `set_health` record."""
         self._write(HEALTH_RECORD.pack(SET_HEALTH, healthy, cached))
 
     def report_load(self, value: float) -> None:
-        """Write that action."""
+        """Writes a `report_load` record."""
         self._write(LOAD_RECORD.pack(REPORT_LOAD, value))
 
     def set_idle_timeout(self, timeout_ms: float) -> None:
-        """Write that action."""
-        self._write(TIME_RECORD.pack(SET_IDLE_TIMEOUT, microseconds(timeout_ms)))
+        """Writes a `set_idle_timeout` record."""
+        self._write(TIME_RECORD.pack(SET_IDLE_TIMEOUT, to_microseconds(timeout_ms)))
 
     def schedule_tick(self, after_ms: float) -> None:
-        """Write that action."""
-        self._write(TICK_RECORD.pack(SCHEDULE_TICK, microseconds(after_ms), 0))
+        """Writes a `schedule_tick` record."""
+        self._write(TICK_RECORD.pack(SCHEDULE_TICK, to_microseconds(after_ms), 0))
 
     def log(self, text: str) -> None:
-        """Write that action."""
+        """Writes a `log` record."""
         self._write_text(LOG, text)
 
     def fault(self, text: str) -> None:
-        """Write that the instance failed over an event."""
+        """Writes a record of an exception that an event caused in the instance."""
         self._write_text(FAULT, text)
 
     def _write_text(self, code: int, text: str) -> None:
@@ -190,7 +209,10 @@
 
 
 def decode_events(frame: bytes) -> Iterator[Event]:
-    """Yield the events of a batch, behind its clock.
+    """Yields the events of a batch.
+
+    Args:
+        frame: the batch without its clock.
 
     Raises:
         FrameDecodeError: An event is unknown, truncated or malformed.
@@ -211,7 +233,7 @@
         offset = end
 
 
-def _take(frame: bytes, offset: int, size: int) -> bytes:
+def _read_bytes(frame: bytes, offset: int, size: int) -> bytes:
     if offset + size > len(frame):
         raise struct.error("count past the end")
     return frame[offset : offset + size]
@@ -231,7 +253,7 @@
 def _decode_attach(frame: bytes, offset: int) -> Decoded:
     seed, size = ATTACH.unpack_from(frame, offset)
     offset += ATTACH.size
-    start_values = _take(frame, offset, size).decode()
+    start_values = _read_bytes(frame, offset, size).decode()
     return Decoded(Attach(seed, start_values), offset + size)
 
 
@@ -268,8 +290,8 @@
 
 
 def _decode_cancel(frame: bytes, offset: int) -> Decoded:
-    (request_id,) = HANDLE.unpack_from(frame, offset)
-    return Decoded(CancelRequest(request_id), offset + HANDLE.size)
+    (request_id,) = UINT64.unpack_from(frame, offset)
+    return Decoded(CancelRequest(request_id), offset + UINT64.size)
 
 
 def _decode_result(frame: bytes, offset: int) -> Decoded:
@@ -279,8 +301,8 @@
 
 
 def _decode_dependency_needed(frame: bytes, offset: int) -> Decoded:
-    (request_id,) = HANDLE.unpack_from(frame, offset)
-    return Decoded(DependencyNeeded(request_id), offset + HANDLE.size)
+    (request_id,) = UINT64.unpack_from(frame, offset)
+    return Decoded(DependencyNeeded(request_id), offset + UINT64.size)
 
 
 def _decode_dependency_reply(frame: bytes, offset: int) -> Decoded:
@@ -289,27 +311,27 @@
     return Decoded(DependencyFinished(request_id, outcome), offset + DEPENDENCY_REPLY.size)
 
 
-def _decode_retire_soon(frame: bytes, offset: int) -> Decoded:
-    (stops_at,) = HANDLE.unpack_from(frame, offset)
-    return Decoded(StartDraining(stops_at / 1000.0), offset + HANDLE.size)
+def _decode_start_draining(frame: bytes, offset: int) -> Decoded:
+    (stops_at,) = UINT64.unpack_from(frame, offset)
+    return Decoded(StartDraining(stops_at / 1000.0), offset + UINT64.size)
 
 
-def _decode_ring(frame: bytes, offset: int) -> Decoded:
-    _token, count = RING.unpack_from(frame, offset)
-    offset += RING.size
+def _decode_tick(frame: bytes, offset: int) -> Decoded:
+    _token, count = TICK.unpack_from(frame, offset)
+    offset += TICK.size
     size = GAUGE_BYTES * count
-    gauges = struct.unpack(f">{count}f", _take(frame, offset, size))
+    gauges = struct.unpack(f">{count}f", _read_bytes(frame, offset, size))
     return Decoded(Tick(gauges), offset + size)
 
 
 DECODERS: dict[int, Callable[[bytes, int], Decoded]] = {
-    1000: _decode_ring,
+    1000: _decode_tick,
     1010: _decode_cancel,
     1020: _decode_crash,
     1030: _decode_select_instance,
     1040: _decode_result,
     1050: _decode_attach,
-    1060: _decode_retire_soon,
+    1060: _decode_start_draining,
     1070: _decode_dependency_reply,
     1080: _decode_work_item,
     1090: _decode_dependency_needed,
--- a/pumicenotch/adapter/host.py
+++ b/pumicenotch/adapter/host.py
@@ -1,4 +1,4 @@
-"""The instances that the simulator plays: one controller each, nothing shared."""
+"""The instances that the simulator runs: each has a controller of its own and shares no state."""
 
 from collections.abc import Iterator
 from contextlib import contextmanager
@@ -30,25 +30,39 @@
 
 
 class Instance(NamedTuple):
-    """A controller and what writes its actions."""
+    """An instance of the simulator.
+
+    Attributes:
+        controller: the admission controller of the instance.
+        encoder: writes the controller's actions to the reply.
+    """
 
     controller: AdmissionController
     encoder: Encoder
 
 
 class Host:
-    """Hands the events of batches to the instances that they are of."""
+    """Owns all instances and dispatches the events of batches to them.
+
+    Attributes:
+        reply: the reply to the current batch.
+        instances: the instances, by their numbers in the protocol.
+    """
 
     def __init__(self) -> None:
         self.reply = Reply()
         self.instances: dict[int, Instance] = {}
 
     def answer(self, clock_us: int, frame: bytes) -> bytes:
-        """Return the reply to a batch.
+        """Returns the encoded reply to a batch.
+
+        Args:
+            clock_us: the simulator's clock at the batch, in microseconds.
+            frame: the events of the batch.
 
         Raises:
-            FrameDecodeError: The batch cannot be read, or names an unknown instance.
-            InvalidStartValueError: An instance's start values cannot be read.
+            FrameDecodeError: The batch is invalid, or names an unknown instance.
+            InvalidStartValueError: The start values of an instance are invalid.
         """
         now = clock_us / 1000.0
         self.reply.clear()
@@ -57,7 +71,7 @@
             if isinstance(event, SelectInstance):
                 instance_id = event.instance_id
             elif instance_id is None:
-                raise FrameDecodeError(f"event {_name(event)} before any instance was named")
+                raise FrameDecodeError(f"event {_event_name(event)} before an instance is selected")
             else:
                 self._handle(now, instance_id, event)
         return FRAME_LENGTH.pack(len(self.reply.records)) + self.reply.records
@@ -68,7 +82,7 @@
         elif isinstance(event, Crash):
             self.instances.pop(instance_id, None)
         elif isinstance(event, SelectInstance) or instance_id not in self.instances:
-            raise FrameDecodeError(f"event {_name(event)} for unknown instance {instance_id}")
+            raise FrameDecodeError(f"event {_event_name(event)} for unknown instance {instance_id}")
         else:
             instance = self.instances[instance_id]
             with reporting_faults(instance.encoder):
@@ -100,14 +114,14 @@
             controller.start_draining(now, stops_at)
 
 
-def _name(event: Event) -> str:
+def _event_name(event: Event) -> str:
     return type(event).__name__
 
 
 @contextmanager
 def reporting_faults(encoder: Encoder) -> Iterator[None]:
-    """Write an exception of the decisions as a fault; the other instances go on."""
+    """Writes an exception of a controller as a fault record; the other instances continue."""
     try:
         yield
-    except Exception as error:  # noqa: BLE001 (whatever it is, the simulator is told)
+    except Exception as error:  # noqa: BLE001 (the simulator receives any exception)
         encoder.fault(f"{type(error).__name__}: {error}")
--- a/pumicenotch/adapter/messages.py
+++ b/pumicenotch/adapter/messages.py
@@ -1,4 +1,4 @@
-"""The events that the simulator sends, as typed messages. Times are milliseconds."""
+"""The events that the simulator sends, as typed messages. Times are in milliseconds."""
 
 from typing import NamedTuple
 
@@ -6,62 +6,67 @@
 
 
 class SelectInstance(NamedTuple):
-    """The events that follow in this batch are of this instance."""
+    """Selects the instance to which the following events of the batch belong."""
 
     instance_id: int
 
 
 class Attach(NamedTuple):
-    """The instance begins, with start values as lines `path=value`."""
+    """Starts the selected instance.
+
+    Attributes:
+        seed: the seed of the instance's random numbers.
+        start_values: the start values, as lines `path=value`.
+    """
 
     seed: int
     start_values: str
 
 
 class Crash(NamedTuple):
-    """The instance is gone at once."""
+    """Removes the selected instance without a drain."""
 
 
 class SubmitRequest(NamedTuple):
-    """A request was read."""
+    """The instance read a request."""
 
     request: IncomingRequest
 
 
 class CancelRequest(NamedTuple):
-    """The caller of a request waits no more."""
+    """The caller of a request no longer waits for an answer."""
 
     request_id: int
 
 
 class RunFinished(NamedTuple):
-    """A run, or a replay, ended."""
+    """The run or the replay of a request ended."""
 
     request_id: int
     outcome: Outcome
 
 
 class DependencyNeeded(NamedTuple):
-    """A run waits for its call to the dependency."""
+    """A run needs a call to the dependency to continue."""
 
     request_id: int
 
 
 class DependencyFinished(NamedTuple):
-    """A call to the dependency ended."""
+    """The dependency call of a run ended."""
 
     request_id: int
     outcome: Outcome
 
 
 class StartDraining(NamedTuple):
-    """The instance is to stop at that time."""
+    """The instance stops at the time `stops_at`."""
 
     stops_at: float
 
 
 class Tick(NamedTuple):
-    """The instance's timer rang; the gauges are in the sequence that its settings name."""
+    """The instance's timer expired; the gauges are in the order of its settings."""
 
     gauges: tuple[float, ...]
 
--- a/pumicenotch/errors.py
+++ b/pumicenotch/errors.py
@@ -1,16 +1,16 @@
-"""The root of all errors that an operator may see."""
+"""The base classes of errors that are shown to operators."""
 
 from typing import ClassVar
 
 
 class PumicenotchError(Exception):
-    """An error with a problem, and where they are known its place and its remedy.
+    """An error with a problem and, if known, its location and a remedy.
 
     Attributes:
-        code: the kind of error in answers to other programs, where it is told apart there.
+        code: the kind of error in answers to other programs; None if answers do not distinguish it.
         problem: what is wrong.
-        place: where it is wrong: a file and its line, a setting, a field of a message.
-        remedy: what can be done about it.
+        place: the location: a file and line, a setting or a message field; empty if unknown.
+        remedy: how to correct the problem; empty if unknown.
     """
 
     code: ClassVar[str | None] = None
@@ -22,9 +22,9 @@
         self.remedy = remedy
 
     def __str__(self) -> str:
-        """Return `PLACE: PROBLEM: REMEDY`, without the parts that are not known."""
+        """Returns `PLACE: PROBLEM: REMEDY`, without the fields that are empty."""
         return ": ".join(part for part in (self.place, self.problem, self.remedy) if part)
 
 
 class InputError(PumicenotchError, ValueError):
-    """Input that cannot be accepted. Also a ValueError, which readers of input catch."""
+    """Invalid input. The class is also a ValueError, which callers of parsers catch."""
--- a/pumicenotch/pools/__init__.py
+++ b/pumicenotch/pools/__init__.py
@@ -1,6 +1,7 @@
-"""Class pools: a reserve for the cheapest classes, and budgets for retries.
+"""Class pools: slots reserved for the cheapest request classes, and budgets for retries.
 
-Decisions without I/O or clock. `ClassPools` is what a controller sees as `interface.Pools`.
+This package does no I/O and reads no clock. `ClassPools` implements `interface.Pools`, through
+which an admission controller uses it.
 """
 
 from pumicenotch.pools.class_pools import ClassPools
--- a/pumicenotch/pools/allocation.py
+++ b/pumicenotch/pools/allocation.py
@@ -1,8 +1,8 @@
-"""How the server's slots are allocated to pools: weighted max-min with floors and ceilings."""
+"""Allocates the server's slots to pools: weighted max-min fairness with floors and ceilings."""
 
 from collections.abc import Sequence
 
-# In slots. A pool without requests keeps a claim, or its first request would wait for ever.
+# The lowest limit, in slots. Without it the first request of an idle pool would wait forever.
 MIN_SLOTS = 0.05
 
 
@@ -13,22 +13,23 @@
     weights: Sequence[float],
     ceilings: Sequence[float] | None = None,
 ) -> list[float]:
-    """Return the limit of each pool, in slots.
+    """Returns the limit of each pool, in slots.
 
-    There is one level for all, at which a pool has slots by its weight, but never less than its
-    reserve as far as it needs it, and never more than it needs. A pool that its reserve has raised
-    above the level gets nothing else. What nobody needs goes to all by weight, so that a pool whose
-    demand grows finds its limit ahead of it.
+    If the needs exceed the total, each pool gets slots in proportion to its weight, but at least
+    the lower of its reserve and its need, and at most its need. A pool whose reserve exceeds its
+    proportional part gets the reserve alone. If the needs do not exceed the total, the unneeded
+    slots are divided by weight, so that a pool whose demand grows already has a higher limit.
 
     Args:
-        total_slots: what there is to allocate.
-        needs: the slots that each pool's demand would hold.
+        total_slots: the number of slots to allocate.
+        needs: the slots that each pool's demand would occupy.
         reserves: the slots that each pool fills before all others.
-        weights: the claims of the pools on the rest.
-        ceilings: the most slots for each pool, if there are any.
+        weights: the pools' weights for the slots that are not reserved.
+        ceilings: the maximum number of slots of each pool, if pools have one.
 
     Returns:
-        Limits that sum to the total, less what the ceilings keep from use.
+        Limits that sum to the total, minus slots that no ceiling allows to use. `MIN_SLOTS` may
+        raise the sum slightly.
     """
     if ceilings is not None:
         needs = [min(pair) for pair in zip(needs, ceilings, strict=True)]
@@ -51,7 +52,7 @@
     reserves: Sequence[float],
     weights: Sequence[float],
 ) -> list[float]:
-    """Return the limits where the pools need more than there is."""
+    """Returns the limits for pools whose needs exceed the total."""
     floors = [
         reserve if reserve < need else need for reserve, need in zip(reserves, needs, strict=True)
     ]
@@ -67,32 +68,35 @@
     ceilings: Sequence[float],
     weights: Sequence[float],
 ) -> list[float]:
-    """Return limits by weight between floors and ceilings that sum to the total.
+    """Returns limits in proportion to weights, within floors and ceilings, that sum to the total.
 
-    Each round settles those below their floors or those above their ceilings, whichever are out by
-    more in sum: what settles them remains true in the rounds after.
+    Each round fixes either the pools below their floors or the pools above their ceilings,
+    whichever group deviates more in sum. These pools would violate the same bound in every later
+    round, so their limits are final.
     """
     limits = list(ceilings)
     open_pools = list(range(len(floors)))
     remaining = total_slots
     while open_pools:
         per_weight = remaining / sum([weights[pool] for pool in open_pools])
-        too_low = []
-        too_high = []
+        below_floor = []
+        above_ceiling = []
         deficit = 0.0
         excess = 0.0
         for pool in open_pools:
             limits[pool] = per_weight * weights[pool]
             if limits[pool] < floors[pool]:
-                too_low.append(pool)
+                below_floor.append(pool)
                 deficit += floors[pool] - limits[pool]
             elif limits[pool] > ceilings[pool]:
-                too_high.append(pool)
+                above_ceiling.append(pool)
                 excess += limits[pool] - ceilings[pool]
-        if not too_low and not too_high:
+        if not below_floor and not above_ceiling:
             break
-        settled, bounds = (too_low, floors) if deficit >= excess else (too_high, ceilings)
-        for pool in settled:
+        fixed_pools, bounds = (
+            (below_floor, floors) if deficit >= excess else (above_ceiling, ceilings)
+        )
+        for pool in fixed_pools:
             limits[pool] = bounds[pool]
             remaining -= bounds[pool]
             open_pools.remove(pool)
--- a/pumicenotch/pools/class_pools.py
+++ b/pumicenotch/pools/class_pools.py
@@ -1,9 +1,10 @@
-"""Class pools as a reducer: which class's requests may start, and how long a new one may wait.
+"""Class pools: decides which request class may start a run, and how long a new request may wait.
 
-A controller notifies it of what happens, with the time, and asks three questions: how long a
-request may wait (`request_received`), in which pool and for how many slots (`reserve_slot`), and
-which pool's request starts next (`next_pool`). Which tenant's request starts is for HWCS to say.
-The number of slots is the controller's; pools allocate them. No clock and no chance.
+A controller notifies `ClassPools` of each event, with the time, and makes three queries: how long a
+request may wait (`request_received`), in which pool and for how many slots it waits
+(`reserve_slot`), and which pool's request starts next (`next_pool`). Within a pool, the fair
+scheduler chooses the tenant. The controller sets the number of slots; the pools allocate them.
+Decisions are deterministic: this module reads no clock and draws no random numbers.
 """
 
 from collections.abc import Collection, Mapping, Sequence
@@ -22,27 +23,46 @@
 from pumicenotch.pools.read_backlog import NEGLIGIBLE_WAIT_MS, ReadBacklog
 from pumicenotch.pools.retry_budget import RetryBudgets
 
-OVER_QUOTA = "beyond"  # the name in counters of the pool of what is over its tenant's quota
-# Of its weight: a server only guesses what is over a tenant's quota in the whole deployment.
+# The name, in counters, of the pool of requests over their tenants' quotas.
+OVER_QUOTA = "beyond"
+# Factor of that pool's weight. It is above 0 because a server can only estimate whether a tenant is
+# over its quota in the whole deployment.
 OVER_QUOTA_WEIGHT_FRACTION = 0.05
-# A lent slot must come back within a second: the mean time to the next end is at most this.
+# The longest mean time until the next run ends, at which a lent slot returns within a second.
 MAX_RETURN_MS = 600.0
-# Between two allocations: less than half of the span of demand.
+# The time between allocations: less than half of the span over which demand is measured.
 ALLOCATION_PERIOD_MS = 300.0
+# Tolerance for a tick that comes slightly before the end of the period.
 ALLOCATION_TIMER_SLACK_MS = 1.0
-# Slots are allocated at once where their number has changed by more than these ratios.
+# Slots are reallocated at once if the total changed beyond these ratios.
 MIN_TOTAL_RATIO = 0.8
 MAX_TOTAL_RATIO = 1.25
-# The mean time of a run, until any is known.
+# The mean slot time until a run has ended.
 INITIAL_SLOT_MS = 100.0
+# The lowest number of slots in an offer, by which wait times are divided.
 MIN_OFFERED_SLOTS = 0.25
-# A need counts as this in a pool's weight where it is lower.
+# Lower bound of the need, in slots, that enters a pool's weight.
 MIN_WEIGHTED_NEED = 0.1
+# The lowest limit of a pool in a plan with fixed limits, in slots.
 MIN_FIXED_LIMIT = 1.0
 
 
 class ClassPools:
-    """Pools by a plan: the `interface.Pools` of a controller. Times are in ms."""
+    """Implements `interface.Pools` for a plan of class pools. Times are in ms.
+
+    The pools of the plan have the indexes 0 and up. One more pool, the last, is for requests that
+    are over their tenants' quotas.
+
+    Attributes:
+        plan: the configured pools.
+        running: the number of slots in use, over all pools.
+        count: the number of pools, including the one for requests over quota.
+        pools: the states of the pools, by index.
+        retry_budgets: the budgets that bound retries while slots are short.
+        duplicates: the detector of unmarked retries.
+        read_backlog: the admission control that acts while reading is behind.
+        total_slots: the number of slots to allocate.
+    """
 
     def __init__(
         self,
@@ -51,13 +71,13 @@
         classes: Sequence[RequestClass],
         class_indices: Mapping[str, int],
     ) -> None:
-        """Create pools without requests.
+        """Creates pools without requests.
 
         Args:
-            now: the present time.
-            plan: the pools.
-            classes: all classes of requests, by index.
-            class_indices: the indices of those that have a name.
+            now: the current time, ms.
+            plan: the configured pools.
+            classes: all request classes, by index.
+            class_indices: the indexes of the named classes, by name.
 
         Raises:
             InvalidPoolsPlanError: the plan contradicts itself.
@@ -79,10 +99,10 @@
         self._allocated_slots = 0
         self._next_allocation_at = now
         self._mean_slot_ms = INITIAL_SLOT_MS
-        self._longest_slot_ms = 0.0  # the longest of the pools' means
+        self._longest_slot_ms = 0.0  # maximum of the pools' mean slot times
         self._has_ceilings = any(pool.max_fraction < 1.0 for pool in plan.pools)
         self._has_unlent_slots = any(not pool.lends_idle_slots for pool in plan.pools)
-        # Whether a pool may be kept from a slot though the server has one.
+        # Whether a pool may be denied a slot although the server has a free one.
         self._restricts_starts = plan.fixed_limits or self._has_ceilings or self._has_unlent_slots
         self._set_limits(now, 1)
 
@@ -91,21 +111,25 @@
         for index, pool in enumerate((*self.plan.pools, PoolPlan(OVER_QUOTA, ()))):
             weights = [
                 request_class.priority_weight
-                for request_class, own in zip(classes, self._pool_of_class, strict=False)
-                if own == index
+                for request_class, pool_index in zip(classes, self._pool_of_class, strict=False)
+                if pool_index == index
             ]
             mean_weight = sum(weights) / len(weights) if weights else 1.0
             states.append(PoolState(now, pool, mean_weight))
         return states
 
     def pool_of(self, class_index: int) -> int:
-        """Return the pool of a class of requests."""
+        """Returns the pool of a class of requests."""
         return self._pool_of_class[class_index]
 
     # Notifications
 
     def request_received(self, now: float, pool: int, request: IncomingRequest) -> WaitAllowance:
-        """Notify of a request that is no replay, and return how long it may wait."""
+        """Records a request that is not a replay, and returns how long it may wait.
+
+        The allowance is 0 for a retry over its budgets, and for a request that is shed because
+        reading is behind; either is then admitted only to a free slot.
+        """
         state = self.pools[pool]
         state.received += 1
         state.last_request_at = now
@@ -113,7 +137,7 @@
         is_admissible = True
         if is_retry:
             if not self.retry_budgets.allows(request.caller_id, request.tenant_index):
-                self.retry_budgets.exceeded += 1
+                self.retry_budgets.over_budget_retries += 1
                 is_admissible = False
         elif not self.retry_budgets.is_full(request.caller_id, request.tenant_index):
             self.retry_budgets.deposit(request.caller_id, request.tenant_index)
@@ -137,32 +161,32 @@
         return True
 
     def retry_admitted(self, tenant_index: int, caller_id: int) -> None:
-        """Notify of a retry that was queued though no slot was free."""
+        """Withdraws a token for a retry that was queued although no slot was free."""
         self.retry_budgets.withdraw(caller_id, tenant_index)
 
     def request_rejected(self, now: float, pool: int, content_digest: int) -> None:
-        """Notify of a request that was rejected for want of a slot, and may be sent again."""
+        """Records a request that was rejected for lack of a slot, and may be sent again."""
         self.pools[pool].rejected += 1
         self.duplicates.remember(now, content_digest)
 
     def slot_taken(self, now: float, pool: int, is_start: bool) -> None:
-        """Notify of a run that came onto the cores: at its start, or back from a call."""
+        """Records that a run occupies a slot, at its start or after a dependency call."""
         state = self.pools[pool]
         state.take_slot(now)
         state.started += is_start
         self.running += 1
 
     def slot_released(self, now: float, pool: int) -> None:
-        """Notify of a run that left the cores: at its end, or for a call."""
+        """Records that a run left its slot, at its end or for a dependency call."""
         self.pools[pool].release_slot(now)
         self.running -= 1
 
     def request_finished(self, now: float, pool: int, slot_ms: float) -> None:
-        """Notify of a run that ended, well or not, and of its time on the cores without calls."""
+        """Records how long a run held a slot, without its calls, whether it succeeded or not."""
         self.pools[pool].slot_ms.add(slot_ms)
 
     def tick(self, now: float, total_slots: int) -> None:
-        """Notify of the time and of the slots that there are to allocate."""
+        """Reallocates the slots periodically, or at once if their number changed by much."""
         self.total_slots = total_slots
         min_allocated = MIN_TOTAL_RATIO * total_slots
         max_allocated = MAX_TOTAL_RATIO * total_slots
@@ -170,14 +194,14 @@
         if now >= self._next_allocation_at or not is_current:
             self._set_limits(now, total_slots)
 
-    # Questions
+    # Queries
 
     def reserve_slot(self, now: float, query: SlotQuery) -> SlotOffer:
-        """Return where such a request would wait.
+        """Returns the pool in which a request would wait, and the pool's slots.
 
-        Only first attempts count as demand: a caller that retries makes no reserve larger. What is
-        over its tenant's quota waits in a pool of its own, so that a tenant that floods neither
-        gets a reserve to itself nor the slots that a reserve has filled.
+        Only first attempts count as demand, so that retries do not raise the allocation of their
+        pool. A request over its tenant's quota waits in a separate pool, so that a flooding tenant
+        can neither occupy a whole reserve nor the slots that a reserve has filled.
         """
         pool = query.pool
         if query.over_quota and not self.plan.fixed_limits:
@@ -195,9 +219,11 @@
         )
 
     def _slots_of(self, pool: int, waiting_pools: Collection[int]) -> float:
-        """Return a pool's slots while those pools have requests queued.
+        """Returns the slots of a pool: its limit and a part of the slots that others leave idle.
 
-        They are its own, and of those that other pools leave idle a fraction.
+        Args:
+            pool: the pool.
+            waiting_pools: the pools that have requests queued; their slots do not count as idle.
         """
         state = self.pools[pool]
         if self.plan.fixed_limits:
@@ -213,10 +239,7 @@
         return max(MIN_OFFERED_SLOTS, slots)
 
     def next_pool(self, now: float, waiting_pools: Collection[int]) -> int | None:
-        """Return the pool whose request starts next, of those that have one queued.
-
-        It is the one furthest below its limit; None if none of them may start one.
-        """
+        """Returns the waiting pool that is furthest below its limit, or None if none may start."""
         candidates = waiting_pools
         if self._restricts_starts or self._returns_late():
             candidates = [pool for pool in waiting_pools if self._may_start(now, pool)]
@@ -229,7 +252,8 @@
         best_fraction = float("inf")
         for pool in candidates:
             state = self.pools[pool]
-            # How far into its limit one more run would bring it, its credit counted in.
+            # The fraction of the pool's limit that would be in use with one more run, minus the
+            # pool's credit. A pool below its reserve comes before all others.
             fraction = (state.running + 1.0 - state.credit(now)) / state.limit
             fraction -= state.running < state.reserved_slots
             if fraction < best_fraction:
@@ -237,14 +261,14 @@
                 best_fraction = fraction
         return best_pool
 
-    # Whether a request may start
+    # Start conditions
 
     def _returns_late(self) -> bool:
-        """Whether one more run might hold a lent slot for too long."""
+        """Returns whether one more run might hold a lent slot for too long."""
         return (self.running + 1) * MAX_RETURN_MS < self._longest_slot_ms
 
     def _may_start(self, now: float, pool: int) -> bool:
-        """Whether a request of the pool may start where the server has a slot."""
+        """Returns whether a request of the pool may start when the server has a free slot."""
         state = self.pools[pool]
         running = state.running + 1
         if self.plan.fixed_limits:
@@ -264,7 +288,7 @@
         return not self._keeps_last_slot(now, pool)
 
     def _unlent_slots(self, pool: int) -> int:
-        """Return the idle slots of other pools that lend none."""
+        """Returns the number of idle slots of other pools that do not lend them."""
         return sum(
             max(0, int(state.limit) - state.running)
             for index, state in enumerate(self.pools)
@@ -272,10 +296,10 @@
         )
 
     def _keeps_last_slot(self, now: float, pool: int) -> bool:
-        """Whether the last slot stays idle for a reserve that may want it.
+        """Returns whether the last free slot stays idle for a pool with a reserve.
 
-        It does while runs would end too seldom for the slot to come back in time, and only while
-        the reserve's classes are sent at all.
+        The slot is kept while runs end too rarely for it to return within `MAX_RETURN_MS`, and only
+        if a pool with an unfilled reserve has received requests recently.
         """
         is_wanted = any(
             index != pool
@@ -286,7 +310,8 @@
         )
         if not is_wanted:
             return False
-        default_ms = 2.0 * MAX_RETURN_MS  # for a pool of which no run has ended
+        # The slot time of a pool in which no run has ended.
+        default_ms = 2.0 * MAX_RETURN_MS
         ends_per_ms = sum(
             state.running / (state.slot_ms.value or default_ms) for state in self.pools
         )
@@ -308,34 +333,38 @@
             self._allocate(now, total_slots)
 
     def _fixed_limits(self, total_slots: int) -> list[float]:
-        """Return the reserves, and of the rest fractions by weight."""
+        """Returns fixed limits: each pool's reserve, and the rest divided by weight."""
         unreserved = 1.0 - sum(pool.reserve for pool in self.plan.pools)
         total_weight = sum(pool.weight or 1.0 for pool in self.plan.pools)
         fractions = [
             pool.reserve + unreserved * (pool.weight or 1.0) / total_weight
             for pool in self.plan.pools
         ]
-        return [*(max(MIN_FIXED_LIMIT, total_slots * each) for each in fractions), MIN_FIXED_LIMIT]
+        return [
+            *(max(MIN_FIXED_LIMIT, total_slots * pool_fraction) for pool_fraction in fractions),
+            MIN_FIXED_LIMIT,
+        ]
 
     def _allocate(self, now: float, total_slots: int) -> None:
-        """Set every limit from what is observed: arrivals times the time that a slot is held.
+        """Sets every limit from the observed demand: arrivals times the mean slot time.
 
-        Arrivals come in clumps, and the first after a pause must not wait until a mean tells of it:
-        so a reserve may be filled whatever its need. Others run in what a reserve does not ask for.
+        Arrivals are bursty, and the first after a pause must not wait until a moving mean shows the
+        demand. A pool may therefore fill its reserve whatever its measured need is. Other pools use
+        the part of a reserve that has no requests.
         """
         weights = []
         known_slot_ms = 0.0
-        known_pools = 0
+        pools_with_runs = 0
         for state in self.pools:
             slot_ms = state.update_need(now, self._mean_slot_ms)
             known_slot_ms += state.slot_ms.value
-            known_pools += state.slot_ms.value > 0.0
+            pools_with_runs += state.slot_ms.value > 0.0
             state.reserved_slots = state.plan.reserve * total_slots
             need = state.need if state.need > MIN_WEIGHTED_NEED else MIN_WEIGHTED_NEED
             weights.append((state.plan.weight or state.priority_weight / slot_ms) * need)
         weights[self._over_quota_pool] *= OVER_QUOTA_WEIGHT_FRACTION
-        if known_pools:
-            self._mean_slot_ms = known_slot_ms / known_pools
+        if pools_with_runs:
+            self._mean_slot_ms = known_slot_ms / pools_with_runs
         self._longest_slot_ms = max(state.slot_ms.value for state in self.pools)
         needs = [state.need for state in self.pools]
         reserves = [state.reserved_slots for state in self.pools]
@@ -349,7 +378,7 @@
     # Status
 
     def counts(self) -> dict[str, float]:
-        """Return the counters of a status line by name; limits and needs are in slots."""
+        """Returns the counters for a status line, by name; limits and needs are in slots."""
         counts: dict[str, float] = {}
         for state in self.pools:
             prefix = f"pool_{state.plan.name}"
@@ -361,7 +390,7 @@
             counts[f"{prefix}_started"] = state.started
         counts["repeats_marked"] = self._marked_retries
         counts["repeats_alike"] = self._duplicate_retries
-        counts["repeats_over_budget"] = self.retry_budgets.exceeded
+        counts["repeats_over_budget"] = self.retry_budgets.over_budget_retries
         counts["budgets_forgotten"] = self.retry_budgets.dropped_keys
         counts["reading_turned_away"] = self.read_backlog.rejected
         counts["likeness_cut_short"] = self.duplicates.shortened_windows
--- a/pumicenotch/pools/duplicates.py
+++ b/pumicenotch/pools/duplicates.py
@@ -1,24 +1,29 @@
-"""Recognizes unmarked retries: requests with the content of one that was rejected a moment ago.
+"""Detects unmarked retries: requests with the content of a request that was rejected recently.
 
-Only rejected requests are remembered: a caller that was served has no reason to retry, and two
-requests with the same content that were both served are two requests. docs/pools.md says how often
-this is wrong. It decides on retry budgets alone, which act only while slots are short.
+Only rejected requests are stored: a served caller has no reason to retry, and two served requests
+with equal content are two separate requests. docs/pools.md states how often the detection is wrong.
+A detection affects only retry budgets, which act only while slots are short.
 """
 
-# In a generation: more rejections than a server makes in seconds; some 300 KB at most.
+# Digests per generation: more than the rejections of a server within seconds, at most some 300 KB.
 MAX_DIGESTS = 4096
 
 
 class DuplicateDetector:
-    """Content digests of what was rejected in the last one to two windows.
+    """Stores the content digests of requests rejected in the last one to two windows.
 
-    They are kept in two generations of bounded size. A full generation ends early, so that under a
-    flood the window shrinks and not the memory grows: retries are missed then, and no first attempt
-    is taken for one.
+    Digests are kept in two generations of bounded size. A full generation ends early, so that a
+    flood shortens the window instead of growing the memory. Some retries are then missed, but no
+    first attempt is mistaken for a retry.
+
+    Attributes:
+        recent: the digests of the current generation.
+        previous: the digests of the generation before.
+        shortened_windows: how many generations ended early.
     """
 
     def __init__(self, now: float, window_ms: float) -> None:
-        """Start with nothing remembered; a window of 0 remembers nothing ever."""
+        """Creates an empty detector; a window of 0 disables it."""
         self.recent: set[int] = set()
         self.previous: set[int] = set()
         self.shortened_windows = 0
@@ -26,13 +31,13 @@
         self._window_started_at = now
 
     def is_duplicate(self, now: float, content_digest: int) -> bool:
-        """Whether a request of that content was rejected lately; never for 0, no content."""
+        """Returns whether a request with this digest was rejected recently; False for digest 0."""
         if now - self._window_started_at >= self._window_ms:
             self._rotate(now)
         return content_digest in self.recent or content_digest in self.previous
 
     def remember(self, now: float, content_digest: int) -> None:
-        """Note a rejected request."""
+        """Stores the digest of a rejected request; 0 stands for an unknown digest."""
         if content_digest and self._window_ms:
             if len(self.recent) >= MAX_DIGESTS:
                 self._rotate(now)
--- a/pumicenotch/pools/plan.py
+++ b/pumicenotch/pools/plan.py
@@ -1,26 +1,29 @@
-"""The plan of class pools: what a configuration file says of them, checked as a whole."""
+"""The plan of class pools, as read from a configuration file, and its validation."""
 
 from collections.abc import Mapping, Sequence
 from typing import Any, NamedTuple
 
 from pumicenotch.errors import InputError
 
+# In place of a class name: all classes that no other pool names.
 ALL_OTHER_CLASSES = "*"
-# More would starve the pools without a reserve.
+# The maximum sum of reserves. Larger reserves would starve the pools without a reserve.
 MAX_RESERVED_FRACTION = 0.9
+# Tolerance for the sum of reserves.
 ROUNDING_ERROR = 1e-9
 
 
 class PoolPlan(NamedTuple):
-    """One pool.
+    """The configuration of one pool.
 
     Attributes:
-        name: unique among the pools.
-        classes: names of the request classes in it; `"*"` takes all that no other pool names.
-        reserve: the fraction of the slots that its requests fill before all others.
-        weight: its claim on the rest; 0: by its classes' priority for the time that they run.
-        max_fraction: the fraction of the slots that it may use at most, lent ones included.
-        lends_idle_slots: whether other pools may use the slots that it does not need.
+        name: the name, unique among the pools.
+        classes: the names of its request classes; `"*"` stands for all that no other pool names.
+        reserve: the fraction of the slots that the pool's requests fill before all others.
+        weight: the weight for slots that are not reserved; 0 stands for the mean priority of the
+            pool's classes, divided by their mean slot time.
+        max_fraction: the maximum fraction of the slots that the pool may use, lent ones included.
+        lends_idle_slots: whether other pools may use the slots that this pool does not need.
     """
 
     name: str
@@ -32,16 +35,18 @@
 
 
 class PoolsPlan(NamedTuple):
-    """All pools, and the retry budgets.
+    """The configuration of all pools and of the retry budgets.
 
     Attributes:
-        pools: at least one.
-        fixed_limits: whether limits stay at the plan's fractions, whatever is observed.
-        retry_ratio: retries admitted for each first attempt while slots are short.
-        retry_burst: retries that a caller or tenant may have saved up.
-        max_callers: callers, and tenants, for which a retry budget is kept.
-        duplicate_window_ms: within it the same content counts as a retry; 0: only if marked.
-        reading_reserve: the fraction of reading kept for reserved pools while reading is behind.
+        pools: the pools, at least one.
+        fixed_limits: whether limits stay at the plan's fractions and do not follow demand.
+        retry_ratio: the number of retries admitted per first attempt while slots are short.
+        retry_burst: the number of retries that a caller or tenant can save up.
+        max_callers: the number of callers, and of tenants, whose retry budgets are kept.
+        duplicate_window_ms: the time within which a request with the content of a rejected one
+            counts as a retry; at 0 only marked retries count.
+        reading_reserve: the fraction of requests read that is kept for pools with a reserve while
+            reading is behind.
     """
 
     pools: tuple[PoolPlan, ...]
@@ -54,10 +59,10 @@
 
 
 class InvalidPoolsPlanError(InputError):
-    """A plan that contradicts itself; the text names the pool and what is allowed."""
+    """A plan that contradicts itself; the message names the pool and what is allowed."""
 
 
-# The keys of a compiled plan, which servers of other versions read too.
+# The keys of a compiled plan, which servers of other versions also read.
 POOL_KEYS: Mapping[str, str] = {
     "name": "name",
     "stages": "classes",
@@ -78,22 +83,22 @@
 
 
 def encode_pool(pool: PoolPlan) -> dict[str, object]:
-    """Return a pool by the keys of a compiled plan."""
+    """Returns the fields of a pool under the keys of a compiled plan."""
     return {key: getattr(pool, field) for key, field in POOL_KEYS.items()}
 
 
 def encode_plan(plan: PoolsPlan) -> dict[str, object]:
-    """Return a plan by the keys of a compiled plan."""
+    """Returns the fields of a plan, and of its pools, under the keys of a compiled plan."""
     encoded = {key: getattr(plan, field) for key, field in PLAN_KEYS.items()}
     return {**encoded, "pools": [encode_pool(pool) for pool in plan.pools]}
 
 
 def decode_plan(encoded: Any) -> PoolsPlan:
-    """Return the plan that `encode_plan` gave, checked.
+    """Returns the plan that `encode_plan` encoded, after validating it.
 
     Raises:
-        InvalidPoolsPlanError: pools contradict each other.
-        KeyError, TypeError: it is no encoded plan.
+        InvalidPoolsPlanError: the pools contradict each other.
+        KeyError, TypeError: the value is not an encoded plan.
     """
     fields = {PLAN_KEYS[key]: encoded[key] for key in encoded}
     plan = PoolsPlan(**{**fields, "pools": tuple(map(_decode_pool, encoded["pools"]))})
@@ -107,13 +112,18 @@
 
 
 def assign_classes(plan: PoolsPlan, class_indices: Mapping[str, int]) -> list[int]:
-    """Return the pool of each class, by the index of the class.
+    """Returns the pool index of each class, by the index of the class.
 
-    Classes that no pool names go to the pool of `"*"`, and where there is none to the last pool. A
-    name that is no class of this server is no fault: one plan serves different deployments.
+    Classes that no pool names belong to the pool with `"*"`, or to the last pool if none has it. A
+    plan may name classes that this server does not have, because one plan serves different
+    deployments.
+
+    Args:
+        plan: the plan.
+        class_indices: the indexes of this server's classes, by name.
 
     Raises:
-        InvalidPoolsPlanError: pools contradict each other.
+        InvalidPoolsPlanError: the pools contradict each other.
     """
     check(plan)
     default_pool = len(plan.pools) - 1
@@ -130,10 +140,11 @@
 
 
 def check(plan: PoolsPlan) -> None:
-    """Check that pools do not contradict each other.
+    """Checks that the pools of a plan do not contradict each other.
 
     Raises:
-        InvalidPoolsPlanError: they do.
+        InvalidPoolsPlanError: there is no pool, a class or name appears twice, or a reserve or the
+            sum of reserves is too large.
     """
     if not plan.pools:
         raise InvalidPoolsPlanError("no pool: name one at the least")
@@ -175,7 +186,7 @@
 
 
 def unknown_classes(plan: PoolsPlan, known: Sequence[str]) -> list[str]:
-    """Return the class names in the plan that this server does not have."""
+    """Returns the class names in the plan that this server does not have."""
     return [
         name
         for pool in plan.pools
--- a/pumicenotch/pools/pool_state.py
+++ b/pumicenotch/pools/pool_state.py
@@ -1,35 +1,40 @@
-"""What is observed of one pool, and what follows from it."""
+"""The state of one pool: its observed demand, its limits and the slots that it uses."""
 
 from pumicenotch.pools.estimators import ArrivalRate, ClippedMean
 from pumicenotch.pools.plan import PoolPlan
 
-# Demand is a mean over this time: a shift of classes shows within a second, chance less so.
+# The time over which demand is averaged: short enough to follow a shift of classes within a second,
+# long enough to smooth random variation.
 DEMAND_SPAN_MS = 700.0
-# After its last request a pool counts as one that nobody sends to.
+# A pool counts as inactive this long after its last request.
 ACTIVE_MS = 5000.0
-# A slot below the limit for so long counts as one missed.
+# A pool that uses one slot less than its limit for this long gains a credit of one slot.
 CREDIT_SPAN_MS = 400.0
-# In slots, either way: what was missed long ago is not made up for.
+# Bound of the credit's absolute value, in slots. Older deficits are not made up for.
 MAX_CREDIT = 1.5
-# Finished runs from which on their mean time is known.
+# The number of finished runs from which on the mean slot time is used.
 MIN_SLOT_SAMPLES = 3
 
 
 class PoolState:
-    """One pool. Times are in ms, `now` among them; limits and needs are in slots.
+    """The state of one pool. All times are in ms; limits and needs are in slots.
 
     Attributes:
-        plan: what the configuration says of it.
-        priority_weight: the mean weight of its classes.
-        arrivals: first attempts within their tenants' quotas.
-        slot_ms: how long a run holds a slot.
-        limit: what it may use before others that wait.
-        fair_slots: what it comes to on average.
-        need: what its demand would hold.
-        reserved_slots: what it fills before all others.
-        usable_slots: the lesser of `fair_slots` and `need`.
-        running: the slots that it uses now.
-        received, rejected, started: counts of requests.
+        plan: the configuration of the pool.
+        is_reserved: whether the pool has a reserve.
+        priority_weight: the mean priority weight of the pool's classes.
+        arrivals: the rate of first attempts within their tenants' quotas.
+        slot_ms: the mean time that a run holds a slot.
+        limit: the slots that the pool may use before other waiting pools.
+        fair_slots: the slots that the pool may use on average.
+        need: the slots that the pool's demand would occupy.
+        reserved_slots: the slots that the pool fills before all others.
+        usable_slots: the minimum of `fair_slots` and `need`.
+        running: the number of slots in use.
+        received: the number of requests received.
+        rejected: the number of requests rejected.
+        started: the number of runs started.
+        last_request_at: when the last request arrived.
     """
 
     def __init__(self, now: float, plan: PoolPlan, priority_weight: float) -> None:
@@ -48,50 +53,55 @@
         self.rejected = 0
         self.started = 0
         self.last_request_at = float("-inf")
-        self._credit = 0.0  # up to the last settlement
+        self._credit = 0.0  # at `_settled_at`
         self._settled_at = now
-        self._used_slot_ms = 0.0  # since the last settlement, up to `_counted_at`
+        self._used_slot_ms = 0.0  # slot time in use between `_settled_at` and `_counted_at`
         self._counted_at = now
 
     def is_active(self, now: float) -> bool:
-        """Whether its classes are being sent."""
+        """Returns whether the pool has received a request recently."""
         return now - self.last_request_at < ACTIVE_MS
 
     def known_slot_ms(self, default_ms: float) -> float:
-        """Return how long a run holds a slot, or the default until enough have finished."""
+        """Returns how long a run holds a slot, or the default until enough have finished."""
         return self.slot_ms.value if self.slot_ms.samples >= MIN_SLOT_SAMPLES else default_ms
 
     def take_slot(self, now: float) -> None:
-        """Count one more running request."""
+        """Counts a run that occupies a slot."""
         self._used_slot_ms += self.running * (now - self._counted_at)
         self._counted_at = now
         self.running += 1
 
     def release_slot(self, now: float) -> None:
-        """Count one running request less."""
+        """Counts a run that left its slot."""
         self._used_slot_ms += self.running * (now - self._counted_at)
         self._counted_at = now
         self.running -= 1
 
     def credit(self, now: float) -> float:
-        """Return the slots that it has missed lately, below 0 those that it had too many.
+        """Returns how many slots the pool recently used too few; negative if it used too many.
 
-        Whole requests in few slots cannot keep to a fractional limit at any moment; over time they
-        do by this.
+        Requests occupy whole slots, so with few slots a pool cannot meet a fractional limit at any
+        moment. The credit makes it meet the limit on average over time.
         """
         used_slot_ms = self._used_slot_ms + self.running * (now - self._counted_at)
-        due_slot_ms = self.usable_slots * (now - self._settled_at)
-        return self._credit + (due_slot_ms - used_slot_ms) / CREDIT_SPAN_MS
+        allowed_slot_ms = self.usable_slots * (now - self._settled_at)
+        return self._credit + (allowed_slot_ms - used_slot_ms) / CREDIT_SPAN_MS
 
     def settle(self, now: float) -> None:
-        """Bring its credit up to now, before its limits change."""
+        """Updates the credit to the current time, before the limits change."""
         self._credit = max(-MAX_CREDIT, min(MAX_CREDIT, self.credit(now)))
         self._settled_at = now
         self._counted_at = now
         self._used_slot_ms = 0.0
 
     def update_need(self, now: float, default_slot_ms: float) -> float:
-        """Bring its need up to now, and return how long a run holds a slot."""
+        """Updates the need from the observed demand, and returns the mean slot time.
+
+        Args:
+            now: the current time, ms.
+            default_slot_ms: the slot time to assume until a run has ended.
+        """
         slot_ms = self.slot_ms.value or default_slot_ms
         arrivals = self.arrivals
         has_demand = arrivals.new_arrivals or arrivals.decayed_arrivals
@@ -99,13 +109,13 @@
         return slot_ms
 
     def set_limits(self, fair_slots: float) -> None:
-        """Take what the allocation gives; a reserve may always be filled."""
+        """Sets the limits from the allocated slots; the limit is at least the reserve."""
         self.fair_slots = fair_slots
         self.limit = fair_slots if fair_slots > self.reserved_slots else self.reserved_slots
         self.usable_slots = fair_slots if fair_slots < self.need else self.need
 
     def set_fixed_limit(self, slots: float) -> None:
-        """Take a limit that does not follow demand."""
+        """Sets a limit that does not follow demand."""
         self.limit = slots
         self.fair_slots = slots
         self.need = slots
--- a/pumicenotch/pools/read_backlog.py
+++ b/pumicenotch/pools/read_backlog.py
@@ -1,21 +1,27 @@
-"""While requests wait long to be read, a fraction of what is read is kept for reserved pools."""
+"""Reserves a fraction of the requests read for reserved pools while reading is behind."""
 
-# Mean wait from which reading is behind: some ticks. Where it keeps up, it is a few ms.
+# Reading is behind above this mean wait, which is more than a tick. Otherwise it is a few ms.
 BEHIND_MS = 40.0
-# A request that waited less is admitted without being noted, while the mean wait is as short.
+# A request that waited less is admitted without being counted, while the mean wait is also lower.
 NEGLIGIBLE_WAIT_MS = 4.0
-# One held up for seconds by its own connection is no sign of a backlog: it counts as this.
+# Upper bound of a sample. A request that its own connection delayed for seconds does not indicate a
+# backlog.
 MAX_SAMPLE_MS = 10.0 * BEHIND_MS
+# The weight of one sample in the mean wait.
 SAMPLE_WEIGHT = 0.05
-# After so long without a request nothing can be waiting to be read.
+# After this time without a request there can be no backlog.
 IDLE_MS = 1000.0
 
 
 class ReadBacklog:
     """Sheds requests of pools without a reserve while reading is behind.
 
-    The class of a request is not known before it is read, so reading itself cannot be reserved;
-    what follows can. Rejecting before any more work is done is what lets reading catch up.
+    The class of a request is unknown until it is read, so reading itself cannot be reserved, but
+    the work after it can. Rejecting requests before further work lets reading catch up.
+
+    Attributes:
+        mean_wait_ms: the moving mean of the time that requests wait to be read.
+        rejected: the number of requests shed.
     """
 
     def __init__(self, now: float, reserved_fraction: float) -> None:
@@ -23,14 +29,16 @@
         self.rejected = 0
         self._reserved_fraction = reserved_fraction
         self._last_read_at = now
-        self._read = 0  # since reading fell behind
-        self._admitted = 0  # of those
+        # Requests read since reading fell behind, and those of them that were admitted without a
+        # reserve.
+        self._read = 0
+        self._admitted = 0
 
     def admits(self, now: float, waited_ms: float, is_reserved: bool) -> bool:
-        """Whether a request is to be considered further.
+        """Returns whether a request is admitted, and updates the mean wait.
 
         Args:
-            now: the present time, ms.
+            now: the current time, ms.
             waited_ms: how long the request waited to be read.
             is_reserved: whether its pool has a reserve.
         """
--- a/pumicenotch/start.py
+++ b/pumicenotch/start.py
@@ -1,7 +1,7 @@
-"""Reads the values that a server is started with, as lines or as nested JSON.
+"""Parses and validates the start values of a server, given as lines or as nested JSON.
 
-This is where the settings' words are mapped to the program's own. Times are microseconds in the
-settings and milliseconds in what is read.
+This module maps the names and values of settings to the types of the program. Times are in
+microseconds in the settings and in milliseconds in the parsed values.
 """
 
 import re
@@ -23,7 +23,7 @@
 Parsed = TypeVar("Parsed")
 Default = TypeVar("Default")
 
-# The settings' words, and what they stand for.
+# The words that settings use for the values of enumerations.
 IDEMPOTENCY_WORDS = {
     "repeatable": Idempotency.IDEMPOTENT,
     "by_key": Idempotency.KEYED,
@@ -46,25 +46,33 @@
     "next_hop": DependencyKind.NEXT_TIER,
 }
 BOOLEAN_WORDS = {"true": True, "false": False}
+# The settings' names of the gauges that the controller reads. Other gauges keep their names and are
+# ignored.
 GAUGE_WORDS = {
     "core_use": CORE_UTILIZATION,
     "on_cores": RUNNABLE,
     "links": OPEN_CONNECTIONS,
-}  # any other gauge keeps its name; nothing reads it
+}
 
-HOST = re.compile(
+HOST_PATTERN = re.compile(
     r"[0-9a-zA-Z_-]+(\.[0-9a-zA-Z_-]+)*|[0-9a-fA-F.]*:[0-9a-fA-F:.]*(%[0-9a-zA-Z]+)?", re.ASCII
 )
 MAX_PORT = 65535
-MIN_PRIORITY_WEIGHT = 1e-6  # of a class that is worth nothing: weights are divided by
+# Replaces a weight of 0, because weights are divisors.
+MIN_PRIORITY_WEIGHT = 1e-6
 
 
 class InvalidStartValueError(InputError):
-    """A start value that cannot be read; the text names its path."""
+    """A missing, malformed or out-of-range start value; the message names its path."""
 
 
 class SettingField:
-    """A field of the controller's settings, and how its text is read."""
+    """A field of `ControllerSettings` and the parser of its text.
+
+    Attributes:
+        name: the name of the field.
+        parse: converts the text of the setting to the field's value.
+    """
 
     __slots__ = ("name", "parse")
 
@@ -74,7 +82,7 @@
 
 
 class Range:
-    """The least and the greatest value that makes sense in any deployment."""
+    """The smallest and the largest value that is valid in any deployment."""
 
     __slots__ = ("maximum", "minimum")
 
@@ -83,55 +91,56 @@
         self.maximum = maximum
 
 
-def microseconds(text: str) -> float:
-    """Read a time, and return it in milliseconds."""
+def parse_microseconds(text: str) -> float:
+    """Parses a time in microseconds and returns it in milliseconds."""
     return float(text) / 1000.0
 
 
-def floats(text: str) -> list[float]:
-    """Read numbers that are separated by commas."""
+def parse_floats(text: str) -> list[float]:
+    """Parses numbers that are separated by commas."""
     return [float(number) for number in text.split(",")]
 
 
-def one_of(words: Mapping[str, Parsed]) -> Callable[[str], Parsed]:
-    """Return what reads one of these words."""
+def choice_parser(choices: Mapping[str, Parsed]) -> Callable[[str], Parsed]:
+    """Returns a parser that accepts only the keys of `choices` and returns their values."""
 
     def parse(text: str) -> Parsed:
-        if text not in words:
-            raise InputError(f"give one of {', '.join(words)}")
-        return words[text]
+        if text not in choices:
+            raise InputError(f"give one of {', '.join(choices)}")
+        return choices[text]
 
     return parse
 
 
 SETTING_FIELDS = {
-    "caps.max-retry-after": SettingField("max_retry_after_ms", microseconds),
-    "caps.retry-after": SettingField("retry_after_supported", one_of(BOOLEAN_WORDS)),
-    "family-info.below": SettingField("dependency_kind", one_of(DEPENDENCY_WORDS)),
+    "caps.max-retry-after": SettingField("max_retry_after_ms", parse_microseconds),
+    "caps.retry-after": SettingField("retry_after_supported", choice_parser(BOOLEAN_WORDS)),
+    "family-info.below": SettingField("dependency_kind", choice_parser(DEPENDENCY_WORDS)),
     "family-info.call-share": SettingField("dependency_quota", float),
     "family-info.callers": SettingField("callers", int),
-    "family-info.cold": SettingField("starts_cold", one_of(BOOLEAN_WORDS)),
+    "family-info.cold": SettingField("starts_cold", choice_parser(BOOLEAN_WORDS)),
     "family-info.cores": SettingField("cores", int),
-    "family-info.dep-window": SettingField("dependency_window_ms", microseconds),
+    "family-info.dep-window": SettingField("dependency_window_ms", parse_microseconds),
     "family-info.entry-kb": SettingField("key_memory_kb", float),
-    "family-info.halt": SettingField("cancel_mode", one_of(CANCEL_MODE_WORDS)),
-    "family-info.idle": SettingField("idle_timeout_ms", microseconds),
+    "family-info.halt": SettingField("cancel_mode", choice_parser(CANCEL_MODE_WORDS)),
+    "family-info.idle": SettingField("idle_timeout_ms", parse_microseconds),
     "family-info.memory-kb": SettingField("memory_kb", float),
-    "family-info.readiness": SettingField("listed_by_health", one_of(BOOLEAN_WORDS)),
+    "family-info.readiness": SettingField("listed_by_health", choice_parser(BOOLEAN_WORDS)),
     "family-info.run-factor": SettingField("run_memory_factor", float),
-    "family-info.signal": SettingField("load_feedback", one_of(LOAD_FEEDBACK_WORDS)),
-    "family-info.stays-for": SettingField("dependency_linger_ms", microseconds),
+    "family-info.signal": SettingField("load_feedback", choice_parser(LOAD_FEEDBACK_WORDS)),
+    "family-info.stays-for": SettingField("dependency_linger_ms", parse_microseconds),
     "rules.cold-share": SettingField("initial_speed", float),
     "rules.fall-multiple": SettingField("crash_load_factor", float),
-    "rules.stop-sending-within": SettingField("drain_grace_ms", microseconds),
-    "rules.warm-after": SettingField("warm_up_ms", microseconds),
+    "rules.stop-sending-within": SettingField("drain_grace_ms", parse_microseconds),
+    "rules.warm-after": SettingField("warm_up_ms", parse_microseconds),
     "servers": SettingField("servers", int),
 }
 
-FINITE = 1e15  # some thirty years in microseconds: sums and ratios of it stay numbers
-ABOVE_ZERO = 1e-9
-NOT_NEGATIVE = Range(0, FINITE)
-AT_LEAST_ONE = Range(1, FINITE)
+# About thirty years in microseconds. Sums and ratios of such values stay finite.
+MAX_VALUE = 1e15
+MIN_POSITIVE = 1e-9
+NOT_NEGATIVE = Range(0, MAX_VALUE)
+AT_LEAST_ONE = Range(1, MAX_VALUE)
 SETTING_RANGES = {
     "caps.max-retry-after": NOT_NEGATIVE,
     "family-info.call-share": NOT_NEGATIVE,
@@ -140,11 +149,11 @@
     "family-info.dep-window": NOT_NEGATIVE,
     "family-info.entry-kb": NOT_NEGATIVE,
     "family-info.idle": NOT_NEGATIVE,
-    "family-info.memory-kb": Range(ABOVE_ZERO, FINITE),
+    "family-info.memory-kb": Range(MIN_POSITIVE, MAX_VALUE),
     "family-info.run-factor": AT_LEAST_ONE,
     "family-info.stays-for": NOT_NEGATIVE,
     "rules.cold-share": Range(0, 1),
-    "rules.fall-multiple": Range(ABOVE_ZERO, FINITE),
+    "rules.fall-multiple": Range(MIN_POSITIVE, MAX_VALUE),
     "rules.stop-sending-within": NOT_NEGATIVE,
     "rules.warm-after": NOT_NEGATIVE,
     "servers": AT_LEAST_ONE,
@@ -163,7 +172,7 @@
 def read_value(
     path: str, pairs: dict[str, str], parse: Callable[[str], Parsed], default: Default
 ) -> Parsed | Default:
-    """Return the value of a path, or the default where it is absent.
+    """Returns the parsed value of a path, or the default if the path is absent.
 
     Raises:
         InvalidStartValueError: The text cannot be parsed.
@@ -180,7 +189,11 @@
 
 
 def parse_lines(text: str) -> dict[str, str]:
-    """Return the pairs of lines `path=value`."""
+    """Returns the values by path from text with lines `path=value`.
+
+    Raises:
+        InvalidStartValueError: A line has no '='.
+    """
     pairs: dict[str, str] = {}
     for line in text.splitlines():
         if line.strip():
@@ -192,10 +205,10 @@
 
 
 def flatten(value: Any, path: str = "") -> dict[str, str]:
-    """Return the same pairs from nested JSON.
+    """Returns the values by path from nested JSON, in the form of `parse_lines`.
 
-    Lists of plain values are joined by commas; the members of lists of objects are numbered from
-    0, and their number is the value of `count`.
+    Lists of scalars are joined by commas. The members of lists of objects are numbered from 0, and
+    the length of the list is the value of `count`. Null values are omitted.
     """
     members: dict[str, Any]
     if isinstance(value, dict):
@@ -204,7 +217,7 @@
         members = {f"{path}.{index}": inner for index, inner in enumerate(value)}
         members[f"{path}.count"] = len(value)
     else:
-        return {path: _join(value)}
+        return {path: _format_value(value)}
     pairs: dict[str, str] = {}
     for name, inner in members.items():
         if inner is not None:
@@ -212,14 +225,14 @@
     return pairs
 
 
-def _join(value: Any) -> str:
+def _format_value(value: Any) -> str:
     if isinstance(value, list):
-        return ",".join(map(_join, value))
+        return ",".join(map(_format_value, value))
     return str(value).lower() if isinstance(value, bool) else str(value)
 
 
 def settings_of(pairs: dict[str, str]) -> dict[str, str]:
-    """Return the deployment's settings among a program's start values, by their paths in there."""
+    """Returns the start values below `settings.`, with that prefix removed from their paths."""
     prefix = "settings."
     return {
         path.removeprefix(prefix): text for path, text in pairs.items() if path.startswith(prefix)
@@ -227,21 +240,25 @@
 
 
 def parse_address(text: str) -> tuple[str, int]:
-    """Return host and port of `host:port`, where the port may be 0.
+    """Returns the host and port of `host:port`, where the port may be 0.
 
     Raises:
-        ValueError: Nothing can be dialled or listened at there.
+        ValueError: The text is not a valid address to dial or to listen on.
     """
     host, _, digits = text.rpartition(":")
     name = host.strip("[]")
     port = int(digits)
-    if not HOST.fullmatch(name) or not 0 <= port <= MAX_PORT:
+    if not HOST_PATTERN.fullmatch(name) or not 0 <= port <= MAX_PORT:
         raise ValueError("no host:port")
     return name, port
 
 
 def parse_peer_address(text: str) -> tuple[str, int]:
-    """Return host and port of an address to dial: port 0 is for listeners."""
+    """Returns the host and port of an address to dial.
+
+    Raises:
+        ValueError: The address is invalid, or its port is 0, which only listeners may use.
+    """
     host, port = parse_address(text)
     if not port:
         raise ValueError("no port to dial")
@@ -249,14 +266,18 @@
 
 
 def index_by_name(pairs: dict[str, str], kind: str) -> dict[str, int]:
-    """Return the indexes of the `classes` or `tenants` by their names."""
+    """Returns the indexes of the `classes` or `tenants`, by name; the default name is the index."""
     return {
         pairs.get(f"{kind}.{index}.name", str(index)): index for index in range(_count(pairs, kind))
     }
 
 
 def unique_index_by_name(pairs: dict[str, str], kind: str) -> dict[str, int]:
-    """Return the same where no name may be there twice: requests carry names."""
+    """Returns the same as `index_by_name`, if names are unique, because requests carry names.
+
+    Raises:
+        InvalidStartValueError: A name occurs twice.
+    """
     indexes = index_by_name(pairs, kind)
     count = _count(pairs, kind)
     if len(indexes) < count:
@@ -271,7 +292,7 @@
 
 
 def check_ranges(pairs: dict[str, str], ranges: Mapping[str, Range], prefix: str = "") -> None:
-    """Refuse values that no deployment has, with which decisions would divide by nothing.
+    """Checks values against their ranges, so that no decision divides by 0.
 
     Raises:
         InvalidStartValueError: A value is out of its range.
@@ -287,46 +308,50 @@
 
 
 def feedback_shape(pairs: dict[str, str]) -> str:
-    """Return how callers are told of load, in the word of the operators' pages.
+    """Returns the kind of load value that callers receive, in the terms of the operator manual.
 
-    That is 'credit' where they are told how many requests each may have here, 'share' where they
-    are told a weight, a least priority or nothing.
+    The kind is 'credit' if the value is the number of requests that each caller may have at this
+    server, and 'share' if it is a weight, a lowest priority or if there is none.
 
     Raises:
-        InvalidStartValueError: There is a credit, but nothing says among how many callers.
+        InvalidStartValueError: The kind is 'credit' but the number of callers is not set.
     """
     is_credit = pairs.get("family-info.signal") == "tokens"
     if is_credit and "family-info.callers" not in pairs:
         raise InvalidStartValueError(
-            "family-info.callers is missing: a credit (family-info.signal=tokens) is shared among"
-            " the callers; name how many there are, or tell a share (bias) or a level (min_rank)"
+            "family-info.callers is missing: a credit (family-info.signal=tokens) is divided among"
+            " the callers; set their number, or report a share (bias) or a level (min_rank)"
         )
     return "credit" if is_credit else "share"
 
 
 def controller_settings(pairs: dict[str, str]) -> ControllerSettings:
-    """Return a deployment's settings as the controller takes them.
+    """Returns the settings of a controller from a deployment's settings.
 
     Raises:
         InvalidStartValueError: A value is missing, malformed or out of its range.
     """
     feedback_shape(pairs)
     check_ranges(pairs, SETTING_RANGES)
-    given: dict[str, Any] = {
+    values_by_field: dict[str, Any] = {
         field.name: read_value(path, pairs, field.parse, None)
         for path, field in SETTING_FIELDS.items()
         if path in pairs
     }
-    degraded_weights = read_value("family-info.class-skip-worth", pairs, floats, [])
-    gauge_words = pairs.get("family-info.meters", "")
+    degraded_weights = read_value("family-info.class-skip-worth", pairs, parse_floats, [])
+    configured_gauges = pairs.get("family-info.meters", "")
     return ControllerSettings(
         request_classes=[
             _request_class(pairs, index, degraded_weights)
             for index in range(_count(pairs, "classes"))
         ],
         tenants=[_tenant(pairs, index) for index in range(_count(pairs, "tenants"))],
-        gauges=[GAUGE_WORDS.get(word, word) for word in gauge_words.split(",") if gauge_words],
-        **given,
+        gauges=[
+            GAUGE_WORDS.get(gauge, gauge)
+            for gauge in configured_gauges.split(",")
+            if configured_gauges
+        ],
+        **values_by_field,
     )
 
 
@@ -335,19 +360,21 @@
 ) -> RequestClass:
     prefix = f"classes.{index}."
     check_ranges(pairs, CLASS_RANGES, prefix)
-    timeout_ms = read_value(prefix + "deadline", pairs, microseconds, None)
+    timeout_ms = read_value(prefix + "deadline", pairs, parse_microseconds, None)
     if timeout_ms is None:
         raise InvalidStartValueError(f"missing start value {prefix}deadline")
-    idempotency = read_value(prefix + "effect", pairs, one_of(IDEMPOTENCY_WORDS), Idempotency.NONE)
+    idempotency = read_value(
+        prefix + "effect", pairs, choice_parser(IDEMPOTENCY_WORDS), Idempotency.NONE
+    )
     window_path = prefix + "memory-span"
-    window_ms = read_value(window_path, pairs, microseconds, 0.0)
+    window_ms = read_value(window_path, pairs, parse_microseconds, 0.0)
     if idempotency is Idempotency.KEYED and not window_ms:
         raise InvalidStartValueError(
-            f"missing start value {window_path}: how long a task by_key may come again, above 0"
+            f"missing start value {window_path}: how long a retry by key may arrive, above 0"
         )
     weight = read_value(prefix + "worth", pairs, float, 1.0)
     return RequestClass(
-        latency_objective_ms=read_value(prefix + "target", pairs, microseconds, timeout_ms),
+        latency_objective_ms=read_value(prefix + "target", pairs, parse_microseconds, timeout_ms),
         objective_per_work=read_value(prefix + "aim-stretch", pairs, float, 0.0),
         timeout_ms=timeout_ms,
         idempotency=idempotency,
