--- a/tests/control/action_words.py
+++ b/tests/control/action_words.py
@@ -1,4 +1,4 @@
-"""The words for actions in the scenario files and in the recorded digests, which keep them."""
+"""The names of actions in the scenario files and in the recorded digests."""
 
 ACTION_WORDS = {
     "start": "run",
--- a/tests/control/controllers.py
+++ b/tests/control/controllers.py
@@ -1,4 +1,4 @@
-"""Controllers that a test drives by itself, with actions that nobody carries out."""
+"""Controllers that a test drives directly, with actions that are not carried out."""
 
 from typing import Any
 
@@ -7,26 +7,26 @@
 
 
 class IgnoredActions:
-    """Takes every action and forgets it; a subclass keeps those that its test is about."""
+    """Ignores every action; a subclass records the actions that its test checks."""
 
     def __getattr__(self, name: str) -> Any:
         return lambda *_, **__: None
 
 
 def make_controller(
-    actions: IgnoredActions, stage: RequestClass, **more: Any
+    actions: IgnoredActions, request_class: RequestClass, **settings: Any
 ) -> AdmissionController:
-    """A server of two cores with that stage alone, begun at time 0."""
+    """Returns a controller for two cores and one request class, started at time 0."""
     return AdmissionController(
         actions,
         0.0,
         ControllerSettings(
-            request_classes=[stage],
+            request_classes=[request_class],
             tenants=[],
             gauges=[],
             cores=2,
             crash_load_factor=5.0,
-            **more,
+            **settings,
         ),
         seed=1,
     )
--- a/tests/control/decision_streams.py
+++ b/tests/control/decision_streams.py
@@ -1,8 +1,8 @@
-"""A drawn stream of events for one control, and the digest of every action it asked for on the way.
+"""Random event streams for one controller, and a digest of all actions that it takes.
 
-The world reacts to the actions (runs end, calls come back), so one decision that differs changes all that
-follows. `digests` in decision_digests.json were made by the module as it was before pools, those of `Shifting` by
-the module as it was before its samples followed the active tenants.
+The simulated carrier reacts to the actions: runs and calls end later. One changed decision thus
+changes everything after it. The digests in decision_digests.json were recorded before class pools
+existed; those of `ShiftingTenants` before samples were limited to active tenants.
 """
 
 import hashlib
@@ -72,41 +72,43 @@
 )
 
 
-# The names of actions, and of their keywords, that the kept digests were made with.
-KEPT_NAMES = {**ACTION_WORDS, "cached": "stored"}
+# The names of actions and of their keywords in the recorded digests.
+RECORDED_NAMES = {**ACTION_WORDS, "cached": "stored"}
 
 
 class World:
-    """Takes the actions, and answers each with an event at a drawn time."""
+    """Carries out the actions of a controller, with events at random times."""
 
     LENGTH_MS = 30_000.0
-    quiet = False  # no digest is wanted
-    marks = False  # tasks tell who sends them and what they hold
+    quiet = False  # whether to skip the digest
+    marks = False  # whether requests have caller ids and content digests
 
     def __init__(
         self,
         seed: int,
         tenants: int,
         load: float,
-        stages: list[RequestClass] = STAGES,
+        classes: list[RequestClass] = STAGES,
         **keywords: Any,
     ) -> None:
-        self.chance = random.Random(seed)
+        self.rng = random.Random(seed)
         self.events: list[tuple[float, int, str, tuple[Any, ...]]] = []
-        self.order, self.now, self.load = count(), 0.0, load
-        self.digest, self.asked = hashlib.sha256(), 0
+        self.sequence, self.now, self.load = count(), 0.0, load
+        self.digest, self.action_count = hashlib.sha256(), 0
         self.running: set[int] = set()
-        self.cores, self.tenants, self.stages = keywords["cores"], tenants, stages
+        self.cores, self.tenants, self.classes = keywords["cores"], tenants, classes
         self.keyed: list[int] = []
-        names = [CORE_UTILIZATION, RUNNABLE, "heap", OPEN_CONNECTIONS]
-        people = [Tenant(1.0 / tenants, 20.0 if at % 2 else None) for at in range(tenants)]
+        gauge_names = [CORE_UTILIZATION, RUNNABLE, "heap", OPEN_CONNECTIONS]
+        tenant_settings = [
+            Tenant(1.0 / tenants, 20.0 if index % 2 else None) for index in range(tenants)
+        ]
         self.control = AdmissionController(
             self,
             0.0,
             ControllerSettings(
-                request_classes=stages,
-                tenants=people,
-                gauges=names,
+                request_classes=classes,
+                tenants=tenant_settings,
+                gauges=gauge_names,
                 run_memory_factor=8.0,
                 drain_grace_ms=2000.0,
                 servers=4,
@@ -117,117 +119,143 @@
             seed,
         )
 
-    def at(self, after: float, name: str, *details: Any) -> None:
-        heapq.heappush(self.events, (self.now + after, next(self.order), name, details))
+    def schedule(self, delay_ms: float, name: str, *arguments: Any) -> None:
+        heapq.heappush(self.events, (self.now + delay_ms, next(self.sequence), name, arguments))
 
     def __getattr__(self, name: str) -> Any:
         if name.startswith("_"):
             raise AttributeError(name)
 
-        react = REACTIONS.get(name)
-        kept_name = KEPT_NAMES.get(name, name)
+        reaction = REACTIONS.get(name)
+        recorded_name = RECORDED_NAMES.get(name, name)
 
-        def note(*details: Any, **named: Any) -> None:
-            self.asked += 1
+        def record(*arguments: Any, **keyword_arguments: Any) -> None:
+            self.action_count += 1
             if not self.quiet:
-                kept = sorted((KEPT_NAMES.get(word, word), value) for word, value in named.items())
-                self.digest.update(f"{self.now!r} {kept_name} {details!r} {kept!r}\n".encode())
-            if react is not None:
-                react(self, *details)
-
-        self.__dict__[name] = note
-        return note
-
-    def ran(self, task: int) -> None:
-        self.running.add(task)
-        stretch = max(1.0, len(self.running) / self.cores)
-        if self.chance.random() < 0.4:
-            self.at(self.chance.expovariate(1 / 60.0) * stretch, "on_dependency_needed", task)
+                recorded_keywords = sorted(
+                    (RECORDED_NAMES.get(keyword, keyword), value)
+                    for keyword, value in keyword_arguments.items()
+                )
+                self.digest.update(
+                    f"{self.now!r} {recorded_name} {arguments!r} {recorded_keywords!r}\n".encode()
+                )
+            if reaction is not None:
+                reaction(self, *arguments)
+
+        self.__dict__[name] = record
+        return record
+
+    def run_started(self, request_id: int) -> None:
+        self.running.add(request_id)
+        slowdown = max(1.0, len(self.running) / self.cores)
+        if self.rng.random() < 0.4:
+            self.schedule(
+                self.rng.expovariate(1 / 60.0) * slowdown, "on_dependency_needed", request_id
+            )
         else:
-            self.at(
-                self.chance.expovariate(1 / 260.0) * stretch, "on_run_finished", task, self.end()
+            self.schedule(
+                self.rng.expovariate(1 / 260.0) * slowdown,
+                "on_run_finished",
+                request_id,
+                self.run_outcome(),
             )
 
-    def end(self) -> Outcome:
-        return Outcome.OK if self.chance.random() < 0.95 else Outcome.ERROR
+    def run_outcome(self) -> Outcome:
+        return Outcome.OK if self.rng.random() < 0.95 else Outcome.ERROR
 
-    def called(self, task: int, give_up_ms: float) -> None:
-        outcome = self.chance.choice(
+    def call_sent(self, request_id: int, timeout_ms: float) -> None:
+        outcome = self.rng.choice(
             [Outcome.OK] * 8 + [Outcome.REJECTED, Outcome.TIMEOUT, Outcome.RESET]
         )
-        self.at(
-            min(give_up_ms, self.chance.expovariate(1 / 90.0)),
+        self.schedule(
+            min(timeout_ms, self.rng.expovariate(1 / 90.0)),
             "on_dependency_finished",
-            task,
+            request_id,
             outcome,
         )
 
-    def back(self, task: int) -> None:
-        self.at(self.chance.expovariate(1 / 150.0), "on_run_finished", task, self.end())
+    def run_resumed(self, request_id: int) -> None:
+        self.schedule(
+            self.rng.expovariate(1 / 150.0), "on_run_finished", request_id, self.run_outcome()
+        )
 
-    def reused(self, task: int) -> None:
-        self.at(self.chance.uniform(0.0, 300.0), "on_run_finished", task, Outcome.OK)
+    def replay_started(self, request_id: int) -> None:
+        self.schedule(self.rng.uniform(0.0, 300.0), "on_run_finished", request_id, Outcome.OK)
 
     def woken(self, after_ms: float) -> None:
-        self.at(after_ms, "on_tick")
+        self.schedule(after_ms, "on_tick")
 
     def tenant(self) -> int:
-        """Whose the next task is."""
-        return self.chance.randrange(self.tenants)
+        """Returns the tenant of the next request."""
+        return self.rng.randrange(self.tenants)
 
     def gauges(self) -> tuple[float, ...]:
-        use = min(1.0, len(self.running) / self.cores)
-        return use, float(len(self.running)), 0.3, self.chance.uniform(0.0, 200.0)
+        utilization = min(1.0, len(self.running) / self.cores)
+        return utilization, float(len(self.running)), 0.3, self.rng.uniform(0.0, 200.0)
 
     def play(self) -> str:
-        """Events in order until the stream is over; the digest of all that was asked for."""
-        ids, chance, next_task = count(1), self.chance, 0.0
-        mean = 300.0 / (self.cores * self.load)
-        self.at(self.LENGTH_MS - 4000.0, "start_draining", self.LENGTH_MS)
+        """Plays all events in order; returns the number of actions and their digest."""
+        ids, rng, next_arrival_at = count(1), self.rng, 0.0
+        mean_interval_ms = 300.0 / (self.cores * self.load)
+        self.schedule(self.LENGTH_MS - 4000.0, "start_draining", self.LENGTH_MS)
         while self.now < self.LENGTH_MS:
-            if not self.events or next_task <= self.events[0][0]:
-                self.now, ident = next_task, next(ids)
-                burst = 0.25 if int(self.now) % 9000 > 6000 else 1.0
-                next_task += chance.expovariate(1 / (mean * burst))
-                stage = chance.choices(range(4), (5, 3, 2, 1))[0]
-                stage += 4 * chance.randrange(len(self.stages) // 4) if len(self.stages) > 4 else 0
-                again = bool(self.keyed) and stage == 2 and chance.random() < 0.3
-                same = chance.choice(self.keyed) if again else None
-                if stage == 2 and same is None:
-                    self.keyed = [*self.keyed[-20:], ident]
-                work = chance.lognormvariate(5.5, 0.6) if chance.random() < 0.8 else None
-                tenant, waited = self.tenant(), chance.expovariate(1 / 4.0)
-                limit = 5000.0 + self.now if chance.random() < 0.3 else None
-                kb = chance.uniform(20.0, 60.0)
-                more = (ident % 7, False, ident) if self.marks else (0, False, 0)
+            if not self.events or next_arrival_at <= self.events[0][0]:
+                self.now, new_id = next_arrival_at, next(ids)
+                burst_factor = 0.25 if int(self.now) % 9000 > 6000 else 1.0
+                next_arrival_at += rng.expovariate(1 / (mean_interval_ms * burst_factor))
+                class_index = rng.choices(range(4), (5, 3, 2, 1))[0]
+                class_index += (
+                    4 * rng.randrange(len(self.classes) // 4) if len(self.classes) > 4 else 0
+                )
+                is_retry = bool(self.keyed) and class_index == 2 and rng.random() < 0.3
+                original_id = rng.choice(self.keyed) if is_retry else None
+                if class_index == 2 and original_id is None:
+                    self.keyed = [*self.keyed[-20:], new_id]
+                estimated_work = rng.lognormvariate(5.5, 0.6) if rng.random() < 0.8 else None
+                tenant, waited_ms = self.tenant(), rng.expovariate(1 / 4.0)
+                expires_at = 5000.0 + self.now if rng.random() < 0.3 else None
+                memory_kb = rng.uniform(20.0, 60.0)
+                caller_fields = (new_id % 7, False, new_id) if self.marks else (0, False, 0)
                 incoming = IncomingRequest(
-                    ident, stage, tenant, waited, limit, work, kb, same, *more
+                    new_id,
+                    class_index,
+                    tenant,
+                    waited_ms,
+                    expires_at,
+                    estimated_work,
+                    memory_kb,
+                    original_id,
+                    *caller_fields,
                 )
                 self.control.on_request(self.now, incoming)
-                if chance.random() < 0.03:
-                    self.at(chance.uniform(10.0, 3000.0), "on_cancel", ident)
+                if rng.random() < 0.03:
+                    self.schedule(rng.uniform(10.0, 3000.0), "on_cancel", new_id)
                 continue
-            self.now, _, name, details = heapq.heappop(self.events)
+            self.now, _, name, arguments = heapq.heappop(self.events)
             if name == "on_tick":
-                details = (self.gauges(),)
+                arguments = (self.gauges(),)
             elif name == "on_run_finished":
-                self.running.discard(details[0])
-            elif name == "on_dependency_finished" and details[1] is Outcome.OK:
-                self.back(details[0])
+                self.running.discard(arguments[0])
+            elif name == "on_dependency_finished" and arguments[1] is Outcome.OK:
+                self.run_resumed(arguments[0])
             elif name == "on_dependency_finished":
-                self.at(4000.0, "on_run_finished", details[0], Outcome.CANCELLED)
-            getattr(self.control, name)(self.now, *details)
-        return f"{self.asked} {self.digest.hexdigest()[:24]}"
+                self.schedule(4000.0, "on_run_finished", arguments[0], Outcome.CANCELLED)
+            getattr(self.control, name)(self.now, *arguments)
+        return f"{self.action_count} {self.digest.hexdigest()[:24]}"
+
 
+class ShiftingTenants(World):
+    """A stream in which few of many tenants send at a time.
 
-class Shifting(World):
-    """Few of many tenants send at a time: neighbours mostly, a new group every few seconds, or an earlier one
-    that comes back after it was idle. Pools are put in, and taken out, on the way.
+    The senders are mostly consecutive tenants: a new group every few seconds, or an earlier group
+    that returns after it was idle. Class pools are added and removed during the stream.
     """
 
     LENGTH_MS = 60_000.0
-    GROUP_MS = 6_000.0  # a queue's mark takes four samples to set and four to clear
-    PLACES = (
+    # A tenant is demoted after four samples and promoted after four.
+    GROUP_MS = 6_000.0
+    # The first tenant of each group, as a fraction of all tenants.
+    GROUP_STARTS = (
         0.0,
         0.37,
         0.0,
@@ -238,50 +266,52 @@
         0.7,
         0.999,
         0.1,
-    )  # where each group begins, of all
+    )
 
     def __init__(self, seed: int, tenants: int, load: float, active: int, **keywords: Any) -> None:
         super().__init__(seed, tenants, load, **keywords)
         self.active = active
-        numbers = {str(at): at for at in range(len(self.stages))}
-        self.at(20_000.0, "use_pools", ClassPools(0.0, PLAN, self.stages, numbers))
-        self.at(40_000.0, "use_pools", None)
+        class_indices = {str(index): index for index in range(len(self.classes))}
+        self.schedule(20_000.0, "use_pools", ClassPools(0.0, PLAN, self.classes, class_indices))
+        self.schedule(40_000.0, "use_pools", None)
 
     def tenant(self) -> int:
-        group = int(self.now / self.GROUP_MS) % len(self.PLACES)
-        if self.chance.random() < 0.05:
+        group = int(self.now / self.GROUP_MS) % len(self.GROUP_STARTS)
+        if self.rng.random() < 0.05:
             return super().tenant()
-        # The first of the group sends as much as all others: its queue grows long, and is marked.
-        nth = self.chance.randrange(self.active) if self.chance.random() < 0.5 else 0
-        return (int(self.PLACES[group] * self.tenants) + nth) % self.tenants
+        # The first tenant of the group sends half of the requests. Its queue grows long, and it is
+        # demoted.
+        offset = self.rng.randrange(self.active) if self.rng.random() < 0.5 else 0
+        return (int(self.GROUP_STARTS[group] * self.tenants) + offset) % self.tenants
+
 
+class WaitingRuns(ShiftingTenants):
+    """A stream like `ShiftingTenants` in which most runs wait for a disk at times.
 
-class Waiting(Shifting):
-    """The same, where most of what runs waits for the disk now and then: cores idle, so the total grows, and
-    is given back after.
+    Cores are then idle, so the concurrency limit grows, and it shrinks afterwards.
     """
 
     GROUP_MS = 4_500.0
-    EVERY_MS, WAITS_MS = 7_000.0, 2_500.0
+    WAIT_PERIOD_MS, WAIT_MS = 7_000.0, 2_500.0
 
     def gauges(self) -> tuple[float, ...]:
-        use, running, heap, links = super().gauges()
-        on_cores = 0.4 if self.now % self.EVERY_MS < self.WAITS_MS else 1.0
-        return on_cores * use, on_cores * running, heap, links
+        utilization, running, heap, connections = super().gauges()
+        active_fraction = 0.4 if self.now % self.WAIT_PERIOD_MS < self.WAIT_MS else 1.0
+        return active_fraction * utilization, active_fraction * running, heap, connections
 
 
 REACTIONS: dict[str, Any] = {
-    "start": World.ran,
-    "call_dependency": World.called,
-    "skip_dependency": World.back,
-    "replay_result": World.reused,
+    "start": World.run_started,
+    "call_dependency": World.call_sent,
+    "skip_dependency": World.run_resumed,
+    "replay_result": World.replay_started,
     "schedule_tick": World.woken,
 }
 
 
 def streams() -> dict[str, Callable[[], World]]:
-    """By kind, tenants, load and seed."""
-    plain = ((1, 0.7, 1), (3, 1.2, 2), (6, 1.6, 3), (40, 1.1, 4))
+    """Returns the streams by name: deployment, tenants, load and seed."""
+    steady = ((1, 0.7, 1), (3, 1.2, 2), (6, 1.6, 3), (40, 1.1, 4))
     shifting = (
         (12, 4, 1.5, 5),
         (50, 5, 1.3, 6),
@@ -291,18 +321,18 @@
         (15000, 40, 1.4, 10),
     )
     waiting = ((2, 2, 1.3, 11), (12, 4, 1.5, 12), (300, 20, 1.2, 13), (3000, 12, 2.0, 14))
-    found: dict[str, Callable[[], World]] = {}
-    for at, kind in enumerate(KINDS):
-        for tenants, load, seed in plain:
-            name = f"kind {at} tenants {tenants} load {load} seed {seed}"
-            found[name] = partial(World, seed, tenants, load, **kind)
+    streams_by_name: dict[str, Callable[[], World]] = {}
+    for index, kind in enumerate(KINDS):
+        for tenants, load, seed in steady:
+            name = f"kind {index} tenants {tenants} load {load} seed {seed}"
+            streams_by_name[name] = partial(World, seed, tenants, load, **kind)
         for tenants, active, load, seed in waiting:
-            name = f"kind {at} {active} of {tenants} tenants load {load} disk seed {seed}"
-            found[name] = partial(Waiting, seed, tenants, load, active, **kind)
+            name = f"kind {index} {active} of {tenants} tenants load {load} disk seed {seed}"
+            streams_by_name[name] = partial(WaitingRuns, seed, tenants, load, active, **kind)
         for tenants, active, load, seed in shifting:
-            name = f"kind {at} {active} of {tenants} tenants load {load} seed {seed}"
-            found[name] = partial(Shifting, seed, tenants, load, active, **kind)
-    return found
+            name = f"kind {index} {active} of {tenants} tenants load {load} seed {seed}"
+            streams_by_name[name] = partial(ShiftingTenants, seed, tenants, load, active, **kind)
+    return streams_by_name
 
 
 def digests() -> dict[str, str]:
--- a/tests/control/scenario_player.py
+++ b/tests/control/scenario_player.py
@@ -1,18 +1,32 @@
-"""Plays scenario files: steps in time, one a line or parted by ";", and what must have come of them by then.
-
-start KEY=VALUE ...           settings by keyword; `stage` and `tenant` lines before it add to the lists
-stage NAME due=.. limit=.. effect=.. [window= utility= late= skip=]
-tenant NAME [share= allowance=]
-pool NAME STAGE,STAGE [reserve= weight= most= lends=]      class pools, by lines before `start`
-budget RATIO BURST            of repeated attempts, before `start`
-repool [NAME ...]             from now on only those of the pools, or none
-at MS                         moves the clock, with ticks on the way and the gauges of the last `gauge`
-task ID STAGE [TENANT] [waited= limit= work= kb= same= caller= again= mark=]      several as 1..9
-end ID OUTCOME | call ID | back ID OUTCOME | gone ID | leave STOP
-expect ACTION ID [ID ...] | never ACTION [ID ...] | count ACTION LOW HIGH
-value LOW HIGH | closed LOW HIGH | cap TENANT LOW HIGH | patience LOW HIGH      of the latest call
-`last` is the action of a reject that asks callers not to try elsewhere
-forget-seen                   what was asked for so far counts no more
+"""Plays scenario files of the controller: steps in time, with checks of the actions so far.
+
+A line holds one step, or several separated by ";". Comments begin with "#". Steps:
+
+start KEY=VALUE ...           creates the controller with these settings, after these lines:
+stage NAME due=.. limit=.. effect=.. [window= utility= late= skip=]      adds a request class
+tenant NAME [share= allowance=]      adds a tenant
+pool NAME STAGE,STAGE [reserve= weight= most= lends=]      adds a class pool
+budget RATIO BURST            sets the retry budgets
+repool [NAME ...]             replaces the pools by the named ones, or by none
+gauge NAME=VALUE ...          sets gauges, which come with each tick
+at MS                         advances the time to MS, with the ticks until then
+task ID STAGE [TENANT] [waited= limit= work= kb= same= caller= again= mark=]
+                              reads a request; an ID may be a range, as in 1..9
+end ID OUTCOME                ends a run
+call ID ...                   a run needs its dependency call
+back ID OUTCOME               ends a dependency call
+gone ID                       the caller no longer waits
+leave STOP                    starts a drain; the process stops at STOP
+expect ACTION ID ...          checks that the action was taken once for each id
+never ACTION [ID ...]         checks that the action was not taken, for these ids or for any
+count ACTION LOW HIGH         checks how often the action was taken
+value LOW HIGH                checks the latest load value
+closed LOW HIGH               checks the latest idle timeout
+patience LOW HIGH             checks the timeout of the latest call
+cap TENANT LOW HIGH           checks the slots of a tenant
+forget-seen                   clears the recorded actions
+
+The action `last` is a reject that asks the caller not to try other servers.
 """
 
 from pathlib import Path
@@ -34,8 +48,8 @@
 from pumicenotch.pools.plan import POOL_KEYS
 from tests.control.action_words import ACTION_WORDS
 
-# The notation's words, and what they stand for.
-KINDS: dict[str, dict[str, Any]] = {
+# The values in the notation, and what they stand for.
+ENUM_VALUES: dict[str, dict[str, Any]] = {
     "effect": {
         "RESTARTABLE": Idempotency.IDEMPOTENT,
         "FINGERPRINTED": Idempotency.KEYED,
@@ -64,7 +78,7 @@
     "CANCELLED": Outcome.CANCELLED,
     "MOOT": Outcome.NOT_STARTED,
 }
-SETTINGS = {
+SETTING_NAMES = {
     "cold": "starts_cold",
     "cold_share": "initial_speed",
     "warm_ms": "warm_up_ms",
@@ -81,47 +95,51 @@
     "linger_ms": "dependency_linger_ms",
     "idle_ms": "idle_timeout_ms",
 }
-GAUGES = {
+GAUGE_NAMES = {
     "core_use": CORE_UTILIZATION,
     "on_cores": RUNNABLE,
     "links": OPEN_CONNECTIONS,
 }
 
 
-class Seen:
-    """Every action asked for, as (name, first argument), and the timer that is set."""
+class RecordedActions:
+    """Records every action as (name, first argument), and the delay of the next tick."""
 
     def __init__(self) -> None:
-        self.made: list[tuple[str, Any]] = []
-        self.wake_ms = self.patience_ms = 0.0
+        self.records: list[tuple[str, Any]] = []
+        self.tick_after_ms = self.call_timeout_ms = 0.0
 
     def __getattr__(self, name: str) -> Any:
-        def note(first: Any, *rest: Any, **named: Any) -> None:
-            word = ACTION_WORDS[name]
-            if word == "wake":
-                self.wake_ms = first
+        def record(first: Any, *other_arguments: Any, **keywords: Any) -> None:
+            action = ACTION_WORDS[name]
+            if action == "wake":
+                self.tick_after_ms = first
             else:
-                self.made.append((word, first))
-                self.made += [("last", first)] if word == "reject" and rest[0] else []
-                self.patience_ms = rest[0] if word == "call" else self.patience_ms
+                self.records.append((action, first))
+                self.records += (
+                    [("last", first)] if action == "reject" and other_arguments[0] else []
+                )
+                self.call_timeout_ms = (
+                    other_arguments[0] if action == "call" else self.call_timeout_ms
+                )
 
-        return note
+        return record
 
     def ids(self, name: str) -> list[Any]:
-        return [first for action, first in self.made if action == name]
+        return [first for action, first in self.records if action == name]
 
 
-def numbers(words: list[str]) -> list[int]:
-    found: list[int] = []
-    for word in words:
-        first, _, last = word.partition("..")
-        found += range(int(first), int(last or first) + 1)
-    return found
+def numbers(tokens: list[str]) -> list[int]:
+    expanded: list[int] = []
+    for token in tokens:
+        first, _, last = token.partition("..")
+        expanded += range(int(first), int(last or first) + 1)
+    return expanded
 
 
-def value(key: str, text: str) -> Any:
-    if key in KINDS:
-        return KINDS[key][text]
+def parse_value(key: str, text: str) -> Any:
+    if key in ENUM_VALUES:
+        return ENUM_VALUES[key][text]
     if text in ("yes", "no"):
         return text == "yes"
     try:
@@ -132,161 +150,181 @@
 
 class ControlScenario:
     def __init__(self) -> None:
-        self.seen = Seen()
+        self.actions = RecordedActions()
         self.stages: dict[str, RequestClass] = {}
         self.tenants: dict[str, Tenant] = {}
         self.pools: list[PoolPlan] = []
-        self.budget = (0.1, 10.0)
-        self.now = self.rings = 0.0
+        self.retry_budget = (0.1, 10.0)
+        self.now = self.next_tick_at = 0.0
         self.gauges: dict[str, float] = {"on_cores": 0.0}
         self.control: AdmissionController
 
     def run(self, path: Path) -> None:
-        """Plays a whole file; an AssertionError names the line and the step."""
+        """Plays a whole file. An AssertionError names the line and the step."""
         for number, line in enumerate(path.read_text().splitlines(), 1):
             for step in line.partition("#")[0].split(";"):
                 if step.strip():
                     try:
-                        self.line(step)
+                        self.play_step(step)
                     except AssertionError as error:
                         raise AssertionError(f"{path.name}:{number}: {step}: {error}") from None
         self.end()
 
-    def line(self, text: str) -> None:
-        verb, *words = text.split()
-        pairs = {key: val for key, _, val in (word.partition("=") for word in words if "=" in word)}
-        plain = [word for word in words if "=" not in word]
+    def play_step(self, text: str) -> None:
+        verb, *tokens = text.split()
+        options = {
+            key: text_value
+            for key, _, text_value in (token.partition("=") for token in tokens if "=" in token)
+        }
+        arguments = [token for token in tokens if "=" not in token]
         getattr(self, "do_" + verb.replace("-", "_"))(
-            plain, {key: value(key, pairs[key]) for key in pairs}
+            arguments, {key: parse_value(key, options[key]) for key in options}
         )
 
-    def do_stage(self, plain: list[str], pairs: dict[str, Any]) -> None:
-        self.stages[plain[0]] = RequestClass(
-            pairs["due"],
+    def do_stage(self, arguments: list[str], options: dict[str, Any]) -> None:
+        self.stages[arguments[0]] = RequestClass(
+            options["due"],
             0.0,
-            pairs["limit"],
-            pairs.get("effect", Idempotency.IDEMPOTENT),
-            pairs.get("window", 0.0),
-            pairs.get("utility", 1.0),
-            pairs.get("late", 0.0),
-            pairs.get("skip", 0.0),
+            options["limit"],
+            options.get("effect", Idempotency.IDEMPOTENT),
+            options.get("window", 0.0),
+            options.get("utility", 1.0),
+            options.get("late", 0.0),
+            options.get("skip", 0.0),
         )
 
-    def do_tenant(self, plain: list[str], pairs: dict[str, Any]) -> None:
-        self.tenants[plain[0]] = Tenant(pairs.get("share", 1.0), pairs.get("allowance"))
+    def do_tenant(self, arguments: list[str], options: dict[str, Any]) -> None:
+        self.tenants[arguments[0]] = Tenant(options.get("share", 1.0), options.get("allowance"))
 
-    def do_pool(self, plain: list[str], pairs: dict[str, Any]) -> None:
-        settings = {POOL_KEYS[key]: value for key, value in pairs.items()}
-        self.pools.append(PoolPlan(plain[0], tuple(plain[1].split(",")), **settings))
+    def do_pool(self, arguments: list[str], options: dict[str, Any]) -> None:
+        settings = {POOL_KEYS[key]: value for key, value in options.items()}
+        self.pools.append(PoolPlan(arguments[0], tuple(arguments[1].split(",")), **settings))
 
-    def do_budget(self, plain: list[str], pairs: dict[str, Any]) -> None:
-        self.budget = (float(plain[0]), float(plain[1]))
+    def do_budget(self, arguments: list[str], options: dict[str, Any]) -> None:
+        self.retry_budget = (float(arguments[0]), float(arguments[1]))
 
-    def pooled(self, names: list[str]) -> ClassPools | None:
+    def make_pools(self, names: list[str]) -> ClassPools | None:
         pools = tuple(pool for pool in self.pools if pool.name in names)
-        plan = PoolsPlan(pools, retry_ratio=self.budget[0], retry_burst=self.budget[1])
+        plan = PoolsPlan(pools, retry_ratio=self.retry_budget[0], retry_burst=self.retry_budget[1])
         numbers = {name: at for at, name in enumerate(self.stages)}
         return ClassPools(self.now, plan, list(self.stages.values()), numbers) if pools else None
 
-    def do_repool(self, plain: list[str], pairs: dict[str, Any]) -> None:
-        self.control.use_pools(self.now, self.pooled(plain))
+    def do_repool(self, arguments: list[str], options: dict[str, Any]) -> None:
+        self.control.use_pools(self.now, self.make_pools(arguments))
 
-    def settings(self, pairs: dict[str, Any]) -> ControllerSettings:
+    def settings(self, options: dict[str, Any]) -> ControllerSettings:
         return ControllerSettings(
             request_classes=list(self.stages.values()),
             tenants=list(self.tenants.values()),
-            gauges=[GAUGES.get(word, word) for word in self.gauges],
-            **{SETTINGS.get(word, word): value for word, value in pairs.items()},
+            gauges=[GAUGE_NAMES.get(token, token) for token in self.gauges],
+            **{SETTING_NAMES.get(token, token): value for token, value in options.items()},
         )
 
-    def do_start(self, plain: list[str], pairs: dict[str, Any]) -> None:
+    def do_start(self, arguments: list[str], options: dict[str, Any]) -> None:
         self.control = AdmissionController(
-            self.seen,
+            self.actions,
             self.now,
-            self.settings(pairs),
+            self.settings(options),
             seed=1,
-            pools=self.pooled([pool.name for pool in self.pools]),
+            pools=self.make_pools([pool.name for pool in self.pools]),
         )
-        self.rings = self.now + self.seen.wake_ms
+        self.next_tick_at = self.now + self.actions.tick_after_ms
 
-    def do_gauge(self, plain: list[str], pairs: dict[str, Any]) -> None:
-        self.gauges.update(pairs)
+    def do_gauge(self, arguments: list[str], options: dict[str, Any]) -> None:
+        self.gauges.update(options)
 
-    def do_at(self, plain: list[str], pairs: dict[str, Any]) -> None:
-        until = float(plain[0])
-        while self.rings <= until:
-            self.now = self.rings
+    def do_at(self, arguments: list[str], options: dict[str, Any]) -> None:
+        target_ms = float(arguments[0])
+        while self.next_tick_at <= target_ms:
+            self.now = self.next_tick_at
             self.control.on_tick(self.now, tuple(self.gauges.values()))
-            self.rings = self.now + self.seen.wake_ms
-        self.now = until
+            self.next_tick_at = self.now + self.actions.tick_after_ms
+        self.now = target_ms
 
-    def do_task(self, plain: list[str], pairs: dict[str, Any]) -> None:
+    def do_task(self, arguments: list[str], options: dict[str, Any]) -> None:
         tenants = list(self.tenants)
-        for ident in numbers(plain[:1]):
+        for request_id in numbers(arguments[:1]):
             incoming = IncomingRequest(
-                request_id=ident,
-                class_index=list(self.stages).index(plain[1]),
-                tenant_index=tenants.index(plain[2]) if plain[2:] else 0,
-                waited_ms=pairs.get("waited", 0.0),
-                expires_at=pairs.get("limit"),
-                estimated_work=pairs.get("work"),
-                memory_kb=pairs.get("kb", 1.0),
-                original_id=pairs.get("same"),
-                caller_id=pairs.get("caller", 0),
-                is_marked_retry=pairs.get("again", False),
-                content_digest=pairs.get("mark", 0),
+                request_id=request_id,
+                class_index=list(self.stages).index(arguments[1]),
+                tenant_index=tenants.index(arguments[2]) if arguments[2:] else 0,
+                waited_ms=options.get("waited", 0.0),
+                expires_at=options.get("limit"),
+                estimated_work=options.get("work"),
+                memory_kb=options.get("kb", 1.0),
+                original_id=options.get("same"),
+                caller_id=options.get("caller", 0),
+                is_marked_retry=options.get("again", False),
+                content_digest=options.get("mark", 0),
             )
             self.control.on_request(self.now, incoming)
 
-    def do_end(self, plain: list[str], pairs: dict[str, Any]) -> None:
-        for ident in numbers(plain[:1]):
-            self.control.on_run_finished(self.now, ident, OUTCOMES[plain[1]])
+    def do_end(self, arguments: list[str], options: dict[str, Any]) -> None:
+        for request_id in numbers(arguments[:1]):
+            self.control.on_run_finished(self.now, request_id, OUTCOMES[arguments[1]])
 
-    def do_call(self, plain: list[str], pairs: dict[str, Any]) -> None:
-        for ident in numbers(plain):
-            self.control.on_dependency_needed(self.now, ident)
+    def do_call(self, arguments: list[str], options: dict[str, Any]) -> None:
+        for request_id in numbers(arguments):
+            self.control.on_dependency_needed(self.now, request_id)
 
-    def do_back(self, plain: list[str], pairs: dict[str, Any]) -> None:
-        for ident in numbers(plain[:1]):
-            self.control.on_dependency_finished(self.now, ident, OUTCOMES[plain[1]])
+    def do_back(self, arguments: list[str], options: dict[str, Any]) -> None:
+        for request_id in numbers(arguments[:1]):
+            self.control.on_dependency_finished(self.now, request_id, OUTCOMES[arguments[1]])
 
-    def do_gone(self, plain: list[str], pairs: dict[str, Any]) -> None:
-        self.control.on_cancel(self.now, int(plain[0]))
+    def do_gone(self, arguments: list[str], options: dict[str, Any]) -> None:
+        self.control.on_cancel(self.now, int(arguments[0]))
 
-    def do_leave(self, plain: list[str], pairs: dict[str, Any]) -> None:
-        self.control.start_draining(self.now, float(plain[0]))
+    def do_leave(self, arguments: list[str], options: dict[str, Any]) -> None:
+        self.control.start_draining(self.now, float(arguments[0]))
 
-    def do_expect(self, plain: list[str], pairs: dict[str, Any]) -> None:
-        for ident in numbers(plain[1:]):
-            times = self.seen.ids(plain[0]).count(ident)
-            assert times == 1, f"{plain[0]} {ident} {times} times by {self.now}: {self.seen.made}"
+    def do_expect(self, arguments: list[str], options: dict[str, Any]) -> None:
+        for request_id in numbers(arguments[1:]):
+            times = self.actions.ids(arguments[0]).count(request_id)
+            assert times == 1, (
+                f"{arguments[0]} {request_id} {times} times by {self.now}: {self.actions.records}"
+            )
 
-    def do_never(self, plain: list[str], pairs: dict[str, Any]) -> None:
-        ids = self.seen.ids(plain[0])
-        found = [ident for ident in numbers(plain[1:]) if ident in ids] if plain[1:] else ids
-        assert not found, f"{plain[0]} {found} by {self.now}: {self.seen.made}"
+    def do_never(self, arguments: list[str], options: dict[str, Any]) -> None:
+        ids = self.actions.ids(arguments[0])
+        matches = (
+            [request_id for request_id in numbers(arguments[1:]) if request_id in ids]
+            if arguments[1:]
+            else ids
+        )
+        assert not matches, f"{arguments[0]} {matches} by {self.now}: {self.actions.records}"
 
-    def do_count(self, plain: list[str], pairs: dict[str, Any]) -> None:
-        found = len(self.seen.ids(plain[0]))
-        assert int(plain[1]) <= found <= int(plain[2]), f"{found} by {self.now}: {self.seen.made}"
+    def do_count(self, arguments: list[str], options: dict[str, Any]) -> None:
+        matches = len(self.actions.ids(arguments[0]))
+        assert int(arguments[1]) <= matches <= int(arguments[2]), (
+            f"{matches} by {self.now}: {self.actions.records}"
+        )
 
-    def do_value(self, plain: list[str], pairs: dict[str, Any]) -> None:
-        said = self.seen.ids("say")[-1]
-        assert float(plain[0]) <= said <= float(plain[1]), f"said {said} at {self.now}"
+    def do_value(self, arguments: list[str], options: dict[str, Any]) -> None:
+        reported = self.actions.ids("say")[-1]
+        assert float(arguments[0]) <= reported <= float(arguments[1]), (
+            f"reported {reported} at {self.now}"
+        )
 
-    def do_closed(self, plain: list[str], pairs: dict[str, Any]) -> None:
-        after = self.seen.ids("close_idle")[-1]
-        assert float(plain[0]) <= after <= float(plain[1]), f"idle for {after} at {self.now}"
+    def do_closed(self, arguments: list[str], options: dict[str, Any]) -> None:
+        timeout_ms = self.actions.ids("close_idle")[-1]
+        assert float(arguments[0]) <= timeout_ms <= float(arguments[1]), (
+            f"idle for {timeout_ms} at {self.now}"
+        )
 
-    def do_patience(self, plain: list[str], pairs: dict[str, Any]) -> None:
-        assert float(plain[0]) <= self.seen.patience_ms <= float(plain[1]), self.seen.patience_ms
+    def do_patience(self, arguments: list[str], options: dict[str, Any]) -> None:
+        assert float(arguments[0]) <= self.actions.call_timeout_ms <= float(arguments[1]), (
+            self.actions.call_timeout_ms
+        )
 
-    def do_cap(self, plain: list[str], pairs: dict[str, Any]) -> None:
-        caps = [self.control.scheduler.shares[at] for at in range(len(self.tenants))]
-        cap = caps[list(self.tenants).index(plain[0])]
-        assert float(plain[1]) <= cap <= float(plain[2]), f"cap {cap} of {caps}"
+    def do_cap(self, arguments: list[str], options: dict[str, Any]) -> None:
+        slots_by_tenant = [self.control.scheduler.shares[at] for at in range(len(self.tenants))]
+        slots = slots_by_tenant[list(self.tenants).index(arguments[0])]
+        assert float(arguments[1]) <= slots <= float(arguments[2]), (
+            f"slots {slots} of {slots_by_tenant}"
+        )
 
+    # Subclasses run their final checks here.
     def end(self) -> None: ...
 
-    def do_forget_seen(self, plain: list[str], pairs: dict[str, Any]) -> None:
-        self.seen.made.clear()
+    def do_forget_seen(self, arguments: list[str], options: dict[str, Any]) -> None:
+        self.actions.records.clear()
--- a/tests/control/test_dependency_calls.py
+++ b/tests/control/test_dependency_calls.py
@@ -1,4 +1,4 @@
-"""The wait for a call to the dependency."""
+"""The estimated wait for a dependency call."""
 
 from random import Random
 
@@ -8,12 +8,12 @@
 from tests.control.controllers import IgnoredActions
 
 
-def test_a_call_waits_for_all_that_are_open_where_the_quota_is_below_one() -> None:
-    """A server with half a call's place in the shared dependency waits out the call in hand, twice over,
-    before its next; one with places to spare waits for nothing.
+def test_a_call_waits_for_the_open_calls_only_if_the_quota_is_below_one() -> None:
+    """With a quota of about half a call, the next call waits for about twice the time of the open
+    one. With free quota it does not wait.
     """
 
-    def calls(quota: float, window_ms: float, linger_ms: float) -> DependencyCalls:
+    def make_calls(quota: float, window_ms: float, linger_ms: float) -> DependencyCalls:
         settings = ControllerSettings(
             request_classes=[],
             tenants=[],
@@ -23,15 +23,15 @@
             dependency_window_ms=window_ms,
             dependency_linger_ms=linger_ms,
         )
-        made = DependencyCalls(TimerQueue(), IgnoredActions(), Random(1), settings)
-        made.mean_call_ms = 100.0
-        made.blocked_until = 0.0
-        return made
+        dependency_calls = DependencyCalls(TimerQueue(), IgnoredActions(), Random(1), settings)
+        dependency_calls.mean_call_ms = 100.0
+        dependency_calls.blocked_until = 0.0
+        return dependency_calls
 
-    scarce = calls(0.56, 5000.0, 200.0)
+    scarce = make_calls(0.56, 5000.0, 200.0)
     assert scarce.expected_wait_ms(0.0) == 0.0
     scarce.open.add(7)
     assert abs(scarce.expected_wait_ms(0.0) - 100.0 / (0.9 * 0.56)) < 1e-9
-    plenty = calls(32.0, 0.0, 0.0)
-    plenty.open.update({1, 2, 3})
-    assert plenty.expected_wait_ms(0.0) == 0.0
+    ample = make_calls(32.0, 0.0, 0.0)
+    ample.open.update({1, 2, 3})
+    assert ample.expected_wait_ms(0.0) == 0.0
--- a/tests/control/test_health.py
+++ b/tests/control/test_health.py
@@ -1,4 +1,4 @@
-"""Health as the list of endpoints sees it: a server that reads too late leaves it for a while."""
+"""A server that reads requests too late leaves the list of endpoints for a while."""
 
 from itertools import pairwise
 
@@ -6,11 +6,11 @@
 from pumicenotch.interface import Idempotency, IncomingRequest, LoadFeedback, RequestClass
 from tests.control.controllers import IgnoredActions, make_controller
 
-STAGE = RequestClass(1000.0, 0.0, 3000.0, Idempotency.IDEMPOTENT, 0.0, 1.0, 0.0, 0.0)
+REQUEST_CLASS = RequestClass(1000.0, 0.0, 3000.0, Idempotency.IDEMPOTENT, 0.0, 1.0, 0.0, 0.0)
 
 
-class Heard(IgnoredActions):
-    """Keeps each health answer that was set, with its time; every other action is taken and forgotten."""
+class RecordedHealth(IgnoredActions):
+    """Records each change of health with its time, and ignores every other action."""
 
     def __init__(self) -> None:
         self.now = 0.0
@@ -20,49 +20,63 @@
         self.answers.append((self.now, healthy))
 
 
-def late_for(listed: bool, until_s: float, then_s: float) -> list[tuple[float, bool]]:
-    """Three tasks a tick are read after nine tenths of their time, then fresh ones."""
-    heard, ident = Heard(), 0
+def health_changes(listed: bool, late_s: float, on_time_s: float) -> list[tuple[float, bool]]:
+    """Returns the changes of health while three requests per tick are read after nine tenths of
+    their time for `late_s`, and at once for `on_time_s`.
+    """
+    actions, request_id = RecordedHealth(), 0
     server = make_controller(
-        heard, STAGE, memory_kb=1e6, load_feedback=LoadFeedback.WEIGHT, listed_by_health=listed
+        actions,
+        REQUEST_CLASS,
+        memory_kb=1e6,
+        load_feedback=LoadFeedback.WEIGHT,
+        listed_by_health=listed,
     )
-    while heard.now < 1000.0 * (until_s + then_s):
-        heard.now += TICK_INTERVAL_MS
+    while actions.now < 1000.0 * (late_s + on_time_s):
+        actions.now += TICK_INTERVAL_MS
         for _ in range(3):
-            ident += 1
-            waited = 900.0 if heard.now < 1000.0 * until_s else 0.0
+            request_id += 1
+            waited = 900.0 if actions.now < 1000.0 * late_s else 0.0
             server.on_request(
-                heard.now, IncomingRequest(ident, 0, 0, waited, None, None, 1.0, None)
+                actions.now, IncomingRequest(request_id, 0, 0, waited, None, None, 1.0, None)
             )
-        server.on_tick(heard.now, ())
-    return heard.answers
+        server.on_tick(actions.now, ())
+    return actions.answers
 
 
 def test_a_server_that_reads_too_late_is_unhealthy_for_seconds_and_recovers() -> None:
-    """Seen at utrecht rough-2: one of fifteen servers read 80 tasks a second against 24 on the mean, all too
-    late, and ran none; it looked idle to callers that go by measured reports, so more came.
+    """Guards against a server that reads all requests too late, rejects them and looks idle to
+    callers. One of fifteen servers read 80 requests per second, against a mean of 24, and ran none.
     """
-    health = late_for(listed=True, until_s=20.0, then_s=10.0)
-    assert [good for _, good in health[:3]] == [True, False, True]
-    bad = [end - begin for (begin, good), (end, _) in pairwise(health) if not good]
-    good = [end - begin for (begin, good), (end, _) in pairwise(health[1:]) if good]
-    assert (
-        bad and max(bad) <= 4000.0 + TICK_INTERVAL_MS
-    )  # never out for longer, however late it reads
-    assert good and min(good) >= 4000.0  # and then in the list for as long, whatever happens
-    assert health[-1][1]  # reading keeps up: it stays
+    health = health_changes(listed=True, late_s=20.0, on_time_s=10.0)
+    assert [healthy for _, healthy in health[:3]] == [True, False, True]
+    unhealthy_ms = [
+        ended_at - started_at
+        for (started_at, healthy), (ended_at, _) in pairwise(health)
+        if not healthy
+    ]
+    healthy_ms = [
+        ended_at - started_at
+        for (started_at, healthy), (ended_at, _) in pairwise(health[1:])
+        if healthy
+    ]
+    # The unhealthy time is bounded however late the server reads, and so is the healthy time between.
+    assert unhealthy_ms and max(unhealthy_ms) <= 4000.0 + TICK_INTERVAL_MS
+    assert healthy_ms and min(healthy_ms) >= 4000.0
+    # Reading keeps up at the end.
+    assert health[-1][1]
     assert health[-1][0] < 26_000.0
 
 
-def test_where_health_does_not_list_servers_a_late_one_stays_healthy() -> None:
-    assert late_for(listed=False, until_s=20.0, then_s=0.0) == [(0.0, True)]
+def test_a_late_server_stays_healthy_if_health_does_not_list_servers() -> None:
+    assert health_changes(listed=False, late_s=20.0, on_time_s=0.0) == [(0.0, True)]
 
 
 def test_a_draining_server_stays_unhealthy() -> None:
-    heard = Heard()
-    server = make_controller(heard, STAGE, memory_kb=1e6, listed_by_health=True)
+    actions = RecordedHealth()
+    server = make_controller(actions, REQUEST_CLASS, memory_kb=1e6, listed_by_health=True)
     server.start_draining(0.0, 60_000.0)
-    while heard.now < 20_000.0:
-        heard.now += TICK_INTERVAL_MS
-        server.on_tick(heard.now, ())
-    assert [good for _, good in heard.answers] == [True, False]
+    while actions.now < 20_000.0:
+        actions.now += TICK_INTERVAL_MS
+        server.on_tick(actions.now, ())
+    assert [healthy for _, healthy in actions.answers] == [True, False]
