--- a/tests/pools/test_pools.py
+++ b/tests/pools/test_pools.py
@@ -1,4 +1,4 @@
-"""The parts of class pools by themselves, and the reducer on whatever events come."""
+"""The components of class pools, and `ClassPools` on random event streams."""
 
 import pytest
 from hypothesis import given
@@ -25,8 +25,8 @@
     needs, reserves, weights = map(list, zip(*pools, strict=True))
     limits = allocate(total, needs, reserves, weights)
     assert total - 1e-6 <= sum(limits) <= total + MIN_SLOTS * len(pools) + 1e-6
-    short = [at for at, limit in enumerate(limits) if limit < needs[at] - 1e-6]
-    if short:
+    short_pools = [index for index, limit in enumerate(limits) if limit < needs[index] - 1e-6]
+    if short_pools:
         assert all(
             limit <= need + MIN_SLOTS + 1e-6 for limit, need in zip(limits, needs, strict=True)
         )
@@ -42,17 +42,19 @@
 
 
 @given(st.floats(1.0, 40.0), st.lists(pool, min_size=2, max_size=8))
-def test_among_pools_that_are_short_weight_decides(
+def test_limits_of_pools_below_their_needs_are_proportional_to_weights(
     total: float, pools: list[tuple[float, float, float]]
 ) -> None:
     needs, _, weights = map(list, zip(*pools, strict=True))
     limits = allocate(total, needs, [0.0] * len(pools), weights)
-    level = [
-        limits[at] / weights[at]
-        for at in range(len(pools))
-        if MIN_SLOTS < limits[at] < needs[at] - 1e-6
+    slots_per_weight = [
+        limits[index] / weights[index]
+        for index in range(len(pools))
+        if MIN_SLOTS < limits[index] < needs[index] - 1e-6
     ]
-    assert not level or max(level) <= min(level) * (1.0 + 1e-6) + 1e-9
+    assert (
+        not slots_per_weight or max(slots_per_weight) <= min(slots_per_weight) * (1.0 + 1e-6) + 1e-9
+    )
 
 
 @given(st.floats(1.0, 40.0), st.lists(pool, min_size=1, max_size=8), st.floats(0.1, 1.0))
@@ -61,25 +63,27 @@
 ) -> None:
     needs, reserves, weights = map(list, zip(*pools, strict=True))
     ceilings = [fraction * total] * len(pools)
-    capped = [min(reserve, ceiling) for reserve, ceiling in zip(reserves, ceilings, strict=True)]
-    limits = allocate(total, needs, capped, weights, ceilings)
+    capped_reserves = [
+        min(reserve, ceiling) for reserve, ceiling in zip(reserves, ceilings, strict=True)
+    ]
+    limits = allocate(total, needs, capped_reserves, weights, ceilings)
     assert all(
         limit <= max(ceiling, MIN_SLOTS) + 1e-6
         for limit, ceiling in zip(limits, ceilings, strict=True)
     )
 
 
-def test_an_arrival_rate_is_right_from_the_start_follows_a_jump_within_a_second_and_fades() -> None:
+def test_an_arrival_rate_is_accurate_at_once_follows_a_jump_within_a_second_and_decays() -> None:
     arrivals = ArrivalRate(0.0, 700.0)
-    for at in range(0, 400, 20):
+    for at_ms in range(0, 400, 20):
         arrivals.new_arrivals += 1
-        if at % 100 == 80:
-            rate = arrivals.fold(float(at))
+        if at_ms % 100 == 80:
+            rate = arrivals.fold(float(at_ms))
     assert 0.04 < rate < 0.065  # 50 a second
-    for at in range(400, 1900, 5):
+    for at_ms in range(400, 1900, 5):
         arrivals.new_arrivals += 1
-        if at % 100 == 95:
-            rate = arrivals.fold(float(at))
+        if at_ms % 100 == 95:
+            rate = arrivals.fold(float(at_ms))
     assert 0.16 < rate < 0.22  # 200 a second
     assert arrivals.fold(5000.0) < 0.01
     assert arrivals.fold(60000.0) == 0.0
@@ -101,7 +105,7 @@
 
 def test_a_retry_budget_is_a_fraction_of_first_attempts() -> None:
     budgets = RetryBudgets(0.25, 2.0, 100)
-    for _ in range(2):  # the first token is there, the burst saved up
+    for _ in range(2):  # the initial token, then the first saved one
         assert budgets.allows(1, 1)
         budgets.withdraw(1, 1)
         for _ in range(4):
@@ -109,13 +113,13 @@
     budgets.withdraw(1, 1)
     assert not budgets.allows(1, 1)
     assert budgets.allows(2, 2)
-    assert not budgets.allows(2, 1), "the tenant's are spent, whoever sends"
+    assert not budgets.allows(2, 1), "the tenant's tokens are spent, whichever caller sends"
     for _ in range(4):
         budgets.deposit(1, 1)
     assert budgets.allows(1, 1)
 
 
-def test_invented_callers_gain_little_and_take_no_memory() -> None:
+def test_callers_with_a_new_id_for_each_attempt_gain_few_retries_and_bounded_memory() -> None:
     budgets = RetryBudgets(0.1, 10.0, 64)
     admitted = 0
     for caller in range(100_000):
@@ -124,7 +128,7 @@
             admitted += 1
         elif caller % 10 == 0:
             budgets.callers.deposit(caller)
-    assert admitted <= 40, "the budget over all bounds them"
+    assert admitted <= 40, "the total budget bounds the retries"
     assert len(budgets.callers.recent) + len(budgets.callers.previous) <= 128
     assert budgets.dropped_keys > 0
 
@@ -138,18 +142,16 @@
         assert len(budget.recent) <= 8
 
 
-def test_the_content_of_a_rejected_request_is_a_duplicate_within_the_window_and_memory_is_bounded() -> (
-    None
-):
+def test_content_of_a_rejected_request_is_a_duplicate_within_a_window_of_bounded_size() -> None:
     detector = DuplicateDetector(0.0, 1000.0)
     assert not detector.is_duplicate(0.0, 7)
-    assert not detector.is_duplicate(1.0, 7), "served twice it is two tasks"
+    assert not detector.is_duplicate(1.0, 7), "equal content served twice is two requests"
     detector.remember(2.0, 7)
     assert detector.is_duplicate(900.0, 7)
-    assert detector.is_duplicate(1100.0, 7), "of the generation before"
+    assert detector.is_duplicate(1100.0, 7), "in the previous generation"
     assert not detector.is_duplicate(9000.0, 7)
     detector.remember(9000.0, 0)
-    assert not detector.is_duplicate(9000.0, 0), "no content is never the same"
+    assert not detector.is_duplicate(9000.0, 0), "digest 0 stands for unknown content"
     for digest in range(100, 101 + 3 * MAX_DIGESTS):
         detector.remember(9100.0, digest)
         assert len(detector.recent) + len(detector.previous) <= 2 * MAX_DIGESTS
@@ -162,30 +164,32 @@
     assert not detector.is_duplicate(0.0, 7)
 
 
-def test_while_reading_is_behind_a_fraction_of_it_is_kept_for_reserved_pools() -> None:
+def test_while_reading_is_behind_a_fraction_of_requests_is_kept_for_reserved_pools() -> None:
     backlog = ReadBacklog(0.0, 0.5)
-    assert all(backlog.admits(float(at), 5.0, False) for at in range(100))
-    for at in range(100, 120):
-        backlog.admits(float(at), 300.0, True)
-    passed = [backlog.admits(200.0 + at, 300.0, at % 4 == 0) for at in range(200)]
-    assert all(passed[::4]), "reserved ones always"
-    others = sum(passed) - 50
-    assert 95 <= others <= 110, "half of what was read"
-    assert backlog.rejected == 150 - others
-    for at in range(400, 600):
-        backlog.admits(float(at), 1.0, False)
-    assert all(backlog.admits(600.0 + at, 1.0, False) for at in range(50)), "caught up"
+    assert all(backlog.admits(float(at_ms), 5.0, False) for at_ms in range(100))
+    for at_ms in range(100, 120):
+        backlog.admits(float(at_ms), 300.0, True)
+    admitted_flags = [backlog.admits(200.0 + at_ms, 300.0, at_ms % 4 == 0) for at_ms in range(200)]
+    assert all(admitted_flags[::4]), "requests of reserved pools are always admitted"
+    others_admitted = sum(admitted_flags) - 50
+    assert 95 <= others_admitted <= 110, "half of the requests read"
+    assert backlog.rejected == 150 - others_admitted
+    for at_ms in range(400, 600):
+        backlog.admits(float(at_ms), 1.0, False)
+    assert all(backlog.admits(600.0 + at_ms, 1.0, False) for at_ms in range(50)), (
+        "reading has caught up"
+    )
 
 
 def test_a_reader_that_was_idle_is_no_longer_behind() -> None:
     backlog = ReadBacklog(0.0, 0.5)
-    for at in range(100):
-        backlog.admits(float(at), 400.0, False)
+    for at_ms in range(100):
+        backlog.admits(float(at_ms), 400.0, False)
     assert backlog.admits(5000.0, 1.0, False)
 
 
 @pytest.mark.parametrize(
-    ("pools", "words"),
+    ("pools", "message"),
     [
         ([], "name one at the least"),
         ([PoolPlan("a", ())], "no stages"),
@@ -198,8 +202,8 @@
         ([PoolPlan("a", ("x",), reserve=0.6, max_fraction=0.5)], "reserve 0.6 is over most 0.5"),
     ],
 )
-def test_plans_that_contradict_themselves_are_refused(pools: list[PoolPlan], words: str) -> None:
-    with pytest.raises(InvalidPoolsPlanError, match=words):
+def test_plans_that_contradict_themselves_are_refused(pools: list[PoolPlan], message: str) -> None:
+    with pytest.raises(InvalidPoolsPlanError, match=message):
         assign_classes(PoolsPlan(tuple(pools)), {"x": 0, "y": 1})
 
 
@@ -211,11 +215,11 @@
     assert unknown_classes(plan, ["x", "y", "z"]) == ["gone"]
     assert assign_classes(PoolsPlan((PoolPlan("a", ("x",)), PoolPlan("b", ("y",)))), {"z": 0}) == [
         1
-    ], "without a rest, to the last"
+    ], "without a pool for other classes, to the last pool"
 
 
-kinds = st.sampled_from(["received", "taken", "released", "finished", "tick", "next"])
-events = st.lists(st.tuples(kinds, st.integers(0, 3), st.floats(0.0, 400.0)), max_size=120)
+event_names = st.sampled_from(["received", "taken", "released", "finished", "tick", "next"])
+events = st.lists(st.tuples(event_names, st.integers(0, 3), st.floats(0.0, 400.0)), max_size=120)
 
 
 def three_pools(fixed: bool, lends: bool) -> PoolsPlan:
@@ -230,7 +234,7 @@
 
 
 @given(events, st.integers(1, 12), st.booleans(), st.booleans())
-def test_whatever_happens_a_waiting_pool_may_start_or_a_slot_is_kept_for_another(
+def test_on_random_events_a_waiting_pool_may_start_or_a_slot_is_kept_for_another(
     stream: list[tuple[str, int, float]], total: int, fixed: bool, lends: bool
 ) -> None:
     plan = three_pools(fixed, lends)
@@ -258,11 +262,11 @@
             pools.tick(now, total)
             assert all(0.0 < state.limit <= max(total, 1) + MIN_SLOTS * 4 for state in pools.pools)
         elif name == "next":
-            every = list(range(pools.count))
-            chosen = pools.next_pool(now, every)
-            assert chosen in (None, *every)
+            all_pools = list(range(pools.count))
+            chosen = pools.next_pool(now, all_pools)
+            assert chosen in (None, *all_pools)
             if not fixed and not sum(running):
-                assert chosen is not None, "on empty cores something always starts"
+                assert chosen is not None, "on idle cores a run always starts"
             assert pools.next_pool(now, []) is None
     assert [state.running for state in pools.pools] == running
     assert pools.running == sum(running)
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -1,4 +1,4 @@
-"""The slopes file, its fits and its page: `python -m benchmarks.capacity`."""
+"""The command `python -m benchmarks.capacity`: its slopes file, its fits and its page."""
 
 import json
 from pathlib import Path
@@ -16,7 +16,7 @@
 from benchmarks.capacity.spread import Load, Spread
 
 SIZES = [80.0, 160.0, 320.0, 640.0, 1280.0, 2500.0]
-GOOD = {
+VALID_RECORD = {
     "role": "agent",
     "measure": "sent",
     "unit": "bytes/s",
@@ -29,18 +29,18 @@
 
 
 @pytest.mark.parametrize("shape", ["linear", "n log n", "n squared", "log n", "inverse"])
-def test_a_curve_is_known_by_its_points_and_foretells_the_largest(shape: str) -> None:
-    told = fits.Fit(shape, 0.01, 3.0, 0.0)
-    values = [told.at(size) for size in SIZES]
-    found, trial = fits.fit(SIZES, values), fits.tried(SIZES, values)
-    assert (found.shape, found.name) == (shape, shape)
-    assert found.residual < 1e-6
-    assert found.slope == pytest.approx(3.0)
+def test_the_shape_of_a_curve_is_found_and_predicts_the_largest_size(shape: str) -> None:
+    true_fit = fits.Fit(shape, 0.01, 3.0, 0.0)
+    values = [true_fit.at(size) for size in SIZES]
+    fit, trial = fits.fit(SIZES, values), fits.tried(SIZES, values)
+    assert (fit.shape, fit.name) == (shape, shape)
+    assert fit.residual < 1e-6
+    assert fit.slope == pytest.approx(3.0)
     assert abs(trial.error) < 1e-6
     assert trial.size == 2500.0
 
 
-def test_no_line_is_drawn_through_a_curve_and_none_through_chance() -> None:
+def test_no_line_is_fitted_to_a_curve_or_to_random_values() -> None:
     squares = [size**2 for size in SIZES]
     line = fits.solved("linear", np.array(SIZES), np.array(squares))
     assert line.residual > fits.IRREGULAR
@@ -49,20 +49,20 @@
     assert fits.fit(SIZES, [1.0, 900.0, 3.0, 700.0, 2.0, 500.0]).name.startswith("irregular")
 
 
-def test_a_trial_that_fails_shows_its_error() -> None:
+def test_a_prediction_that_fails_reports_its_error() -> None:
     jump = fits.tried(SIZES, [80.0, 160.0, 320.0, 640.0, 1280.0, 25_000.0])
     assert jump.error == pytest.approx(-0.9, abs=0.01)
-    nothing = fits.tried(SIZES, [0.0] * 6)
-    assert nothing.error == 0.0
+    zero = fits.tried(SIZES, [0.0] * 6)
+    assert zero.error == 0.0
 
 
-def test_what_is_measured_stays_what_it_is_in_the_file(tmp_path: Path) -> None:
+def test_records_are_read_as_they_were_written_and_newer_ones_replace_older(tmp_path: Path) -> None:
     path = tmp_path / "slopes.jsonl"
-    first = records.parse(json.dumps(GOOD), roles.ROLES, "x")
+    first = records.parse(json.dumps(VALID_RECORD), roles.ROLES, "x")
     records.write(path, first)
     assert records.read(path, roles.ROLES) == first
-    newer = records.parse(json.dumps(GOOD | {"value": 2.5}), roles.ROLES, "x")
-    assert [each.value for each in records.merged(first, newer)] == [2.5]
+    newer = records.parse(json.dumps(VALID_RECORD | {"value": 2.5}), roles.ROLES, "x")
+    assert [record.value for record in records.merged(first, newer)] == [2.5]
     assert records.read(tmp_path / "none", roles.ROLES) == []
 
 
@@ -82,16 +82,16 @@
         ({"colour": "red"}, "'colour' is unknown", "role, measure"),
     ],
 )
-def test_a_wrong_line_is_named_with_its_place_and_what_is_allowed(
+def test_an_invalid_field_is_reported_with_its_line_and_the_allowed_values(
     change: dict[str, object], problem: str, allowed: str
 ) -> None:
-    text = "\n".join((json.dumps(GOOD), json.dumps(GOOD | {"size": 160} | change)))
-    with pytest.raises(InvalidSlopesError) as found:
+    text = "\n".join((json.dumps(VALID_RECORD), json.dumps(VALID_RECORD | {"size": 160} | change)))
+    with pytest.raises(InvalidSlopesError) as raised:
         records.parse(text, roles.ROLES, "slopes.jsonl")
-    told = str(found.value)
-    assert told.startswith(f"slopes.jsonl:2: {problem}; allowed: ")
-    assert allowed in told
-    assert "\n" not in told
+    message = str(raised.value)
+    assert message.startswith(f"slopes.jsonl:2: {problem}; allowed: ")
+    assert allowed in message
+    assert "\n" not in message
 
 
 @pytest.mark.parametrize(
@@ -101,21 +101,21 @@
         ("", "no JSON"),
         ("[1]", "no JSON object"),
         (
-            json.dumps({key: value for key, value in GOOD.items() if key != "seed"}),
+            json.dumps({key: value for key, value in VALID_RECORD.items() if key != "seed"}),
             "seed is missing",
         ),
-        (json.dumps(GOOD), "measured twice"),
-        (json.dumps(GOOD | {"size": float("nan")}), "size nan"),
-        (json.dumps(GOOD | {"value": float("inf")}), "value inf"),
+        (json.dumps(VALID_RECORD), "measured twice"),
+        (json.dumps(VALID_RECORD | {"size": float("nan")}), "size nan"),
+        (json.dumps(VALID_RECORD | {"value": float("inf")}), "value inf"),
     ],
 )
-def test_a_line_that_is_no_measurement_is_named(line: str, problem: str) -> None:
+def test_a_line_that_is_not_a_measurement_is_reported(line: str, problem: str) -> None:
     with pytest.raises(InvalidSlopesError, match=f"^f:2: {problem}"):
-        records.parse(f"{json.dumps(GOOD)}\n{line}\n", roles.ROLES, "f")
+        records.parse(f"{json.dumps(VALID_RECORD)}\n{line}\n", roles.ROLES, "f")
 
 
 @pytest.mark.parametrize(
-    ("told", "allowed"),
+    ("arguments", "allowed"),
     [
         (["king"], "voter.leader"),
         (["agent", "--sizes", "0"], "a number above 0"),
@@ -130,21 +130,21 @@
         (["--colour"], "unrecognized arguments"),
     ],
 )
-def test_wrong_use_is_one_line_and_status_2(
-    told: list[str], allowed: str, capsys: pytest.CaptureFixture[str]
+def test_invalid_arguments_are_reported_in_one_line_with_status_2(
+    arguments: list[str], allowed: str, capsys: pytest.CaptureFixture[str]
 ) -> None:
     try:
-        status = capacity.main(told)
-    except SystemExit as ended:
-        status = int(str(ended.code))
-    shown = capsys.readouterr()
-    assert (status, shown.out) == (2, "")
-    assert shown.err.startswith("capacity: ")
-    assert shown.err.count("\n") == 1
-    assert allowed in shown.err
+        status = capacity.main(arguments)
+    except SystemExit as system_exit:
+        status = int(str(system_exit.code))
+    output = capsys.readouterr()
+    assert (status, output.out) == (2, "")
+    assert output.err.startswith("capacity: ")
+    assert output.err.count("\n") == 1
+    assert allowed in output.err
 
 
-def test_a_wrong_slopes_file_is_refused_before_anything_is_measured(
+def test_an_invalid_slopes_file_is_refused_before_a_measurement(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     path = tmp_path / "slopes.jsonl"
@@ -154,18 +154,25 @@
     assert path.read_text() == "nothing\n"
 
 
-def test_a_role_is_measured_into_its_file(
+def test_the_measurements_of_a_role_are_written_to_the_file(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     path = tmp_path / "slopes.jsonl"
     assert capacity.main(["agent", "--sizes", "16", "--seed", "3", "--out", str(path)]) == 0
-    kept = records.read(path, roles.ROLES)
-    assert {each.measure for each in kept} >= {"state", "sent", "processor", "longest_step"}
-    assert {(each.role, each.size, each.seed) for each in kept} == {("agent", 16.0, 3)}
-    assert len(capsys.readouterr().out.splitlines()) == len(kept)
+    records_read = records.read(path, roles.ROLES)
+    assert {record.measure for record in records_read} >= {
+        "state",
+        "sent",
+        "processor",
+        "longest_step",
+    }
+    assert {(record.role, record.size, record.seed) for record in records_read} == {
+        ("agent", 16.0, 3)
+    }
+    assert len(capsys.readouterr().out.splitlines()) == len(records_read)
 
 
-def test_what_grows_and_what_it_grows_to_is_known_of_every_slope() -> None:
+def test_every_slope_has_a_known_variable_valid_sizes_and_targets() -> None:
     for slope in roles.SLOPES:
         assert slope.by in records.GROWS
         assert len(slope.sizes) >= fits.POINTS_LEAST
@@ -175,8 +182,8 @@
             assert assumptions.target(role, slope.by) > 0.0
 
 
-def test_the_page_is_made_from_the_slopes_file() -> None:
-    """Mend it by `python -m benchmarks.capacity --page`."""
+def test_the_page_is_generated_from_the_slopes_file() -> None:
+    """If the test fails, `python -m benchmarks.capacity --page` updates the page."""
     measurements = records.read(capacity.SLOPES_FILE, roles.RECORDED)
     text = capacity.PAGE_FILE.read_text(encoding="utf-8")
     assert page.renewed(text, measurements) == text
@@ -184,7 +191,7 @@
     assert names == {*page.TABLES, *page.OF_MEASUREMENTS}
 
 
-def test_a_page_with_a_changed_figure_or_an_unknown_table_is_seen() -> None:
+def test_a_changed_figure_is_restored_and_an_unknown_table_is_refused() -> None:
     measurements = records.read(capacity.SLOPES_FILE, roles.RECORDED)
     text = capacity.PAGE_FILE.read_text(encoding="utf-8")
     changed = text.replace("2,500 servers |", "2,600 servers |", 1)
@@ -196,26 +203,28 @@
         page.renewed("<!-- table: moons -->\n<!-- end -->\n", measurements)
 
 
-def test_no_row_stands_without_a_command_or_a_slope() -> None:
-    found = rows(records.read(capacity.SLOPES_FILE, roles.RECORDED))
-    assert found
-    for row in found:
+def test_every_row_has_a_command_and_a_slope() -> None:
+    table_rows = rows(records.read(capacity.SLOPES_FILE, roles.RECORDED))
+    assert table_rows
+    for row in table_rows:
         assert "python -m benchmarks.capacity " in row.command
         assert len(row.sizes) >= fits.POINTS_LEAST, (row.role, row.by, row.measure)
 
 
-def rates(meter: Meter, kind: str, span_ms: float) -> tuple[float, float]:
+def rates_per_s(meter: Meter, kind: str, span_ms: float) -> tuple[float, float]:
     return meter.sent[kind] / span_ms * 1000.0, meter.received[kind] / span_ms * 1000.0
 
 
-def test_hollow_members_send_what_real_ones_would() -> None:
-    """Bytes of membership and of heartbeats, at a voter and at a server, within a fifth."""
+def test_hollow_members_send_as_much_as_real_ones() -> None:
+    """The bytes of membership messages and of heartbeats, at a voter and at a server, differ by at
+    most a fifth.
+    """
     span_ms, servers = 90_000.0, 60
     hollow = HollowFleet(servers, 1)
     hollow.ordinary()
     by_hollow = hollow.measure(span_ms, 3, 2000.0)
     real = RealFleet(servers, 1)
-    real.day.run(60_000.0)  # the closer exchanges of the start are over
+    real.day.run(60_000.0)  # until the extra exchanges of the start have ended
     voter = next(name for name in sorted(real.day.voters) if name != real.leader)
     real.day.watch(real.leader, voter, real.server)
     real.day.run(span_ms)
@@ -223,17 +232,23 @@
         "follower": (by_hollow[hollow.follower], real.day.meters[voter]),
         "server": (by_hollow[hollow.server], real.day.meters[real.server]),
     }
-    for name, (made, true) in pairs.items():
-        for ours, theirs in zip(
-            rates(made, "members", span_ms), rates(true, "members", span_ms), strict=True
+    for name, (hollow_meter, real_meter) in pairs.items():
+        for hollow_rate, real_rate in zip(
+            rates_per_s(hollow_meter, "members", span_ms),
+            rates_per_s(real_meter, "members", span_ms),
+            strict=True,
         ):
-            assert ours == pytest.approx(theirs, rel=0.2), (name, made.sent, true.sent)
+            assert hollow_rate == pytest.approx(real_rate, rel=0.2), (
+                name,
+                hollow_meter.sent,
+                real_meter.sent,
+            )
     assert real.day.meters[real.leader].received_messages["asked"] == pytest.approx(
         by_hollow[hollow.leader].received_messages["asked"] / 2.0, rel=0.1
-    )  # hollow servers have agents, who ask as often
+    )  # hollow servers also have agents, which ask as often
 
 
-def test_a_small_distribution_comes_to_be_current_and_tells_its_time() -> None:
+def test_a_small_distribution_becomes_current_within_the_assumed_time() -> None:
     load = Load(routes=200, tenants=320, services=10, cells=16)
     spread = Spread(1, load, children=6, zones=2, cold=True)
     assert spread.until(spread.all_current, 60_000.0) > 0.0
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -1,4 +1,4 @@
-"""What start values are read as, and which are refused."""
+"""How start values are parsed, and which are refused."""
 
 from pathlib import Path
 from typing import Any, cast
@@ -9,8 +9,8 @@
 from tests.net.parties import SETTINGS, Program
 
 
-def test_the_feedback_shape_follows_from_the_settings_and_a_mix_is_refused_by_its_path() -> None:
-    old = {
+def test_the_feedback_shape_follows_from_the_settings_and_invalid_callers_are_refused() -> None:
+    share_settings = {
         "family-info.signal": "bias",
         "family-info.callers": "6",
         "classes.count": "1",
@@ -18,39 +18,45 @@
         "classes.0.memory-span": "9000000",
         "classes.0.deadline": "9000000",
     }
-    new = {
+    credit_settings = {
         "family-info.signal": "tokens",
         "family-info.callers": "180",
         "classes.count": "1",
         "classes.0.effect": "once",
         "classes.0.deadline": "11000000",
     }
-    assert start.feedback_shape(old) == "share" and start.feedback_shape(new) == "credit"
-    assert start.feedback_shape({}) == "share"  # as before the move: nothing named, nothing told
+    assert (
+        start.feedback_shape(share_settings) == "share"
+        and start.feedback_shape(credit_settings) == "credit"
+    )
+    assert start.feedback_shape({}) == "share"  # the default, without load values
     with pytest.raises(start.InvalidStartValueError, match=r"family-info\.callers is missing"):
         start.controller_settings(
-            {key: text for key, text in new.items() if key != "family-info.callers"}
+            {key: text for key, text in credit_settings.items() if key != "family-info.callers"}
         )
     assert (
-        start.feedback_shape(new | {"classes.0.memory-span": "26595000"}) == "credit"
-    )  # as the wire gives it
+        start.feedback_shape(credit_settings | {"classes.0.memory-span": "26595000"}) == "credit"
+    )  # as text, like all start values
     with pytest.raises(start.InvalidStartValueError, match=r"family-info\.callers=-1"):
-        start.controller_settings(old | {"family-info.callers": "-1"})
+        start.controller_settings(share_settings | {"family-info.callers": "-1"})
 
 
 def test_the_server_refuses_tokens_without_the_number_of_callers_and_starts_with_it(
     tmp_path: Path,
 ) -> None:
-    """On loopback, against the stand-ins of tests/net/parties.py: the mixed file stops the start with the key
-    named, and the same file with the number of callers serves, saying its shape.
+    """Runs a server against the peers of tests/net/parties.py. Without the number of callers the
+    start fails and names the key; with it the server logs the feedback shape.
     """
-    family: dict[str, Any] = {**cast(dict[str, Any], SETTINGS["family-info"]), "signal": "tokens"}
-    mixed = SETTINGS | {"family-info": family}
+    family_info: dict[str, Any] = {
+        **cast(dict[str, Any], SETTINGS["family-info"]),
+        "signal": "tokens",
+    }
+    incomplete = SETTINGS | {"family-info": family_info}
     refused = pytest.raises(AssertionError, match=r"family-info\.callers is missing")
-    with refused, Program(tmp_path, settings=mixed):
+    with refused, Program(tmp_path, settings=incomplete):
         pass
     with Program(
-        tmp_path, settings=SETTINGS | {"family-info": family | {"callers": 180}}
+        tmp_path, settings=SETTINGS | {"family-info": family_info | {"callers": 180}}
     ) as program:
         assert program.logged(r"callers are told a (\w+)") == "credit"
 
