--- a/pumicenotch/control/concurrency_limit.py
+++ b/pumicenotch/control/concurrency_limit.py
@@ -35,9 +35,10 @@
     OVERLOAD_SHRINK_FACTOR = 0.9
     # Cores with a higher utilization count as busy: short idle gaps are random.
     BUSY_UTILIZATION = 0.95
-    # The rest is left for requests read in one batch and for rounding.
+    # The fraction of the memory that may be reserved. The rest is for requests of one batch and
+    # for rounding.
     MAX_MEMORY_FRACTION = 0.94
-    # The rest of the load that the server survives is left for reading and health checks.
+    # The fraction of the crash load that runs may reach. The rest is for reading and health checks.
     MAX_CRASH_LOAD_FRACTION = 0.8
 
     def __init__(self, now: float, settings: ControllerSettings, initial_speed: float) -> None:
--- a/pumicenotch/control/fair_scheduler.py
+++ b/pumicenotch/control/fair_scheduler.py
@@ -29,8 +29,8 @@
 
     Each tenant has a reserved floor. The remaining slots are split by one PI controller for each
     pair of tenants with consecutive indexes, which keeps the ratio of their response times at its
-    set point. A sample processes only active tenants, so its cost does not depend on the number of
-    configured tenants; an idle tenant keeps its control output.
+    set point. A sample processes only active tenants: an idle tenant keeps its control output, and
+    its queue is not long.
 
     Attributes:
         queues: the queues of the tenants.
@@ -56,7 +56,8 @@
     MAX_QUEUE_LENGTH = 30.0
     # The lower bound of the maximum length of a queue.
     MIN_MAX_QUEUE_LENGTH = 2.0
-    # Of the latency objective; the rest is for the run and its dependency calls.
+    # The maximum time in a queue, as a fraction of the latency objective. The rest is for the run
+    # and its dependency calls.
     MAX_QUEUE_TIME_FRACTION = 0.7
 
     def __init__(self, settings: ControllerSettings, total_slots: int) -> None:
--- a/pumicenotch/control/gauges.py
+++ b/pumicenotch/control/gauges.py
@@ -16,9 +16,9 @@
 
     def __init__(self, names: Sequence[str]) -> None:
         positions = {name: position for position, name in enumerate(names)}
-        self._core_utilization_at = positions.get(CORE_UTILIZATION, sys.maxsize)
-        self._runnable_at = positions.get(RUNNABLE, sys.maxsize)
-        self._open_connections_at = positions.get(OPEN_CONNECTIONS, sys.maxsize)
+        self._core_utilization_index = positions.get(CORE_UTILIZATION, sys.maxsize)
+        self._runnable_index = positions.get(RUNNABLE, sys.maxsize)
+        self._open_connections_index = positions.get(OPEN_CONNECTIONS, sys.maxsize)
         self.core_utilization = 0.0
         self.runnable = 0.0
         self.open_connections = 0.0
@@ -27,9 +27,9 @@
         """Stores the values of a tick, which may be fewer than the configured names."""
         count = len(values)
         self.core_utilization = (
-            values[self._core_utilization_at] if self._core_utilization_at < count else 0.0
+            values[self._core_utilization_index] if self._core_utilization_index < count else 0.0
         )
-        self.runnable = values[self._runnable_at] if self._runnable_at < count else 0.0
+        self.runnable = values[self._runnable_index] if self._runnable_index < count else 0.0
         self.open_connections = (
-            values[self._open_connections_at] if self._open_connections_at < count else 0.0
+            values[self._open_connections_index] if self._open_connections_index < count else 0.0
         )
--- a/pumicenotch/control/priority_shedder.py
+++ b/pumicenotch/control/priority_shedder.py
@@ -27,7 +27,7 @@
     GROWTH_STEP = 0.01
     # Reading is behind above this unread fraction.
     MAX_UNREAD_FRACTION = 0.1
-    # Of the high-priority requests; the server is overloaded above it.
+    # The server is overloaded above this fraction of unserved high-priority requests.
     MAX_UNSERVED_FRACTION = 0.3
     # The weight of one request in the unread fraction.
     SMOOTHING = 0.05
--- a/pumicenotch/control/queue_admission.py
+++ b/pumicenotch/control/queue_admission.py
@@ -17,10 +17,10 @@
     """
 
     MAX_WAIT_FRACTION = 0.9
-    # If the caller gave no estimate of the work. Most runs are shorter than the mean.
+    # The bound for requests without an estimate of their work. Most runs are shorter than the mean.
     MAX_WAIT_FRACTION_WITHOUT_ESTIMATE = 1.05
     MAX_WAIT_FRACTION_OVER_QUOTA = 0.25
-    # If the request need not wait.
+    # The bound for requests that need not wait.
     MAX_RUN_FRACTION = 1.3
     # Slack multiplier of a request over quota, which is queued like one of low priority.
     OVER_QUOTA_SLACK_FACTOR = 4.0
--- a/pumicenotch/control/run_estimates.py
+++ b/pumicenotch/control/run_estimates.py
@@ -36,8 +36,8 @@
     SMOOTHING = 0.05
     # The slot time assumed at first, as a fraction of the objective: eight runs in sequence fit.
     INITIAL_SLOT_FRACTION = 0.125
-    # For each run on the cores, the fraction of the time since the last run ended that the slot
-    # time is at least. The estimate thus grows during a stall.
+    # Lower bound of the slot time during a stall: this fraction of the time since the last run
+    # ended, for each run on the cores.
     STALL_FRACTION = 0.25
     # The fractions of a run's time that are independent of, and proportional to, its work.
     FIXED_FRACTION = 0.3
@@ -57,11 +57,13 @@
         self._calls = calls
         self._calling_classes: set[int] = set()
         self._by_class: dict[int, RunMeans] = {}
-        self._slot_ms = 0.0
+        self._observed_slot_ms = 0.0
 
     def mean_slot_ms(self, now: float) -> float:
         """Returns how long a run holds its slot on average; grows while no run ends."""
-        observed_ms = self._slot_ms or max(1.0, self.INITIAL_SLOT_FRACTION * self.objective_ms)
+        observed_ms = self._observed_slot_ms or max(
+            1.0, self.INITIAL_SLOT_FRACTION * self.objective_ms
+        )
         stalled_ms = now - self.last_finished_at
         return max(observed_ms, self.STALL_FRACTION * stalled_ms * self._limit.on_cores)
 
@@ -74,13 +76,13 @@
         wait_ms = 0.0
         if request.state is RequestState.QUEUED and request.class_index in self._calling_classes:
             wait_ms = self._calls.expected_wait_ms(now)
-        means = self._by_class.get(request.class_index)
-        if means is None:
+        class_means = self._by_class.get(request.class_index)
+        if class_means is None:
             return wait_ms + max(self.mean_slot_ms(now), request.estimated_work or 0.0)
-        if not request.estimated_work or not means.estimated_work:
-            return wait_ms + means.run_ms
-        relative_work = self.VARIABLE_FRACTION * request.estimated_work / means.estimated_work
-        return wait_ms + means.run_ms * (self.FIXED_FRACTION + relative_work)
+        if not request.estimated_work or not class_means.estimated_work:
+            return wait_ms + class_means.run_ms
+        relative_work = self.VARIABLE_FRACTION * request.estimated_work / class_means.estimated_work
+        return wait_ms + class_means.run_ms * (self.FIXED_FRACTION + relative_work)
 
     def on_dependency_needed(self, request: Request) -> None:
         """Records that requests of this class call the dependency."""
@@ -91,14 +93,14 @@
         run_ms = now - request.started_at
         slot_ms = now - request.started_at - request.off_cores_ms
         work = request.estimated_work or 0.0
-        if self._slot_ms:
-            self._slot_ms += self.SMOOTHING * (slot_ms - self._slot_ms)
+        if self._observed_slot_ms:
+            self._observed_slot_ms += self.SMOOTHING * (slot_ms - self._observed_slot_ms)
         else:
-            self._slot_ms = slot_ms
-        means = self._by_class.get(request.class_index)
-        if means is None:
-            means = RunMeans(self.mean_slot_ms(now), work)
-            self._by_class[request.class_index] = means
-        means.add(run_ms, work)
+            self._observed_slot_ms = slot_ms
+        class_means = self._by_class.get(request.class_index)
+        if class_means is None:
+            class_means = RunMeans(self.mean_slot_ms(now), work)
+            self._by_class[request.class_index] = class_means
+        class_means.add(run_ms, work)
         self.last_finished_at = now
         return slot_ms
--- a/pumicenotch/pools/class_pools.py
+++ b/pumicenotch/pools/class_pools.py
@@ -39,7 +39,7 @@
 MAX_TOTAL_RATIO = 1.25
 # The mean slot time until a run has ended.
 INITIAL_SLOT_MS = 100.0
-# The lowest number of slots in an offer, by which wait times are divided.
+# Lower bound of the number of slots in an offer, which is a divisor of wait times.
 MIN_OFFERED_SLOTS = 0.25
 # Lower bound of the need, in slots, that enters a pool's weight.
 MIN_WEIGHTED_NEED = 0.1
@@ -325,7 +325,7 @@
         self._allocated_slots = total_slots
         self._next_allocation_at = now + ALLOCATION_PERIOD_MS - ALLOCATION_TIMER_SLACK_MS
         for state in self.pools:
-            state.settle(now)
+            state.update_credit(now)
         if self.plan.fixed_limits:
             for state, limit in zip(self.pools, self._fixed_limits(total_slots), strict=True):
                 state.set_fixed_limit(limit)
--- a/pumicenotch/pools/pool_state.py
+++ b/pumicenotch/pools/pool_state.py
@@ -53,9 +53,9 @@
         self.rejected = 0
         self.started = 0
         self.last_request_at = float("-inf")
-        self._credit = 0.0  # at `_settled_at`
-        self._settled_at = now
-        self._used_slot_ms = 0.0  # slot time in use between `_settled_at` and `_counted_at`
+        self._credit = 0.0  # at `_credit_updated_at`
+        self._credit_updated_at = now
+        self._used_slot_ms = 0.0  # slot time in use between `_credit_updated_at` and `_counted_at`
         self._counted_at = now
 
     def is_active(self, now: float) -> bool:
@@ -85,13 +85,13 @@
         moment. The credit makes it meet the limit on average over time.
         """
         used_slot_ms = self._used_slot_ms + self.running * (now - self._counted_at)
-        allowed_slot_ms = self.usable_slots * (now - self._settled_at)
+        allowed_slot_ms = self.usable_slots * (now - self._credit_updated_at)
         return self._credit + (allowed_slot_ms - used_slot_ms) / CREDIT_SPAN_MS
 
-    def settle(self, now: float) -> None:
+    def update_credit(self, now: float) -> None:
         """Updates the credit to the current time, before the limits change."""
         self._credit = max(-MAX_CREDIT, min(MAX_CREDIT, self.credit(now)))
-        self._settled_at = now
+        self._credit_updated_at = now
         self._counted_at = now
         self._used_slot_ms = 0.0
 
