--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -25,7 +25,7 @@
 from pumicenotch.control import AdmissionController, ControllerSettings
 from pumicenotch.interface import IncomingRequest, Outcome, Tenant
 from pumicenotch.pools import ClassPools
-from tests.control.decision_streams import KINDS, PLAN, STAGES, World
+from tests.control.decision_streams import KINDS, PLAN, STAGES, SimulatedCarrier
 
 KNOWN = (300, 3_000, 15_000, 54_000)
 ACTIVE = (20, 300)
@@ -64,7 +64,7 @@
     numbers = {str(at): at % 4 for at in range(len(stages))} | {
         str(at): at for at in range(len(stages))
     }
-    world = World(seed, max(3, many), 1.2, stages, **KINDS[0])
+    world = SimulatedCarrier(seed, max(3, many), 1.2, stages, **KINDS[0])
     if pooled:
         world.control.use_pools(0.0, ClassPools(0.0, PLAN, stages, numbers))
         world.marks = True
@@ -75,7 +75,7 @@
     return timed.spent / timed.events / 1000.0
 
 
-class Neighbours(World):
+class Neighbours(SimulatedCarrier):
     """The first so many of the known tenants send, in turn, each once a second."""
 
     LENGTH_MS = 6_000.0
--- a/tests/control/decision_streams.py
+++ b/tests/control/decision_streams.py
@@ -76,7 +76,7 @@
 RECORDED_NAMES = {**ACTION_WORDS, "cached": "stored"}
 
 
-class World:
+class SimulatedCarrier:
     """Carries out the actions of a controller, with events at random times."""
 
     LENGTH_MS = 30_000.0
@@ -244,7 +244,7 @@
         return f"{self.action_count} {self.digest.hexdigest()[:24]}"
 
 
-class ShiftingTenants(World):
+class ShiftingTenants(SimulatedCarrier):
     """A stream in which few of many tenants send at a time.
 
     The senders are mostly consecutive tenants: a new group every few seconds, or an earlier group
@@ -301,15 +301,15 @@
 
 
 REACTIONS: dict[str, Any] = {
-    "start": World.run_started,
-    "call_dependency": World.call_sent,
-    "skip_dependency": World.run_resumed,
-    "replay_result": World.replay_started,
-    "schedule_tick": World.woken,
+    "start": SimulatedCarrier.run_started,
+    "call_dependency": SimulatedCarrier.call_sent,
+    "skip_dependency": SimulatedCarrier.run_resumed,
+    "replay_result": SimulatedCarrier.replay_started,
+    "schedule_tick": SimulatedCarrier.woken,
 }
 
 
-def streams() -> dict[str, Callable[[], World]]:
+def streams() -> dict[str, Callable[[], SimulatedCarrier]]:
     """Returns the streams by name: deployment, tenants, load and seed."""
     steady = ((1, 0.7, 1), (3, 1.2, 2), (6, 1.6, 3), (40, 1.1, 4))
     shifting = (
@@ -321,11 +321,11 @@
         (15000, 40, 1.4, 10),
     )
     waiting = ((2, 2, 1.3, 11), (12, 4, 1.5, 12), (300, 20, 1.2, 13), (3000, 12, 2.0, 14))
-    streams_by_name: dict[str, Callable[[], World]] = {}
+    streams_by_name: dict[str, Callable[[], SimulatedCarrier]] = {}
     for index, kind in enumerate(KINDS):
         for tenants, load, seed in steady:
             name = f"kind {index} tenants {tenants} load {load} seed {seed}"
-            streams_by_name[name] = partial(World, seed, tenants, load, **kind)
+            streams_by_name[name] = partial(SimulatedCarrier, seed, tenants, load, **kind)
         for tenants, active, load, seed in waiting:
             name = f"kind {index} {active} of {tenants} tenants load {load} disk seed {seed}"
             streams_by_name[name] = partial(WaitingRuns, seed, tenants, load, active, **kind)
