--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -68,7 +68,7 @@
     if pooled:
         world.control.use_pools(0.0, ClassPools(0.0, PLAN, stages, numbers))
         world.marks = True
-    world.quiet = True
+    world.skips_digest = True
     timed = Timed(world.control)
     world.control = timed  # type: ignore[assignment]
     world.play()
@@ -79,7 +79,7 @@
     """The first so many of the known tenants send, in turn, each once a second."""
 
     LENGTH_MS = 6_000.0
-    quiet = True
+    skips_digest = True
 
     def __init__(self, seed: int, known: int, active: int) -> None:
         load = 1.2 if active < known else 0.6
--- a/tests/control/decision_streams.py
+++ b/tests/control/decision_streams.py
@@ -80,7 +80,7 @@
     """Carries out the actions of a controller, with events at random times."""
 
     LENGTH_MS = 30_000.0
-    quiet = False  # whether to skip the digest
+    skips_digest = False
     marks = False  # whether requests have caller ids and content digests
 
     def __init__(
@@ -131,7 +131,7 @@
 
         def record(*arguments: Any, **keyword_arguments: Any) -> None:
             self.action_count += 1
-            if not self.quiet:
+            if not self.skips_digest:
                 recorded_keywords = sorted(
                     (RECORDED_NAMES.get(keyword, keyword), value)
                     for keyword, value in keyword_arguments.items()
