--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -67,7 +67,7 @@
     world = SimulatedCarrier(seed, max(3, many), 1.2, stages, **KINDS[0])
     if pooled:
         world.control.use_pools(0.0, ClassPools(0.0, PLAN, stages, numbers))
-        world.marks = True
+        world.identifies_callers = True
     world.skips_digest = True
     timed = Timed(world.control)
     world.control = timed  # type: ignore[assignment]
--- a/tests/control/decision_streams.py
+++ b/tests/control/decision_streams.py
@@ -81,7 +81,8 @@
 
     LENGTH_MS = 30_000.0
     skips_digest = False
-    marks = False  # whether requests have caller ids and content digests
+    # Whether requests have caller ids and content digests.
+    identifies_callers = False
 
     def __init__(
         self,
@@ -215,7 +216,9 @@
                 tenant, waited_ms = self.tenant(), rng.expovariate(1 / 4.0)
                 expires_at = 5000.0 + self.now if rng.random() < 0.3 else None
                 memory_kb = rng.uniform(20.0, 60.0)
-                caller_fields = (new_id % 7, False, new_id) if self.marks else (0, False, 0)
+                caller_fields = (
+                    (new_id % 7, False, new_id) if self.identifies_callers else (0, False, 0)
+                )
                 incoming = IncomingRequest(
                     new_id,
                     class_index,
