--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -147,7 +147,7 @@
         sampled(world.control, known)
         world.events.clear()
         world.running.clear()
-        world.woken(0.0)
+        world.tick_scheduled(0.0)
     longest = Longest(world.control)
     world.control = longest  # type: ignore[assignment]
     gc.collect()
--- a/tests/control/decision_streams.py
+++ b/tests/control/decision_streams.py
@@ -62,7 +62,7 @@
         "dependency_kind": DependencyKind.SHARED,
         "dependency_quota": 9.0,
         "retry_after_supported": True,
-        "max_retry_after_ms": 1000.0,
+        "max_retry_delay_ms": 1000.0,
         "memory_kb": 9000.0,
         "key_memory_kb": 20.0,
     },
@@ -183,8 +183,8 @@
     def replay_started(self, request_id: int) -> None:
         self.schedule(self.rng.uniform(0.0, 300.0), "on_run_finished", request_id, Outcome.OK)
 
-    def woken(self, after_ms: float) -> None:
-        self.schedule(after_ms, "on_tick")
+    def tick_scheduled(self, delay_ms: float) -> None:
+        self.schedule(delay_ms, "on_tick")
 
     def tenant(self) -> int:
         """Returns the tenant of the next request."""
@@ -308,7 +308,7 @@
     "call_dependency": SimulatedCarrier.call_sent,
     "skip_dependency": SimulatedCarrier.run_resumed,
     "replay_result": SimulatedCarrier.replay_started,
-    "schedule_tick": SimulatedCarrier.woken,
+    "schedule_tick": SimulatedCarrier.tick_scheduled,
 }
 
 
