--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -25,7 +25,7 @@
 from pumicenotch.control import AdmissionController, ControllerSettings
 from pumicenotch.interface import IncomingRequest, Outcome, Tenant
 from pumicenotch.pools import ClassPools
-from tests.control.decision_streams import KINDS, PLAN, STAGES, SimulatedCarrier
+from tests.control.decision_streams import DEPLOYMENTS, PLAN, REQUEST_CLASSES, SimulatedCarrier
 
 KNOWN = (300, 3_000, 15_000, 54_000)
 ACTIVE = (20, 300)
@@ -60,11 +60,11 @@
 
 def cost(pooled: bool, many: int, seed: int) -> float:
     """Microseconds an event."""
-    stages = [*STAGES * max(1, many // 4)]
+    stages = [*REQUEST_CLASSES * max(1, many // 4)]
     numbers = {str(at): at % 4 for at in range(len(stages))} | {
         str(at): at for at in range(len(stages))
     }
-    world = SimulatedCarrier(seed, max(3, many), 1.2, stages, **KINDS[0])
+    world = SimulatedCarrier(seed, max(3, many), 1.2, stages, **DEPLOYMENTS[0])
     if pooled:
         world.control.use_pools(0.0, ClassPools(0.0, PLAN, stages, numbers))
         world.identifies_callers = True
@@ -84,7 +84,7 @@
     def __init__(self, seed: int, known: int, active: int) -> None:
         load = 1.2 if active < known else 0.6
         cores = max(1, round(0.3 * active / load))
-        super().__init__(seed, known, load, **{**KINDS[0], "cores": cores})
+        super().__init__(seed, known, load, **{**DEPLOYMENTS[0], "cores": cores})
         self.active, self.sent = active, 0
 
     def tenant(self) -> int:
@@ -165,7 +165,7 @@
     people = [Tenant(1.0 / known, 20.0 if at % 2 else None) for at in range(known)]
     tracemalloc.start()
     actions: Any = Quiet()
-    settings = ControllerSettings(STAGES, people, [])
+    settings = ControllerSettings(REQUEST_CLASSES, people, [])
     control = AdmissionController(actions, 0.0, settings, 1)
     made = tracemalloc.get_traced_memory()[0]
     sampled(control, known)
--- a/tests/control/decision_streams.py
+++ b/tests/control/decision_streams.py
@@ -29,13 +29,13 @@
 from pumicenotch.pools import ClassPools, PoolPlan, PoolsPlan
 from tests.control.action_words import ACTION_WORDS
 
-STAGES = [
+REQUEST_CLASSES = [
     RequestClass(2500.0, 0.0, 6300.0, Idempotency.IDEMPOTENT, 0.0, 1.0, 0.0, 0.5),
     RequestClass(3400.0, 0.3, 8400.0, Idempotency.IDEMPOTENT, 0.0, 1.0, 0.2, 0.0),
     RequestClass(5000.0, 0.0, 13000.0, Idempotency.KEYED, 9000.0, 3.0, 0.0, 0.0),
     RequestClass(1500.0, 0.0, 4000.0, Idempotency.NONE, 0.0, 2.0, 0.0, 0.0),
 ]
-KINDS: list[dict[str, Any]] = [
+DEPLOYMENTS: list[dict[str, Any]] = [
     {
         "cores": 6,
         "crash_load_factor": 8.0,
@@ -89,7 +89,7 @@
         seed: int,
         tenants: int,
         load: float,
-        classes: list[RequestClass] = STAGES,
+        classes: list[RequestClass] = REQUEST_CLASSES,
         **keywords: Any,
     ) -> None:
         self.rng = random.Random(seed)
@@ -325,16 +325,18 @@
     )
     waiting = ((2, 2, 1.3, 11), (12, 4, 1.5, 12), (300, 20, 1.2, 13), (3000, 12, 2.0, 14))
     streams_by_name: dict[str, Callable[[], SimulatedCarrier]] = {}
-    for index, kind in enumerate(KINDS):
+    for index, deployment in enumerate(DEPLOYMENTS):
         for tenants, load, seed in steady:
             name = f"kind {index} tenants {tenants} load {load} seed {seed}"
-            streams_by_name[name] = partial(SimulatedCarrier, seed, tenants, load, **kind)
+            streams_by_name[name] = partial(SimulatedCarrier, seed, tenants, load, **deployment)
         for tenants, active, load, seed in waiting:
             name = f"kind {index} {active} of {tenants} tenants load {load} disk seed {seed}"
-            streams_by_name[name] = partial(WaitingRuns, seed, tenants, load, active, **kind)
+            streams_by_name[name] = partial(WaitingRuns, seed, tenants, load, active, **deployment)
         for tenants, active, load, seed in shifting:
             name = f"kind {index} {active} of {tenants} tenants load {load} seed {seed}"
-            streams_by_name[name] = partial(ShiftingTenants, seed, tenants, load, active, **kind)
+            streams_by_name[name] = partial(
+                ShiftingTenants, seed, tenants, load, active, **deployment
+            )
     return streams_by_name
 
 
