--- a/tests/control/decision_streams.py
+++ b/tests/control/decision_streams.py
@@ -62,7 +62,7 @@
         "dependency_kind": DependencyKind.SHARED,
         "dependency_quota": 9.0,
         "retry_after_supported": True,
-        "max_retry_delay_ms": 1000.0,
+        "max_retry_after_ms": 1000.0,
         "memory_kb": 9000.0,
         "key_memory_kb": 20.0,
     },
