--- a/pumicenotch/adapter/codec.py
+++ b/pumicenotch/adapter/codec.py
@@ -235,7 +235,7 @@
 
 def _read_bytes(frame: bytes, offset: int, size: int) -> bytes:
     if offset + size > len(frame):
-        raise struct.error("count past the end")
+        raise struct.error("size exceeds the frame")
     return frame[offset : offset + size]
 
 
--- a/pumicenotch/control/controller.py
+++ b/pumicenotch/control/controller.py
@@ -420,7 +420,8 @@
     def _release(self, request: Request, now: float) -> None:
         """Marks a request as answered, and ends it unless it runs.
 
-        A run is cancelled if possible; else the request finishes when the run ends.
+        A queued dependency call is withdrawn, and a run is cancelled if possible. Otherwise the
+        request finishes when its run ends.
         """
         request.is_answered = True
         if request.state in (
--- a/pumicenotch/pools/class_pools.py
+++ b/pumicenotch/pools/class_pools.py
@@ -253,7 +253,7 @@
         for pool in candidates:
             state = self.pools[pool]
             # The fraction of the pool's limit that would be in use with one more run, minus the
-            # pool's credit. A pool below its reserve comes before all others.
+            # pool's credit. A pool below its reserve is preferred.
             fraction = (state.running + 1.0 - state.credit(now)) / state.limit
             fraction -= state.running < state.reserved_slots
             if fraction < best_fraction:
