--- a/pumicenotch/adapter/__main__.py
+++ b/pumicenotch/adapter/__main__.py
@@ -34,10 +34,10 @@
     """
     host = Host()
     batch = 0
-    while first := source.read(1):
+    while first_byte := source.read(1):
         batch += 1
-        rest = read_exactly(source, FRAME_LENGTH.size - 1, "length", batch)
-        (length,) = FRAME_LENGTH.unpack(first + rest)
+        other_bytes = read_exactly(source, FRAME_LENGTH.size - 1, "length", batch)
+        (length,) = FRAME_LENGTH.unpack(first_byte + other_bytes)
         body = read_exactly(source, length, "frame", batch)
         if length < CLOCK.size:
             raise FrameDecodeError(f"frame of batch {batch} has no clock")
--- a/pumicenotch/control/controller.py
+++ b/pumicenotch/control/controller.py
@@ -241,7 +241,7 @@
     def _replay(self, request: Request, now: float) -> None:
         """Answers a retry with the result of its original, or fails it if memory is short.
 
-        The memory of a run is reserved first: the result may be copied as soon as it exists.
+        The memory of a run is reserved now, because it may be needed as soon as the result exists.
         """
         if self.limit.reserve_run_memory(request, self.keys.memory_kb):
             request.state = RequestState.REPLAYING
--- a/pumicenotch/errors.py
+++ b/pumicenotch/errors.py
@@ -23,7 +23,7 @@
 
     def __str__(self) -> str:
         """Returns `PLACE: PROBLEM: REMEDY`, without the fields that are empty."""
-        return ": ".join(part for part in (self.place, self.problem, self.remedy) if part)
+        return ": ".join(field for field in (self.place, self.problem, self.remedy) if field)
 
 
 class InputError(PumicenotchError, ValueError):
