--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -25,7 +25,7 @@
 from pumicenotch.control import AdmissionController, ControllerSettings
 from pumicenotch.interface import IncomingRequest, Outcome, Tenant
 from pumicenotch.pools import ClassPools
-from tests.control.decision_streams import KINDS, PLAN, STAGES, World
+from tests.control.decision_streams import DEPLOYMENTS, PLAN, REQUEST_CLASSES, SimulatedCarrier
 
 KNOWN = (300, 3_000, 15_000, 54_000)
 ACTIVE = (20, 300)
@@ -60,31 +60,31 @@
 
 def cost(pooled: bool, many: int, seed: int) -> float:
     """Microseconds an event."""
-    stages = [*STAGES * max(1, many // 4)]
+    stages = [*REQUEST_CLASSES * max(1, many // 4)]
     numbers = {str(at): at % 4 for at in range(len(stages))} | {
         str(at): at for at in range(len(stages))
     }
-    world = World(seed, max(3, many), 1.2, stages, **KINDS[0])
+    world = SimulatedCarrier(seed, max(3, many), 1.2, stages, **DEPLOYMENTS[0])
     if pooled:
         world.control.use_pools(0.0, ClassPools(0.0, PLAN, stages, numbers))
-        world.marks = True
-    world.quiet = True
+        world.identifies_callers = True
+    world.skips_digest = True
     timed = Timed(world.control)
     world.control = timed  # type: ignore[assignment]
     world.play()
     return timed.spent / timed.events / 1000.0
 
 
-class Neighbours(World):
+class Neighbours(SimulatedCarrier):
     """The first so many of the known tenants send, in turn, each once a second."""
 
     LENGTH_MS = 6_000.0
-    quiet = True
+    skips_digest = True
 
     def __init__(self, seed: int, known: int, active: int) -> None:
         load = 1.2 if active < known else 0.6
         cores = max(1, round(0.3 * active / load))
-        super().__init__(seed, known, load, **{**KINDS[0], "cores": cores})
+        super().__init__(seed, known, load, **{**DEPLOYMENTS[0], "cores": cores})
         self.active, self.sent = active, 0
 
     def tenant(self) -> int:
@@ -147,7 +147,7 @@
         sampled(world.control, known)
         world.events.clear()
         world.running.clear()
-        world.woken(0.0)
+        world.tick_scheduled(0.0)
     longest = Longest(world.control)
     world.control = longest  # type: ignore[assignment]
     gc.collect()
@@ -165,7 +165,7 @@
     people = [Tenant(1.0 / known, 20.0 if at % 2 else None) for at in range(known)]
     tracemalloc.start()
     actions: Any = Quiet()
-    settings = ControllerSettings(STAGES, people, [])
+    settings = ControllerSettings(REQUEST_CLASSES, people, [])
     control = AdmissionController(actions, 0.0, settings, 1)
     made = tracemalloc.get_traced_memory()[0]
     sampled(control, known)
