--- a/pumicenotch/fleet/agent/__init__.py
+++ b/pumicenotch/fleet/agent/__init__.py
@@ -1,1 +1,1 @@
-"""The agent beside a server: it holds versions, and starts and stops its server."""
+"""The agent of a node: stores versions, and starts, stops and updates the node's server."""
--- a/pumicenotch/fleet/agent/hint.py
+++ b/pumicenotch/fleet/agent/hint.py
@@ -1,6 +1,7 @@
-"""What the leader tells an agent of its node, in answer to each report.
+"""The leader's answer to an agent's report: the agreed state of the agent's node.
 
-It is a hint: no step rests on it alone. The keys of its wire form never change.
+The answer is a hint, and an agent takes no step because of a hint alone. The keys of the wire form
+never change.
 """
 
 from typing import Any, NamedTuple
@@ -9,15 +10,15 @@
 
 
 class AgentHint(NamedTuple):
-    """What is agreed of a node."""
+    """The agreed state of a node."""
 
-    is_member: bool  # the fleet counts a member under the node's name
-    process_id: str  # of the server, as the fleet counts it
+    is_member: bool  # whether the fleet has a member of the node's name
+    process_id: str  # of the server's process, as the fleet knows it
     status: str
-    permit_epoch: int  # 0: the server holds no permit
+    permit_epoch: int  # 0: the server has no permit
     permit_started: bool
     next_step: Step
-    wanted_versions: tuple[str, ...]  # to store on the disk
+    wanted_versions: tuple[str, ...]  # the versions that the agent is to store on the disk
     halt_reason: str
     report_interval_ms: float
 
@@ -37,7 +38,7 @@
 
 
 def read_agent_hint(value: dict[str, Any]) -> AgentHint:
-    """Returns the hint in an answer; what is missing or of another type counts as not said."""
+    """Returns the hint in an answer. A missing or mistyped field gets its default."""
     epoch = value.get("permit")
     interval_ms = value.get("again_ms")
     return AgentHint(
--- a/pumicenotch/fleet/canary/__init__.py
+++ b/pumicenotch/fleet/canary/__init__.py
@@ -1,1 +1,1 @@
-"""Canary analysis: whether members with a new version do worse than members without it."""
+"""Canary analysis: compares members that run a new version with members that do not."""
--- a/pumicenotch/fleet/canary/analysis.py
+++ b/pumicenotch/fleet/canary/analysis.py
@@ -1,6 +1,7 @@
-"""What a leader makes of members' counts while a release is on.
+"""The leader's analysis of members' request counts while a release is active.
 
-It proposes three commands: harm, a wave whose soak is over, and the baseline before a wave moves.
+The analysis leads the leader to propose three commands: a report of harm, the completion of a
+wave's soak, and the baseline before a wave moves.
 """
 
 from collections import defaultdict
@@ -14,7 +15,7 @@
     DependencyHealth,
     MemoryGrowth,
     ZoneMemory,
-    crash_harm,
+    crash_harm_reason,
 )
 from pumicenotch.fleet.drains.lifecycle import SILENT
 from pumicenotch.fleet.releases.commands import CompleteSoak, ReportHarm, SetBaseline
@@ -25,17 +26,17 @@
 
 
 class SoakStart(NamedTuple):
-    """Since when a wave has no node missing."""
+    """The time since which no node of a wave is missing."""
 
     wave: int
-    since_ms: float
+    started_at_ms: float
 
 
 NO_SOAK = SoakStart(-1, 0.0)
 
 
-class ReleaseTrial:
-    """What this leader has observed of one release."""
+class ReleaseObservations:
+    """This leader's observations of one release, and its detectors of harm."""
 
     def __init__(self) -> None:
         self.requests = SequentialJudge()
@@ -44,35 +45,43 @@
         self.dependencies = DependencyHealth()
         self.memory = MemoryGrowth()
         self.soak = NO_SOAK
-        self.silent_since_ms: dict[str, float] = {}
+        self.silent_since_ms: dict[
+            str, float
+        ] = {}  # by released member that the fleet lists failed
         self.proposed_at_ms = float("-inf")
         self.text = "nothing was looked at yet"
 
 
 class MemberReport(NamedTuple):
-    """What a member's process has reported last."""
+    """The last report of a member's process."""
 
     process_id: str
-    first_report_ms: float  # of that process
-    counts: dict[str, RequestCounts]  # by class
+    first_report_ms: float  # the time of the process's first report
+    counts: dict[str, RequestCounts]  # by request class
 
 
 class CanaryAnalysis:
-    """Compares released members with the others, window by window."""
-
-    WINDOW_MS = 1000.0  # members report twice in it
-    WARM_UP_MS = 2000.0  # a new process is slower for no fault of its version
-    SILENCE_MS = 2000.0  # beyond the voters' finding, until its neighbours' silence is known too
-    # Half a minute, so that the day's change of load is not in the baseline.
+    """Compares released members with the others, window by window.
+
+    A new leader starts with an empty analysis. The only observations that survive a change of
+    leader are the baselines, which the replicated state holds.
+    """
+
+    WINDOW_MS = 1000.0  # two reports of each member
+    WARM_UP_MS = 2000.0  # excluded from the counts: any new process is slow at first
+    # For a silent member, after the voters find it failed. In this time they also find its silent
+    # neighbours failed.
+    SILENCE_MS = 2000.0
+    # Half a minute, short enough that the daily change of load does not distort the baseline.
     BASELINE_WINDOWS = 30
-    RETRY_MS = 2000.0  # before another finding on the same release is proposed
+    RETRY_MS = 2000.0  # before the next proposal for the same release
 
     def __init__(self) -> None:
         self.reports: dict[str, MemberReport] = {}  # by member
-        self.window_counts: dict[str, dict[str, RequestCounts]] = {}  # by member and class
+        self.window_counts: dict[str, dict[str, RequestCounts]] = {}  # by member and request class
         self.memory_mb: dict[str, float] = {}  # by member
-        self.trials: dict[str, ReleaseTrial] = {}
-        self.baseline_windows: list[RequestCounts] = []  # of all members together
+        self.trials: dict[str, ReleaseObservations] = {}  # by release
+        self.baseline_windows: list[RequestCounts] = []  # totals of all members
         self.window_ends_ms = 0.0
 
     def observe_member(
@@ -83,7 +92,15 @@
         counts: dict[str, RequestCounts],
         memory_mb: float = 0.0,
     ) -> None:
-        """Takes what a member counted since its process started."""
+        """Adds a member's report to the current window.
+
+        Args:
+            now_ms: the current time.
+            name: the member.
+            process_id: the id of the member's process.
+            counts: by request class, since the process started.
+            memory_mb: the memory of the process.
+        """
         self.memory_mb[name] = memory_mb
         last = self.reports.get(name)
         if last is None or last.process_id != process_id:
@@ -98,10 +115,10 @@
             window[request_class] = window.get(request_class, RequestCounts()).plus(increase)
 
     def findings(self, now_ms: float, state: FleetState) -> list[ReleaseFinding]:
-        """Returns what this leader is to propose now."""
+        """Returns the commands that the leader is to propose now."""
         releases = state.releases
         self.trials = {
-            release.name: self.trials.get(release.name, ReleaseTrial())
+            release.name: self.trials.get(release.name, ReleaseObservations())
             for release in releases.open_releases()
         }
         if now_ms >= self.window_ends_ms:
@@ -110,14 +127,14 @@
         for release in releases.active_releases():
             if release.state not in FORWARD_STATES:
                 continue
-            trial = self.trials[release.name]
+            observations = self.trials[release.name]
             finding = (
                 self._find_harm(now_ms, release, state)
                 or self._find_baseline(release, state)
-                or self._find_soaked(now_ms, release, state)
+                or self._find_completed_soak(now_ms, release, state)
             )
-            if finding and now_ms - trial.proposed_at_ms >= self.RETRY_MS:
-                trial.proposed_at_ms = now_ms
+            if finding and now_ms - observations.proposed_at_ms >= self.RETRY_MS:
+                observations.proposed_at_ms = now_ms
                 findings.append(finding)
         return findings
 
@@ -129,27 +146,34 @@
         if total.requests:
             self.baseline_windows = [*self.baseline_windows, total][-self.BASELINE_WINDOWS :]
         for release in state.releases.open_releases():
-            if release.slot != BUDGETS:  # of which there is nothing to compare
+            if release.slot != BUDGETS:  # new budgets apply to all members, with none to compare
                 self._observe_window(release, state, total)
         self.window_counts = {}
 
     def _observe_window(self, release: Release, state: FleetState, total: RequestCounts) -> None:
-        trial = self.trials[release.name]
-        for stratum, (others, released) in sorted(self._strata(release, state).items()):
+        observations = self.trials[release.name]
+        for stratum, (others, released) in sorted(self._counts_by_stratum(release, state).items()):
             for has_version, row in ((False, others), (True, released)):
-                trial.requests.observe(
+                observations.requests.observe(
                     Observation(stratum, has_version, int(row.requests), int(row.failures))
                 )
                 calls = (int(row.calls), int(row.failed_calls))
-                trial.calls.observe(Observation(f"{stratum}, calls below", has_version, *calls))
-            trial.amplification.observe(others, released)
-        trial.dependencies.observe(total, state.releases.has_moved(release))
-        trial.memory.observe(self._memory_by_zone(release, state))
-        trial.text = trial.requests.close_window().text
-        trial.calls.close_window()
-
-    def _strata(self, release: Release, state: FleetState) -> dict[str, list[RequestCounts]]:
-        """Returns by zone, cell and class what the others and the released members counted."""
+                observations.calls.observe(
+                    Observation(f"{stratum}, calls below", has_version, *calls)
+                )
+            observations.amplification.observe(others, released)
+        observations.dependencies.observe(total, state.releases.has_moved(release))
+        observations.memory.observe(self._memory_by_zone(release, state))
+        observations.text = observations.requests.close_window().text
+        observations.calls.close_window()
+
+    def _counts_by_stratum(
+        self, release: Release, state: FleetState
+    ) -> dict[str, list[RequestCounts]]:
+        """Returns the window's counts of the others and of the released members.
+
+        The strata are the zone, cell and request class. Unavailable members are left out.
+        """
         strata: dict[str, list[RequestCounts]] = defaultdict(
             lambda: [RequestCounts(), RequestCounts()]
         )
@@ -184,7 +208,7 @@
     # Findings
 
     def _find_baseline(self, release: Release, state: FleetState) -> SetBaseline | None:
-        """Finds the baseline while no node of the wave has moved, after enough windows."""
+        """Returns a wave's baseline once there are enough windows, before the first node moves."""
         is_known = bool(release.baseline) and release.baseline[0] == release.wave
         total = total_of(self.baseline_windows)
         windows = len(self.baseline_windows)
@@ -192,47 +216,49 @@
             return None
         if state.releases.has_moved(release):
             return None
-        figures = (
+        metrics = (
             total.first_attempts / windows,
             total.failed_calls / total.calls,
             total.call_ms / total.calls,
         )
-        return SetBaseline(release.name, release.wave, figures)
+        return SetBaseline(release.name, release.wave, metrics)
 
     def _find_harm(self, now_ms: float, release: Release, state: FleetState) -> ReportHarm | None:
-        trial = self.trials[release.name]
+        observations = self.trials[release.name]
         released = [name for name in release.nodes if state.releases.runs_version(release, name)]
-        if reason := self._judge(release, trial, state):
+        if reason := self._harm_reason(release, observations, state):
             return ReportHarm(release.name, "judgement", tuple(released), reason)
         for name in released:
-            if reason := self._silence(now_ms, name, state, trial):
+            if reason := self._silence_reason(now_ms, name, state, observations):
                 return ReportHarm(release.name, "silence", (name,), reason)
         return None
 
     @staticmethod
-    def _judge(release: Release, trial: ReleaseTrial, state: FleetState) -> str:
-        for judge in (trial.requests, trial.calls):
+    def _harm_reason(release: Release, observations: ReleaseObservations, state: FleetState) -> str:
+        for judge in (observations.requests, observations.calls):
             verdict = judge.verdict()
             if verdict.harmful:
                 return verdict.text
         return (
-            trial.amplification.harm()
-            or trial.dependencies.harm(release.baseline)
-            or trial.memory.harm()
-            or crash_harm(release, state)
+            observations.amplification.harm_reason()
+            or observations.dependencies.harm_reason(release.baseline)
+            or observations.memory.harm_reason()
+            or crash_harm_reason(release, state)
         )
 
-    def _silence(self, now_ms: float, name: str, state: FleetState, trial: ReleaseTrial) -> str:
-        """Returns whether a released node has failed alone; "" if it has not.
+    def _silence_reason(
+        self, now_ms: float, name: str, state: FleetState, observations: ReleaseObservations
+    ) -> str:
+        """Returns the failure of a released member that failed alone; "" if there is none.
 
-        That is a sign of harm only where its neighbours are heard: else the zone is cut off, and
-        nobody knows.
+        A failure is a sign of harm only while the other members of the zone respond. If one of them
+        is silent too, the zone may be cut off, and the state of its members is unknown.
         """
         member = state.members.get(name)
         if member is None or not member.failure:
-            trial.silent_since_ms.pop(name, None)
+            observations.silent_since_ms.pop(name, None)
             return ""
-        if now_ms - trial.silent_since_ms.setdefault(name, now_ms) < self.SILENCE_MS:
+        if now_ms - observations.silent_since_ms.setdefault(name, now_ms) < self.SILENCE_MS:
             return ""
         neighbours = [
             other
@@ -243,25 +269,29 @@
             return ""
         return f"{name} is {member.failure}, and its neighbours are not"
 
-    def _find_soaked(
+    def _find_completed_soak(
         self, now_ms: float, release: Release, state: FleetState
     ) -> CompleteSoak | None:
-        """Finds a wave whose soak is over; a node that is unavailable again restarts the clock."""
-        trial = self.trials[release.name]
+        """Returns the completion of a wave whose soak is over.
+
+        The soak starts anew whenever a node of the wave is missing again. Without a conclusive
+        verdict the soak lasts `extra_soak_ms` longer.
+        """
+        observations = self.trials[release.name]
         if release.state != SOAKING or release.approval_reason:
             return None
         if release.slot != BUDGETS and state.releases.missing_nodes(release):
-            trial.soak = NO_SOAK
+            observations.soak = NO_SOAK
             return None
-        if trial.soak.wave != release.wave:
-            trial.soak = SoakStart(release.wave, now_ms)
-        soaked_ms = now_ms - trial.soak.since_ms
+        if observations.soak.wave != release.wave:
+            observations.soak = SoakStart(release.wave, now_ms)
+        soaked_ms = now_ms - observations.soak.started_at_ms
         if soaked_ms < release.soak_ms:
             return None
         if release.slot == BUDGETS or self._is_wave_of_voters(release, state):
             reason = f"nothing was wrong for {soaked_ms / 1000.0:.0f} s"
             return CompleteSoak(release.name, release.wave, True, reason)
-        verdict = trial.requests.verdict()
+        verdict = observations.requests.verdict()
         if verdict.conclusive or soaked_ms >= release.soak_ms + release.extra_soak_ms:
             return CompleteSoak(release.name, release.wave, verdict.conclusive, verdict.text)
         return None
--- a/pumicenotch/fleet/canary/counts.py
+++ b/pumicenotch/fleet/canary/counts.py
@@ -1,4 +1,4 @@
-"""What members count of their requests and tell the leader while a release is on."""
+"""The request counts that members report to the leader while a release is active."""
 
 import math
 from collections.abc import Iterable
@@ -7,44 +7,50 @@
 
 from pumicenotch.fleet.replicated.fields import InvalidCommandError
 
-MAX_CLASSES = 64  # in one report
+MAX_CLASSES = 64  # per report
 MAX_CLASS_NAME_LENGTH = 64
 MAX_MEMORY_MB = 1e9
 
 
 class RequestCounts(NamedTuple):
-    """Requests of one class since their process started, or within some time."""
+    """Counts of one request class, since the start of a process or within a window."""
 
     requests: float = 0.0
-    first_attempts: float = 0.0  # the requests that were no retries
-    failures: float = 0.0  # failed, late or rejected
-    calls: float = 0.0  # to dependencies
+    first_attempts: float = 0.0  # requests that were not retries
+    failures: float = 0.0  # failed, late or rejected requests
+    calls: float = 0.0  # calls to dependencies
     failed_calls: float = 0.0
-    call_ms: float = 0.0  # in all
+    call_ms: float = 0.0  # total duration of the calls
 
     def minus(self, counts: "RequestCounts") -> "RequestCounts":
         """Returns the difference, count by count."""
-        return RequestCounts(*(mine - theirs for mine, theirs in zip(self, counts, strict=True)))
+        return RequestCounts(*(own - other for own, other in zip(self, counts, strict=True)))
 
     def plus(self, counts: "RequestCounts") -> "RequestCounts":
         """Returns the sum, count by count."""
-        return RequestCounts(*(mine + theirs for mine, theirs in zip(self, counts, strict=True)))
+        return RequestCounts(*(own + other for own, other in zip(self, counts, strict=True)))
 
 
 def total_of(counts: Iterable[RequestCounts]) -> RequestCounts:
-    """Returns the sum of all."""
+    """Returns the sum of all counts; zeros if there are none."""
     return reduce(RequestCounts.plus, counts, RequestCounts())
 
 
 def read_memory_mb(value: Any) -> float:
-    """Returns the memory of a process from the wire; raises InvalidCommandError."""
+    """Returns a process's memory from a wire value, in MB; raises InvalidCommandError."""
     if not isinstance(value, int | float) or not 0.0 <= value < MAX_MEMORY_MB:
         raise InvalidCommandError(f"no memory of a process: {value!r:.40}", location="counts")
     return float(value)
 
 
 def read_counts(value: Any) -> dict[str, RequestCounts]:
-    """Returns the counts by class from the wire; raises InvalidCommandError."""
+    """Returns the counts of each request class from a wire value.
+
+    Classes beyond MAX_CLASSES are ignored, and long class names are truncated.
+
+    Raises:
+        InvalidCommandError: the value is malformed, or a count is negative or not finite.
+    """
     try:
         counts = {
             str(name)[:MAX_CLASS_NAME_LENGTH]: RequestCounts(*map(float, fields))
--- a/pumicenotch/fleet/canary/signals.py
+++ b/pumicenotch/fleet/canary/signals.py
@@ -1,4 +1,7 @@
-"""Signs of harm that the comparison of failures alone does not show."""
+"""Detectors of harm that the comparison of failures alone does not show.
+
+`CanaryAnalysis` feeds the detectors window by window and asks each one for a reason to halt.
+"""
 
 import math
 from collections.abc import Iterable
@@ -12,13 +15,15 @@
 
 
 class CallAmplification:
-    """Whether released members call dependencies more often for a request than the others.
+    """Detects released members that make more dependency calls per request than the others.
 
-    Their fraction of all calls is compared with their fraction of all requests, stratum by stratum,
-    under the same bound that SequentialJudge has.
+    The detector compares the released members' fraction of all calls with their fraction of all
+    requests, stratum by stratum, under the same bound as SequentialJudge.
     """
 
-    MIN_RATIO = 1.5  # calls for a request, against the others': less is a version's own business
+    # Calls per request, relative to the others. A smaller increase may be what the version is meant
+    # to do.
+    MIN_RATIO = 1.5
 
     def __init__(self) -> None:
         self.bound = MixtureBound()
@@ -37,8 +42,8 @@
         self.calls += released.calls
         self.expected_calls += released.requests * others.calls / others.requests
 
-    def harm(self) -> str:
-        """Returns what was found; "" if nothing."""
+    def harm_reason(self) -> str:
+        """Returns the reason to halt the release; "" if there is none."""
         is_likely = self.bound.sum >= self.bound.value()
         if not is_likely or self.calls < self.MIN_RATIO * self.expected_calls:
             return ""
@@ -50,22 +55,30 @@
 
 
 class DependencyHealth:
-    """Whether all members' calls fare worse than before the wave moved, without more requests."""
+    """Detects dependency calls of all members that got worse since the wave moved.
+
+    A version that overloads a shared dependency harms both groups alike. The detector reports
+    nothing if the request rate has grown, because the load may then be the cause.
+    """
 
-    MIN_WINDOWS = 5  # before the wave moved, and since
-    MORE_FAILURES = 0.1  # of the calls, beyond the baseline
-    MAX_SLOWDOWN = 3.0  # of the calls' mean time, against the baseline
-    MAX_LOAD_RATIO = 1.25  # of the requests: beyond, the load may be the cause
+    MIN_WINDOWS = 5  # before the wave moves, and after
+    MAX_FAILURE_INCREASE = 0.1  # of the failed fraction of calls, beyond the baseline
+    MAX_SLOWDOWN = 3.0  # mean duration of a call, relative to the baseline
+    MAX_LOAD_RATIO = 1.25  # first attempts per window, relative to the baseline
 
     def __init__(self) -> None:
-        self.windows: list[RequestCounts] = []  # since the wave moved
+        self.windows: list[RequestCounts] = []  # the latest windows since the wave moved
 
     def observe(self, total: RequestCounts, has_moved: bool) -> None:
-        """Adds one window of all members."""
+        """Adds one window with the total counts of all members."""
         self.windows = [*self.windows, total][-self.MIN_WINDOWS :] if has_moved else []
 
-    def harm(self, baseline: tuple[float, ...]) -> str:
-        """Returns what was found, against a release's baseline; "" if nothing."""
+    def harm_reason(self, baseline: tuple[float, ...]) -> str:
+        """Returns the reason to halt the release; "" if there is none.
+
+        Args:
+            baseline: the release's baseline, empty while unknown.
+        """
         total = total_of(self.windows)
         if len(self.windows) < self.MIN_WINDOWS or not baseline or not total.calls:
             return ""
@@ -74,7 +87,7 @@
         mean_ms_now = total.call_ms / total.calls
         if total.first_attempts / self.MIN_WINDOWS > self.MAX_LOAD_RATIO * first_attempts:
             return ""
-        fails_more = failed_now >= failed_fraction + self.MORE_FAILURES
+        fails_more = failed_now >= failed_fraction + self.MAX_FAILURE_INCREASE
         if not fails_more and mean_ms_now < self.MAX_SLOWDOWN * mean_ms:
             return ""
         return (
@@ -84,15 +97,16 @@
         )
 
 
-# The probability that a harmless release's crashes are all taken for its own.
-FALSE_CRASH_ALARMS = 0.01
+# The probability that chance alone makes the crashes of a harmless release look like harm.
+MAX_FALSE_CRASH_ALARM_PROBABILITY = 0.01
 
 
-def crash_harm(release: Release, state: FleetState) -> str:
-    """Returns whether released nodes' servers crash more often than by chance; "" if they do not.
+def crash_harm_reason(release: Release, state: FleetState) -> str:
+    """Returns the reason to halt a release whose servers crash too often; "" if there is none.
 
-    Each crash would be a released node's with at most the probability of their fraction of all
-    nodes, since they have had the version for a part of the time only (a binomial tail).
+    For a harmless version, each crash falls on a released node with at most the probability of
+    the released nodes' fraction of all nodes, because they have run the version for only a part of
+    the time. The test is the tail of the binomial distribution.
     """
     nodes = [state.releases.nodes[name] for name in release.nodes if name in state.releases.nodes]
     released = [node for node in nodes if state.releases.runs_version(release, node.name)]
@@ -105,7 +119,7 @@
         math.comb(crashes, count) * fraction**count * (1.0 - fraction) ** (crashes - count)
         for count in range(released_crashes, crashes + 1)
     )
-    if probability > FALSE_CRASH_ALARMS:
+    if probability > MAX_FALSE_CRASH_ALARM_PROBABILITY:
         return ""
     return (
         f"{released_crashes} ends that nobody asked for at {len(released)} released nodes,"
@@ -114,33 +128,36 @@
 
 
 class ZoneMemory(NamedTuple):
-    """The memory of one zone's processes, in MB."""
+    """The memory of the processes of one zone, in MB."""
 
     others: list[float]
     released: list[float]
 
 
 class MemoryGrowth:
-    """Whether released processes use much more memory than the others of their zone."""
+    """Detects released processes that use much more memory than the others of their zone.
+
+    Both limits must be exceeded: a smaller increase exhausts no machine's memory.
+    """
 
     MAX_RATIO = 1.5
-    MAX_DIFFERENCE_MB = 64.0  # both are exceeded: below that nobody runs out of memory
+    MAX_DIFFERENCE_MB = 64.0
     MIN_WINDOWS = 10  # in a row
 
     def __init__(self) -> None:
-        self.windows = 0  # in a row, in which they did
+        self.windows = 0  # consecutive windows in which a zone exceeded both limits
         self.text = ""
 
     def observe(self, zones: Iterable[ZoneMemory]) -> None:
         """Adds one window of all zones."""
-        exceeded = [text for zone in zones if (text := self._excess(zone))]
+        exceeded = [text for zone in zones if (text := self._excess_text(zone))]
         if not exceeded:
             self.windows = 0
             return
         self.windows += 1
         self.text = exceeded[0]
 
-    def _excess(self, zone: ZoneMemory) -> str:
+    def _excess_text(self, zone: ZoneMemory) -> str:
         if not zone.others or not zone.released:
             return ""
         released_mb = median(zone.released)
@@ -152,6 +169,6 @@
             f"a released process holds {released_mb:.0f} MB, the others of its zone {others_mb:.0f}"
         )
 
-    def harm(self) -> str:
-        """Returns what was found; "" if nothing."""
+    def harm_reason(self) -> str:
+        """Returns the reason to halt the release; "" if there is none."""
         return self.text if self.windows >= self.MIN_WINDOWS else ""
--- a/pumicenotch/fleet/member/__init__.py
+++ b/pumicenotch/fleet/member/__init__.py
@@ -1,1 +1,1 @@
-"""A member's process: its part in the fleet, its heartbeats, and its own drain by permit."""
+"""The fleet client in a member's process: membership, heartbeats, and drains by permit."""
--- a/pumicenotch/fleet/member/effects.py
+++ b/pumicenotch/fleet/member/effects.py
@@ -1,4 +1,4 @@
-"""What the processes of a fleet ask of their carrier.
+"""The effects of the fleet's reducers, which their runtime carries out.
 
 An address is the HOST:PORT of a listener for other instances.
 """
@@ -9,7 +9,7 @@
 
 
 class SendNotification(NamedTuple):
-    """A message without an answer; it is lost with its connection."""
+    """Sends a message without an answer. The message is lost if its connection breaks."""
 
     address: str
     method: str
@@ -17,7 +17,10 @@
 
 
 class SendRequest(NamedTuple):
-    """A request: its answer is the input `answered`; on a broken connection there is none."""
+    """Sends a request, whose answer is the input `answered`.
+
+    There is no answer if the connection breaks.
+    """
 
     address: str
     request_number: int
@@ -26,15 +29,15 @@
 
 
 class RequestError(NamedTuple):
-    """Why a request has no result."""
+    """The reason why a request has no result."""
 
     code: str
     text: str
-    detail: Any = None  # where another voter leads its address; else the code of a refusal
+    detail: Any = None  # the leader's address if another voter leads; otherwise a refusal's code
 
 
 class SendResponse(NamedTuple):
-    """The answer to a request on a connection: an error, or a result."""
+    """Answers a request on a connection with an error or a result."""
 
     connection_id: int
     message_id: int
@@ -43,69 +46,69 @@
 
 
 class StartDraining(NamedTuple):
-    """The permit is agreed and in use: this process is to drain and exit."""
+    """Drains and exits this process. Its permit is agreed and in use."""
 
     reason: str
 
 
 class MemberChanged(NamedTuple):
-    """The membership has another opinion of that process than before."""
+    """Announces that the membership's view of a process has changed."""
 
     update: Update
 
 
 class Log(NamedTuple):
-    """A line for the process's log."""
+    """Writes a line to the process's log."""
 
     text: str
 
 
 class WakeAt(NamedTuple):
-    """The next input `time` is due then, if no other input comes before."""
+    """Requests the next input `time` at the given time, unless another input comes before."""
 
     at_ms: float
 
 
 class Exit(NamedTuple):
-    """This process is to exit now."""
+    """Exits this process now."""
 
 
-# Of an agent, beside its server
+# Effects of agents
 
 
 class FetchVersion(NamedTuple):
-    """Store that version on the disk and check it: the input `held`."""
+    """Stores and checks a version on the disk. The result is the input `held`."""
 
     version: str
 
 
 class ActivateVersion(NamedTuple):
-    """Put that version in the slot for good: the input `swapped`."""
+    """Puts a version in its slot permanently. The result is the input `swapped`."""
 
     slot: str
     version: str
 
 
 class StartServer(NamedTuple):
-    """Start the server from the versions in the slots."""
+    """Starts the server with the versions in the slots."""
 
 
 class StopServer(NamedTuple):
-    """Stop the server: by SIGTERM, or by SIGKILL if forced."""
+    """Stops the server by SIGTERM, or by SIGKILL if forced."""
 
     force: bool
 
 
 class ReloadServer(NamedTuple):
-    """Have the server read its files again."""
+    """Makes the server reload its files."""
 
 
 class RestartAgent(NamedTuple):
-    """This process continues as the version in its own slot."""
+    """Replaces this process with the agent version in its own slot."""
 
 
 class ConfirmVersions(NamedTuple):
-    """The versions in these slots work: they are the ones to fall back to."""
+    """Records that the versions in these slots work, so that they serve as the fallback."""
 
     slots: tuple[str, ...]
 
--- a/pumicenotch/fleet/member/hint.py
+++ b/pumicenotch/fleet/member/hint.py
@@ -1,7 +1,7 @@
-"""What the leader tells a member of itself with each heartbeat.
+"""The leader's answer to a member's heartbeat: the agreed state of the member's process.
 
-It is a hint: the leader may have stopped leading, and each step that rests on it is an entry of the
-log of its own. The keys of its wire form never change.
+The answer is a hint, because its sender may have lost the leadership. Each step that follows from a
+hint is an entry of the log of its own. The keys of the wire form never change.
 """
 
 from typing import Any, NamedTuple
@@ -10,16 +10,16 @@
 
 
 class MemberHint(NamedTuple):
-    """What is agreed of a member's process."""
+    """The agreed state of a member's process."""
 
-    is_known: bool  # the fleet counts this process under its name
+    is_known: bool  # whether the fleet counts this process as the member of its name
     status: str
-    permit_epoch: int  # 0: it holds no permit
-    wait_reason: str  # of its drain, if one is queued
+    permit_epoch: int  # 0: the process has no permit
+    wait_reason: str  # why the process's queued drain waits; "" if none is queued
     permit_started: bool
     halt_reason: str
     heartbeat_interval_ms: float
-    wants_counts: bool  # whether the leader wants to hear how its requests go
+    wants_counts: bool  # whether the leader wants reports of request counts
 
     def to_wire(self) -> dict[str, Any]:
         """Returns the answer to a heartbeat."""
@@ -36,7 +36,7 @@
 
 
 def read_member_hint(value: dict[str, Any]) -> MemberHint:
-    """Returns the hint in an answer; what is missing or of another type counts as not said."""
+    """Returns the hint in an answer. A missing or mistyped field gets its default."""
     epoch = value.get("permit")
     interval_ms = value.get("again_ms")
     return MemberHint(
--- a/pumicenotch/fleet/member/node.py
+++ b/pumicenotch/fleet/member/node.py
@@ -1,7 +1,7 @@
-"""A member's process: its opinion of the others, and its own drain by permit.
+"""The fleet client of a member's process, as a reducer: membership, heartbeats, drain by permit.
 
-Whatever it hears or does not hear, its work goes on: only steps that nobody forces wait for
-agreement.
+The process keeps working whether or not the fleet is reachable. Only voluntary steps, such as a
+planned drain, wait for the fleet's agreement.
 """
 
 from collections import Counter
@@ -48,31 +48,32 @@
 from pumicenotch.membership.swim import SwimMembership
 from pumicenotch.sender import Sender
 
-MAX_HEARTBEAT_INTERVAL_MS = 60_000.0  # whatever the leader says
+MAX_HEARTBEAT_INTERVAL_MS = 60_000.0  # limits the interval that the leader sets
 
 
 class MemberSetup(NamedTuple):
-    """What a member's process is made from."""
+    """The initial state of a member's process."""
 
     fleet: str
     me: MemberIdentity
-    member: Member  # what the fleet counts of this process
+    member: Member  # the record that the fleet is to have of this process
     voters: tuple[str, ...]  # the addresses of all voters
-    seeds: tuple[str, ...]  # addresses to join the membership by
+    seeds: tuple[str, ...]  # addresses through which to join the membership
     now_ms: float
     seed: int
 
 
 class MemberNode(VoterClient):
-    """A reducer of these inputs.
+    """A reducer with the following inputs.
 
     `start`; `time`; `told` (sender, method, params): a notification; `asked` (connection, message,
     verb, args): a request; `closed` (connection); `answered` (number, error, result); `serve`
-    (whether it serves, whether it is overloaded); `leave` (reason): it drains; `left`: it is about
-    to exit; `counted` (rows as `canary.counts` reads them, MB).
+    (whether the process serves, whether it is overloaded); `leave` (reason): the process drains;
+    `left`: the process is about to exit; `counted` (rows as `canary.counts` reads them, memory in
+    MB).
     """
 
-    HEARTBEAT_MS = 500.0  # between heartbeats to the leader, unless it names a longer interval
+    HEARTBEAT_MS = 500.0  # minimum interval of heartbeats; the leader may set a longer one
 
     INPUTS: ClassVar[Mapping[str, str]] = {
         "start": "on_time",
@@ -94,13 +95,13 @@
         self.member = setup.member
         self.members = SwimMembership(setup.me, setup.now_ms, setup.seeds, self.rng)
         self.halt_gossip = HaltGossip(self.members.broadcasts)
-        # What this process is.
+        # The state of this process
         self.is_serving = False
         self.is_overloaded = False
         self.is_draining = False
         self.is_stopping = False
         self.drain_reason = ""
-        # What is agreed of this process, as far as it knows.
+        # The agreed state of this process, as far as known
         self.has_joined = False
         self.is_agreed_serving = False
         self.termination_reported = False
@@ -108,29 +109,29 @@
         self.join_refusal = ""
         self.permit_epoch = 0
         self.permit_refusal = ""
-        self.permit_started = False  # agreed, though the answer may have been lost
-        self.drain_started = False  # by permit, and this process knows it
+        self.permit_started = False  # by the agreed state; the answer may have been lost
+        self.drain_started = False  # by permit, with the answer received
         self.fleet_halt_reason = ""
-        self.wait_reason = ""  # of its queued drain
-        # Its reports.
-        self.heartbeat_at_ms = setup.now_ms
+        self.wait_reason = ""  # why the queued drain waits
+        # Reports
+        self.next_heartbeat_at_ms = setup.now_ms
         self.heartbeat_interval_ms = self.HEARTBEAT_MS
-        self.counts_at_ms = setup.now_ms
-        self.wants_counts = False  # the leader does
+        self.next_counts_at_ms = setup.now_ms
+        self.wants_counts = False  # whether the leader wants reports of request counts
 
     def wake_at_ms(self) -> float:
         """Returns when the next input `time` is due."""
         return min(self.members.next_wake_at(), self.request_deadline_ms())
 
     def on_time(self) -> None:
-        """Lets the membership and the request time out."""
-        self.step_members(Tick())
+        """Runs the timers of the membership and of the outstanding request."""
+        self.step_membership(Tick())
         self.check_timeout()
 
     # Membership
 
-    def step_members(self, event: Event) -> None:
-        """Gives the membership an input, and carries out its effects."""
+    def step_membership(self, event: Event) -> None:
+        """Passes an event to the membership, and carries out the resulting effects."""
         for effect in self.members.step(self.now_ms, event):
             match effect:
                 case Send(address, message):
@@ -140,34 +141,34 @@
                 case NameConflict(other):
                     self.counters["names_taken"] += 1
                     self.log(
-                        f"another process goes by the name {other.name}: {other.address}"
+                        f"name conflict: another process has the name {other.name}: {other.address}"
                         f" ({other.process_id})"
                     )
 
     def on_member_changed(self, update: messages.Update) -> None:
-        """Reports another opinion of a member."""
+        """Announces and logs a change in the membership's view of a member."""
         self.effects.append(MemberChanged(update))
         if update.state is not MemberState.ALIVE:
             state = update.state.name.lower()
-            self.log(f"{update.member.name} is thought {state} by {update.reported_by}")
+            self.log(f"member {update.member.name} is {state}, reported by {update.reported_by}")
 
     def on_notification(self, sender: Sender, method: str, params: Any) -> None:
-        """Takes a notification of another process of this fleet; a malformed one is counted."""
+        """Handles a notification of another process of this fleet; counts a malformed one."""
         try:
             self.receive(sender, method, params)
         except ValueError as error:
             self.counters["notices_unreadable"] += 1
-            self.log(f"{sender[0]}: {method}: {error}")
+            self.log(f"malformed notification from {sender[0]}: {method}: {error}")
 
     def receive(self, sender: Sender, method: str, params: Any) -> None:
         """Handles a notification; raises ValueError if it is malformed."""
         _, _, address = sender
         match method:
             case "members":
-                self.step_members(MessageReceived(address, messages.decode(params)))
+                self.step_membership(MessageReceived(address, messages.decode(params)))
             case "permitted" if params and type(params[0]) is int:
                 self.permit_epoch = max(self.permit_epoch, params[0])
-                # Not at the next heartbeat only, which is due anyway.
+                # Starts the drain now instead of at the next heartbeat.
                 self.next_request_at_ms = min(self.next_request_at_ms, self.now_ms)
             case _:
                 self.counters["notices_unknown"] += 1
@@ -175,16 +176,20 @@
     # Halts
 
     def halt_reason(self) -> str:
-        """Returns why this process takes no step that can wait; "" if it may."""
+        """Returns why this process must not take voluntary steps; "" if it may."""
         halt = self.halt_gossip.current()
         if halt.key:
             return f"halted: by {halt.operator}: {halt.reason}"
         return self.fleet_halt_reason
 
-    # Requests of operators and of other processes
+    # Requests
 
     def on_request(self, connection_id: int, message_id: int, verb: str, args: Any) -> None:
-        """Answers what any process of the fleet answers."""
+        """Answers a request that any process of the fleet answers, and refuses all others.
+
+        The requests are `local`, and `halt`: the halt is in force here at once and spreads by
+        gossip.
+        """
         match [verb, *args] if isinstance(args, list | tuple) else [verb]:
             case ["local"]:
                 self.respond(connection_id, message_id, self.local_status())
@@ -201,10 +206,10 @@
                 self.refuse(connection_id, message_id, RequestError(UNKNOWN_VERB, problem))
 
     def on_connection_closed(self, connection_id: int) -> None:
-        """Nobody waits on that connection any more."""
+        """Does nothing: a member answers each request at once and keeps none."""
 
     def local_status(self) -> dict[str, Any]:
-        """Returns what this process thinks by itself: an opinion."""
+        """Returns this process's own view of the fleet, which is not an agreed state."""
         rows = [
             {
                 "name": name,
@@ -239,10 +244,10 @@
         """Answers a request with an error."""
         self.effects.append(SendResponse(connection_id, message_id, error))
 
-    # What it wants agreed of itself: each request may come twice, or late, and changes nothing then
+    # Requests for agreement; a duplicate or late request changes nothing
 
     def send_next_request(self) -> None:
-        """Sends the first report or request that is due, else a heartbeat."""
+        """Sends the next command that this process needs agreed; otherwise a heartbeat when due."""
         if self.request is not None or self.now_ms < self.next_request_at_ms or not self.voters:
             return
         if self.is_stopping:
@@ -252,11 +257,11 @@
         command = self._next_command()
         if command is not None:
             self.send_command(command)
-        elif self.now_ms >= self.heartbeat_at_ms:
-            self.heartbeat_at_ms = self.now_ms + self.HEARTBEAT_MS
+        elif self.now_ms >= self.next_heartbeat_at_ms:
+            self.next_heartbeat_at_ms = self.now_ms + self.HEARTBEAT_MS
             self.send_request("mine", self.me.name, self.me.process_id, self.is_overloaded)
         else:
-            self.next_request_at_ms = self.heartbeat_at_ms
+            self.next_request_at_ms = self.next_heartbeat_at_ms
 
     def _next_command(self) -> MemberCommand | None:
         name = self.me.name
@@ -275,12 +280,12 @@
         return None
 
     def send_command(self, command: MemberCommand) -> None:
-        """Asks the leader to propose a command."""
+        """Requests that the leader propose a command."""
         verb, *fields = encode_command(command)
         self.send_request(verb, *fields)
 
     def on_result(self, verb: str, result: dict[str, Any]) -> None:
-        """Takes the result of a request."""
+        """Handles the result of a request."""
         match verb:
             case "join":
                 self.has_joined = True
@@ -298,89 +303,97 @@
                 self.on_hint(result)
 
     def on_hint(self, result: dict[str, Any]) -> None:
-        """Takes what the leader says is agreed: no step rests on it alone."""
+        """Handles the leader's answer to a heartbeat. No step rests on the hint alone."""
         hint = read_member_hint(result)
         if 0 < hint.heartbeat_interval_ms <= MAX_HEARTBEAT_INTERVAL_MS:
             self.heartbeat_interval_ms = max(self.HEARTBEAT_MS, hint.heartbeat_interval_ms)
-            self.heartbeat_at_ms = self.now_ms + self.heartbeat_interval_ms
+            self.next_heartbeat_at_ms = self.now_ms + self.heartbeat_interval_ms
         self.has_joined = hint.is_known
         if not hint.is_known:
-            self.termination_reported = False  # a fleet that was founded again counts it again
+            self.termination_reported = (
+                False  # a fleet that was bootstrapped anew needs a new report
+            )
         self.is_agreed_serving = hint.status == SERVING
         self.permit_epoch = hint.permit_epoch
         self.permit_started = hint.permit_started
         self.fleet_halt_reason = hint.halt_reason
         self.wants_counts = hint.wants_counts
         if hint.wait_reason and not self.wait_reason:
-            self.log(f"a drain of this process is asked for, and waits: {hint.wait_reason}")
+            self.log(f"a drain of this process is queued and waits: {hint.wait_reason}")
         self.wait_reason = hint.wait_reason
 
     def on_refusal(self, verb: str, text: str) -> None:
-        """Takes the fleet's refusal of a request."""
+        """Handles the fleet's refusal of a request."""
         self.counters[f"{verb}_refused"] += 1
         if verb == "join":
             if text != self.join_refusal:
-                self.log(f"cannot join the fleet: {text}")
+                self.log(f"the fleet refused the join: {text}")
             self.join_refusal = text
         elif verb == "began":
-            self.permit_epoch = 0  # the next heartbeat's answer tells whether it is still in force
+            self.permit_epoch = (
+                0  # the next heartbeat's answer sets the epoch again if still in force
+            )
             if text != self.permit_refusal:
-                self.log(f"permit refused: {text}")
+                self.log(f"the fleet refused the start of the drain: {text}")
             self.permit_refusal = text
         else:
-            # The fleet knows another process, or none: this process joins again.
+            # The fleet has another process under this name, or none, so this process joins again.
             self.has_joined = False
 
-    # This process
+    # The state of this process
 
     def set_serving(self, is_serving: bool, is_overloaded: bool) -> None:
-        """Whether this process serves, and whether its load is more than it can use."""
+        """Sets whether this process serves, and whether it has more load than it can serve."""
         if is_overloaded != self.is_overloaded:
             self.is_overloaded = is_overloaded
-            self.heartbeat_at_ms = self.now_ms
+            self.next_heartbeat_at_ms = self.now_ms
             self.next_request_at_ms = min(self.next_request_at_ms, self.now_ms)
         if is_serving != self.is_serving:
             self.next_request_at_ms = min(self.next_request_at_ms, self.now_ms)
             self.is_serving = is_serving
             if not self.is_draining:
-                self.announce(MemberPhase.SERVING if is_serving else MemberPhase.JOINING)
+                self.set_phase(MemberPhase.SERVING if is_serving else MemberPhase.JOINING)
 
     def send_counts(self, rows: Any, memory_mb: float) -> None:
-        """Tells the leader how requests have gone since this process started.
+        """Reports the request counts since this process started, if the leader wants them.
+
+        A lost report does no harm, because the next one has all counts again.
 
-        A lost report does no harm: the next one says it all again.
+        Args:
+            rows: the counts of each request class, as `canary.counts` reads them.
+            memory_mb: the memory of this process.
         """
-        is_due = self.now_ms >= self.counts_at_ms
-        if self.wants_counts and self.has_joined and not self.is_draining and is_due:
+        is_report_due = self.now_ms >= self.next_counts_at_ms
+        if self.wants_counts and self.has_joined and not self.is_draining and is_report_due:
             interval_ms = max(self.HEARTBEAT_MS, self.heartbeat_interval_ms)
-            self.counts_at_ms = self.now_ms + interval_ms - 1.0
+            self.next_counts_at_ms = self.now_ms + interval_ms - 1.0
             self.notify(self.voters[self.voter_index], "counts", rows, memory_mb)
 
     def start_draining(self, reason: str) -> None:
-        """This process drains from now on, whether anybody agreed or not."""
+        """Puts this process into the draining phase, with or without an agreed permit."""
         if not self.is_draining:
             self.is_draining = True
             self.drain_reason = reason[:MAX_TEXT_LENGTH] or "asked to leave"
-            self.announce(MemberPhase.DRAINING)
+            self.set_phase(MemberPhase.DRAINING)
             self.reset_request()
 
     def stop(self) -> None:
-        """This process is about to exit."""
+        """Announces that this process is about to exit."""
         if not self.is_stopping:
             self.is_draining = True
             self.is_stopping = True
-            self.announce(MemberPhase.LEFT)
+            self.set_phase(MemberPhase.LEFT)
             self.reset_request()
 
     def reset_request(self) -> None:
-        """Has the next request sent at once, whatever came of the last one."""
+        """Abandons the outstanding request, so that the next one is sent at once."""
         self.request = None
         self.next_request_at_ms = self.now_ms
-        self.failures = 0
+        self.consecutive_failures = 0
 
-    def announce(self, phase: MemberPhase) -> None:
-        """Tells the membership what this process does."""
-        self.step_members(SetPhase(phase))
+    def set_phase(self, phase: MemberPhase) -> None:
+        """Sets the phase that the membership announces for this process."""
+        self.step_membership(SetPhase(phase))
 
     def notify(self, address: str, method: str, *params: Any) -> None:
         """Sends a notification to another process."""
--- a/pumicenotch/fleet/member/settings.py
+++ b/pumicenotch/fleet/member/settings.py
@@ -1,7 +1,7 @@
-"""What a configuration file says of one process in a fleet.
+"""The settings of one process in a fleet.
 
-`config` checks it; these are plain values. The compiled plan of a server stores them by the names
-of the fields, which therefore never change.
+`config` reads and checks them in the configuration file; these are plain values. A server's
+compiled plan stores them under the names of the fields, which therefore never change.
 """
 
 from typing import Any, NamedTuple
@@ -11,35 +11,35 @@
 
 
 class InvalidSettingsError(InputError):
-    """A compiled plan whose fleet settings this program's own reader did not write."""
+    """The fleet settings of a compiled plan are not in the form that `config` writes."""
 
 
 class FleetSettings(NamedTuple):
-    """The settings of a member's process, and with `names` those of a voter's."""
+    """The settings of a member's process. A voter's settings also have `names`."""
 
     fleet: str
     name: str
-    listen: str  # for other instances
-    voters: tuple[str, ...]  # their addresses
-    seeds: tuple[str, ...] = ()  # addresses to join the membership by; none: the voters
+    listen: str  # the address of the listener for other instances
+    voters: tuple[str, ...]  # addresses
+    seeds: tuple[str, ...] = ()  # addresses through which to join the membership; none: the voters
     zone: str = ""
     region: str = ""
     cell: str = ""
     serves: tuple[str, ...] = ()
     uses: tuple[str, ...] = ()
     capacity: float = 1.0
-    names: tuple[tuple[str, str], ...] = ()  # the voters by name and address
+    names: tuple[tuple[str, str], ...] = ()  # the voters' names and addresses
     budgets: tuple[Budget, ...] = ()
     manual_members: tuple[Member, ...] = ()
-    advertise: str = ""  # where others reach it, if not where it listens
+    advertise: str = ""  # the address for other instances, if it differs from `listen`
 
     @property
     def address(self) -> str:
-        """Where others reach this process."""
+        """The address at which other instances reach this process."""
         return self.advertise or self.listen
 
     def member(self, process_id: str) -> Member:
-        """Returns what the fleet is to count of the process with this id."""
+        """Returns the member as which the fleet counts the process with this id."""
         return Member(
             self.name,
             process_id,
@@ -54,10 +54,10 @@
 
 
 def read_settings(value: Any) -> FleetSettings | None:
-    """Returns a server's settings from the compiled plan; None if it is in no fleet.
+    """Returns the fleet settings of a compiled plan; None if the server is in no fleet.
 
     Raises:
-        InvalidSettingsError: they are not in the form that a plan has.
+        InvalidSettingsError: the settings are not in the form of a compiled plan.
     """
     if value is None:
         return None
@@ -68,7 +68,7 @@
         settings = FleetSettings(**fields)
         texts = (settings.fleet, settings.name, settings.listen, *settings.voters)
         if not all(isinstance(text, str) for text in texts):
-            raise TypeError("texts are wanted")
+            raise TypeError("a name or address is not a string")
     except (TypeError, AttributeError) as error:
         raise InvalidSettingsError(str(error), place="fleet") from None
     return settings
--- a/pumicenotch/fleet/releases/__init__.py
+++ b/pumicenotch/fleet/releases/__init__.py
@@ -1,1 +1,1 @@
-"""Releases: which version each node is to run, wave by wave, and what the voters agree of it."""
+"""Releases: the agreed version of each node, rolled out wave by wave."""
--- a/pumicenotch/fleet/releases/commands.py
+++ b/pumicenotch/fleet/releases/commands.py
@@ -1,4 +1,4 @@
-"""The commands of the log that speak of versions, and the readers of their fields."""
+"""The log commands of releases, and the readers that validate their fields."""
 
 from typing import Any, NamedTuple
 
@@ -20,11 +20,11 @@
     read_number,
 )
 
-WIRE_RELEASE_FIELDS = 13  # the first fields of Release: what a plan says
-BASELINE_FIGURES = 3
-MAX_FIGURE = 1e12
+WIRE_RELEASE_FIELD_COUNT = 13  # the first fields of Release, which make up a plan
+BASELINE_METRIC_COUNT = 3
+MAX_METRIC_VALUE = 1e12
 
-# What an operator may do with a release, as entries name it.
+# The actions of operators on a release, as log entries name them.
 START = "start"
 ABANDON = "abandon"
 HALT = "halt"
@@ -35,13 +35,13 @@
 
 
 class SetLevel(NamedTuple):
-    """All voters read the entries of this level."""
+    """Records that all voters read the log entries of this level."""
 
     level: int
 
 
 class PlanRelease(NamedTuple):
-    """An operator plans a release."""
+    """An operator's plan of a release."""
 
     request_id: str
     release: Release
@@ -49,35 +49,36 @@
 
 
 class ControlRelease(NamedTuple):
-    """An operator, or any process, starts, halts, resumes or otherwise controls a release."""
+    """An operator's action on a release, such as a start, a halt or a rollback."""
 
     request_id: str
     name: str
     action: str  # one of ACTIONS
-    known_halts: tuple[str, ...]  # the keys of the halts that the operator knows of
+    known_halts: tuple[str, ...]  # the keys of the halts that the operator has seen
     reason: str
     operator: str
 
 
 class CompleteSoak(NamedTuple):
-    """The leader finds a wave's soak over."""
+    """The leader's finding that the soak of a wave is over."""
 
     name: str
     wave: int
-    conclusive: bool  # enough was observed to tell whether the version does harm
+    conclusive: bool  # whether the observations suffice to tell whether the version does harm
     reason: str
 
 
 class SetBaseline(NamedTuple):
-    """The leader tells how the fleet did before the first node of a wave moved."""
+    """The leader's measurement of the fleet before the first node of a wave moves."""
 
     name: str
     wave: int
-    figures: tuple[float, ...]  # requests per window, failed fraction and mean ms of calls
+    # Requests per window, the failed fraction of calls, and the mean duration of a call in ms.
+    metrics: tuple[float, ...]
 
 
 class ReportHarm(NamedTuple):
-    """A release does harm, as the leader or an agent finds."""
+    """A finding of the leader or of an agent that a release does harm."""
 
     name: str
     reported_by: str
@@ -86,7 +87,7 @@
 
 
 class ReportNode(NamedTuple):
-    """An agent tells what its node runs and has stored."""
+    """An agent's report of the versions that its node runs and stores."""
 
     name: str
     agent: str  # the agent's process id
@@ -97,7 +98,7 @@
 
 
 class MoveNode(NamedTuple):
-    """An agent wants to put a version in place."""
+    """An agent's request for permission to put a version in a slot."""
 
     name: str
     agent: str
@@ -120,12 +121,12 @@
 
 
 def read_optional_names(value: Any) -> tuple[str, ...]:
-    """Returns names, or none; raises InvalidCommandError."""
+    """Returns a possibly empty list of names; raises InvalidCommandError."""
     return read_names(value) if value else ()
 
 
 def read_server_state(value: Any) -> str:
-    """Returns what an agent says of its server; "" if it serves. Raises InvalidCommandError."""
+    """Returns SERVER_DOWN, SERVER_STARTING, or "" for serving; raises InvalidCommandError."""
     if value not in ("", SERVER_DOWN, SERVER_STARTING):
         raise InvalidCommandError(
             f"{value!r:.40}: {SERVER_DOWN}, {SERVER_STARTING} or nothing is wanted"
@@ -134,25 +135,25 @@
 
 
 def read_flag(value: Any) -> bool:
-    """Returns a truth value; raises InvalidCommandError."""
+    """Returns a boolean; raises InvalidCommandError for any other type."""
     if type(value) is not bool:
         raise InvalidCommandError(f"yes or no is wanted, not {value!r:.40}")
     return value
 
 
 def read_baseline(value: Any) -> tuple[float, ...]:
-    """Returns the figures of SetBaseline; raises InvalidCommandError."""
-    if not isinstance(value, list | tuple) or len(value) != BASELINE_FIGURES:
+    """Returns the metrics of SetBaseline; raises InvalidCommandError."""
+    if not isinstance(value, list | tuple) or len(value) != BASELINE_METRIC_COUNT:
         raise InvalidCommandError("three figures are wanted")
-    figures = tuple(float(figure) for figure in value if isinstance(figure, int | float))
-    in_range = all(0.0 <= figure < MAX_FIGURE for figure in figures)
-    if len(figures) < BASELINE_FIGURES or not in_range:
+    metrics = tuple(float(metric) for metric in value if isinstance(metric, int | float))
+    in_range = all(0.0 <= metric < MAX_METRIC_VALUE for metric in metrics)
+    if len(metrics) < BASELINE_METRIC_COUNT or not in_range:
         raise InvalidCommandError(f"no figures: {value!r:.60}")
-    return figures
+    return metrics
 
 
 def read_version(value: Any) -> str:
-    """Returns a version that may name a folder; raises InvalidCommandError."""
+    """Returns a version that is safe as the name of a folder; raises InvalidCommandError."""
     if not VERSION_PATTERN.fullmatch(read_name(value)):
         raise InvalidCommandError(
             f"a version of letters, digits, dots, dashes is wanted, not {value!r:.80}"
@@ -173,7 +174,7 @@
 
 
 def read_release(value: Any) -> Release:
-    """Returns a release as an operator plans it; raises InvalidCommandError."""
+    """Returns the plan of a release; raises InvalidCommandError."""
     try:
         release = _convert_release(value)
     except InvalidCommandError as error:
@@ -191,8 +192,8 @@
 
 
 def _convert_release(value: Any) -> Release:
-    if len(value) != WIRE_RELEASE_FIELDS:
-        raise ValueError(f"{WIRE_RELEASE_FIELDS} values are wanted, not {len(value)}")
+    if len(value) != WIRE_RELEASE_FIELD_COUNT:
+        raise ValueError(f"{WIRE_RELEASE_FIELD_COUNT} values are wanted, not {len(value)}")
     fields = Release(*value)
     return Release(
         name=read_name(fields.name),
@@ -212,5 +213,5 @@
 
 
 def release_to_wire(release: Release) -> tuple[Any, ...]:
-    """Returns the fields that a `plan` entry carries."""
-    return tuple(release[:WIRE_RELEASE_FIELDS])
+    """Returns the fields of a release that a `plan` entry carries."""
+    return tuple(release[:WIRE_RELEASE_FIELD_COUNT])
--- a/pumicenotch/fleet/releases/control.py
+++ b/pumicenotch/fleet/releases/control.py
@@ -1,4 +1,4 @@
-"""What operators do with releases: plan, start, halt, resume, roll back, approve, abandon."""
+"""Operators' commands on releases: plan, start, halt, resume, roll back, approve, abandon."""
 
 from pumicenotch.fleet.releases import commands
 from pumicenotch.fleet.releases.commands import ControlRelease, PlanRelease
@@ -20,23 +20,28 @@
 from pumicenotch.fleet.replicated.fleet_view import FleetView
 from pumicenotch.fleet.replicated.records import ApplyResult
 
-MAX_ENDED_RELEASES = 50  # remembered for `status` and so that no name comes twice
-MAX_HALTS = 16  # of one release
-MAX_LISTED_NAMES = 5  # in one message
+MAX_ENDED_RELEASES = 50  # kept for `status` and so that no release reuses their names
+MAX_HALTS = 16  # per release
+MAX_LISTED_NAMES = 5  # per message
 
 
 class ReleaseControl(ReleaseProgress):
-    """Applies operators' commands. Their results go into the fleet's recorded answers."""
+    """Applies operators' commands to releases.
+
+    The fleet records each result as the answer to the operator's request, for retries of the
+    request.
+    """
 
     def __init__(self, fleet: FleetView) -> None:
         super().__init__(fleet)
-        self.has_advanced = False  # a release is further: nodes may have a next step that had none
+        # Set when a release changes its state or wave, which may give any node a next step.
+        self.has_advanced = False
 
-    def put(self, release: Release, event: str = "") -> ApplyResult:
-        """Sets what is agreed of a release, with a line in the fleet's event history."""
-        known = self.releases.get(release.name)
+    def store_release(self, release: Release, event: str = "") -> ApplyResult:
+        """Replaces a release's record, and adds any event text to the fleet's event history."""
+        previous = self.releases.get(release.name)
         position = (release.state, release.wave)
-        self.has_advanced |= known is None or (known.state, known.wave) != position
+        self.has_advanced |= previous is None or (previous.state, previous.wave) != position
         self.releases[release.name] = release
         if event:
             self.fleet.record_event(f"release {release.name}: {event}")
@@ -45,7 +50,7 @@
     # Plans
 
     def plan(self, command: PlanRelease) -> ApplyResult:
-        """Takes a plan in, if it can be carried out."""
+        """Adds a planned release, or refuses a plan that cannot be carried out."""
         result = self._plan(command.release, command.operator)
         return self.fleet.record_answer(command.request_id, result)
 
@@ -72,8 +77,8 @@
         release = release._replace(replaces=replaces)
         if problem := self._start_problem(release) or self._wave_problem(release):
             return ApplyResult(False, problem)
-        self._forget_oldest()
-        return self.put(
+        self._remove_oldest_ended()
+        return self.store_release(
             release,
             f"planned by {operator}: {release.slot} {release.version} for"
             f" {release.replaces or 'what is'} in {len(release.waves)} waves",
@@ -84,7 +89,7 @@
         return versions.pop() if len(versions) == 1 else ""
 
     def _start_problem(self, release: Release) -> str:
-        """Returns why the release may not start now; "" if it may."""
+        """Returns why the release cannot start now; "" if it can."""
         current = self.current_versions.get(release.slot, release.replaces)
         if release.version == release.replaces and release.slot != BUDGETS:
             return f"the fleet is on {release.version} already"
@@ -98,7 +103,7 @@
         return ""
 
     def _wave_problem(self, release: Release) -> str:
-        """Returns which wave holds what must not move together; "" if none does."""
+        """Returns which wave contains nodes that must not move together; "" if none does."""
         for number, wave in enumerate(release.waves, 1):
             members = [self.fleet.members[name] for name in wave if name in self.fleet.members]
             if sum(member.voter for member in members) > 1:
@@ -112,8 +117,10 @@
                     return f"wave {number}: {kind}s {names} together: allow it with mixed"
         return ""
 
-    def _forget_oldest(self) -> None:
-        ended = [each.name for each in self.releases.values() if each.state in FINAL_STATES]
+    def _remove_oldest_ended(self) -> None:
+        ended = [
+            release.name for release in self.releases.values() if release.state in FINAL_STATES
+        ]
         for name in ended[: max(0, len(ended) - MAX_ENDED_RELEASES)]:
             del self.releases[name]
 
@@ -151,7 +158,10 @@
                 return self.approve(release, reason, operator)
 
     def start(self, release: Release, operator: str) -> ApplyResult:
-        """Starts a planned release."""
+        """Starts a planned release.
+
+        An urgent release abandons and replaces a halted release that has nodes in common.
+        """
         if release.state != PLANNED:
             return ApplyResult(False, f"release {release.name} has started")
         if problem := self._start_problem(release):
@@ -165,33 +175,35 @@
                     f"release {other.name} is {other.description}, and has nodes in common: only an"
                     " urgent one may take over, and only one that is halted",
                 )
-            self.put(other._replace(state=ABANDONED, halts=()), f"taken over by {release.name}")
+            self.store_release(
+                other._replace(state=ABANDONED, halts=()), f"taken over by {release.name}"
+            )
         if release.slot == BUDGETS:
             release = release._replace(previous_budgets=self.fleet.budgets)
             self.fleet.budgets = release.budgets
-            return self.put(
+            return self.store_release(
                 release._replace(state=SOAKING), f"started by {operator}: its budgets are in force"
             )
         self.current_versions.setdefault(release.slot, release.replaces)
         for name in release.nodes:
             self.nodes[name] = self.nodes[name]._replace(crashes=0)
-        return self.put(release._replace(state=DRAINING), f"started by {operator}")
+        return self.store_release(release._replace(state=DRAINING), f"started by {operator}")
 
     def abandon(self, release: Release, reason: str, operator: str) -> ApplyResult:
-        """Drops a release that has not started."""
+        """Abandons a release that has not started."""
         if release.state != PLANNED:
             return ApplyResult(
                 False, f"release {release.name} has started: halt it, or have it go back"
             )
-        return self.put(
+        return self.store_release(
             release._replace(state=ABANDONED, reason=reason), f"abandoned by {operator}: {reason}"
         )
 
     def halt(self, release: Release, halt: ReleaseHalt) -> ApplyResult:
-        """Stops a release where it is."""
+        """Halts a release in its current state."""
         halted_state = release.halted_state if release.state == HALTED else release.state
         halts = (*release.halts, halt)[-MAX_HALTS:]
-        return self.put(
+        return self.store_release(
             release._replace(
                 state=HALTED, halted_state=halted_state, halts=halts, reason=halt.reason
             ),
@@ -201,18 +213,18 @@
     def resume(
         self, release: Release, known_halts: tuple[str, ...], reason: str, operator: str
     ) -> ApplyResult:
-        """Ends those halts that the operator has seen, and no later one."""
+        """Ends the halts that the operator has seen. Any other halt keeps the release halted."""
         if release.state != HALTED:
             return ApplyResult(
                 False, f"release {release.name} is not halted: {release.description}"
             )
         remaining = _remaining_halts(release, known_halts)
         if remaining:
-            return self.put(
+            return self.store_release(
                 release._replace(halts=remaining),
                 f"resumed by {operator}, but halted by {remaining[0].operator} still",
             )
-        return self.put(
+        return self.store_release(
             release._replace(state=release.halted_state, halts=(), halted_state="", reason=reason),
             f"RESUMED by {operator}: {reason}",
         )
@@ -220,24 +232,24 @@
     def roll_back(
         self, release: Release, known_halts: tuple[str, ...], reason: str, operator: str
     ) -> ApplyResult:
-        """Has all nodes return to the version before.
+        """Returns all nodes of a release to the previous version.
 
-        A halt that the operator has not seen stays in force, and stops the way back too.
+        A halt that the operator has not seen stays in force, and halts the rollback.
         """
         remaining = _remaining_halts(release, known_halts)
-        returning = release._replace(
+        updated = release._replace(
             state=ROLLING_BACK, halted_state="", halts=(), approval_reason="", reason=reason
         )
         if remaining:
-            returning = returning._replace(state=HALTED, halted_state=ROLLING_BACK, halts=remaining)
+            updated = updated._replace(state=HALTED, halted_state=ROLLING_BACK, halts=remaining)
         elif release.slot == BUDGETS:
             self.fleet.budgets = release.previous_budgets
-            returning = returning._replace(state=ABANDONED)
-        halted = f"; halted by {remaining[0].operator}" if remaining else ""
-        return self.put(returning, f"goes BACK by {operator}: {reason}{halted}")
+            updated = updated._replace(state=ABANDONED)
+        halt_note = f"; halted by {remaining[0].operator}" if remaining else ""
+        return self.store_release(updated, f"goes BACK by {operator}: {reason}{halt_note}")
 
     def approve(self, release: Release, reason: str, operator: str) -> ApplyResult:
-        """Answers a release that waits for a person."""
+        """Finishes the wave of a release that waits for a person's approval."""
         if not release.approval_reason:
             return ApplyResult(
                 False, f"release {release.name} asks for nothing: {release.description}"
@@ -245,12 +257,14 @@
         return self.finish_wave(release, f"approved by {operator}: {reason}")
 
     def finish_wave(self, release: Release, reason: str) -> ApplyResult:
-        """Ends a wave that did no harm: the next one begins, or the release is done."""
+        """Ends a harmless wave and starts the next one. Completes the release after the last."""
         release = release._replace(approval_reason="", reason=reason)
         if release.wave + 1 < len(release.waves):
-            return self.put(release._replace(state=DRAINING, wave=release.wave + 1), reason)
+            return self.store_release(
+                release._replace(state=DRAINING, wave=release.wave + 1), reason
+            )
         self.current_versions[release.slot] = release.version
-        return self.put(release._replace(state=DONE), f"done: {reason}")
+        return self.store_release(release._replace(state=DONE), f"done: {reason}")
 
 
 def _overlap(first: Release, second: Release) -> bool:
--- a/pumicenotch/fleet/releases/progress.py
+++ b/pumicenotch/fleet/releases/progress.py
@@ -1,9 +1,9 @@
-"""What the agreed releases want of each node, and how far they are.
+"""The target version of each node under the agreed releases, and the progress of the releases.
 
-One question decides it all: which version a node is to run now (`target_version`). A node that runs
-another one has a next step: its drain is queued under the fleet's budgets like anybody's, and once
-its server has stopped, its agent may ask for the move. Forwards, backwards and catching up are the
-same two steps.
+`target_version` decides which version a node is to run now. A node that runs another version has a
+next step. The drain of its server is queued under the fleet's budgets, as any other drain, and its
+agent may request the move once the server has stopped. Rolling forward, rolling back and catching
+up all take these two steps.
 """
 
 from typing import Any
@@ -27,25 +27,28 @@
 
 
 class ReleaseProgress:
-    """All releases, what each node runs, and what follows from both. It changes nothing."""
+    """Holds the releases and the nodes' reports, and answers queries on both.
+
+    Only `load` changes the state; subclasses apply the log's commands.
+    """
 
     def __init__(self, fleet: FleetView) -> None:
         self.fleet = fleet
-        self.level = 1  # of the entries that all voters read, as agreed
+        self.level = 1  # the agreed level of the log entries that all voters read
         self.releases: dict[str, Release] = {}
         self.nodes: dict[str, NodeStatus] = {}
-        self.current_versions: dict[str, str] = {}  # by slot: what the fleet is on
+        self.current_versions: dict[str, str] = {}  # the fleet's version in each slot
 
     def active_releases(self) -> list[Release]:
-        """Returns those that have started and not reached a final state."""
+        """Returns the releases that have started and have not reached a final state."""
         return [release for release in self.releases.values() if release.is_active]
 
     def open_releases(self) -> list[Release]:
-        """Returns those that are planned or active."""
-        return [each for each in self.releases.values() if each.state not in FINAL_STATES]
+        """Returns the releases that are planned or active."""
+        return [release for release in self.releases.values() if release.state not in FINAL_STATES]
 
     def runs_version(self, release: Release, name: str) -> bool:
-        """Tells whether that node runs the release's version, by its agent's report."""
+        """Tells whether a node runs the release's version, by its agent's report."""
         node = self.nodes.get(name)
         return node is not None and node.version(release.slot) == release.version
 
@@ -65,7 +68,7 @@
         return self.current_versions.get(slot, "")
 
     def next_step(self, node: NodeStatus) -> Step:
-        """Returns the slot and the version that the node is to move to."""
+        """Returns the slot and the version that the node is to move to, or NO_STEP."""
         for slot, version in node.versions:
             target = self.target_version(node.name, slot)
             if target and target != version:
@@ -73,66 +76,71 @@
         return NO_STEP
 
     def describe_active_releases(self, node: NodeStatus) -> str:
-        """Returns the states of the releases that decide what the node may move to."""
+        """Returns the states of the active releases that include the node."""
         return "; ".join(
             f"release {release.name} is {release.description}"
             for release in self.releases.values()
             if node.name in release.nodes and release.is_active
         )
 
-    def has_arrived(self, name: str, slot: str, version: str) -> bool:
-        """Tells whether a node serves with that version, or was forgotten."""
+    def has_reached_version(self, name: str, slot: str, version: str) -> bool:
+        """Tells whether a node serves with the version. Also true for a removed node."""
         member = self.fleet.members.get(name)
         node = self.nodes.get(name)
         if member is None or node is None:
             return True
-        # By its agent's report too, which has seen it alive since.
-        is_fine = not node.server_state and not node.problem
-        return is_fine and not self.fleet.is_unavailable(member) and node.version(slot) == version
+        # The agent's report is required too: it shows that the server was alive after its start.
+        is_healthy = not node.server_state and not node.problem
+        return (
+            is_healthy and not self.fleet.is_unavailable(member) and node.version(slot) == version
+        )
 
     def is_skipped(self, name: str, release: Release) -> bool:
-        """Tells whether a node failed before the wave reached it: it catches up on recovery."""
+        """Tells whether a node failed before its wave. Such a node catches up after recovery."""
         member = self.fleet.members.get(name)
         node = self.nodes.get(name)
         return (
             member is not None
             and node is not None
             and bool(member.failure)
-            and not node.may_run(release.slot, release.version)
+            and not node.may_be_running(release.slot, release.version)
         )
 
     def missing_nodes(self, release: Release) -> list[str]:
-        """Returns the nodes that are not yet where the release wants them."""
+        """Returns the nodes that do not yet serve with the version that the release wants."""
         slot = release.slot
         if release.state == ROLLING_BACK:
             return [
-                name for name in release.nodes if not self.has_arrived(name, slot, release.replaces)
+                name
+                for name in release.nodes
+                if not self.has_reached_version(name, slot, release.replaces)
             ]
         return [
             name
             for name in release.waves[release.wave]
-            if not self.has_arrived(name, slot, release.version)
+            if not self.has_reached_version(name, slot, release.version)
             and not self.is_skipped(name, release)
         ]
 
     def drain_order(self) -> list[str]:
-        """Returns all nodes, those to be drained first in front.
+        """Returns all nodes in the order in which they are to be drained.
 
-        On the way back these are the harmed ones, then those that got the version last; forwards
-        those of the wave, as planned.
+        A rollback drains the harmed nodes first, and then its nodes in reverse order of the waves.
+        A release that rolls forward drains the nodes of its current wave, as planned.
         """
-        first: list[str] = []
+        prioritized: list[str] = []
         for release in self.active_releases():
             if release.state == ROLLING_BACK:
-                first += (*release.harmed, *reversed(release.nodes))
+                prioritized += (*release.harmed, *reversed(release.nodes))
             elif release.state in FORWARD_STATES:
-                first += release.waves[release.wave]
-        return [name for name in dict.fromkeys((*first, *self.nodes)) if name in self.nodes]
+                prioritized += release.waves[release.wave]
+        return [name for name in dict.fromkeys((*prioritized, *self.nodes)) if name in self.nodes]
 
     def is_server_down(self, name: str) -> bool:
-        """Tells whether a node's agent reports its server as down.
+        """Tells whether a node's server is down, by its agent's report.
 
-        That it is in service again the server reports first, by itself.
+        A server that has started again is up as soon as it reports that it serves, before its
+        agent's next report.
         """
         node = self.nodes.get(name)
         member = self.fleet.members.get(name)
@@ -142,14 +150,14 @@
         return is_down or member is None or member.status != SERVING
 
     def is_expected_to_serve(self, name: str) -> bool:
-        """Tells whether a node's server is to go on, by what is agreed."""
+        """Tells whether, by the agreed state, a node's server is to keep running."""
         member = self.fleet.members.get(name)
         return member is not None and member.status == SERVING and name not in self.fleet.permits
 
     # Snapshots
 
     def dump(self) -> dict[str, Any]:
-        """Returns all of it for a snapshot."""
+        """Returns the whole state for a snapshot."""
         return {
             "level": self.level,
             "stands": list(self.current_versions.items()),
@@ -158,7 +166,7 @@
         }
 
     def load(self, value: dict[str, Any]) -> None:
-        """Replaces all of it by what `dump` gave."""
+        """Replaces the whole state with the result of `dump`."""
         self.level = value["level"]
         self.current_versions = dict(value["stands"])
         self.nodes = {fields[0]: _load_node(fields) for fields in value["nodes"]}
--- a/pumicenotch/fleet/releases/release.py
+++ b/pumicenotch/fleet/releases/release.py
@@ -1,7 +1,7 @@
-"""The records of a release: what was planned, how far it is, and what each node runs.
+"""The records of a release: its plan, its progress, and what each node runs.
 
-Snapshots write them as lists, so the order of their fields is part of the stored form; so are the
-names of states and slots.
+Snapshots store these records as lists, so the order of their fields is part of the stored form. The
+names of states and slots are stored too.
 """
 
 import re
@@ -21,25 +21,25 @@
 FORWARD_STATES = (DRAINING, MOVING, SOAKING)
 FINAL_STATES = (DONE, ABANDONED)
 
-# The state of a server by its agent's report; "": it serves.
+# The state of a server as its agent reports it. An empty state means that the server serves.
 SERVER_DOWN = "ended"
-SERVER_STARTING = "starting"  # not in service yet, as far as the agent knows
+SERVER_STARTING = "starting"  # as far as the agent knows, not in service yet
 
-# What of a node a release replaces.
+# The slots of a node. A release replaces the version in one slot.
 BUDGETS = "budgets"
-RESTART_SLOTS = ("program", "config")  # the server is drained and started again
-IN_PLACE_SLOTS = ("map", "agent")  # reloaded, or replaced, beside a server that goes on
+RESTART_SLOTS = ("program", "config")  # a new version needs a drain and a restart of the server
+IN_PLACE_SLOTS = ("map", "agent")  # reloaded or replaced while the server keeps running
 SLOTS = (*RESTART_SLOTS, *IN_PLACE_SLOTS, BUDGETS)
 
-REQUESTED_BY = "(release)"  # in the queue of drains: no operator's name
-STORAGE_PROBLEM = "cannot hold"  # how an agent's problem begins that is no fault of the version
+REQUESTED_BY = "(release)"  # the requester of a release's drains, distinct from operators' names
+STORAGE_PROBLEM = "cannot hold"  # the prefix of agents' problems that no version has caused
 MAX_WAVES = 256
 VERSION_PATTERN = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,62}")
-PROGRAM_LEVEL = 2  # the level of entries that this program reads
+PROGRAM_LEVEL = 2  # the highest level of log entries that this program reads
 
 
 class ReleaseHalt(NamedTuple):
-    """A halt of one release; an operator ends those halts that it has seen."""
+    """A halt of one release. An operator's resume ends only the halts whose keys it lists."""
 
     key: str
     operator: str
@@ -47,14 +47,14 @@
 
 
 class RunningVersion(NamedTuple):
-    """What a node runs in one slot."""
+    """The version that a node runs in one slot."""
 
     slot: str
     version: str
 
 
 class Step(NamedTuple):
-    """What a node is to do next."""
+    """The next change of a node: the version to put in a slot."""
 
     slot: str
     version: str
@@ -64,15 +64,15 @@
 
 
 class PermittedMove(NamedTuple):
-    """What a node's agent was last allowed to put in place."""
+    """The last step that a node's agent was permitted to take."""
 
     slot: str
     version: str
-    epoch: int  # the log index at which it was allowed
+    epoch: int  # the log index of the permission
 
     @property
     def step(self) -> Step:
-        """The step that was allowed."""
+        """The permitted step."""
         return Step(self.slot, self.version)
 
 
@@ -80,30 +80,31 @@
 
 
 class Release(NamedTuple):
-    """A release as planned, and how far it is. The fields up to `budgets` are the plan."""
+    """The plan of a release and its progress. The fields up to `budgets` are the plan."""
 
     name: str
     slot: str  # one of SLOTS
     version: str  # named by content
-    replaces: str
-    level: int  # of the entries that its program reads
-    waves: tuple[tuple[str, ...], ...]
+    replaces: str  # the version that the nodes run before the release, and after a rollback
+    level: int  # the highest level of log entries that the version reads
+    waves: tuple[tuple[str, ...], ...]  # the names of the nodes of each wave
     soak_ms: int
-    extra_soak_ms: int  # where too little was observed to tell, before a person is asked
-    rolls_back: bool  # on harm; else it is halted
-    gate: int  # a person is asked after this many waves in any case; 0: after none
-    urgent: bool  # may take over from one that is halted
-    mixed: bool  # two zones or cells in one wave
-    budgets: tuple[Budget, ...] = ()  # of a release of budgets: the new ones
+    extra_soak_ms: int  # added to an inconclusive soak before a person is asked
+    rolls_back: bool  # whether harm rolls the release back; otherwise harm only halts it
+    gate: int  # the number of waves after which a person is always asked; 0: never
+    urgent: bool  # whether the release may take over the nodes of a halted release
+    mixed: bool  # whether one wave may contain several zones or cells
+    budgets: tuple[Budget, ...] = ()  # the new budgets, in a release of budgets
     previous_budgets: tuple[Budget, ...] = ()
     state: str = PLANNED
-    wave: int = 0
-    halted_state: str = ""  # the state that a halt has stopped
+    wave: int = 0  # the index of the current wave
+    halted_state: str = ""  # the state in which a halt stopped the release
     halts: tuple[ReleaseHalt, ...] = ()
-    approval_reason: str = ""  # why it waits for a person
-    harmed: tuple[str, ...] = ()  # where harm was seen: first to be rolled back
-    reason: str = ""  # of the last change of its state
-    # Before the wave: its number, requests per window, failed fraction and mean ms of calls.
+    approval_reason: str = ""  # why the release waits for a person's approval
+    harmed: tuple[str, ...] = ()  # the nodes on which harm was seen; rolled back first
+    reason: str = ""  # the reason for the last change of state
+    # Measured before the wave: its index, requests per window, the failed fraction of calls, and
+    # the mean duration of a call in ms.
     baseline: tuple[float, ...] = ()
 
     @property
@@ -113,28 +114,28 @@
 
     @property
     def is_active(self) -> bool:
-        """Whether it has started and not reached a final state."""
+        """Whether the release has started and has not reached a final state."""
         return self.state != PLANNED and self.state not in FINAL_STATES
 
     @property
     def description(self) -> str:
-        """Its state as operators read it."""
+        """The state in the words that operators read."""
         if self.state in FORWARD_STATES:
             return f"wave {self.wave + 1} of {len(self.waves)} {self.state}"
         return f"halted ({self.halted_state})" if self.state == HALTED else self.state
 
 
 class NodeStatus(NamedTuple):
-    """What a node's agent reported last, and what it was last allowed to do."""
+    """The last report of a node's agent, and the last step that the agent was permitted to take."""
 
     name: str
     agent: str  # the agent's process id
     versions: tuple[RunningVersion, ...] = ()
-    stored: tuple[str, ...] = ()  # the versions on its disk
+    stored: tuple[str, ...] = ()  # the versions on the node's disk
     server_state: str = ""  # SERVER_DOWN, SERVER_STARTING or ""
     problem: str = ""
     last_move: PermittedMove = NO_MOVE
-    crashes: int = 0  # unexpected exits of its server since it moved or a release began
+    crashes: int = 0  # unexpected exits of the server since its last move or a release's start
 
     @property
     def reported(self) -> tuple[Any, ...]:
@@ -142,9 +143,13 @@
         return self.agent, self.versions, self.stored, self.server_state, self.problem
 
     def version(self, slot: str) -> str:
-        """Returns what the node runs in a slot; "" if its agent did not say."""
+        """Returns the version that the node runs in a slot; "" if its agent reported none."""
         return dict(self.versions).get(slot, "")
 
-    def may_run(self, slot: str, version: str) -> bool:
-        """Tells whether the node runs the version, or was allowed to and has not reported since."""
+    def may_be_running(self, slot: str, version: str) -> bool:
+        """Tells whether the node runs the version, or has a permission to move to the version.
+
+        A permitted move counts until the next permission, because the agent may have made the move
+        without having reported the result.
+        """
         return self.version(slot) == version or self.last_move.step == (slot, version)
--- a/pumicenotch/fleet/releases/releases.py
+++ b/pumicenotch/fleet/releases/releases.py
@@ -1,7 +1,7 @@
-"""Releases that the fleet has agreed: a version goes out in waves, is halted, is rolled back.
+"""The agreed releases: a version is rolled out in waves, halted, or rolled back.
 
-Every step is an entry of the log. What follows from the entries, as whose server is to be drained
-next, needs none.
+Every step is an entry of the log. Consequences of the entries, such as which server is to be
+drained next, are derived on each voter and need no entry.
 """
 
 from pumicenotch.fleet.drains.budgets import SERVING, Member
@@ -36,19 +36,26 @@
 
 
 class Releases(ReleaseControl):
-    """Applies what the leader and the agents say of versions, and what follows from all entries."""
+    """Applies the commands of the leader and of agents, and advances the releases after each entry.
+
+    The replicated state owns one instance and calls `advance_all` after it has applied an entry.
+    """
 
     def set_level(self, command: SetLevel) -> ApplyResult:
-        """From now on no version that reads less may be released, nor be rolled back to."""
+        """Raises the fleet's level, unless a release is active.
+
+        From then on a version that reads only lower levels can be neither released nor rolled back
+        to.
+        """
         if command.level > self.level and not self.active_releases():
             self.level = command.level
             self.fleet.record_event(f"the fleet is at level {command.level}")
         return ApplyResult(True, f"level {self.level}")
 
-    # Of the leader
+    # The leader's commands
 
     def complete_soak(self, command: CompleteSoak) -> ApplyResult:
-        """Ends a wave's soak; without conclusive observations a person is asked."""
+        """Ends a wave's soak, or asks for approval if the observations are not conclusive."""
         name, wave, conclusive, reason = command
         release = self.releases.get(name)
         is_soaking = release is not None and release.state == SOAKING and release.wave == wave
@@ -59,23 +66,26 @@
         if not conclusive or release.gate == wave + 1:
             gate_reason = f"approval was planned after wave {wave + 1}"
             approval_reason = gate_reason if conclusive else reason
-            return self.put(
+            return self.store_release(
                 release._replace(approval_reason=approval_reason),
                 f"wave {wave + 1} ASKS: {approval_reason}",
             )
         return self.finish_wave(release, f"wave {wave + 1} is good: {reason}")
 
     def set_baseline(self, command: SetBaseline) -> ApplyResult:
-        """Remembers how the fleet did before a wave, so that the next leader knows it too."""
+        """Stores a wave's baseline in the replicated state, where the next leader finds it."""
         release = self.releases.get(command.name)
         is_current = release is not None and release.wave == command.wave
         if release is not None and is_current and release.state in FORWARD_STATES:
-            baseline = (float(command.wave), *command.figures)
-            self.put(release._replace(baseline=baseline))
+            baseline = (float(command.wave), *command.metrics)
+            self.store_release(release._replace(baseline=baseline))
         return ApplyResult(True, "noted")
 
     def report_harm(self, command: ReportHarm) -> ApplyResult:
-        """Halts a release that does harm, and rolls it back where that is planned."""
+        """Halts a harmful release, and rolls it back if its plan asks for that.
+
+        A storage problem on a node only halts the release: the version is not the cause.
+        """
         release = self.releases.get(command.name)
         if release is None or not release.is_active:
             return ApplyResult(False, f"release {command.name} is not on")
@@ -85,7 +95,7 @@
         harmed = tuple(dict.fromkeys((*release.harmed, *command.nodes)))
         release = release._replace(harmed=harmed)
         if release.state == HALTED:
-            return self.put(release, f"harm seen by {reporter}: {reason}")
+            return self.store_release(release, f"harm seen by {reporter}: {reason}")
         key = f"{reporter}-{self.fleet.log_index}"
         result = self.halt(release, ReleaseHalt(key, reporter, reason))
         rolls_back = release.rolls_back and not reason.startswith(STORAGE_PROBLEM)
@@ -95,45 +105,48 @@
         keys = tuple(halt.key for halt in halted.halts)
         return self.roll_back(halted, keys, reason, reporter)
 
-    # Of agents
+    # Agents' commands
 
     def report_node(self, command: ReportNode) -> ApplyResult:
-        """Takes an agent's report. Of two agents the one that reported last has the node."""
+        """Stores an agent's report. The agent that reported last is the one in charge of the node.
+
+        An exit of a server that is expected to serve counts as a crash.
+        """
         name = command.name
         problem = command.problem
         server_state = command.server_state
-        known = self.nodes.get(name, NodeStatus(name, command.agent))
-        if server_state != known.server_state:
+        previous = self.nodes.get(name, NodeStatus(name, command.agent))
+        if server_state != previous.server_state:
             self.fleet.invalidate_counts()
-        went_down = bool(server_state) and not known.server_state
+        went_down = bool(server_state) and not previous.server_state
         crashed = went_down and self.is_expected_to_serve(name)
-        node = known._replace(
+        node = previous._replace(
             agent=command.agent,
             versions=command.versions,
             stored=command.stored,
             server_state=server_state,
             problem=problem,
-            crashes=known.crashes + crashed,
+            crashes=previous.crashes + crashed,
         )
         self.nodes[name] = node
-        if problem and problem != known.problem:
+        if problem and problem != previous.problem:
             self.fleet.record_event(f"the agent of {name}: {problem}")
             self._report_problem(node)
         return ApplyResult(True, "noted")
 
     def _report_problem(self, node: NodeStatus) -> None:
-        """Holds a node's problem against the releases that it may come from."""
+        """Reports a node's problem as harm of the releases that may have caused it."""
         name = node.name
         problem = node.problem
         for release in self.active_releases():
-            may_run_it = node.may_run(release.slot, self.wanted_version(release, name))
-            if name in release.nodes and (problem.startswith(STORAGE_PROBLEM) or may_run_it):
+            may_run_version = node.may_be_running(release.slot, self.wanted_version(release, name))
+            if name in release.nodes and (problem.startswith(STORAGE_PROBLEM) or may_run_version):
                 self.report_harm(ReportHarm(release.name, name, (name,), problem))
 
     def move_node(self, command: MoveNode) -> ApplyResult:
-        """Allows a node's agent to put a version in place now.
+        """Permits a node's agent to put a version in a slot now, or refuses.
 
-        Its server has stopped, by its agent's report, or goes on where nothing stops for it.
+        The node's server must be down by its agent's report, unless the slot needs no restart.
         """
         name = command.name
         slot = command.slot
@@ -159,9 +172,10 @@
         return ApplyResult(True, "go on", node.last_move.epoch)
 
     def _majority_problem(self, name: str, step: Step) -> str:
-        """Returns why one more voter may not move; "" if it may.
+        """Returns why another voter must not move now; "" if it may.
 
-        A majority of the voters never runs a version before a minority has run it through a soak.
+        A majority of the voters may run a version only after a minority has run the version through
+        a soak.
         """
         slot, version = step
         member = self.fleet.members.get(name)
@@ -169,22 +183,26 @@
             return ""
         release = next(
             (
-                each
-                for each in self.active_releases()
-                if each.slot == slot and each.version == version
+                active
+                for active in self.active_releases()
+                if active.slot == slot and active.version == version
             ),
             None,
         )
         limit = self.fleet.max_unavailable_voters()
         if release is None or not limit:
             return ""
-        proven = sum(
-            self._is_voter_on(each, step) for wave in release.waves[: release.wave] for each in wave
+        soaked = sum(
+            self._is_voter_on(node_name, step)
+            for wave in release.waves[: release.wave]
+            for node_name in wave
+        )
+        others = sum(
+            self._is_voter_on(node_name, step) for node_name in release.nodes if node_name != name
         )
-        others = sum(self._is_voter_on(each, step) for each in release.nodes if each != name)
-        if others + 1 > limit and proven < limit:
+        if others + 1 > limit and soaked < limit:
             return (
-                f"{others} voters are on {version}, and {proven} were through a soak: a majority"
+                f"{others} voters are on {version}, and {soaked} were through a soak: a majority"
                 " must not be"
             )
         return ""
@@ -193,50 +211,54 @@
         member = self.fleet.members.get(name)
         node = self.nodes.get(name)
         is_voter = member is not None and member.voter
-        return is_voter and node is not None and node.may_run(step.slot, step.version)
+        return is_voter and node is not None and node.may_be_running(step.slot, step.version)
 
-    # What follows from each entry
+    # Consequences of each entry
 
     def advance_all(self, name: str = "") -> None:
-        """Notes how far each release is, and queues the drains that follow.
+        """Advances the active releases, and updates the queued drains.
 
         Args:
-            name: the one member that the entry spoke of; "" if others may be concerned.
+            name: the only member that the entry concerns; "" if the entry may concern others.
         """
         for release in self.active_releases():
             self.advance(release)
         has_advanced = self.has_advanced
         self.has_advanced = False
-        for each in self.drain_order() if has_advanced or not name else [name]:
-            if each in self.nodes:
-                self.queue_drain(self.nodes[each])
-        if self.has_advanced:  # a permit that was taken back had counted its node as unavailable
+        for node_name in self.drain_order() if has_advanced or not name else [name]:
+            if node_name in self.nodes:
+                self.queue_drain(self.nodes[node_name])
+        if self.has_advanced:  # the node of a withdrawn permit had counted as unavailable
             self.advance_all()
 
     def advance(self, release: Release) -> None:
-        """Moves a release on to its next state, if its nodes are where it wants them."""
+        """Moves a release to its next state if its nodes have reached the wanted version."""
         if release.slot == BUDGETS or release.state not in (DRAINING, MOVING, ROLLING_BACK):
             return
         missing = self.missing_nodes(release)
         if release.state == ROLLING_BACK:
             if not missing:
                 event = f"all are back on {release.replaces}"
-                self.put(release._replace(state=ABANDONED), event)
+                self.store_release(release._replace(state=ABANDONED), event)
             return
         if not missing:
-            self.put(release._replace(state=SOAKING), f"wave {release.wave + 1} soaks")
+            self.store_release(release._replace(state=SOAKING), f"wave {release.wave + 1} soaks")
         elif release.state == DRAINING and self.has_moved(release):
-            self.put(release._replace(state=MOVING))
+            self.store_release(release._replace(state=MOVING))
 
     def has_moved(self, release: Release) -> bool:
-        """Tells whether any node of the current wave may have the version by now."""
+        """Tells whether any node of the current wave may be running the release's version."""
         nodes = (self.nodes.get(name) for name in release.waves[release.wave])
         return any(
-            node is not None and node.may_run(release.slot, release.version) for node in nodes
+            node is not None and node.may_be_running(release.slot, release.version)
+            for node in nodes
         )
 
     def queue_drain(self, node: NodeStatus) -> None:
-        """Keeps a node's drain in the fleet's queue as long as it needs one, and no longer."""
+        """Queues a node's drain while its next step needs one, and withdraws it otherwise.
+
+        A release permit that is not in use is withdrawn once the node has no next step.
+        """
         fleet = self.fleet
         name = node.name
         slot, version = self.next_step(node)
--- a/pumicenotch/fleet/releases/waves.py
+++ b/pumicenotch/fleet/releases/waves.py
@@ -1,4 +1,4 @@
-"""Which nodes a release reaches together, and in which order."""
+"""The division of a fleet's nodes into the waves of a release."""
 
 from collections.abc import Iterator
 from itertools import zip_longest
@@ -9,13 +9,14 @@
 
 DEFAULT_FRACTIONS = (0.34, 1.0)
 
-# Which side of a service goes first, as the compatibility of services with their callers requires.
+# The side of a service that is released first, as the compatibility between callers and replicas
+# requires.
 REPLICAS_FIRST = "below-first"
 CALLERS_FIRST = "callers-first"
 
 
 class Placement(NamedTuple):
-    """Where a node stands."""
+    """The zone and the cell of a node."""
 
     zone: str
     cell: str
@@ -30,14 +31,14 @@
 ) -> tuple[tuple[str, ...], ...]:
     """Returns the names of the nodes of each wave.
 
-    One node is first, then one of each zone, then rising fractions of each zone and cell; the
-    voters are last, one a wave.
+    The first wave is a single node. One node of each further zone follows, and then growing
+    fractions of each zone and cell. Voters come last, in waves of one voter each.
 
     Args:
-        members: the nodes to reach.
-        fractions: of each zone and cell, reached wave by wave.
-        mixed: whether one wave may hold nodes of several zones or cells.
-        order: REPLICAS_FIRST, CALLERS_FIRST, or "" for neither.
+        members: the nodes to release to.
+        fractions: the fractions of each zone and cell to reach, in ascending order.
+        mixed: whether one wave may contain nodes of several zones or cells.
+        order: REPLICAS_FIRST, CALLERS_FIRST, or "" for no order between the two.
     """
     replicas = [member for member in members if member.serves and not member.voter]
     others = [member for member in members if not member.serves and not member.voter]
@@ -51,7 +52,7 @@
 
 
 class _GroupPlan:
-    """The waves of nodes that may be reached in any order."""
+    """Plans the waves of nodes that need no order among themselves."""
 
     def __init__(self, members: list[Member]) -> None:
         self.remaining: dict[Placement, list[str]] = {}
@@ -61,14 +62,14 @@
         self.sizes = {placement: len(names) for placement, names in self.remaining.items()}
 
     def plan(self, fractions: tuple[float, ...], mixed: bool) -> Iterator[tuple[str, ...]]:
-        """Yields the names of each wave, in order."""
+        """Yields the names of the nodes of each wave, in order."""
         if not self.remaining:
             return
         first = next(iter(self.remaining))
         yield (self.remaining[first].pop(0),)
-        yield from self._take(self._one_of_each_new_zone(), mixed)
+        yield from self._take_nodes(self._one_of_each_new_zone(), mixed)
         for fraction in fractions:
-            yield from self._take(self._up_to_fraction(fraction), mixed)
+            yield from self._take_nodes(self._up_to_fraction(fraction), mixed)
 
     def _one_of_each_new_zone(self) -> dict[Placement, int]:
         reached = {
@@ -91,8 +92,8 @@
             counts[placement] = max(0, ceil(fraction * size) - reached)
         return counts
 
-    def _take(self, counts: dict[Placement, int], mixed: bool) -> Iterator[tuple[str, ...]]:
-        """Yields one wave for each placement, or a single one for all if they may be mixed."""
+    def _take_nodes(self, counts: dict[Placement, int], mixed: bool) -> Iterator[tuple[str, ...]]:
+        """Yields one wave for each placement, or a single wave for all if waves may be mixed."""
         taken = []
         for placement, count in counts.items():
             names = self.remaining[placement][:count]
@@ -102,6 +103,7 @@
         if not mixed:
             yield from taken
         elif taken:
-            # Zones in turn: a node that waits for its own zone blocks whoever is behind it.
-            turns = zip_longest(*taken)
-            yield tuple(name for turn in turns for name in turn if name is not None)
+            # Alternates the zones: a node that waits for the budget of its zone blocks the nodes
+            # behind it in the queue, including those of other zones.
+            rounds = zip_longest(*taken)
+            yield tuple(name for round_names in rounds for name in round_names if name is not None)
