--- a/tests/fleet/test_agent_files.py
+++ b/tests/fleet/test_agent_files.py
@@ -1,4 +1,4 @@
-"""Tests of versions as folders, of the agent's configuration file, and of the agent's disk state."""
+"""Tests of versions as folders, and of an agent's configuration file and disk state."""
 
 import os
 import shutil
