--- a/pumicenotch/fleet/drains/scheduler.py
+++ b/pumicenotch/fleet/drains/scheduler.py
@@ -15,7 +15,7 @@
     Member,
     OutageCounts,
 )
-from pumicenotch.fleet.releases.release import REQUESTED_BY
+from pumicenotch.fleet.releases.release import RELEASE_REQUESTER
 from pumicenotch.fleet.releases.releases import Releases
 from pumicenotch.fleet.replicated.records import (
     DRAIN_PERMIT,
@@ -173,7 +173,7 @@
                 for group in groups:
                     first_waiting.setdefault(id(group), request.name)
                 continue
-            kind = RELEASE_PERMIT if request.requested_by == REQUESTED_BY else DRAIN_PERMIT
+            kind = RELEASE_PERMIT if request.requested_by == RELEASE_REQUESTER else DRAIN_PERMIT
             self.give_permit(member, kind, request.reason)
             if not was_unavailable:
                 unavailable_voters += member.voter
--- a/pumicenotch/fleet/releases/release.py
+++ b/pumicenotch/fleet/releases/release.py
@@ -31,7 +31,8 @@
 IN_PLACE_SLOTS = ("map", "agent")  # reloaded or replaced while the server keeps running
 SLOTS = (*RESTART_SLOTS, *IN_PLACE_SLOTS, BUDGETS)
 
-REQUESTED_BY = "(release)"  # the requester of a release's drains, distinct from operators' names
+# The requester of a release's drains, distinct from operators' names.
+RELEASE_REQUESTER = "(release)"
 STORAGE_PROBLEM = "cannot hold"  # the prefix of agents' problems that no version has caused
 MAX_WAVES = 256
 VERSION_PATTERN = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,62}")
--- a/pumicenotch/fleet/releases/releases.py
+++ b/pumicenotch/fleet/releases/releases.py
@@ -21,7 +21,7 @@
     FORWARD_STATES,
     HALTED,
     MOVING,
-    REQUESTED_BY,
+    RELEASE_REQUESTER,
     RESTART_SLOTS,
     ROLLING_BACK,
     SOAKING,
@@ -266,8 +266,8 @@
         queued = next((request for request in fleet.queue if request.name == name), None)
         permit = fleet.permits.get(name)
         if needs_drain and queued is None and permit is None:
-            fleet.enqueue_drain(name, f"{slot} {version}", REQUESTED_BY)
-        elif not needs_drain and queued is not None and queued.requested_by == REQUESTED_BY:
+            fleet.enqueue_drain(name, f"{slot} {version}", RELEASE_REQUESTER)
+        elif not needs_drain and queued is not None and queued.requested_by == RELEASE_REQUESTER:
             fleet.dequeue_drain(queued)
         is_unused = permit is not None and not permit.started
         if permit is not None and is_unused and permit.kind == RELEASE_PERMIT and not slot:
