--- a/pumicenotch/fleet/canary/analysis.py
+++ b/pumicenotch/fleet/canary/analysis.py
@@ -80,7 +80,7 @@
         self.reports: dict[str, MemberReport] = {}  # by member
         self.window_counts: dict[str, dict[str, RequestCounts]] = {}  # by member and request class
         self.memory_mb: dict[str, float] = {}  # by member
-        self.trials: dict[str, ReleaseObservations] = {}  # by release
+        self.observations: dict[str, ReleaseObservations] = {}  # by release
         self.baseline_windows: list[RequestCounts] = []  # totals of all members
         self.window_ends_ms = 0.0
 
@@ -117,8 +117,8 @@
     def findings(self, now_ms: float, state: FleetState) -> list[ReleaseFinding]:
         """Returns the commands that the leader is to propose now."""
         releases = state.releases
-        self.trials = {
-            release.name: self.trials.get(release.name, ReleaseObservations())
+        self.observations = {
+            release.name: self.observations.get(release.name, ReleaseObservations())
             for release in releases.open_releases()
         }
         if now_ms >= self.window_ends_ms:
@@ -127,7 +127,7 @@
         for release in releases.active_releases():
             if release.state not in FORWARD_STATES:
                 continue
-            observations = self.trials[release.name]
+            observations = self.observations[release.name]
             finding = (
                 self._find_harm(now_ms, release, state)
                 or self._find_baseline(release, state)
@@ -151,7 +151,7 @@
         self.window_counts = {}
 
     def _observe_window(self, release: Release, state: FleetState, total: RequestCounts) -> None:
-        observations = self.trials[release.name]
+        observations = self.observations[release.name]
         for stratum, (others, released) in sorted(self._counts_by_stratum(release, state).items()):
             for has_version, row in ((False, others), (True, released)):
                 observations.requests.observe(
@@ -224,7 +224,7 @@
         return SetBaseline(release.name, release.wave, metrics)
 
     def _find_harm(self, now_ms: float, release: Release, state: FleetState) -> ReportHarm | None:
-        observations = self.trials[release.name]
+        observations = self.observations[release.name]
         released = [name for name in release.nodes if state.releases.runs_version(release, name)]
         if reason := self._harm_reason(release, observations, state):
             return ReportHarm(release.name, "judgement", tuple(released), reason)
@@ -277,7 +277,7 @@
         The soak starts anew whenever a node of the wave is missing again. Without a conclusive
         verdict the soak lasts `extra_soak_ms` longer.
         """
-        observations = self.trials[release.name]
+        observations = self.observations[release.name]
         if release.state != SOAKING or release.approval_reason:
             return None
         if release.slot != BUDGETS and state.releases.missing_nodes(release):
--- a/pumicenotch/fleet/voter/reports.py
+++ b/pumicenotch/fleet/voter/reports.py
@@ -109,7 +109,7 @@
         return plan_waves(members, fractions=fractions, mixed=mixed, order=order)
 
     def _release_row(self, release: Release) -> Table:
-        trial = self.analysis.trials.get(release.name)
+        trial = self.analysis.observations.get(release.name)
         has_nodes = release.is_active and release.slot != BUDGETS
         missing = self.state.releases.missing_nodes(release) if has_nodes else []
         return {
