--- a/pumicenotch/fleet/agent/agent.py
+++ b/pumicenotch/fleet/agent/agent.py
@@ -68,11 +68,11 @@
     """
 
     REPORT_INTERVAL_MS = 500.0
-    # For the server to start its drain by permit by itself: several of its heartbeat intervals.
+    # Time for a server with a permit to start its drain by itself: several heartbeat intervals.
     PERMIT_START_TIMEOUT_MS = 5000.0
-    # Without an answer for this long after the server's exit, the agent starts the server with the
-    # versions in place. 4000 ms allow for an election. The initial timeout, for an agent that has
-    # just started, is shorter: if there is a leader, the leader answers at once.
+    # If the fleet does not answer for this long after the server's exit, the agent starts the
+    # server with the versions in place. 4000 ms allow for an election. The initial timeout, for an
+    # agent that has just started, is shorter, because a reachable leader answers at once.
     ISOLATION_TIMEOUT_MS = 4000.0
     INITIAL_ISOLATION_TIMEOUT_MS = 1000.0
     # The number of unexpected exits within the window that make a crash loop.
@@ -82,7 +82,7 @@
     MAX_FAILED_STARTS = 2
     INITIAL_BACKOFF_MS = 250.0  # before a restart after an unexpected exit; doubles
     MAX_BACKOFF_MS = 10_000.0
-    KILL_TIMEOUT_MS = 3000.0  # for a server to exit that has nothing to drain
+    KILL_TIMEOUT_MS = 3000.0  # between SIGTERM and SIGKILL, for a server that need not drain
     FETCH_RETRY_DELAY_MS = 5000.0
 
     INPUTS: ClassVar[Mapping[str, str]] = {
--- a/pumicenotch/fleet/canary/analysis.py
+++ b/pumicenotch/fleet/canary/analysis.py
@@ -45,9 +45,7 @@
         self.dependencies = DependencyHealth()
         self.memory = MemoryGrowth()
         self.soak = NO_SOAK
-        self.silent_since_ms: dict[
-            str, float
-        ] = {}  # by released member that the fleet lists failed
+        self.failed_since_ms: dict[str, float] = {}  # by released member
         self.proposed_at_ms = float("-inf")
         self.text = "nothing was looked at yet"
 
@@ -67,14 +65,14 @@
     leader are the baselines, which the replicated state holds.
     """
 
-    WINDOW_MS = 1000.0  # two reports of each member
-    WARM_UP_MS = 2000.0  # excluded from the counts: any new process is slow at first
-    # For a silent member, after the voters find it failed. In this time they also find its silent
-    # neighbours failed.
-    SILENCE_MS = 2000.0
+    WINDOW_MS = 1000.0  # two report intervals of a member
+    WARM_UP_MS = 2000.0  # left out of the counts, because any new process is slow at first
+    # How long a released member must stay failed before its failure may count as harm. In this time
+    # the voters also find failed neighbours in its zone.
+    FAILURE_CONFIRMATION_MS = 2000.0
     # Half a minute, short enough that the daily change of load does not distort the baseline.
     BASELINE_WINDOWS = 30
-    RETRY_MS = 2000.0  # before the next proposal for the same release
+    PROPOSAL_RETRY_MS = 2000.0  # before the next proposal for the same release
 
     def __init__(self) -> None:
         self.reports: dict[str, MemberReport] = {}  # by member
@@ -133,7 +131,7 @@
                 or self._find_baseline(release, state)
                 or self._find_completed_soak(now_ms, release, state)
             )
-            if finding and now_ms - observations.proposed_at_ms >= self.RETRY_MS:
+            if finding and now_ms - observations.proposed_at_ms >= self.PROPOSAL_RETRY_MS:
                 observations.proposed_at_ms = now_ms
                 findings.append(finding)
         return findings
@@ -229,7 +227,7 @@
         if reason := self._harm_reason(release, observations, state):
             return ReportHarm(release.name, "judgement", tuple(released), reason)
         for name in released:
-            if reason := self._silence_reason(now_ms, name, state, observations):
+            if reason := self._lone_failure_reason(now_ms, name, state, observations):
                 return ReportHarm(release.name, "silence", (name,), reason)
         return None
 
@@ -246,7 +244,7 @@
             or crash_harm_reason(release, state)
         )
 
-    def _silence_reason(
+    def _lone_failure_reason(
         self, now_ms: float, name: str, state: FleetState, observations: ReleaseObservations
     ) -> str:
         """Returns the failure of a released member that failed alone; "" if there is none.
@@ -256,9 +254,12 @@
         """
         member = state.members.get(name)
         if member is None or not member.failure:
-            observations.silent_since_ms.pop(name, None)
+            observations.failed_since_ms.pop(name, None)
             return ""
-        if now_ms - observations.silent_since_ms.setdefault(name, now_ms) < self.SILENCE_MS:
+        if (
+            now_ms - observations.failed_since_ms.setdefault(name, now_ms)
+            < self.FAILURE_CONFIRMATION_MS
+        ):
             return ""
         neighbours = [
             other
--- a/pumicenotch/fleet/member/node.py
+++ b/pumicenotch/fleet/member/node.py
@@ -310,9 +310,8 @@
             self.next_heartbeat_at_ms = self.now_ms + self.heartbeat_interval_ms
         self.has_joined = hint.is_known
         if not hint.is_known:
-            self.termination_reported = (
-                False  # a fleet that was bootstrapped anew needs a new report
-            )
+            # A fleet that was bootstrapped anew needs a new report.
+            self.termination_reported = False
         self.is_agreed_serving = hint.status == SERVING
         self.permit_epoch = hint.permit_epoch
         self.permit_started = hint.permit_started
@@ -330,9 +329,8 @@
                 self.log(f"the fleet refused the join: {text}")
             self.join_refusal = text
         elif verb == "began":
-            self.permit_epoch = (
-                0  # the next heartbeat's answer sets the epoch again if still in force
-            )
+            # The next heartbeat's answer sets the epoch again if the permit is still in force.
+            self.permit_epoch = 0
             if text != self.permit_refusal:
                 self.log(f"the fleet refused the start of the drain: {text}")
             self.permit_refusal = text
