--- a/pumicenotch/net/__init__.py
+++ b/pumicenotch/net/__init__.py
@@ -1,1 +1,1 @@
-"""Sockets round the core: framing, parsing and carrying out what it asks for."""
+"""Sockets, protocols and processes around the cores, which do no I/O themselves."""
--- a/pumicenotch/net/agent.py
+++ b/pumicenotch/net/agent.py
@@ -1,6 +1,7 @@
-"""The agent beside a server, wired to its fleet, its disk and its server's process.
+"""The process of an agent, which installs versions and starts the server on its node.
 
-It is run by `python -m pumicenotch.net.agent FILE`, dials voters and listens nowhere.
+Run by `python -m pumicenotch.net.agent FILE`. The agent takes orders from the voters, to which it
+dials connections; it opens no listener. Its disk state survives restarts of the agent.
 """
 
 import contextlib
@@ -35,24 +36,25 @@
     start_process,
 )
 
-CHECK_INTERVAL_S = 0.05  # between checks of the server's process: a fraction of what a start takes
+# Interval between checks of the server's process, a fraction of a server's start time.
+CHECK_INTERVAL_S = 0.05
 MAX_FRAME_BYTES = 128 * 1024
 MAX_CONNECTIONS = 32
-MAX_UNUSED_VERSIONS = 4  # kept on the disk beside those that are in use
+MAX_UNUSED_VERSIONS = 4  # Versions kept on the disk in addition to those in use.
 VERSIONS_FOLDER = "versions"
 AGENT_SLOT = "agent"
 EXIT_INVALID_FILE = 2
-CANNOT_START_STATUS = 127  # as a shell tells of a command that cannot be run
+CANNOT_START_STATUS = 127  # The exit status of a shell for a command that cannot be run.
 
 
 class AgentHub(PeerHub):
-    """Carries an agent: what it asks goes to voters, what it does to the disk and the process.
+    """Passes inputs to an agent and applies its effects to voters, disk and server process.
 
     Args:
         file: The agent's file.
         core: The agent.
-        disk: What an agent before this one has left.
-        clock: Its time and its timer.
+        disk: The disk state that the previous agent process left.
+        clock: Supplies the agent's time and timer.
         group: Runs connections, downloads and checks.
     """
 
@@ -81,7 +83,7 @@
         self.process: subprocess.Popen[bytes] | None = None
 
     def carry_out(self, effect: Any) -> None:
-        """Carries out one effect of the agent."""
+        """Applies one effect of the agent."""
         match effect:
             case effects.FetchVersion(version):
                 self.group.start_soon(self.fetch_version, version)
@@ -102,10 +104,10 @@
             case _:
                 super().carry_out(effect)
 
-    # The disk
+    # Disk state and versions
 
     def save(self, **changes: Any) -> str:
-        """Writes what has changed to the disk; returns why it could not, or ""."""
+        """Writes changed fields of the disk state; returns the error text, "" on success."""
         changed = self.disk._replace(**changes)
         try:
             config.write(self.file, changed)
@@ -115,7 +117,7 @@
         return ""
 
     async def fetch_version(self, version: str) -> None:
-        """Fetches and checks a version, in a thread: to copy and to hash take a while."""
+        """Fetches and checks a version, in a thread because copying and hashing take long."""
         problem = ""
         try:
             await to_thread.run_sync(versions.fetch, version, Path(self.file.source), self.versions)
@@ -124,10 +126,10 @@
         self.put("held", version, problem)
 
     async def install_version(self, slot: str, version: str) -> None:
-        """Puts a version in its slot.
+        """Installs a version in a slot.
 
-        The content is checked once more: this is the last moment at which a spoilt one does no
-        harm.
+        The content is checked again, because a corrupt version can still be rejected at this point
+        without harm.
         """
         try:
             content = await to_thread.run_sync(versions.content, self.versions / version)
@@ -141,13 +143,13 @@
         self.put("swapped", slot, self.save(runs={**self.disk.runs, slot: version}, **attempts))
 
     def record_good_versions(self, slots: Collection[str]) -> None:
-        """What stands in those slots works; versions that nothing needs any more are removed."""
-        good = {slot: version for slot, version in self.disk.runs.items() if slot in slots}
-        self.save(good={**self.disk.good, **good}, tries=0, trouble="")
+        """Records the versions in the slots as working, and removes unused versions."""
+        good_versions = {slot: version for slot, version in self.disk.runs.items() if slot in slots}
+        self.save(good={**self.disk.good, **good_versions}, tries=0, trouble="")
         self.remove_unused_versions()
 
     def remove_unused_versions(self) -> None:
-        """Removes the oldest versions that nothing names, beyond those that are kept."""
+        """Removes the oldest unused versions, keeping `MAX_UNUSED_VERSIONS` of them."""
         used = {*self.disk.runs.values(), *self.disk.good.values(), *self.agent.wanted_versions}
         unused = sorted(
             (path.stat().st_mtime, path)
@@ -159,63 +161,65 @@
             with contextlib.suppress(ValueError):
                 self.agent.stored.remove(path.name)
 
-    # Its server
+    # Server process
 
-    def fill_in(self, text: str) -> str:
-        """Returns the text with the folders of `{home}` and of each `{slot}`."""
+    def expand_placeholders(self, text: str) -> str:
+        """Returns the text with `{home}` and each `{slot}` replaced by their folders."""
         folders = {slot: self.versions / version for slot, version in self.disk.runs.items()}
         return text.format(home=self.home, **folders)
 
     def start_server(self) -> None:
-        """Starts the server of what stands in the slots."""
-        command = [self.fill_in(part) for part in self.file.command]
-        environment = dict(self.fill_in(pair).split("=", 1) for pair in self.file.environment)
+        """Starts the server with the installed versions."""
+        command = [self.expand_placeholders(part) for part in self.file.command]
+        environment = dict(
+            self.expand_placeholders(pair).split("=", 1) for pair in self.file.environment
+        )
         try:
             self.process = start_process(command, environment, self.home / "server.log")
         except OSError as error:
-            logger.error("agent: {}: {}", command[0], error)
-            self.group.start_soon(self.on_server_ended, CANNOT_START_STATUS)
+            logger.error("agent: cannot start {}: {}", command[0], error)
+            self.group.start_soon(self.on_server_exited, CANNOT_START_STATUS)
             return
         self.save(pid=self.process.pid, began=process_start_ticks(self.process.pid))
 
-    async def on_server_ended(self, exit_status: int | None) -> None:
-        """Tells the agent; None where the status is not known."""
+    async def on_server_exited(self, exit_status: int | None) -> None:
+        """Reports the server's exit to the agent; the status is None if it is unknown."""
         self.save(pid=0, began="")
         self.put("ended", exit_status)
 
     def signal_server(self, signal_number: int) -> None:
-        """Sends a signal to the server if it runs."""
+        """Sends a signal to the server if it is running."""
         send_signal(self.disk.pid, self.disk.began, signal_number)
 
     async def watch_server(self) -> None:
-        """Notices the server's end, until it is cancelled.
+        """Watches for the server's exit, until cancelled.
 
-        A server that an agent before this one has started is no child of it: its status is not
-        known.
+        A server started by a previous agent process is not a child of this process, so its exit
+        status is unknown.
         """
         while True:
             await anyio.sleep(CHECK_INTERVAL_S)
             if self.process is not None and self.process.poll() is not None:
                 exit_status = self.process.returncode
                 self.process = None
-                await self.on_server_ended(exit_status)
-            elif self.process is None and self.is_server_gone():
-                await self.on_server_ended(None)
+                await self.on_server_exited(exit_status)
+            elif self.process is None and self.has_server_exited():
+                await self.on_server_exited(None)
 
-    def is_server_gone(self) -> bool:
-        """Returns whether a server that was started runs no more."""
+    def has_server_exited(self) -> bool:
+        """Returns whether the server recorded on the disk is no longer running."""
         return bool(self.disk.pid) and not is_running(self.disk.pid, self.disk.began)
 
     def restart_as_installed_version(self) -> None:
-        """Goes on in this process as the version that is installed: its server stays its child."""
-        logger.info("agent: goes on as version {}", self.disk.runs[AGENT_SLOT])
-        environment = {**os.environ, "PYTHONPATH": self.fill_in("{agent}")}
+        """Replaces this process with the installed agent version; the server stays its child."""
+        logger.info("agent: restarting as version {}", self.disk.runs[AGENT_SLOT])
+        environment = {**os.environ, "PYTHONPATH": self.expand_placeholders("{agent}")}
         command = [sys.executable, "-m", "pumicenotch.net.agent", sys.argv[1]]
         os.execve(sys.executable, command, environment)
 
 
 async def run(file: config.AgentFile, disk: config.Disk) -> None:
-    """Runs the agent until it is asked to end; its server goes on, for the next agent."""
+    """Runs the agent until SIGTERM or SIGINT; the server keeps running for the next agent."""
     timer = ResettableTimer()
     setup = AgentSetup(
         fleet=file.fleet,
@@ -244,17 +248,17 @@
 
 
 def fetch_installed_versions(file: config.AgentFile, disk: config.Disk) -> None:
-    """Fetches what stands in the slots: it must be there before anything starts.
+    """Fetches the versions of all slots, which must be on the disk before the server starts.
 
     Raises:
-        InvalidVersionError: A version cannot be had whole.
+        InvalidVersionError: A version is missing or corrupt.
     """
     for version in dict.fromkeys(disk.runs.values()):
         versions.fetch(version, Path(file.source), Path(file.home) / VERSIONS_FOLDER)
 
 
 def main() -> None:
-    """Runs the agent of the file that the command line names."""
+    """Runs the agent that the file named on the command line configures."""
     logs.to_stderr()
     started_at_s = time.monotonic()
     try:
@@ -265,7 +269,7 @@
         print(error, file=sys.stderr)
         sys.exit(EXIT_INVALID_FILE)
     elapsed_s = time.monotonic() - started_at_s
-    logger.info("agent: its versions are whole ({:.1f} s)", elapsed_s)
+    logger.info("agent: installed versions are complete ({:.1f} s)", elapsed_s)
     try:
         anyio.run(run, file, disk)
     except OSError as error:
--- a/pumicenotch/net/clock.py
+++ b/pumicenotch/net/clock.py
@@ -1,4 +1,4 @@
-"""The time, and the one timer."""
+"""The process's clock, with one timer."""
 
 import time
 from collections.abc import Callable
@@ -6,34 +6,37 @@
 import anyio
 import anyio.lowlevel
 
-MAX_TIMER_MS = 1000.0  # until the timer fires again where firing has not set it
+MAX_TIMER_MS = 1000.0  # Time until the next call if the callback does not set the timer.
 
 
 class Clock:
-    """Monotonic time for all that is timed here, and a timer that calls back when it is due."""
+    """Monotonic time in ms, and a timer that calls back when it expires."""
 
     def __init__(self) -> None:
         self.wake_at = 0.0
 
     def now(self) -> float:
-        """Returns the time in ms, which neither jumps nor stops when the system's clock is set."""
+        """Returns monotonic time in ms, which is unaffected by changes to the system's clock."""
         return time.monotonic() * 1000.0
 
     def unix(self) -> float:
-        """Returns the Unix time in ms, for what others have stamped."""
+        """Returns Unix time in ms, for comparison with timestamps of other processes."""
         return time.time() * 1000.0
 
     def unix_offset(self) -> float:
-        """Returns what the Unix clock is ahead of `now`; a stall makes it more, never less."""
+        """Returns Unix time minus `now` in ms.
+
+        A stall between reading the two clocks can only increase the result.
+        """
         now = self.now()
         return self.unix() - now
 
     def wake(self, delay_ms: float) -> None:
-        """Sets the timer."""
+        """Sets the timer to expire after `delay_ms`."""
         self.wake_at = self.now() + delay_ms
 
     async def run(self, on_timer: Callable[[], None]) -> None:
-        """Calls back whenever the timer is due, until it is cancelled."""
+        """Calls `on_timer` each time the timer expires, until cancelled."""
         while True:
             remaining_ms = self.wake_at - self.now()
             if remaining_ms > 0.0:
--- a/pumicenotch/net/configuration.py
+++ b/pumicenotch/net/configuration.py
@@ -1,8 +1,8 @@
-"""The distribution of configuration, between a process's hub among instances and its reducer.
+"""Connects the reducer of the configuration distribution with the process's peer hub.
 
-In a server the reducer is a `Node`; `net/voter_configuration` has what is a voter's alone.
-Messages travel as notices of one method on the hub's connections. The reducer has a timer of its
-own, so that a large publication is applied in slices between everything else that the process does.
+In a server the reducer is a `Node`; `net/voter_configuration` contains the part for voters.
+Messages are sent as notices of one method on the hub's connections. The reducer has its own timer,
+so that a large publication is applied in slices between the other work of the process.
 """
 
 import gc
@@ -39,24 +39,25 @@
 LOOKUP_VERB = "lookup"
 STATUS_VERB = "configuration"
 VERBS = (LOOKUP_VERB, STATUS_VERB)
-MEMBERSHIP_CONNECTIONS = 16  # of a server's connections each way that its children never take
+MEMBERSHIP_CONNECTIONS = 16  # Connections in each direction that are reserved for membership.
 
+# Step kinds in the step times, in addition to the kinds of messages.
+TICK = "tick"  # A step of the reducer's timer.
+UNKNOWN = "unknown"  # A step for an unreadable message.
+PAGE = "page"  # A step that handles a message decoded in an earlier step.
+# Changes, records or digests in a message that is decoded and handled in one step. Decoding a
+# larger message takes as long as a slice of work.
+MAX_ITEMS_IN_ONE_STEP = 32
 
-TICK = "tick"  # a step of the reducer's own timer, beside the kinds of messages
-UNKNOWN = "unknown"  # of a message that cannot be read
-PAGE = "page"  # a step that takes a message which was decoded in a step of its own
-# Of changes, records or digests: decoding a larger message takes as long as a slice of work.
-MAX_ITEMS_WITH_WORK = 32
 
-
-def kind_of(params: Any) -> str:
-    """Returns the kind of a message as it came, for figures alone."""
+def message_kind(params: Any) -> str:
+    """Returns the kind of an undecoded message, used only for step times."""
     kind = params[0] if isinstance(params, list | tuple) and params else None
     return kind if isinstance(kind, str) and kind in MESSAGE_TYPES else UNKNOWN
 
 
-def peer_of(update: Update) -> events.Peer:
-    """Returns a member as the distribution knows it."""
+def peer_from_update(update: Update) -> events.Peer:
+    """Returns the distribution's representation of a member."""
     member = update.member
     return events.Peer(
         member.name,
@@ -69,12 +70,12 @@
 
 
 def self_of(member: MemberIdentity) -> events.Peer:
-    """Returns this process as the distribution knows it."""
+    """Returns the distribution's representation of this process."""
     return events.Peer(member.name, member.zone, member.region, member.address, member.process_id)
 
 
 class DistributionService(ABC):
-    """What instances and voters have in common: messages, the timer, effects and requests."""
+    """Base of the services in servers and voters: messages, timer, effects and requests."""
 
     verbs: ClassVar[tuple[str, ...]] = VERBS
 
@@ -82,46 +83,49 @@
         self.hub = hub
         self.timer = ResettableTimer()
         self.step_times = StepTimes()
-        self.decoded: deque[events.Received] = deque()  # and not yet taken, in their order
+        self.decoded: deque[events.Received] = deque()  # Decoded messages not yet handled.
         self.has_decoded = anyio.Event()
 
     def run(self) -> None:
-        """Starts, in the hub's task group."""
+        """Starts the service in the hub's task group."""
         self.hub.extension = self
         self.put(events.Started())
         self.hub.group.start_soon(self.timer.run, self.tick)
-        self.hub.group.start_soon(self.take_decoded)
+        self.hub.group.start_soon(self.handle_decoded)
 
     def tick(self) -> None:
-        """The timer is due."""
+        """Passes a timer event to the reducer."""
         with self.step_times.measured(TICK):
             self.put(events.Ticked())
 
     # Inputs
 
     def put(self, event: events.NodeEvent | events.VoterEvent) -> None:
-        """Has the reducer take an event; a fault ends neither the connection nor the process."""
+        """Passes an event to the reducer and applies the resulting effects.
+
+        An exception is logged and counted; it ends neither the connection nor the process.
+        """
         try:
             reducer_effects = self.step(self.timer.now(), event)
-        except Exception as error:  # noqa: BLE001 - one event must not end the process
+        except Exception as error:  # noqa: BLE001 - a faulty event must not end the process
             self.hub.on_fault(f"configuration {type(event).__name__}", error)
             return
         for effect in reducer_effects:
             try:
                 self.carry_out(effect)
-            except Exception as error:  # noqa: BLE001 - nor one effect the others
+            except Exception as error:  # noqa: BLE001 - a faulty effect must not stop the others
                 self.hub.on_fault(f"configuration {type(effect).__name__}", error)
 
     def notice(self, sender: Sender, method: str, params: Any) -> bool:
-        """Takes a notice; returns whether it was one of the distribution's."""
+        """Handles a notice of the distribution; returns whether it was one."""
         if method != METHOD:
             return False
-        with self.step_times.measured(kind_of(params)):
+        with self.step_times.measured(message_kind(params)):
             self.receive(sender, params)
         return True
 
-    async def take_decoded(self) -> None:
-        """Gives decoded messages to the reducer, with a turn for all else before each."""
+    async def handle_decoded(self) -> None:
+        """Passes decoded messages to the reducer; other tasks run before each message."""
         while True:
             await self.has_decoded.wait()
             while self.decoded:
@@ -131,21 +135,21 @@
             self.has_decoded = anyio.Event()
 
     def receive(self, sender: Sender, params: Any) -> None:
-        """Decodes a message and gives it to the reducer, a large one in a later step."""
+        """Decodes a message and passes it to the reducer, a large message in a later step."""
         try:
             message = decode(params)
         except MalformedMessageError as error:
             self.hub.count_problem("configuration_unreadable", f"{sender.name}: {error}")
             return
         received = events.Received(sender, message)
-        if self.decoded or item_count(message) > MAX_ITEMS_WITH_WORK:
+        if self.decoded or item_count(message) > MAX_ITEMS_IN_ONE_STEP:
             self.decoded.append(received)
             self.has_decoded.set()
         else:
             self.put(received)
 
     def request(self, connection_id: int, request_id: int, verb: str, args: Any) -> bool:
-        """Answers a request; returns whether it was one of the distribution's."""
+        """Answers a request to the distribution; returns whether it was one."""
         if verb not in self.verbs:
             return False
         response: Result | ErrorResponse
@@ -161,7 +165,7 @@
     # Effects
 
     def carry_out(self, effect: effects.Effect) -> None:
-        """Carries out one effect of the reducer."""
+        """Applies one effect of the reducer."""
         match effect:
             case effects.SendTo(address, message):
                 self.hub.send(address, Notice(METHOD, encode(message)))
@@ -178,7 +182,7 @@
         """Returns the result of a request.
 
         Raises:
-            PumicenotchError: It cannot be answered.
+            PumicenotchError: The request cannot be answered.
         """
         match [verb, *args]:
             case [_, str(table), str(key)] if verb == LOOKUP_VERB:
@@ -192,7 +196,11 @@
         )
 
     def look_up(self, table: str, key: str) -> dict[str, Any]:
-        """Returns a record as it is in force here."""
+        """Returns the value of a record in this process's current version.
+
+        Raises:
+            RecordNotHeldError: This process does not hold the record's scope.
+        """
         table_of(TABLES, table)
         scope, _ = split_key(f"record {table}:{key}", key)
         if not self.has_scope(table, scope):
@@ -208,80 +216,80 @@
             "life": self.hub.hello.process_id,
             "version": self.view.version,
             "value": None if value is None else json.loads(value),
-            "age_ms": finite(self.age_ms()),
+            "age_ms": finite_or_none(self.age_ms()),
         }
 
-    # What instances and voters differ in
+    # Differences between servers and voters
 
     @abstractmethod
     def after_put(self) -> None:
-        """The hub has carried out what came of one of its own inputs."""
+        """Called after the hub has handled an input and applied its effects."""
 
     @abstractmethod
     def member_changed(self, update: Update) -> None:
-        """Membership has another opinion of that process."""
+        """Called when the membership state of a process changes."""
 
     @abstractmethod
     def step(self, now_ms: float, event: Any) -> list[effects.Effect]:
-        """Has the reducer take an event."""
+        """Passes an event to the reducer and returns its effects."""
 
     @abstractmethod
     def has_scope(self, table: str, scope: str) -> bool:
-        """Returns whether the view has that scope, with or without records in it."""
+        """Returns whether the view contains the scope, even without records in it."""
 
     @property
     @abstractmethod
     def view(self) -> View:
-        """What is in force here."""
+        """The configuration in force in this process."""
 
     @abstractmethod
     def age_ms(self) -> float:
-        """Returns how long ago the view was known to be current."""
+        """Returns the time in ms since the view was last known to be current."""
 
     @abstractmethod
     def status(self) -> dict[str, Any]:
-        """Returns what operators are told."""
+        """Returns the status that operators request."""
 
 
 class InvalidArgumentsError(PumicenotchError):
-    """A request with other values than its verb takes."""
+    """A request has arguments that its verb does not accept."""
 
     code = "bad-request"
 
 
 class RecordNotHeldError(PumicenotchError):
-    """A record of a scope to which the process does not subscribe, or that it has not got yet."""
+    """The process does not subscribe to the record's scope, or has not received it yet."""
 
     code = "not-held"
 
 
 class NotLeaderError(PumicenotchError):
-    """A voter that does not lead is asked for what only the leader knows."""
+    """A follower received a request that only the leader can answer."""
 
     def __init__(self, leader: str) -> None:
         super().__init__(leader)
-        self.leader = leader  # its address; "" if it is not known
+        self.leader = leader  # Address of the leader; "" if there is none.
 
     def as_response(self) -> tuple[str, str, str]:
-        """Returns the error as it is answered: with the leader's address, to be asked instead."""
+        """Returns the error response, with the leader's address for a repeated request."""
         if self.leader:
             return NOT_LEADER, f"{self.leader} leads", self.leader
         return NO_MAJORITY, "nobody leads", self.leader
 
 
-def finite(value: float) -> float | None:
-    """Returns the value, or None where JSON has no number for it."""
+def finite_or_none(value: float) -> float | None:
+    """Returns the value, or None for infinity and NaN, which JSON cannot represent."""
     return value if math.isfinite(value) else None
 
 
 class InstanceDistributionService(DistributionService):
-    """The distribution's part in a server.
+    """The configuration distribution in a server, which subscribes to scopes and may relay them.
 
     Args:
-        hub: Carries its messages.
-        settings: To what the server subscribes, and its bounds.
+        hub: Sends and receives the messages.
+        settings: The server's subscriptions and limits.
         voters: The addresses of all voters.
-        seed: Of the reducer's random choices.
+        seed: Seed of the reducer's random choices.
     """
 
     def __init__(
@@ -303,43 +311,43 @@
         )
 
     def run(self) -> None:
-        """Starts, and tells the reducer of the members that are known already."""
-        # A full collection over all that the program has loaded would hold the loop for some 25 ms,
-        # and a large publication brings one about.
+        """Starts the service and passes the known members to the reducer."""
+        # A large publication triggers a full garbage collection. Over all loaded modules it would
+        # block the event loop for about 25 ms, so their objects are excluded from collections.
         gc.freeze()
         super().run()
         for update in self.hub.node.members.table.updates.values():
             self.member_changed(update)
 
     def step(self, now_ms: float, event: events.NodeEvent) -> list[effects.Effect]:
-        """Has the reducer take an event."""
+        """Passes an event to the reducer and returns its effects."""
         return self.node.step(now_ms, event)
 
     def after_put(self) -> None:
-        """Does nothing: of the node only `member_changed` matters here."""
+        """Does nothing; a server's service needs only `member_changed` from the node."""
 
     def member_changed(self, update: Update) -> None:
-        """Tells the reducer, unless the process is a voter: those serve whoever asks."""
+        """Passes a changed member to the reducer; voters are omitted, as they serve any process."""
         if update.member.address not in self.voters:
-            self.put(events.PeerChanged(peer_of(update)))
+            self.put(events.PeerChanged(peer_from_update(update)))
 
     def reload(self, settings: InstanceSettings) -> None:
-        """Subscribes as the server's file says now; the rest of it takes a restart."""
+        """Applies the subscriptions of a reloaded file; other settings require a restart."""
         self.put(events.SubscriptionChanged(settings.subscribed()))
 
     def has_scope(self, table: str, scope: str) -> bool:
-        """Returns whether the server subscribes to that scope and has it."""
+        """Returns whether the server subscribes to the scope and holds it."""
         return self.node.covers(table, scope)
 
     @property
     def view(self) -> View:
-        """What is in force here."""
+        """The configuration in force in this process."""
         return self.node.view
 
     def age_ms(self) -> float:
-        """Returns how long ago the view was known to be current."""
+        """Returns the time in ms since the view was last known to be current."""
         return self.node.age_ms(self.timer.now())
 
     def status(self) -> dict[str, Any]:
-        """Returns what operators are told."""
+        """Returns the status that operators request."""
         return self.node.status(self.timer.now())
--- a/pumicenotch/net/connection.py
+++ b/pumicenotch/net/connection.py
@@ -1,4 +1,7 @@
-"""What every connection does: one task reads and one writes, and the end of either ends both."""
+"""Functions shared by all connections, accepted and dialed.
+
+Each connection has a reader task and a writer task. When either ends, both end.
+"""
 
 import errno
 from collections.abc import Awaitable, Callable
@@ -15,46 +18,56 @@
     OSError,
     anyio.BrokenResourceError,
     anyio.ClosedResourceError,
-)  # a connection ended by the other side
+)  # Errors of a connection that the peer closed or reset.
 EXHAUSTED_ERRNOS = (
     errno.EMFILE,
     errno.ENFILE,
     errno.ENOBUFS,
     errno.ENOMEM,
-)  # no descriptor, or no memory for one
-MAX_READ_BYTES = 64 * 1024  # taken at once from a connection that this side dials
-# That one receive can bring, above uvloop's buffer of 256,000: nothing of what has arrived stays in
-# anyio's queue, where a close could not see it.
+)  # No descriptor is available, or no memory for one.
+MAX_READ_BYTES = 64 * 1024  # Bytes passed to the reader of a dialed connection at once.
+# Limit of one receive. It exceeds uvloop's buffer of 256,000 bytes, so that no received bytes stay
+# in anyio's queue, where a close would not see them.
 MAX_RECEIVE_BYTES = 1024 * 1024
 
 
 class Reader(Protocol):
-    """Makes events of the bytes of one connection."""
+    """Decodes the bytes of one connection into events."""
 
     def feed(self, data: bytes) -> None:
-        """Takes what has arrived; raises ValueError for what cannot be read."""
+        """Decodes received bytes.
+
+        Raises:
+            ValueError: The bytes violate the protocol.
+        """
 
 
 def is_resource_exhausted(error: BaseException | None) -> bool:
-    """Returns whether an error, or its cause, is a lack of resources on this side."""
+    """Returns whether an error or its cause is a shortage of descriptors or memory here."""
     return error is not None and (
         getattr(error, "errno", None) in EXHAUSTED_ERRNOS or is_resource_exhausted(error.__cause__)
     )
 
 
 async def run_connection(
-    group: TaskGroup, stream: ByteStream, outbox: Outbox, talk: Callable[[], Awaitable[None]]
+    group: TaskGroup,
+    stream: ByteStream,
+    outbox: Outbox,
+    handle_input: Callable[[], Awaitable[None]],
 ) -> Exception | None:
-    """Writes what the outbox gets while `talk` reads; the end of either ends both, and the stream.
+    """Writes the outbox's messages while `handle_input` reads, until either of them ends.
+
+    The stream is closed afterwards.
 
     Returns:
-        The error that ended it, if any. Cancelling the outbox's scope ends it without one.
+        The error that ended the connection, or None. Cancelling the outbox's scope ends the
+        connection without an error.
     """
     group.start_soon(outbox.write_to, stream)
     try:
         with outbox.scope:
-            await talk()
-    except Exception as error:  # noqa: BLE001 - whatever ends it is for the caller to judge
+            await handle_input()
+    except Exception as error:  # noqa: BLE001 - the caller handles every error
         return error
     finally:
         outbox.closing = True
@@ -66,12 +79,13 @@
 async def read_messages(
     stream: ByteStream, reader: Reader, outbox: Outbox, max_bytes: int = MAX_READ_BYTES
 ) -> None:
-    """Feeds the reader until the other side ends its writing.
+    """Feeds the reader until the peer shuts down its write side.
 
-    The reader gets up to `max_bytes` at once, and all other tasks have a turn after each part.
+    The reader gets at most `max_bytes` at once. Other tasks run between the chunks of a larger
+    receive.
 
     Raises:
-        ValueError: The reader could not read something.
+        ValueError: The received bytes violate the protocol.
     """
     with suppress(anyio.EndOfStream):
         while True:
@@ -87,7 +101,10 @@
 
 
 async def discard(stream: ByteStream) -> None:
-    """Drops what still arrives on a connection whose writing has ended, until the peer ends it."""
+    """Discards received bytes until the peer shuts down its write side.
+
+    Called once the write side of the connection is shut down here.
+    """
     with suppress(anyio.EndOfStream):
         while True:
             await stream.receive(MAX_RECEIVE_BYTES)
--- a/pumicenotch/net/database.py
+++ b/pumicenotch/net/database.py
@@ -1,4 +1,4 @@
-"""The database's protocol: lines that end in CR LF, and bodies after their length."""
+"""Encodes and decodes the database's protocol: lines ending in CR LF, and bodies with a length."""
 
 import re
 
@@ -11,11 +11,11 @@
 HEAD = re.compile(
     rb"(?P<name>[0-9a-f]{16}) (ROWS (?P<length>[0-9]{1,9})|(?P<kind>FULL|FAIL|TIMEOUT|NONE))"
 )
-MAX_HEAD_BYTES = 64  # an id, a word and a length, and some more
-MAX_BODY_BYTES = 64 * 1024  # far above any reply
-MAX_UNREAD_BYTES = 64 * 1024  # a connection carries one call, of some KB
+MAX_HEAD_BYTES = 64  # An id, a keyword and a length, with a margin.
+MAX_BODY_BYTES = 64 * 1024  # Well above any valid reply.
+MAX_UNREAD_BYTES = 64 * 1024  # A connection carries one call of a few KB.
 MAX_LOGGED_BYTES = 80
-# Replies without a body, as the database says them.
+# Outcome of a reply without a body, by its keyword.
 OUTCOMES = {
     b"FULL": Outcome.REJECTED,
     b"FAIL": Outcome.ERROR,
@@ -25,21 +25,21 @@
 
 
 def encode_call(message: DependencyCall) -> bytes:
-    """Encodes a call."""
+    """Encodes a call: a head line with name, timeout in ms and length, then the body."""
     name = message.name.encode()
     head = b"Q %b %d %d\r\n" % (name, message.timeout_ms, len(message.body))
     return head + message.body + b"\r\n"
 
 
-# A call is abandoned with its connection, so the protocol's X is not used.
+# Closing the connection abandons its call, so the protocol's cancel command X is not used.
 ENCODERS: Encoders = {DependencyCall: encode_call}
 
 
 class DatabaseReader:
-    """Makes events of the replies on one connection.
+    """Decodes the replies on one connection into events.
 
     Args:
-        deliver: Where the events go.
+        deliver: Receives the events.
         connection: The connection's name.
     """
 
@@ -49,12 +49,12 @@
         self.data = b""
 
     def feed(self, data: bytes) -> None:
-        """Takes what has arrived.
+        """Decodes received bytes.
 
         Raises:
-            ValueError: It cannot be read, has no end, or does not fit its length. Raised as soon as
-            this is
-                known: the call on this connection has nothing else to wait for.
+            ValueError: A reply is malformed, a line is too long, or a body does not match its
+                length. Raised as early as possible, because the call on this connection cannot
+                receive another reply.
         """
         self.data += data
         replies_end = 0
@@ -65,13 +65,13 @@
             replies_end = reply_end
         self.data = self.data[replies_end:]
         if len(self.data) > MAX_HEAD_BYTES and b"\r\n" not in self.data[:MAX_HEAD_BYTES]:
-            raise ValueError("a line too long")
+            raise ValueError("reply line is too long")
 
     def _read_reply(self, start: int, line_end: int) -> int | None:
-        """Delivers a reply whose head is complete; returns its end, None if its body is not."""
+        """Delivers a reply; returns its end, or None if its body is incomplete."""
         head = HEAD.fullmatch(self.data, start, line_end)
         if head is None:
-            raise ValueError(f"no reply: {self.data[start:line_end][:MAX_LOGGED_BYTES]!r}")
+            raise ValueError(f"malformed reply: {self.data[start:line_end][:MAX_LOGGED_BYTES]!r}")
         name = head["name"].decode()
         body_start = line_end + 2
         if head["kind"] is not None:
@@ -79,12 +79,12 @@
             return body_start
         length = int(head["length"])
         if length > MAX_BODY_BYTES:
-            raise ValueError(f"a reply of {length} bytes")
+            raise ValueError(f"reply body is too long: {length} bytes")
         body_end = body_start + length
         if len(self.data) < body_end + 2:
             return None
         if self.data[body_end : body_end + 2] != b"\r\n":
-            raise ValueError("no CR LF after a reply")
+            raise ValueError("reply body does not end with CR LF")
         body = self.data[body_start:body_end]
         self.deliver(DependencyReplied(self.connection, name, Outcome.OK, body))
         return body_end + 2
--- a/pumicenotch/net/dialer.py
+++ b/pumicenotch/net/dialer.py
@@ -1,4 +1,7 @@
-"""Connections that this side dials, and the events when one is made or lost."""
+"""Dials connections to other processes, such as the worker pool, the database and peers.
+
+Reports to the hub when a connection is established or lost.
+"""
 
 from collections.abc import Callable
 from typing import Any, NamedTuple
@@ -24,30 +27,31 @@
 )
 
 Deliver = Callable[[object], None]
-DIAL_TIMEOUT_S = 1.0  # on one machine or one network, a dial that takes longer does not succeed
+# A connection attempt on one machine or within one network that takes longer does not succeed.
+DIAL_TIMEOUT_S = 1.0
 
 
 class DialedProtocol(NamedTuple):
-    """How messages to a party are written and its own are read."""
+    """The encoders, the reader factory and the write limit for connections to one party."""
 
     encoders: Encoders
     make_reader: Callable[
         [Deliver, str], Reader
-    ]  # from where its events go, and the connection's name
-    max_unread_bytes: int  # that the party may leave unread
+    ]  # Arguments: the receiver of the reader's events and the connection's name.
+    max_unread_bytes: int  # Bytes that the party may leave unread.
 
 
 class Dialer:
-    """Dials one party.
+    """Dials one party and runs the established connections.
 
-    A connection that was replaced delivers nothing more: what it still reads comes again on the
-    next one, or has ended with it.
+    A replaced connection delivers no more events. The party sends its notices again on the next
+    connection, and calls on the replaced connection have ended with it.
 
     Args:
-        hub: Where events go.
+        hub: Receives the events of the connections.
         group: Runs the connections.
         address: Host and port of the party.
-        protocol: What is spoken with it.
+        protocol: The protocol of the party.
     """
 
     def __init__(
@@ -63,13 +67,16 @@
         self.protocol = protocol
 
     def change_address(self, address: tuple[str, int]) -> None:
-        """Dials another address from now on."""
+        """Sets the address for subsequent dials; established connections stay open."""
         self.address = address
 
     def dial(self, name: str, delay_ms: float) -> None:
-        """Starts a connection of that name; the answer is `ConnectionUp` or `ConnectionDown`."""
+        """Starts dialing a connection after a delay.
+
+        The hub receives `ConnectionUp` or `ConnectionDown` with the connection's name.
+        """
         scope = anyio.CancelScope()
-        self.hub.closers[name] = scope.cancel  # of this dial, until it is a connection
+        self.hub.closers[name] = scope.cancel  # Cancels a dial in progress.
         self.group.start_soon(self._run, name, delay_ms, scope)
 
     async def _run(self, name: str, delay_ms: float, scope: anyio.CancelScope) -> None:
@@ -80,7 +87,7 @@
             try:
                 with anyio.move_on_after(DIAL_TIMEOUT_S):
                     stream = await anyio.connect_tcp(*self.address)
-            except Exception as error:  # noqa: BLE001 - a wrong address is no OSError
+            except Exception as error:  # noqa: BLE001 - an invalid address raises other types than OSError
                 failure = ConnectionFailure(FailureReach.REFUSED, str(error.__cause__ or error))
                 if is_resource_exhausted(error):
                     self.hub.on_descriptors_exhausted()
@@ -92,21 +99,21 @@
         if stream is None:
             self.hub.deliver(ConnectionDown(name, failure))
         else:
-            await self._carry(name, stream)
+            await self._run_established(name, stream)
 
-    async def _carry(self, name: str, stream: ByteStream) -> None:
+    async def _run_established(self, name: str, stream: ByteStream) -> None:
         outbox = Outbox(self.protocol.encoders, self.protocol.max_unread_bytes)
 
         def deliver(event: object) -> None:
             if self.hub.outboxes.get(name) is outbox:
                 self.hub.deliver(event)
 
-        async def talk() -> None:
+        async def handle_input() -> None:
             self.hub.add(name, outbox)
             self.hub.deliver(ConnectionUp(name))
             await read_messages(stream, self.protocol.make_reader(deliver, name), outbox)
 
-        error = await run_connection(self.group, stream, outbox, talk)
+        error = await run_connection(self.group, stream, outbox, handle_input)
         if error is not None and not isinstance(error, LOST_ERRORS):
             self.hub.deliver(ProblemFound("links_unreadable", f"{name}: {error!r}"))
         if self.hub.remove(name, outbox):
--- a/pumicenotch/net/fleet.py
+++ b/pumicenotch/net/fleet.py
@@ -1,6 +1,6 @@
-"""A voter's own process, wired to sockets.
+"""The process of a voter: its node, its sockets and its signals.
 
-It is run by `python -m pumicenotch.net.fleet FILE`, or `pumicenotch voter --config FILE`.
+Run by `python -m pumicenotch.net.fleet FILE`, or `pumicenotch voter --config FILE`.
 """
 
 import signal
@@ -22,20 +22,20 @@
 from pumicenotch.net.peers import PeerHub, open_listener, run_hub
 from pumicenotch.net.resettable_timer import ResettableTimer
 
-if TYPE_CHECKING:  # nothing of the distribution is loaded where it is off
+if TYPE_CHECKING:  # Distribution modules are not loaded when distribution is disabled.
     from pumicenotch.distribution.instance_settings import InstanceSettings
 
-FLUSH_TIMEOUT_S = 0.05  # for the last messages to leave
+FLUSH_TIMEOUT_S = 0.05  # Time to write the last messages before the exit.
 EXIT_INVALID_FILE = 2
 
 
 async def run_voter(
     settings: FleetSettings, seed: int, distribution: "InstanceSettings | None"
 ) -> None:
-    """Runs a voter until it is asked to end or its drain is agreed.
+    """Runs a voter until a signal requests its exit or the fleet agrees on its drain.
 
     Raises:
-        OSError: Its address cannot be had.
+        OSError: The voter's address cannot be bound.
     """
     timer = ResettableTimer()
     make_subjects: Callable[[], Sequence[ReplicatedSubject]] = tuple
@@ -68,15 +68,15 @@
 
 
 async def hand_over_on_signal(peers: PeerHub) -> None:
-    """Has the voter hand over and end on a signal, until it is cancelled."""
+    """On SIGTERM or SIGINT, makes the voter hand over its role and exit; runs until cancelled."""
     with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as received:
         async for _ in received:
             peers.put("left")
 
 
 def main() -> None:
-    """Runs the voter of the file that the command line names."""
-    signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})  # its file is not read again
+    """Runs the voter that the file named on the command line configures."""
+    signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})  # A voter does not reload its file.
     logs.to_stderr()
     from pumicenotch.config.fleet import voter_of
     from pumicenotch.config.hcl import InvalidFileError
--- a/pumicenotch/net/fleet_member.py
+++ b/pumicenotch/net/fleet_member.py
@@ -1,4 +1,4 @@
-"""A server's place in its fleet: the node beside its work, and the reports that it gets."""
+"""Runs a server's node in its fleet, and reports the server's state to the node."""
 
 import resource
 import secrets
@@ -22,25 +22,27 @@
 from pumicenotch.server.events import ShutdownRequested
 from pumicenotch.server.request_counters import RequestCounters
 
-if TYPE_CHECKING:  # nothing of the distribution is loaded where it is off
+if TYPE_CHECKING:  # Distribution modules are not loaded when distribution is disabled.
     from pumicenotch.distribution.instance_settings import InstanceSettings
 
-REPORT_INTERVAL_S = 0.25  # between reports to the node of how the server does
-OVERLOAD_WINDOW_REPORTS = 12  # three seconds, above any burst's queue
-MIN_REQUESTS_TO_JUDGE = 20  # in that window
-# Of the requests rejected or failed in that window: what it takes in costs callers more than it
-# helps.
+REPORT_INTERVAL_S = 0.25  # Interval between reports of the server's state to the node.
+OVERLOAD_WINDOW_REPORTS = 12  # Three seconds, longer than the queue of any burst lasts.
+MIN_REQUESTS_TO_JUDGE = 20  # Requests in the window, below which no overload is detected.
+# Fraction of rejected or failed requests in the window above which a server is overloaded. Above
+# it, the requests that the server accepts cost the callers more than they gain.
 MAX_FAILED_FRACTION = 0.5
 MIN_CONNECTIONS = 16
-CONNECTIONS_FRACTION = 0.0625  # of a server's descriptors: each talks to a few others at a time
-RELAY_CONNECTIONS_FRACTION = 0.1875  # of one that may serve configuration to others of its zone
-MAX_FRAME_BYTES = 128 * 1024  # to a server: a page of members has some 10 KB
-PROCESS_ID_BYTES = 6  # drawn at each start
+# Fraction of a server's descriptors. A server communicates with a few other members at a time.
+CONNECTIONS_FRACTION = 0.0625
+# Additional fraction for a server that may relay configuration to other servers of its zone.
+RELAY_CONNECTIONS_FRACTION = 0.1875
+MAX_FRAME_BYTES = 128 * 1024  # Frames sent to a server. A page of members has about 10 KB.
+PROCESS_ID_BYTES = 6  # Random bytes, drawn at each start.
 BYTES_PER_MB = 1_048_576.0
 
 
 def new_member_setup(settings: FleetSettings, now_ms: float, seed: int) -> MemberSetup:
-    """Returns what the node of a process that starts now is made from."""
+    """Returns the setup of the node of a starting process, with a new process id."""
     process_id = secrets.token_hex(PROCESS_ID_BYTES)
     me = MemberIdentity(
         settings.name,
@@ -62,7 +64,7 @@
 
 
 def max_fleet_connections(descriptors: int, distribution: "InstanceSettings | None") -> int:
-    """Returns how many of a server's descriptors its fleet takes; the core has the others."""
+    """Returns the number of a server's descriptors for its fleet; the core uses the rest."""
     connections = max(MIN_CONNECTIONS, int(CONNECTIONS_FRACTION * descriptors))
     if distribution is not None and distribution.relay:
         connections += int(RELAY_CONNECTIONS_FRACTION * descriptors)
@@ -77,10 +79,11 @@
     seed: int,
     descriptors: int,
 ) -> PeerHub | None:
-    """Starts a server's node in the task group, and returns what carries it.
+    """Starts a server's node in the task group.
 
-    Returns None where the listener cannot be had: that is logged, and the server goes on without
-    its fleet.
+    Returns:
+        The node's hub, or None if the listener cannot be opened. The error is logged, and the
+        server continues without its fleet.
     """
     timer = ResettableTimer()
     peers = PeerHub(
@@ -111,14 +114,14 @@
 
 
 class RequestTotals(NamedTuple):
-    """Requests of a server since its start."""
+    """Numbers of requests since the start of a server."""
 
     received: int
-    failed: int  # or rejected
+    failed: int  # Failed and rejected requests.
 
 
 class OverloadDetector:
-    """Judges by a sliding window of requests whether a server takes in more than it can serve."""
+    """Detects over a sliding window of requests whether a server is overloaded."""
 
     def __init__(self) -> None:
         self.window: deque[RequestTotals] = deque(
@@ -126,7 +129,7 @@
         )
 
     def observe(self, totals: RequestTotals) -> bool:
-        """Takes the newest totals; returns whether too many requests of the window have failed."""
+        """Adds the latest totals; returns whether too many requests in the window failed."""
         self.window.append(totals)
         oldest = self.window[0]
         received = totals.received - oldest.received
@@ -135,7 +138,7 @@
 
 
 async def report_server(core: Server, peers: PeerHub) -> None:
-    """Reports how the server does to the node, until it is cancelled."""
+    """Reports load, overload and draining of the server to the node, until cancelled."""
     detector = OverloadDetector()
     while True:
         await anyio.sleep(REPORT_INTERVAL_S)
@@ -150,7 +153,7 @@
 
 
 def resident_memory_mb() -> float:
-    """Returns what this process holds just now; 0.0 where the system does not say."""
+    """Returns the resident memory of this process in MB; 0.0 if /proc is not available."""
     try:
         resident_pages = int(Path("/proc/self/statm").read_text().split()[1])
     except (OSError, ValueError, IndexError):
--- a/pumicenotch/net/gateways.py
+++ b/pumicenotch/net/gateways.py
@@ -1,4 +1,4 @@
-"""The gateways' protocol: MessagePack-RPC, as encoders and a reader."""
+"""Encodes and decodes the gateway protocol, which is MessagePack-RPC."""
 
 from collections.abc import Callable
 from typing import Any
@@ -21,48 +21,51 @@
     RequestServed,
 )
 
-MAX_FRAME_BYTES = 8 * 1024  # far above any frame: a body has 2 KiB, the fields some hundred bytes
-# Taken at once: some requests, so that a connection at full speed keeps no other waiting for long.
+# Well above any valid frame: a body has at most 2 KiB and the fields have some hundred bytes.
+MAX_FRAME_BYTES = 8 * 1024
+# Bytes decoded at once. They hold a few requests, so that a connection at full speed does not delay
+# the other connections.
 MAX_READ_BYTES = 8 * 1024
-MAX_ITEMS = 64  # of an array or a map
+MAX_ITEMS = 64  # Items in one array or map.
 MAX_ERROR_LENGTH = 200
-# The first item of a frame.
+# Message types, the first item of a frame.
 RESPONSE = 1
 NOTIFICATION = 2
-SMALL_HINT = 0.01  # below it four decimals would leave less than two digits
-MIN_HINT = 1e-9  # above 0, as the nine decimals of a small one can express it
-MIN_RETRY_AFTER_MS = 0.5  # below it the rounded time would be 0
+SMALL_HINT = 0.01  # Below this value, four decimals would leave fewer than two significant digits.
+MIN_HINT = 1e-9  # The smallest positive value with the nine decimals of a small hint.
+MIN_RETRY_AFTER_MS = 0.5  # A shorter time would round to 0.
 
 pack: Callable[[Any], bytes] = msgpack.Packer(autoreset=True).pack
 
 
 def format_hint(hint: float) -> str:
-    """Writes a load hint, as "0.0000" only if it is 0.
+    """Formats a load hint; the text is "0.0000" only if the hint is 0.
 
-    Of a credit that very many callers share, each has little, and told 0 none of them would send.
+    When very many callers share a credit, each one's share is small. A share rounded to 0 would
+    stop all callers from sending.
     """
     return f"{hint:.4f}" if hint == 0.0 or hint >= SMALL_HINT else f"{max(hint, MIN_HINT):.9f}"
 
 
 def hint_fields(hint: float | None) -> dict[str, str]:
-    """Returns the fields that go with every answer."""
+    """Returns the hint field that every response carries, if there is a hint."""
     return {} if hint is None else {"hint": format_hint(hint)}
 
 
 def encode_served(message: RequestServed) -> bytes:
-    """Encodes the answer to a request that was served."""
+    """Encodes the response to a request that was served."""
     result = [message.result, hint_fields(message.load_hint)]
     return pack([RESPONSE, message.message_id, None, result])
 
 
 def encode_failed(message: RequestFailed) -> bytes:
-    """Encodes the answer to a request that failed."""
+    """Encodes the response to a request that failed."""
     error = ["Failed", hint_fields(message.load_hint)]
     return pack([RESPONSE, message.message_id, error, None])
 
 
 def encode_rejected(message: RequestRejected) -> bytes:
-    """Encodes the answer to a request that was rejected."""
+    """Encodes the response to a request that was rejected."""
     fields = hint_fields(message.load_hint)
     if message.retry_after_ms >= MIN_RETRY_AFTER_MS:
         fields["backoff"] = str(round(message.retry_after_ms))
@@ -74,13 +77,13 @@
 
 
 def encode_health(message: HealthReply) -> bytes:
-    """Encodes the answer to a health check."""
+    """Encodes the response to a health check."""
     result = [message.healthy, hint_fields(message.load_hint)]
     return pack([RESPONSE, message.message_id, None, result])
 
 
 def encode_drain_notice(_: DrainNotice) -> bytes:
-    """Encodes the notification that no more requests are wanted."""
+    """Encodes the notification that the server is draining and accepts no more requests."""
     return pack([NOTIFICATION, "draining", []])
 
 
@@ -94,22 +97,26 @@
 
 
 class GatewayReader:
-    """Makes events of one gateway's frames.
+    """Decodes one gateway's frames into events.
 
     Args:
-        hub: Where the events go.
-        connection_id: The gateway's connection.
+        hub: Receives the events.
+        connection_id: Identifies the gateway's connection in the events.
     """
 
     def __init__(self, hub: Hub[Any], connection_id: int) -> None:
         self.deliver = hub.deliver
         self.unix_offset = hub.clock.unix_offset
         self.connection_id = connection_id
-        # Of a frame that is not complete: between reads a connection holds nothing else.
+        # Bytes of an incomplete frame. A connection keeps no other decoding state between reads.
         self.incomplete = b""
 
     def feed(self, data: bytes) -> None:
-        """Takes what has arrived; raises ValueError for what is no MessagePack-RPC."""
+        """Decodes received bytes.
+
+        Raises:
+            ValueError: The bytes are not MessagePack-RPC, or a frame exceeds a limit.
+        """
         data = self.incomplete + data
         frames_end = 0
         unpacker = msgpack.Unpacker(
@@ -131,12 +138,12 @@
             raise ValueError(f"{type(error).__name__} {error}"[:MAX_ERROR_LENGTH]) from None
         self.incomplete = data[frames_end:]
         if len(self.incomplete) > MAX_FRAME_BYTES:
-            raise ValueError(f"a frame of over {MAX_FRAME_BYTES} bytes")
+            raise ValueError(f"frame exceeds the limit of {MAX_FRAME_BYTES} bytes")
 
     def _read_frame(self, frame: Any) -> None:
         match frame:
             case [0, bool(), *_] | [2, "cancelRequest", [bool()]]:
-                raise ValueError("no message of MessagePack-RPC")
+                raise ValueError("not a MessagePack-RPC message")
             case [0, int(message_id), "alive", [*_]]:
                 self.deliver(HealthCheckReceived(self.connection_id, message_id))
             case [0, int(message_id), str(class_name), [dict(fields), body]]:
@@ -148,7 +155,7 @@
             case [2, str(), [*_]]:
                 self.deliver(ProblemFound("notifications_skipped"))
             case _:
-                raise ValueError("no message of MessagePack-RPC")
+                raise ValueError("not a MessagePack-RPC message")
 
     def _deliver_request(
         self, message_id: int, class_name: str, fields: dict[Any, Any], body: Any
--- a/pumicenotch/net/hub.py
+++ b/pumicenotch/net/hub.py
@@ -1,4 +1,9 @@
-"""Between a core and its sockets: events go in, each effect goes to its connection."""
+"""Connects a core, which does no I/O, with its sockets and timer.
+
+The hub passes events from connections, timer and signals to the core and applies the effects that
+the core returns. A fault in one event or effect is logged and counted; it ends neither the
+connection nor the process.
+"""
 
 from collections.abc import Callable
 from typing import Generic, TypeVar
@@ -23,60 +28,64 @@
 from pumicenotch.server.events import DescriptorsExhausted
 from pumicenotch.server.gateway_side import GatewaySide
 
-MAX_LOGGED_FAULTS = 10  # a fault that comes with every request must not fill the log
+MAX_LOGGED_FAULTS = 10  # A fault that recurs with every request must not fill the log.
 FLUSH_INTERVAL_S = 0.002
 
 Core = TypeVar("Core", bound=GatewaySide)
 
 
 class Hub(Generic[Core]):
-    """Carries a core.
+    """Delivers events to a core and applies its effects.
 
     Args:
-        core: What handles the events.
-        clock: Its time and its timer.
+        core: Handles the events and returns effects.
+        clock: Supplies the core's time and timer.
     """
 
     def __init__(self, core: Core, clock: Clock) -> None:
         self.core = core
         self.clock = clock
-        self.outboxes: dict[ConnectionKey, Outbox] = {}  # by the connection that each writes to
-        self.unflushed: set[Outbox] = set()  # those as well that are closed but not all written
-        self.dialers: dict[str, Callable[[str, float], None]] = {}  # by party
-        self.address_changers: dict[str, Callable[[tuple[str, int]], None]] = {}  # by party
-        # Of what is no connection, or none yet: the listener and dials under way.
+        self.outboxes: dict[ConnectionKey, Outbox] = {}  # By connection.
+        # Outboxes that may have unwritten data, including closed ones.
+        self.unflushed: set[Outbox] = set()
+        self.dialers: dict[str, Callable[[str, float], None]] = {}  # By party.
+        self.address_changers: dict[str, Callable[[tuple[str, int]], None]] = {}  # By party.
+        # Close callbacks for the listener and for dials in progress, which have no outbox.
         self.closers: dict[ConnectionKey, Callable[[], None]] = {}
-        # Called to free descriptors that nothing needs any more.
+        # Called when descriptors are exhausted, to close connections that are no longer needed.
         self.descriptor_releasers: list[Callable[[], None]] = []
         self.exit = anyio.Event()
-        self.exit_timeout_s = 0.0  # from the exit on, for the last answers to be written
+        self.exit_timeout_s = 0.0  # Time after the exit in which the last responses are written.
 
     def deliver(self, event: object) -> None:
-        """Has the core handle an event; a fault ends neither the connection nor the process."""
+        """Passes an event to the core and applies the resulting effects.
+
+        An exception is logged and counted; it ends neither the connection nor the process.
+        """
         try:
             effects = self.core.step(self.clock.now(), event)
-        except Exception as error:  # noqa: BLE001 - one event must not end the process
+        except Exception as error:  # noqa: BLE001 - a faulty event must not end the process
             effects = self.on_fault(type(event).__name__, error)
         for effect in effects:
             try:
                 self.carry_out(effect)
-            except Exception as error:  # noqa: BLE001 - nor one effect the others
+            except Exception as error:  # noqa: BLE001 - a faulty effect must not stop the others
                 self.on_fault(type(effect).__name__, error)
 
     def on_descriptors_exhausted(self) -> None:
-        """Frees descriptors: first of what only lingers, then the core gives up connections."""
+        """Frees descriptors: closes lingering connections, then has the core close idle ones."""
         for release in self.descriptor_releasers:
             release()
         self.deliver(DescriptorsExhausted())
 
     def on_fault(self, place: str, error: Exception) -> list[Effect]:
-        """Logs and counts a fault, and returns the effects that were asked for before it."""
+        """Logs and counts a fault; returns the effects that the core requested before the fault."""
         if self.core.counters.counts["faults"] < MAX_LOGGED_FAULTS:
             logger.opt(exception=error).error("fault in {}", place)
         return self.core.on_fault()
 
     def carry_out(self, effect: Effect) -> None:
-        """Carries out one effect."""
+        """Applies one effect."""
         match effect:
             case Write(connection, message):
                 self._write(connection, message)
@@ -102,7 +111,9 @@
         if outbox is not None and not outbox.put(message):
             self.core.counters.add("connections_slow")
             logger.warning(
-                "{} leaves {} bytes unread and is cut", connection, outbox.unwritten_bytes
+                "connection {} has {} unread bytes and is closed",
+                connection,
+                outbox.unwritten_bytes,
             )
             outbox.scope.cancel()
 
@@ -120,12 +131,12 @@
             outbox.close()
 
     def add(self, connection: ConnectionKey, outbox: Outbox) -> None:
-        """From now on messages of that connection go to this outbox."""
+        """Registers the outbox that messages for the connection are written to."""
         self.outboxes[connection] = outbox
         self.unflushed.add(outbox)
 
     def remove(self, connection: ConnectionKey, outbox: Outbox) -> bool:
-        """Removes an outbox; returns whether it was still in use, not closed or replaced."""
+        """Removes an outbox; returns False if it was already closed or replaced."""
         self.unflushed.discard(outbox)
         if self.outboxes.get(connection) is not outbox:
             return False
@@ -133,7 +144,7 @@
         return True
 
     async def flush(self, timeout_s: float) -> None:
-        """Waits until all is written, or for that time."""
+        """Waits until all outboxes are written, for at most `timeout_s`."""
         with anyio.move_on_after(timeout_s):
             while any(outbox.unwritten_bytes for outbox in self.unflushed):  # noqa: ASYNC110
                 await anyio.sleep(FLUSH_INTERVAL_S)
--- a/pumicenotch/net/instance_file.py
+++ b/pumicenotch/net/instance_file.py
@@ -1,7 +1,7 @@
-"""The HCL file of this instance, which PUMICENOTCH_CONFIG names: pools, cells, its fleet.
+"""Reads the HCL file of this instance, named by PUMICENOTCH_CONFIG: pools, cells and fleet.
 
-It is read by a process of its own, whose memory is given back with its end. Nothing of what it can
-switch on is loaded where it does not.
+A child process parses the file, so that the parser's memory is released when the child exits. The
+modules of a feature are loaded only if the file enables the feature.
 """
 
 import os
@@ -22,16 +22,17 @@
     from pumicenotch.server.core import MakePools
 
 PATH_VARIABLE = "PUMICENOTCH_CONFIG"
-COMPILED_VARIABLE = "PUMICENOTCH_PLAN"  # its content, where whoever starts the server has read it
+# Compiled content of the file, if the process that starts the server has already read the file.
+COMPILED_VARIABLE = "PUMICENOTCH_PLAN"
 COMPILED_SUFFIX = ".json"
-READ_TIMEOUT_S = 30.0  # a second on a quiet machine
+READ_TIMEOUT_S = 30.0  # Reading takes one second on an idle machine.
 
 
 def read_at_start(path: str) -> "Ours | None":
-    """Reads the file before anything else runs; None where none is named.
+    """Reads the file at process start; returns None if no file is named.
 
     Raises:
-        ValueError: The file is wrong; the text names file, line and problem.
+        ValueError: The file is invalid; the text names file, line and problem.
     """
     compiled_text = os.environ.pop(COMPILED_VARIABLE, "")
     if not path:
@@ -43,16 +44,19 @@
     if path.endswith(COMPILED_SUFFIX):
         return compiled.from_file(path)
     try:
-        done = subprocess.run(
+        completed = subprocess.run(
             compiled.command(path), capture_output=True, timeout=READ_TIMEOUT_S, check=False
         )
     except subprocess.TimeoutExpired:
         raise compiled.InvalidConfigError(timeout_text(path)) from None
-    return compiled.taken(path, done.returncode, done.stdout, done.stderr)
+    return compiled.taken(path, completed.returncode, completed.stdout, completed.stderr)
 
 
 async def read_again(path: str) -> "Ours | None":
-    """Reads the file while the server goes on; the same otherwise."""
+    """Reads the file for a reload, without blocking the server.
+
+    The result and the errors are those of `read_at_start`.
+    """
     if not path:
         return None
     from pumicenotch.config import compiled
@@ -60,18 +64,18 @@
     if path.endswith(COMPILED_SUFFIX):
         return compiled.from_file(path)
     with anyio.move_on_after(READ_TIMEOUT_S):
-        done = await anyio.run_process(compiled.command(path), check=False)
-        return compiled.taken(path, done.returncode, done.stdout, done.stderr)
+        completed = await anyio.run_process(compiled.command(path), check=False)
+        return compiled.taken(path, completed.returncode, completed.stdout, completed.stderr)
     raise compiled.InvalidConfigError(timeout_text(path))
 
 
 def timeout_text(path: str) -> str:
-    """Returns what is wrong with a file that takes too long to read."""
+    """Returns the error text for a file that could not be read in time."""
     return f"{path}:1: not read within {READ_TIMEOUT_S:g} s"
 
 
 def read_cell_map(instance: "Ours | None") -> "CellMap | None":
-    """Reads the cell map that the file names, if it names one; raises ValueError if it is wrong."""
+    """Reads the cell map that the file names, if any; raises ValueError if the map is invalid."""
     if instance is None or not instance.map:
         return None
     from pumicenotch.config.files import cell_map
@@ -80,7 +84,11 @@
 
 
 def make_fence(instance: "Ours | None") -> "Fence | None":
-    """Returns what this node knows of cells, where the file names a map; raises ValueError."""
+    """Returns the fence for the cell map that the file names; None without a map.
+
+    Raises:
+        ValueError: The cell map is invalid.
+    """
     cells = read_cell_map(instance)
     if cells is None:
         return None
@@ -90,7 +98,7 @@
 
 
 def pools_maker(plan: "PoolsPlan | None", values: "StartValues", path: str) -> "MakePools | None":
-    """Returns what makes class pools by the plan, if there is one."""
+    """Returns a factory of class pools for the plan; None without a plan."""
     if plan is None:
         return None
     from pumicenotch.pools import ClassPools
@@ -99,5 +107,5 @@
     classes = values.controller.request_classes
     class_indexes = values.class_indexes
     for name in unknown_classes(plan, list(class_indexes)):
-        logger.warning("{}: no request class of this server is called {}", path, name)
+        logger.warning("{}: this server has no request class {}", path, name)
     return lambda now: ClassPools(now, plan, classes, class_indexes)
--- a/pumicenotch/net/logs.py
+++ b/pumicenotch/net/logs.py
@@ -1,4 +1,4 @@
-"""Logs on standard error: as text or, where PUMICENOTCH_LOG is `json`, an object a line."""
+"""Logs to standard error as text, or as one JSON object per line if PUMICENOTCH_LOG is `json`."""
 
 import json
 import os
@@ -11,7 +11,7 @@
 
 
 def to_stderr() -> None:
-    """Sends all logs to standard error."""
+    """Configures the logger to write to standard error."""
     logger.remove()
     if os.environ.get("PUMICENOTCH_LOG") == "json":
         logger.add(write_json)
@@ -20,7 +20,7 @@
 
 
 def write_json(message: Any) -> None:
-    """Writes one of loguru's messages as a JSON object."""
+    """Writes a loguru message as one line with a JSON object."""
     record = message.record
     fields = {
         "time": record["time"].isoformat(),
--- a/pumicenotch/net/outbound_peers.py
+++ b/pumicenotch/net/outbound_peers.py
@@ -1,4 +1,4 @@
-"""The connections that a process dials to others of its fleet, one for each address."""
+"""Manages the connections that a process dials to others of its fleet, one per address."""
 
 from functools import partial
 from typing import TYPE_CHECKING
@@ -14,18 +14,20 @@
     from pumicenotch.net.peers import PeerHub
 
 PARTY = "peer"
-MAX_QUEUED_MESSAGES = 256  # for a connection that is being dialled
-REDIAL_DELAY_MS = 200.0  # after a refused dial; what is sent meanwhile is lost, as on a cut link
-# A connection without a message for so long is closed: among 1,000 members each talks to some at a
-# time.
+MAX_QUEUED_MESSAGES = 256  # Messages queued for one connection while it is dialed.
+# Delay before a new dial after a failed dial or a lost connection. Messages queued at the failure
+# are lost.
+REDIAL_DELAY_MS = 200.0
+# Time without an outgoing message after which a connection is closed. In a fleet of 1,000 members,
+# each member communicates with only a few others at a time.
 IDLE_TIMEOUT_MS = 5000.0
 IDLE_CHECK_INTERVAL_MS = IDLE_TIMEOUT_MS / 5.0
-PROBE_INTERVAL_MS = 1000.0  # between probes of a connection in use
+PROBE_INTERVAL_MS = 1000.0  # Minimum time between probes of a connection in use.
 PROBE_TIMEOUT_MS = 2500.0
 
 
 class OutboundPeer:
-    """The connection to one address, and what waits for it."""
+    """State of the connection to one address, and the messages queued for it."""
 
     def __init__(self, connection: str) -> None:
         self.connection = connection
@@ -39,28 +41,28 @@
 
 
 class OutboundPeers:
-    """Dials when there is something to send, and closes what is idle, unresponsive or too much.
+    """Dials connections on demand, and closes idle, unresponsive and surplus ones.
 
     Args:
-        hub: Carries the connections.
-        group: Runs them.
-        max_connections: That are kept; beyond it the least recently used one is closed.
+        hub: Receives the events of the connections and holds their outboxes.
+        group: Runs the connections.
+        max_connections: Limit above which the least recently used connection is closed.
     """
 
     def __init__(self, hub: "PeerHub", group: TaskGroup, max_connections: int) -> None:
         self.hub = hub
         self.group = group
         self.max_connections = max_connections
-        self.peers: dict[str, OutboundPeer] = {}  # by connection, which is "peer-ADDRESS"
-        self.check_idle_at_ms = 0.0
+        self.peers: dict[str, OutboundPeer] = {}  # By connection name, "peer-ADDRESS".
+        self.next_idle_check_at_ms = 0.0
 
     def send(self, address: str, message: PeerMessage) -> None:
-        """Sends on the connection to that address, or queues until it is dialled."""
+        """Sends on the connection to the address, or queues the message while it is dialed."""
         now_ms = self.hub.clock.now()
         peer = self.peer_at(address)
         peer.used_at_ms = now_ms
         if self.is_unresponsive(peer, now_ms):
-            text = f"{address} does not answer on a link that is up"
+            text = f"{address} did not answer a probe on an established connection"
             self.hub.count_problem("mates_deaf", text)
             self.cut(peer)
         if peer.is_up:
@@ -74,7 +76,7 @@
             self.dial(address, peer.connection)
 
     def peer_at(self, address: str) -> OutboundPeer:
-        """Returns the connection to that address, new where there is none."""
+        """Returns the connection to the address, creating it if there is none."""
         connection = f"{PARTY}-{address}"
         peer = self.peers.get(connection)
         if peer is None:
@@ -85,7 +87,7 @@
         return peer
 
     def dial(self, address: str, connection: str) -> None:
-        """Starts the connection; an address that is none counts as one that cannot be reached."""
+        """Starts dialing; an invalid address is handled like an unreachable one."""
         try:
             host_and_port = start.parse_address(address)
         except ValueError:
@@ -99,13 +101,16 @@
     # Probes
 
     def is_unresponsive(self, peer: OutboundPeer, now_ms: float) -> bool:
-        """Whether a probe was not answered: a half-open connection would swallow all."""
+        """Returns whether a probe has timed out.
+
+        A half-open connection would accept messages without delivering them.
+        """
         if not peer.is_up or peer.unanswered_probe_at_ms is None:
             return False
         return now_ms - peer.unanswered_probe_at_ms > PROBE_TIMEOUT_MS
 
     def probe_if_due(self, peer: OutboundPeer, now_ms: float) -> None:
-        """Asks for an answer, now and then while the connection is in use."""
+        """Sends a probe if the last one is answered and the probe interval has passed."""
         is_due = now_ms - peer.probed_at_ms > PROBE_INTERVAL_MS
         if peer.unanswered_probe_at_ms is None and is_due:
             peer.unanswered_probe_at_ms = now_ms
@@ -113,13 +118,13 @@
             self.hub.write(peer.connection, PROBE)
 
     def on_probe_answered(self, connection: str) -> None:
-        """The other side has answered a probe."""
+        """Records that the peer has answered a probe."""
         self.peers[connection].unanswered_probe_at_ms = None
 
     # Connections
 
     def on_up(self, connection: str) -> None:
-        """Sends the hello, then what has waited."""
+        """Sends the hello, then the queued messages, on an established connection."""
         peer = self.peers[connection]
         peer.is_up = True
         peer.is_dialing = False
@@ -132,7 +137,7 @@
             self.hub.write(connection, message)
 
     def on_down(self, connection: str) -> None:
-        """The connection is lost, or could not be made: what has waited is lost with it."""
+        """Handles a lost connection or a failed dial; queued messages are dropped."""
         peer = self.peers[connection]
         if not peer.is_up:
             self.hub.node.counters["mates_unreached"] += 1
@@ -142,7 +147,7 @@
         peer.redial_at_ms = self.hub.clock.now() + REDIAL_DELAY_MS
 
     def cut(self, peer: OutboundPeer) -> None:
-        """Ends a connection whose peer may never see its end, without waiting for its writer."""
+        """Ends an unresponsive connection at once, without writing its queued data."""
         outbox = self.hub.outboxes.pop(peer.connection, None)
         if outbox is not None:
             outbox.scope.cancel()
@@ -150,22 +155,22 @@
         peer.unanswered_probe_at_ms = None
 
     def evict_least_recently_used(self) -> None:
-        """Closes one connection to make room for another."""
+        """Closes the least recently used connection that is not being dialed."""
         candidates = [peer for peer in self.peers.values() if not peer.is_dialing]
         if candidates:
             self.close(min(candidates, key=lambda peer: peer.used_at_ms))
 
     def close_idle(self) -> None:
-        """Closes connections that nobody has used for a while; to be called often."""
+        """Closes idle connections; called with each timer input, checks once per interval."""
         now_ms = self.hub.clock.now()
-        if now_ms < self.check_idle_at_ms:
+        if now_ms < self.next_idle_check_at_ms:
             return
-        self.check_idle_at_ms = now_ms + IDLE_CHECK_INTERVAL_MS
+        self.next_idle_check_at_ms = now_ms + IDLE_CHECK_INTERVAL_MS
         for peer in list(self.peers.values()):
             if now_ms - peer.used_at_ms > IDLE_TIMEOUT_MS and not peer.is_dialing:
                 self.close(peer)
 
     def close(self, peer: OutboundPeer) -> None:
-        """Closes the connection once all that it was given is written."""
+        """Closes the connection once its queued messages are written."""
         self.hub.close(peer.connection)
         del self.peers[peer.connection]
--- a/pumicenotch/net/outbox.py
+++ b/pumicenotch/net/outbox.py
@@ -1,4 +1,4 @@
-"""What is still to be written to one connection."""
+"""The write queue of one connection, with a limit on bytes that the peer leaves unread."""
 
 import select
 import socket
@@ -11,18 +11,18 @@
 from loguru import logger
 
 CLOSE_TIMEOUT_S = (
-    2.0  # to write what is left once a connection is closed, and for the peer to end it
+    2.0  # Time after a close to write the remaining data and for the peer to close its side.
 )
-# Between checks whether all that has arrived is delivered. By a timer, not by a turn of the loop: a
-# timer's callbacks run after those of the reads before it, so that bytes are either with the reader
-# or with the kernel.
+# Interval between checks for undelivered input. The check uses a timer instead of a turn of the
+# event loop: timer callbacks run after the callbacks of earlier reads, so that received bytes are
+# either with the reader or still in the kernel.
 CHECK_INTERVAL_S = 0.001
 
-Encoders = Mapping[type, Callable[[Any], bytes]]  # by the type of the message
+Encoders = Mapping[type, Callable[[Any], bytes]]  # By message type.
 
 
 def has_unread_input(sock: socket.socket) -> bool:
-    """Returns whether bytes, or the peer's end, wait to be received."""
+    """Returns whether the socket has unreceived bytes or an unreceived end of the stream."""
     if sock.fileno() < 0:
         return False
     poll = select.poll()
@@ -31,45 +31,50 @@
 
 
 class Outbox:
-    """Encodes messages and writes them in order; a peer that leaves too much unread is cut.
+    """Encodes messages and writes them in order.
 
-    With its accepted socket it ends by a lingering close: our writing is shut down first, and the
-    stream is closed once the peer has ended its own. A close over bytes that are not read would
-    reset the connection, and answers that the peer has not taken yet would be lost.
+    The caller closes the connection of a peer that exceeds the limit on unread bytes.
+
+    An accepted connection ends with a lingering close: the write side is shut down first, and the
+    stream is closed once the peer has shut down its own write side. Closing a socket with unread
+    input resets the connection, and responses that the peer has not yet received would be lost.
 
     Args:
-        encoders: How each type of message is written.
-        max_unread_bytes: That the peer may leave unread.
-        accepted: The socket, of a connection that a peer has dialled.
+        encoders: The encoder of each message type.
+        max_unread_bytes: Bytes that the peer may leave unread.
+        accepted_socket: The socket of an accepted connection; None for a dialed one.
         on_input_read: Called once after each `check_input`, when all input is delivered.
-        on_shut_down: Called once our writing is shut down, with a lingering close.
+        on_shut_down: Called in a lingering close once the write side is shut down.
     """
 
     def __init__(
         self,
         encoders: Encoders,
         max_unread_bytes: int,
-        accepted: socket.socket | None = None,
+        accepted_socket: socket.socket | None = None,
         on_input_read: Callable[[], None] = lambda: None,
         on_shut_down: Callable[["Outbox"], None] = lambda _: None,
     ) -> None:
         self.encoders = encoders
         self.max_unread_bytes = max_unread_bytes
-        self.accepted = accepted
+        self.accepted_socket = accepted_socket
         self.on_input_read = on_input_read
         self.on_shut_down = on_shut_down
         self.parts: list[bytes] = []
         self.unwritten_bytes = 0
-        self.taken_bytes = 0  # of those, what the writer has
+        self.taken_bytes = 0  # The part of the unwritten bytes that the writer has taken.
         self.ready = anyio.Event()
         self.scope = anyio.CancelScope()
         self.closing = False
         self.checking_input = False
-        self.feeding = False  # what was received is not all with the reader yet
-        self.ended = anyio.Event()  # the writing
+        self.feeding = False  # Whether received bytes are still being passed to the reader.
+        self.ended = anyio.Event()  # Set when writing has ended.
 
     def put(self, message: object) -> bool:
-        """Takes a message, and returns whether there was room; after a cut takes nothing more."""
+        """Queues a message; returns False if the unread bytes exceed the limit.
+
+        Messages for a cancelled connection are dropped.
+        """
         if self.scope.cancel_called:
             return True
         data = self.encoders[type(message)](message)
@@ -79,18 +84,21 @@
         return self.unwritten_bytes <= self.max_unread_bytes
 
     def check_input(self) -> None:
-        """Has `on_input_read` called once everything that has arrived is with the reader."""
+        """Requests a call of `on_input_read` once all received bytes are with the reader."""
         self.checking_input = True
         self.ready.set()
 
     def close(self) -> None:
-        """Ends the connection once all is written, or after some time."""
+        """Closes the connection once all data is written, or after `CLOSE_TIMEOUT_S`."""
         self.closing = True
         self.ready.set()
         self.scope.deadline = min(self.scope.deadline, anyio.current_time() + CLOSE_TIMEOUT_S)
 
     async def take(self) -> bytes:
-        """Waits for messages or the close, and returns all; those taken before count as written."""
+        """Waits for messages or a close and returns all queued data.
+
+        Data returned by the previous call counts as written.
+        """
         self.unwritten_bytes -= self.taken_bytes
         await self.ready.wait()
         self.ready = anyio.Event()
@@ -100,10 +108,10 @@
         return data
 
     async def write_to(self, stream: ByteStream) -> None:
-        """Writes until it is closed and everything is written, or the connection is lost.
+        """Writes until the outbox is closed and fully written, or the connection is lost.
 
-        Without a lingering close, closing the stream ends the reading: to cancel it would cost as
-        much as all else that a short connection needs.
+        On a dialed connection, closing the stream ends the reader task. Cancelling the task instead
+        would cost as much as all other work of a short connection.
         """
         try:
             while self.parts or not self.closing:
@@ -115,28 +123,31 @@
             self.taken_bytes = 0
             await self._end_writing(stream)
         except (OSError, anyio.BrokenResourceError, anyio.ClosedResourceError):
-            await anyio.aclose_forcefully(stream)  # ended by the other side
-        except Exception as error:  # noqa: BLE001 - a faulty writer ends its connection alone
-            logger.error("writing failed: {!r}", error)
+            await anyio.aclose_forcefully(stream)  # Closed or reset by the peer.
+        except Exception as error:  # noqa: BLE001 - a faulty writer ends only its own connection
+            logger.error("connection closed: writing failed: {!r}", error)
             await anyio.aclose_forcefully(stream)
         finally:
             self.ended.set()
 
     async def _end_writing(self, stream: ByteStream) -> None:
-        if self.accepted is None:
+        if self.accepted_socket is None:
             await stream.aclose()
             return
-        # Not by the stream, which would do so in a later turn of its loop: what came in between
-        # would have been taken for read.
-        with suppress(OSError):  # reset by the peer, or closed
-            self.accepted.shutdown(socket.SHUT_WR)
+        # The stream would shut the socket down in a later turn of the event loop. Input arriving in
+        # between would be treated as read.
+        with suppress(OSError):  # Reset by the peer, or already closed.
+            self.accepted_socket.shutdown(socket.SHUT_WR)
         self.on_shut_down(self)
 
     async def _check_input_once(self) -> None:
-        """Calls back in the same step as the check, so that nothing arrives unseen in between."""
+        """Calls `on_input_read` if all received bytes are with the reader.
+
+        No await separates the check and the call, so that no input arrives in between.
+        """
         await anyio.sleep(CHECK_INTERVAL_S)
         if not self.checking_input or self.feeding:
             return
-        if self.accepted is None or not has_unread_input(self.accepted):
+        if self.accepted_socket is None or not has_unread_input(self.accepted_socket):
             self.checking_input = False
             self.on_input_read()
--- a/pumicenotch/net/peer_frames.py
+++ b/pumicenotch/net/peer_frames.py
@@ -1,4 +1,4 @@
-"""The frames among instances: MessagePack-RPC, typed here and encoded in this one place."""
+"""Types, encoders and decoder of the frames on peer connections, which are MessagePack-RPC."""
 
 from collections.abc import Callable
 from typing import Any, NamedTuple
@@ -10,9 +10,9 @@
 
 MAX_ARRAY_LENGTH = 65_536
 MAX_MAP_LENGTH = 4096
-MAX_ERROR_LENGTH = 200  # of the decoder's own text, in letters
+MAX_ERROR_LENGTH = 200  # Characters kept of the decoder's error text.
 
-# Kinds of MessagePack-RPC messages.
+# Message types of MessagePack-RPC, the first item of a frame.
 REQUEST_KIND = 0
 RESPONSE_KIND = 1
 NOTIFICATION_KIND = 2
@@ -20,11 +20,11 @@
 HELLO_METHOD = "hello"
 REFUSAL_METHOD = "refused"
 PROBE_VERB = "alive"
-PROBE_REQUEST_ID = 0  # of every probe: nodes count their requests from 1
+PROBE_REQUEST_ID = 0  # Request id of all probes. Nodes number their requests from 1.
 
 
 class Hello(NamedTuple):
-    """What one that dials says first; an operator's command has only the fleet."""
+    """The first message of a dialing process. An operator's command sends only the fleet."""
 
     fleet: str
     name: str
@@ -40,7 +40,7 @@
 
 
 class Request(NamedTuple):
-    """A request, answered by `Result` or `ErrorResponse` on the connection that it came by."""
+    """A request, answered by `Result` or `ErrorResponse` on the same connection."""
 
     request_id: int
     verb: str
@@ -48,21 +48,21 @@
 
 
 class Result(NamedTuple):
-    """Answers a request that succeeded."""
+    """The response to a request that succeeded."""
 
     request_id: int
     result: Any
 
 
 class ErrorResponse(NamedTuple):
-    """Answers a request that failed: with a code, a text, and what else the code brings."""
+    """The response to a request that failed: a code, a text and a value that the code defines."""
 
     request_id: int
     error: tuple[str, str, Any]
 
 
 class Refusal(NamedTuple):
-    """Tells one that dials why its hello does not fit, before its connection is closed."""
+    """The reason for refusing a hello, sent before the connection is closed."""
 
     reason: str
 
@@ -108,18 +108,18 @@
 
 
 class FrameDecodeError(InputError):
-    """Bytes that are no MessagePack, or a frame that no instance sends."""
+    """The bytes are not MessagePack, or a frame is not a valid message."""
 
 
 class DecodedFrame(NamedTuple):
-    """One frame as MessagePack has it."""
+    """The decoded value of one MessagePack frame."""
 
     content: Any
-    size_bytes: int  # of what came with the last read: a frame may have begun before
+    size_bytes: int  # Bytes of the frame in the last read; earlier reads are not counted.
 
 
 class FrameDecoder:
-    """Puts frames of a limited size together from the bytes of one connection."""
+    """Decodes frames of a limited size from the bytes of one connection."""
 
     def __init__(self, max_frame_bytes: int) -> None:
         self._unpacker = msgpack.Unpacker(
@@ -133,10 +133,10 @@
         )
 
     def decode(self, data: bytes) -> list[DecodedFrame]:
-        """Returns the frames that are complete with the data.
+        """Returns the frames that the received bytes complete.
 
         Raises:
-            FrameDecodeError: The bytes are no MessagePack, or a frame is too large.
+            FrameDecodeError: The bytes are not MessagePack, or a frame is too large.
         """
         frames = []
         try:
--- a/pumicenotch/net/peer_protocol.py
+++ b/pumicenotch/net/peer_protocol.py
@@ -1,4 +1,7 @@
-"""What comes on connections among instances: frames of either side become inputs of the hub."""
+"""Decodes the frames on peer connections into inputs of the hub.
+
+`AcceptedPeer` reads accepted connections and `DialedPeer` reads dialed ones.
+"""
 
 from typing import TYPE_CHECKING, Any
 
@@ -23,11 +26,11 @@
 if TYPE_CHECKING:
     from pumicenotch.net.peers import PeerHub
 
-MAX_REQUEST_BYTES = 64 * 1024  # 1,024 names
+MAX_REQUEST_BYTES = 64 * 1024  # Enough for a request with 1,024 names.
 
 
 class AcceptedPeer:
-    """Reads what one that has dialled this side sends: a hello, then requests and notices."""
+    """Reads an accepted connection: a hello first, then requests and notices."""
 
     def __init__(self, hub: "PeerHub", connection_id: int) -> None:
         self.hub = hub
@@ -36,10 +39,10 @@
         self.sender: Sender | None = None
 
     def feed(self, data: bytes) -> None:
-        """Takes what came.
+        """Decodes received bytes and handles the complete frames.
 
         Raises:
-            FrameDecodeError: It is no frame of an instance, or the hello does not fit.
+            FrameDecodeError: A frame is invalid, or the hello is refused.
         """
         for frame in self.decoder.decode(data):
             if self.sender is None:
@@ -48,7 +51,7 @@
                 self.on_frame(self.sender, frame.content, frame.size_bytes)
 
     def on_first_frame(self, content: Any) -> None:
-        """Takes the hello."""
+        """Checks the hello, which must be the first frame."""
         match content:
             case [kind, method, [str(fleet), str(name), str(process_id), str(address)]] if (
                 kind == NOTIFICATION_KIND and method == HELLO_METHOD
@@ -59,17 +62,17 @@
                 raise FrameDecodeError("no hello first")
 
     def on_frame(self, sender: Sender, content: Any, size_bytes: int) -> None:
-        """Takes a request or a notice."""
+        """Handles a request or a notice."""
         match content:
             case [kind, int(request_id), str(verb), args] if kind == REQUEST_KIND:
                 self.on_request(request_id, verb, args, size_bytes)
             case [kind, str(method), [*params]] if kind == NOTIFICATION_KIND and sender.name:
                 self.hub.put("told", sender, method, tuple(params))
             case _:
-                raise FrameDecodeError("no message among instances")
+                raise FrameDecodeError("frame is neither a request nor a notice")
 
     def on_request(self, request_id: int, verb: str, args: Any, size_bytes: int) -> None:
-        """Answers a probe or a request that is too large; all others go to the node."""
+        """Answers a probe, refuses an oversized request, and passes other requests to the node."""
         has_args = isinstance(args, list | tuple)
         if verb == PROBE_VERB and has_args:
             self.hub.write(self.connection_id, Result(request_id, True))
@@ -82,7 +85,7 @@
 
 
 class DialedPeer:
-    """Reads the answers on a connection that this side has dialled."""
+    """Reads the responses and refusals on a dialed connection."""
 
     def __init__(self, hub: "PeerHub", _: Deliver, connection: str) -> None:
         self.hub = hub
@@ -90,16 +93,16 @@
         self.decoder = FrameDecoder(hub.max_frame_bytes)
 
     def feed(self, data: bytes) -> None:
-        """Takes what came.
+        """Decodes received bytes and handles the complete frames.
 
         Raises:
-            FrameDecodeError: It is no answer of an instance.
+            FrameDecodeError: A frame is neither a response nor a refusal.
         """
         for frame in self.decoder.decode(data):
             self.on_frame(frame.content)
 
     def on_frame(self, content: Any) -> None:
-        """Takes an answer, or why the hello was refused."""
+        """Handles a response, or the refusal of this process's hello."""
         match content:
             case [kind, request_id, None, True] if (
                 kind == RESPONSE_KIND and request_id == PROBE_REQUEST_ID
@@ -113,4 +116,4 @@
                 text = f"{self.connection} refuses this process: {reason[:200]}"
                 self.hub.count_problem("mates_refuse", text)
             case _:
-                raise FrameDecodeError("no answer among instances")
+                raise FrameDecodeError("frame is neither a response nor a refusal")
--- a/pumicenotch/net/peers.py
+++ b/pumicenotch/net/peers.py
@@ -1,9 +1,10 @@
-"""Instances among themselves, on a listener of their own.
+"""Runs the connections between the processes of a fleet, on a separate listener.
 
-Whoever dials says `hello` first, with the fleet and its own name, process id and address; one that
-does not fit is told why, counted and closed. Notices go one way, each on the connection that its
-sender dials; requests are answered on the connection that they came by. A connection that has not
-answered a probe is dialled anew.
+The dialing process first sends `hello` with the fleet and its own name, process id and address. A
+hello that does not match is counted and answered with the reason, and its connection is closed.
+Notices are sent one way, on the connection that their sender dialed. Requests are answered on the
+connection on which they were received. A connection on which a probe is not answered is dialed
+again.
 """
 
 from collections.abc import Callable
@@ -43,40 +44,42 @@
     ProtocolViolated,
 )
 
-# Among voters: 16 entries of the log at their largest, and as much again.
+# Between voters: 16 log entries of the largest size, doubled.
 MAX_FRAME_BYTES = 2 * 1024 * 1024
-MAX_UNREAD_FRAMES = 2  # that a peer leaves unread, at their largest
-# Of a voter, in and out: a leader hears of a thousand members, each on a connection of its own.
+MAX_UNREAD_FRAMES = 2  # Frames of the largest size that a peer may leave unread.
+# Inbound and outbound connections of a voter. A leader receives reports from a thousand members,
+# each on its own connection.
 MAX_CONNECTIONS = 4096
 MAX_NAME_LENGTH = 64
 
 
 class Extension(Protocol):
-    """A subsystem beside the node, whose notices and requests come by the same connections."""
+    """A subsystem that shares the node's connections for its own notices and requests."""
 
     def notice(self, sender: Sender, method: str, params: Any) -> bool:
-        """Takes a notice; returns whether it was one of its own."""
+        """Handles a notice; returns whether it belongs to the extension."""
 
     def request(self, connection_id: int, request_id: int, verb: str, args: Any) -> bool:
-        """Takes a request; returns whether it was one of its own, which it has answered then."""
+        """Answers a request that belongs to the extension; returns whether it does."""
 
     def member_changed(self, update: Update) -> None:
-        """Membership has another opinion of that process."""
+        """Called when the membership state of a process changes."""
 
     def after_put(self) -> None:
-        """The node has taken an input, and what came of it is carried out."""
+        """Called after the node has handled an input and its effects are applied."""
 
 
 class PeerHub(Hub[Any]):
-    """Carries a node: inputs with the time go in, effects come out.
+    """Passes inputs to a node of the fleet and applies its effects.
 
     Args:
         core: The node.
-        clock: Its time and its timer.
+        clock: Supplies the node's time and timer.
         group: Runs the connections.
-        on_shutdown: Called with the reason when the process is to drain and end.
-        max_frame_bytes: Of what peers send.
-        max_connections: Both ways together; half of them are for those that others dial.
+        on_shutdown: Called with the reason when the node requests that the process drains and
+            exits.
+        max_frame_bytes: Largest frame accepted from a peer.
+        max_connections: Limit for accepted and dialed connections together; half for each.
     """
 
     def __init__(
@@ -103,12 +106,12 @@
     # Inputs
 
     def deliver(self, event: object) -> None:
-        """Handles what happens to connections; of it, the node hears that a peer is gone."""
+        """Handles a connection event. The node is informed only of closed accepted connections."""
         match event:
             case ConnectionOpened(connection_id):
                 self.on_accepted(connection_id)
             case ProtocolViolated(connection_id, counter, text):
-                self.count_problem(counter, f"connection {connection_id} among instances: {text}")
+                self.count_problem(counter, f"peer connection {connection_id}: {text}")
                 self.close(connection_id)
             case ConnectionEnded(connection_id):
                 self.close(connection_id)
@@ -123,33 +126,36 @@
                 self.count_problem(counter, text)
 
     def on_accepted(self, connection_id: int) -> None:
-        """Another process has dialled this one; beyond the bound it is closed."""
+        """Counts an accepted connection, and closes it if there are too many."""
         self.accepted_connections += 1
         if self.accepted_connections > self.max_connections_each_way:
-            text = f"over {self.max_connections_each_way} connections among instances"
+            text = f"more than {self.max_connections_each_way} accepted peer connections"
             self.count_problem("mates_crowded", text)
             self.close(connection_id)
 
     def put(self, name: str, *details: Any) -> None:
-        """Has the node take an input; a fault ends neither the connection nor the process."""
-        if self.is_taken_by_extension(name, details):
+        """Passes an input to the extension or the node and applies the resulting effects.
+
+        An exception is logged and counted; it ends neither the connection nor the process.
+        """
+        if self.offer_to_extension(name, details):
             return
         try:
             node_effects = self.node.step(self.clock.now(), name, *details)
-        except Exception as error:  # noqa: BLE001 - one input must not end the process
+        except Exception as error:  # noqa: BLE001 - a faulty input must not end the process
             node_effects = self.on_fault(name, error)
         for effect in node_effects:
             try:
                 self.carry_out(effect)
-            except Exception as error:  # noqa: BLE001 - nor one effect the others
+            except Exception as error:  # noqa: BLE001 - a faulty effect must not stop the others
                 self.on_fault(type(effect).__name__, error)
         if name == "time":
             self.outbound.close_idle()
         if self.extension is not None:
             self.extension.after_put()
 
-    def is_taken_by_extension(self, name: str, details: tuple[Any, ...]) -> bool:
-        """Offers notices and requests to the extension first."""
+    def offer_to_extension(self, name: str, details: tuple[Any, ...]) -> bool:
+        """Offers a notice or request to the extension; returns whether it was handled."""
         if self.extension is None:
             return False
         if name == "told":
@@ -157,7 +163,7 @@
         return name == "asked" and self.extension.request(*details)
 
     def on_fault(self, place: str, error: Exception) -> list[Any]:
-        """Logs and counts a fault, and returns the effects that were asked for before it."""
+        """Logs and counts a fault; returns the effects that the node requested before it."""
         self.node.counters["faults"] += 1
         if self.node.counters["faults"] <= MAX_LOGGED_FAULTS:
             logger.opt(exception=error).error("fault in {}", place)
@@ -166,18 +172,18 @@
         return node_effects
 
     def count_problem(self, counter: str, text: str = "") -> None:
-        """Counts a problem, and logs the first, tenth, hundredth and so on of its kind."""
+        """Counts a problem, and logs the first, tenth, hundredth and so on of each counter."""
         self.node.counters[counter] += 1
         if text and str(self.node.counters[counter]).rstrip("0") == "1":
             logger.info("{} ({}={})", text, counter, self.node.counters[counter])
 
-    # Those that dial this side
+    # Hello of accepted connections
 
     def check_hello(self, connection_id: int, hello: Hello) -> None:
-        """Refuses one that does not belong here, and tells it why.
+        """Checks the hello of a dialing process, and sends the reason if it is refused.
 
         Raises:
-            FrameDecodeError: It was refused.
+            FrameDecodeError: The hello was refused.
         """
         reason = self.refusal_reason(hello)
         if reason:
@@ -186,7 +192,7 @@
             raise FrameDecodeError(reason)
 
     def refusal_reason(self, hello: Hello) -> str:
-        """Returns why the hello does not fit; "" if it does."""
+        """Returns why the hello is refused; "" if it is accepted."""
         own_name = self.hello.name
         if hello.fleet != self.hello.fleet:
             return f"this is a process of the fleet {self.hello.fleet!r}, not of {hello.fleet!r}"
@@ -200,19 +206,21 @@
     # Messages
 
     def send(self, address: str, message: PeerMessage) -> None:
-        """Sends to the process that listens there."""
+        """Sends a message to the process that listens on the address."""
         self.outbound.send(address, message)
 
     def write(self, connection: int | str, message: PeerMessage) -> None:
-        """Writes to a connection; a peer that leaves too much unread is cut."""
+        """Writes to a connection, and closes it if the peer leaves too much unread."""
         outbox = self.outboxes.get(connection)
         if outbox is not None and not outbox.put(message):
-            text = f"{connection} leaves {outbox.unwritten_bytes} bytes unread and is cut"
+            text = (
+                f"connection {connection} has {outbox.unwritten_bytes} unread bytes and is closed"
+            )
             self.count_problem("mates_slow", text)
             outbox.scope.cancel()
 
     def close(self, connection: int | str) -> None:
-        """Closes a connection once all that it was given is written."""
+        """Closes a connection once its queued messages are written."""
         outbox = self.outboxes.pop(connection, None)
         if outbox is not None:
             outbox.close()
@@ -220,7 +228,7 @@
     # Effects
 
     def carry_out(self, effect: Any) -> None:
-        """Carries out one effect of the node."""
+        """Applies one effect of the node."""
         match effect:
             case effects.SendNotification(address, method, params):
                 self.send(address, Notice(method, params))
@@ -231,7 +239,7 @@
             case effects.MemberChanged(update) if self.extension is not None:
                 self.extension.member_changed(update)
             case effects.StartDraining(reason):
-                logger.info("leaves {}", reason)
+                logger.info("draining: {}", reason)
                 self.on_shutdown(reason)
             case effects.WakeAt(wake_at_ms):
                 self.clock.wake(max(0.0, wake_at_ms - self.clock.now()))
@@ -251,10 +259,10 @@
 
 
 async def open_listener(address: tuple[str, int]) -> SocketListener:
-    """Opens a listener for other instances.
+    """Opens a listener for peer connections.
 
     Raises:
-        OSError: The address cannot be had.
+        OSError: The address cannot be bound.
     """
     listeners = await anyio.create_tcp_listener(
         local_host=address[0], local_port=address[1], backlog=BACKLOG
@@ -263,7 +271,7 @@
 
 
 def run_hub(hub: PeerHub, listener: SocketListener) -> None:
-    """Starts the listener, the timer and the node, in the hub's task group."""
+    """Starts the listener, the timer and the node in the hub's task group."""
     protocol = AcceptedProtocol(ENCODERS, AcceptedPeer)
     peer_listener = GatewayListener(hub, hub.max_unread_bytes, protocol)
     hub.group.start_soon(peer_listener.accept, listener, hub.group)
@@ -271,5 +279,5 @@
     hub.group.start_soon(hub.clock.run, lambda: hub.put("time"))
     bound = "{}:{}".format(*listener.extra(SocketAttribute.local_address)[:2])
     logger.info(
-        "fleet: {} of {} is listening among instances on {}", hub.hello.name, hub.hello.fleet, bound
+        "fleet: {} of {} accepts peer connections on {}", hub.hello.name, hub.hello.fleet, bound
     )
--- a/pumicenotch/net/pool.py
+++ b/pumicenotch/net/pool.py
@@ -1,4 +1,4 @@
-"""The worker pool's protocol: a JSON object a line, bodies in base64."""
+"""Encodes and decodes the worker pool's protocol: one JSON object per line, bodies in base64."""
 
 import json
 from base64 import b64decode, b64encode
@@ -28,9 +28,9 @@
 )
 
 JsonObject = dict[str, Any]
-MAX_LINE_BYTES = 64 * 1024  # results have 4 KiB at the most, 6 KiB in base64
+MAX_LINE_BYTES = 64 * 1024  # A result has at most 4 KiB, which are 6 KiB in base64.
 MAX_LOGGED_BYTES = 200
-# How a run ended, as the pool says it.
+# Outcome of a run by the pool's name for it.
 RUN_OUTCOMES = {
     "fine": Outcome.OK,
     "fault": Outcome.ERROR,
@@ -40,12 +40,12 @@
 
 
 def encode_line(kind: str, **fields: Any) -> bytes:
-    """Writes one message."""
+    """Encodes a message of the given kind as one line."""
     return json.dumps({"msg": kind, **fields}, separators=(",", ":")).encode() + b"\n"
 
 
 def to_base64(body: bytes) -> str:
-    """Writes a body as it stands in a line."""
+    """Encodes a body as base64 text."""
     return b64encode(body).decode()
 
 
@@ -56,7 +56,7 @@
 
 
 def encode_supply(message: SupplyReply) -> bytes:
-    """Encodes the command that hands over a dependency's reply."""
+    """Encodes the command that passes a dependency's reply to a run."""
     return encode_line("supply", call=message.name, blob=to_base64(message.reply))
 
 
@@ -71,40 +71,40 @@
 }
 
 
-def text_of(value: Any) -> str:
-    """Returns a string as it is; raises TypeError for anything else."""
+def require_text(value: Any) -> str:
+    """Returns the value; raises TypeError if it is not a string."""
     if not isinstance(value, str):
-        raise TypeError(f"{value!r} is no string")
+        raise TypeError(f"{value!r} is not a string")
     return value
 
 
-def body_of(notice: JsonObject) -> bytes:
-    """Returns the body that a notice carries, or none; raises ValueError for no base64."""
+def decode_body(notice: JsonObject) -> bytes:
+    """Returns a notice's body, b"" if it has none; raises ValueError for invalid base64."""
     return b64decode(notice.get("blob") or "", validate=True)
 
 
 def decode_finished(notice: JsonObject) -> RunFinished:
     """Decodes the notice that a run has ended."""
-    body = body_of(notice)
-    name = text_of(notice["call"])
-    outcome = RUN_OUTCOMES.get(text_of(notice["how"]))
+    body = decode_body(notice)
+    name = require_text(notice["call"])
+    outcome = RUN_OUTCOMES.get(require_text(notice["how"]))
     return RunFinished(int(notice["serial"]), name, outcome, body)
 
 
 def decode_blocked(notice: JsonObject) -> RunBlocked:
     """Decodes the notice that a run waits for its dependency."""
-    body = body_of(notice)
-    return RunBlocked(int(notice["serial"]), text_of(notice["call"]), body)
+    body = decode_body(notice)
+    return RunBlocked(int(notice["serial"]), require_text(notice["call"]), body)
 
 
 def decode_polled(notice: JsonObject) -> GaugesReported:
     """Decodes the answer to a poll."""
-    return GaugesReported(text_of(notice["cookie"]), tuple(map(float, notice["stats"])))
+    return GaugesReported(require_text(notice["cookie"]), tuple(map(float, notice["stats"])))
 
 
 def decode_bound(notice: JsonObject) -> PoolBound:
-    """Decodes the answer to the first message."""
-    return PoolBound(text_of(notice["how"]) == "starting", float(notice["duration"]))
+    """Decodes the answer to the bind command, which is the first on a connection."""
+    return PoolBound(require_text(notice["how"]) == "starting", float(notice["duration"]))
 
 
 def decode_unknown(notice: JsonObject) -> CommandUnknown:
@@ -123,27 +123,30 @@
 
 
 class PoolReader:
-    """Makes events of the pool's lines.
+    """Decodes the pool's lines into events.
 
     Args:
-        deliver: Where the events go.
+        deliver: Receives the events.
     """
 
     def __init__(self, deliver: Deliver, _: str) -> None:
         self.deliver = deliver
-        self.incomplete = b""  # of a line whose end has not arrived
+        self.incomplete = b""  # Bytes of a line whose end has not been received.
 
     def feed(self, data: bytes) -> None:
-        """Takes what has arrived; raises ValueError for a line without end."""
+        """Decodes received bytes; raises ValueError for a line over `MAX_LINE_BYTES`."""
         *lines, self.incomplete = (self.incomplete + data).split(b"\n")
         for line in lines:
             if line.strip():
                 self._read_line(line)
         if len(self.incomplete) > MAX_LINE_BYTES:
-            raise ValueError(f"a line of over {MAX_LINE_BYTES} bytes")
+            raise ValueError(f"line exceeds the limit of {MAX_LINE_BYTES} bytes")
 
     def _read_line(self, line: bytes) -> None:
-        """Delivers a notice; what is none is skipped, and the next serial shows the gap."""
+        """Delivers one notice.
+
+        An unreadable line is counted and skipped. The serial of the next notice reveals the gap.
+        """
         try:
             notice = json.loads(line)
             kind = notice["msg"]
@@ -154,10 +157,10 @@
                 self.deliver(NoticeSkipped(int(notice["serial"])))
         except (ValueError, KeyError, TypeError, AttributeError) as error:
             reason = f"{type(error).__name__} {error}"
-            text = f"pool: no notice ({reason}): {line[:MAX_LOGGED_BYTES]!r}"
+            text = f"pool: unreadable notice ({reason}): {line[:MAX_LOGGED_BYTES]!r}"
             self.deliver(ProblemFound("notices_unreadable", text))
 
 
 def protocol(max_unread_bytes: int) -> DialedProtocol:
-    """Returns what is spoken with the pool."""
+    """Returns the pool's protocol with the given limit on unread bytes."""
     return DialedProtocol(ENCODERS, PoolReader, max_unread_bytes)
--- a/pumicenotch/net/process_end.py
+++ b/pumicenotch/net/process_end.py
@@ -1,4 +1,4 @@
-"""The end of a process whose last answers are written."""
+"""Ends a process after its last responses are written."""
 
 import os
 import sys
@@ -6,10 +6,11 @@
 
 
 def end_process() -> NoReturn:
-    """Ends the process now, with status 0; what it has logged is written.
+    """Ends the process immediately with status 0, after flushing the logs.
 
-    The interpreter's own end frees every object one by one, which takes longer than a drain notice
-    leaves after the last answers. The kernel closes what is still open.
+    The interpreter's regular shutdown frees every object individually, which takes longer than the
+    time that a drain notice leaves after the last responses. The kernel closes all open
+    descriptors.
     """
     sys.stdout.flush()
     sys.stderr.flush()
--- a/pumicenotch/net/registry.py
+++ b/pumicenotch/net/registry.py
@@ -1,4 +1,7 @@
-"""Reports to the registry: HTTP/1.1 through h11, one at a time on a connection that stays open."""
+"""Sends readiness reports to the registry over HTTP/1.1 with h11.
+
+Reports are sent one at a time on a persistent connection.
+"""
 
 from urllib.parse import quote
 
@@ -14,8 +17,8 @@
 from pumicenotch.server.messages import ReadinessReport
 from pumicenotch.server.registry_reporter import CONNECTION
 
-# To dial, report and answer: three attempts fit into the 3 s after which the registry removes a
-# silent server.
+# Timeout for dialing, sending a report and receiving the response. Three attempts fit into the 3 s
+# after which the registry removes a silent server.
 REPORT_TIMEOUT_S = 0.8
 MAX_UNREAD_BYTES = 1024
 MAX_READ_BYTES = 4096
@@ -26,12 +29,12 @@
 
 
 class Registry:
-    """Sends reports, and tells the core what has become of each.
+    """Sends readiness reports and delivers the outcome of each one to the core.
 
     Args:
-        hub: Where the answers go.
+        hub: Receives the outcomes.
         address: Host and port of the registry.
-        name: Of this server there.
+        name: The name under which this server is registered.
     """
 
     def __init__(self, hub: Hub[Server], address: tuple[str, int], name: str) -> None:
@@ -39,25 +42,30 @@
         self.address = address
         self.name = name
         self.stream: ByteStream | None = None
-        self.scope = anyio.CancelScope()  # of the report under way
+        self.scope = anyio.CancelScope()  # Cancels the report in progress.
         self.address_changed = False
         self.http = h11.Connection(h11.CLIENT)
         self.outbox = Outbox(ENCODERS, MAX_UNREAD_BYTES)
 
     async def run(self) -> None:
-        """Sends reports until it is cancelled; of several that wait, only the latest."""
+        """Sends reports until cancelled. Of several queued reports, only the latest is sent."""
         self.hub.add(CONNECTION, self.outbox)
         while True:
             *_, state = (await self.outbox.take()).split()
             self.hub.deliver(ReportFinished(await self.report(state)))
 
     async def report(self, state: bytes) -> ConnectionFailure | None:
-        """Sends one report; returns None once it is accepted, else how far it had come."""
+        """Sends one report.
+
+        Returns:
+            None if the registry accepted the report, else the failure and whether the registry was
+            reached.
+        """
         if self.address_changed:
             self.address_changed = False
             await self._close()
         reach = FailureReach.REFUSED
-        text = "given up, as the registry has moved"
+        text = "cancelled: the registry's address has changed"
         try:
             with anyio.fail_after(REPORT_TIMEOUT_S) as self.scope:
                 if self.stream is None:
@@ -68,8 +76,12 @@
                 if status == HTTP_NO_CONTENT and self._is_reusable():
                     self.http.start_next_cycle()
                     return None
-                text = "" if status == HTTP_NO_CONTENT else f"answered {status}"
-        except Exception as error:  # noqa: BLE001 - the next report is tried whatever failed
+                text = (
+                    ""
+                    if status == HTTP_NO_CONTENT
+                    else f"the registry answered with status {status}"
+                )
+        except Exception as error:  # noqa: BLE001 - no failure must stop the next report
             text = str(error) or type(error).__name__
             if is_resource_exhausted(error):
                 self.hub.on_descriptors_exhausted()
@@ -77,7 +89,7 @@
         return ConnectionFailure(reach, text) if text else None
 
     def change_address(self, address: tuple[str, int]) -> None:
-        """Reports to another address; the old one is not waited for."""
+        """Changes the registry's address; a report in progress to the old one is cancelled."""
         self.address = address
         self.address_changed = True
         self.scope.cancel()
@@ -86,7 +98,7 @@
         return self.http.our_state is h11.DONE and self.http.their_state is h11.DONE
 
     async def _exchange(self, stream: ByteStream, state: bytes) -> int:
-        """Returns the status of the answer."""
+        """Sends a report on an open connection and returns the status of the response."""
         body = b'{"state":"%b"}' % state
         headers = [
             ("Host", f"{self.address[0]}:{self.address[1]}"),
@@ -104,7 +116,7 @@
                 status = event.status_code
             elif not isinstance(event, h11.InformationalResponse | h11.Data):
                 raise h11.RemoteProtocolError(
-                    "closed or turned to another protocol before an answer"
+                    "connection closed or switched to another protocol before the response"
                 )
         return status
 
--- a/pumicenotch/net/reloads.py
+++ b/pumicenotch/net/reloads.py
@@ -1,4 +1,4 @@
-"""Reloads both configuration files of a running server."""
+"""Reloads the start values and the instance file of a running server."""
 
 from typing import TYPE_CHECKING, cast
 
@@ -16,7 +16,7 @@
     ProblemFound,
 )
 
-if TYPE_CHECKING:  # nothing of a fleet is loaded where there is none
+if TYPE_CHECKING:  # Fleet modules are not loaded by servers without a fleet.
     from pumicenotch.cells.map import CellMap
     from pumicenotch.config.compiled import Ours
     from pumicenotch.net.configuration import InstanceDistributionService
@@ -24,29 +24,30 @@
 
 
 class RunningConfiguration:
-    """What is in force.
+    """The configuration in force.
 
     Args:
         values: The start values.
-        path: Of the instance's file, "" where none is named.
-        instance: What that file says.
+        path: Path of the instance file; "" if there is none.
+        instance: Content of the instance file; None if there is none.
     """
 
     def __init__(self, values: StartValues, path: str, instance: "Ours | None") -> None:
         self.values = values
         self.path = path
         self.instance = instance
-        self.peers: PeerHub | None = None  # this server's place in its fleet
+        self.peers: PeerHub | None = None  # Set if this server belongs to a fleet.
 
 
 class Reloads:
-    """One reload at a time, beside all else; those requested during one come to one more.
+    """Runs reloads one at a time, concurrently with the server's work.
 
-    Reading a file may take a second, and a shutdown must not wait for it.
+    Requests during a reload cause one further reload. Reading a file may take a second, and a
+    shutdown does not wait for it.
 
     Args:
-        hub: Of the server.
-        running: What is in force.
+        hub: The server's hub, which receives the changes.
+        running: The configuration in force, which a reload replaces.
     """
 
     def __init__(self, hub: Hub[Server], running: RunningConfiguration) -> None:
@@ -55,11 +56,11 @@
         self.requested = anyio.Event()
 
     def request(self) -> None:
-        """Asks for a reload."""
+        """Requests a reload."""
         self.requested.set()
 
     async def run(self) -> None:
-        """Reloads whenever it was requested, until it is cancelled."""
+        """Runs the requested reloads until cancelled."""
         while True:
             await self.requested.wait()
             self.requested = anyio.Event()
@@ -70,7 +71,7 @@
                 self._refuse(repr(error))
 
     async def _reload(self) -> None:
-        """Takes both files, or neither where one cannot be read."""
+        """Applies both files, or neither if one of them is invalid."""
         try:
             values = read_start_values()
             instance = await instance_file.read_again(self.running.path)
@@ -122,11 +123,11 @@
             return
         peers = self.running.peers
         if peers is None or peers.extension is None or settings is None:
-            logger.info("reload: the block distribution is switched on and off by a restart")
+            logger.info("reload: a restart is required to enable or disable the distribution block")
         else:
             cast("InstanceDistributionService", peers.extension).reload(settings)
             meaning = settings.meaning()
-            logger.info("reload: this server takes published configuration of {}", meaning)
+            logger.info("reload: this server subscribes to published configuration of {}", meaning)
         self.running.instance = current._replace(distribution=settings)
 
     def _apply_pools(self, instance: "Ours", current: "Ours") -> None:
--- a/pumicenotch/net/resettable_timer.py
+++ b/pumicenotch/net/resettable_timer.py
@@ -1,4 +1,4 @@
-"""A timer that may be set to an earlier time while it sleeps."""
+"""A timer that can be set to an earlier time while it is running."""
 
 from collections.abc import Callable
 
@@ -9,21 +9,24 @@
 
 
 class ResettableTimer(Clock):
-    """The clock, with a timer that notices when it is set to an earlier time."""
+    """A clock whose sleeping timer wakes when it is set to an earlier time.
+
+    The timer of `Clock` would sleep until the time that was set first.
+    """
 
     def __init__(self) -> None:
         super().__init__()
         self.rescheduled = anyio.Event()
 
     def wake(self, delay_ms: float) -> None:
-        """Sets the timer, and wakes it where it sleeps for longer."""
-        before = self.wake_at
+        """Sets the timer, and wakes it if it is sleeping until a later time."""
+        previous_wake_at = self.wake_at
         super().wake(delay_ms)
-        if self.wake_at < before:
+        if self.wake_at < previous_wake_at:
             self.rescheduled.set()
 
     async def run(self, on_timer: Callable[[], None]) -> None:
-        """Calls back whenever the timer is due, until it is cancelled."""
+        """Calls `on_timer` each time the timer expires, until cancelled."""
         while True:
             remaining_ms = self.wake_at - self.now()
             if remaining_ms > 0.0:
--- a/pumicenotch/net/signals.py
+++ b/pumicenotch/net/signals.py
@@ -1,4 +1,4 @@
-"""Signals that a process handles itself, from its first line to its last."""
+"""Receives signals throughout the life of a process, without their default actions."""
 
 import signal
 import time
@@ -13,37 +13,37 @@
 
 
 class ReceivedSignal(NamedTuple):
-    """A signal, and how long it had arrived before the loop came to it."""
+    """A signal and the time between its arrival and its handling in the event loop."""
 
     number: signal.Signals
     waited_ms: float
 
 
 class SignalArrivals:
-    """Notes when signals arrive.
+    """Records when signals arrive.
 
-    The interpreter runs a signal's handler between any two steps of the program, while the loop
-    comes to it one or two turns later: many connections make that a tenth of a second where cores
-    are crowded.
+    The interpreter runs a signal handler between any two steps of the program, while the event
+    loop handles the signal one or two turns later. With many connections on a busy machine, this
+    delay reaches a tenth of a second.
     """
 
     def __init__(self) -> None:
-        self.arrived_at_s: dict[int, float] = {}  # the first of each number not taken yet
+        self.arrived_at_s: dict[int, float] = {}  # By number: the first arrival not yet taken.
 
     def watch(self, number: signal.Signals) -> None:
-        """Puts a handler in front of the one that is installed."""
+        """Installs a handler that records the arrival and then calls the current handler."""
         installed = signal.getsignal(number)
 
-        def note(received_number: int, frame: FrameType | None) -> None:
+        def record_arrival(received_number: int, frame: FrameType | None) -> None:
             self.arrived_at_s.setdefault(received_number, time.monotonic())
             if callable(installed):
                 installed(received_number, frame)
 
-        signal.signal(number, note)
+        signal.signal(number, record_arrival)
         signal.siginterrupt(number, False)
 
     def take(self, number: signal.Signals) -> ReceivedSignal:
-        """Returns the signal that the loop has come to, with its wait."""
+        """Returns the signal that the event loop handles now, with its waiting time."""
         now_s = time.monotonic()
         arrived_at_s = self.arrived_at_s.pop(number, now_s)
         return ReceivedSignal(number, (now_s - arrived_at_s) * MS_PER_S)
@@ -53,10 +53,10 @@
 def receive_signals(
     numbers: tuple[signal.Signals, ...],
 ) -> Iterator[AsyncIterator[ReceivedSignal]]:
-    """Yields the signals that arrive, and that have arrived while they were blocked.
+    """Yields signals that arrive in the context or arrived earlier while they were blocked.
 
-    The caller blocks them as the process starts. Afterwards they are blocked again: their default
-    action would end the process in the middle of its exit.
+    The caller blocks the signals at process start. They are blocked again when the context ends,
+    because their default action would terminate the process during its exit.
     """
     arrivals = SignalArrivals()
     with anyio.open_signal_receiver(*numbers) as received:
--- a/pumicenotch/net/start_values.py
+++ b/pumicenotch/net/start_values.py
@@ -1,4 +1,4 @@
-"""The start values of a server, from the JSON file that LB_CONFIG names."""
+"""Reads the start values of a server from the JSON file named by LB_CONFIG."""
 
 import json
 import os
@@ -9,7 +9,7 @@
 from pumicenotch.control import ControllerSettings
 
 PATH_VARIABLE = "LB_CONFIG"
-MOVABLE_PARTIES = ("pool", "db", "registry")  # whose addresses a reload changes
+MOVABLE_PARTIES = ("pool", "db", "registry")  # Parties whose addresses a reload can change.
 DEFAULT_MEMORY_MB = 192.0
 DEFAULT_DESCRIPTORS = 1024
 RANGES = {
@@ -22,24 +22,24 @@
 
 
 class StartValues(NamedTuple):
-    """All that the file says, times in ms."""
+    """The values of the file; times are in ms."""
 
-    name: str  # of this server at the registry
+    name: str  # Name of this server in the registry.
     listen: Address
-    addresses: dict[str, Address]  # by party, of those that the file names
+    addresses: dict[str, Address]  # By party; only parties named in the file.
     seed: int
     memory_mb: float
     shutdown_ms: float
     max_descriptors: int
-    hint_shape: str  # what kind of hint callers are sent
+    hint_shape: str  # Kind of load hint that callers receive.
     controller: ControllerSettings
     class_indexes: dict[str, int]
     tenant_indexes: dict[str, int]
-    pairs: dict[str, str]  # the values as they were read, by path
+    pairs: dict[str, str]  # Unparsed values by path in the file.
 
 
 def read_start_values() -> StartValues:
-    """Reads the file; raises ValueError with the place and the problem of what is wrong."""
+    """Reads the file; raises ValueError with the path and problem of an invalid value."""
     pairs = read_pairs()
     settings = start.settings_of(pairs)
     addresses = read_addresses(pairs)
@@ -76,7 +76,7 @@
 
 
 def read_pairs() -> dict[str, str]:
-    """Reads the file as values by path."""
+    """Reads the file and returns the unparsed values by path."""
     path = os.environ.get(PATH_VARIABLE)
     if not path:
         raise start.InvalidStartValueError(f"{PATH_VARIABLE} is not set")
@@ -88,7 +88,7 @@
 
 
 def read_addresses(pairs: dict[str, str]) -> dict[str, Address]:
-    """Returns the addresses of the parties that are named."""
+    """Returns the addresses of the parties that the file names."""
     addresses = {}
     for party in MOVABLE_PARTIES:
         address = start.read_value(party, pairs, start.parse_peer_address, None)
--- a/pumicenotch/net/step_times.py
+++ b/pumicenotch/net/step_times.py
@@ -1,4 +1,4 @@
-"""How long single steps hold the event loop."""
+"""Measures how long single steps block the event loop."""
 
 import time
 from collections import Counter
@@ -8,7 +8,7 @@
 
 
 class StepTimes:
-    """Processor time of the steps: what else the machine does meanwhile is not in it."""
+    """Statistics of the processor time of steps, which excludes other work of the machine."""
 
     BOUND_MS = 1.0
 
@@ -20,7 +20,7 @@
 
     @contextmanager
     def measured(self, kind: str) -> Iterator[None]:
-        """Measures the block as one step; steps over the bound are counted by their kinds."""
+        """Measures the block as one step; steps over `BOUND_MS` are counted by kind."""
         started_at_s = time.thread_time()
         try:
             yield
@@ -33,7 +33,7 @@
             self.longest_ms = max(self.longest_ms, elapsed_ms)
 
     def as_json(self) -> dict[str, Any]:
-        """Returns the figures under the keys of status answers."""
+        """Returns the statistics under the keys used in status answers."""
         return {
             "count": self.count,
             "over_1_ms": self.count_over_bound,
--- a/pumicenotch/net/voter_configuration.py
+++ b/pumicenotch/net/voter_configuration.py
@@ -1,6 +1,6 @@
-"""A voter's part in the distribution, between its hub and a `VoterSource`.
+"""Connects a voter's `VoterSource` with its peer hub.
 
-It serves relays from the publications that are agreed, and tells operators who is current.
+A voter serves the agreed publications to relays and reports to operators which members are current.
 """
 
 import random
@@ -20,18 +20,18 @@
 
 
 def make_subjects_of(settings: InstanceSettings) -> tuple[ReplicatedSubject, ...]:
-    """What a voter's state holds beside the fleet's own subjects, empty."""
+    """Returns the initial replicated subjects of the distribution for a voter's state."""
     return (Publications(tables=settings.tables(), log=log_of(settings.settings)),)
 
 
 class VoterDistributionService(DistributionService):
-    """The distribution's part in a voter.
+    """The configuration distribution in a voter, which serves the publications to relays.
 
     Args:
-        hub: Carries its messages.
-        node: The voter's node, whose state holds the publications.
-        settings: The tables, and the bounds.
-        seed: Of the reducer's random choices.
+        hub: Sends and receives the messages.
+        node: The voter's node, whose state contains the publications.
+        settings: The tables and limits of the distribution.
+        seed: Seed of the reducer's random choices.
     """
 
     def __init__(
@@ -47,20 +47,20 @@
 
     @property
     def publications(self) -> Publications:
-        """Of the agreed state as it is now: a snapshot puts another in its place."""
+        """The publications in the current agreed state; a snapshot replaces the object."""
         return cast(Publications, self.node.state.subjects[Publications.name])
 
     def step(self, now_ms: float, event: events.VoterEvent) -> list[effects.Effect]:
-        """Has the reducer take an event."""
+        """Passes an event to the reducer and returns its effects."""
         return self.source.step(now_ms, event)
 
     def run(self) -> None:
-        """Starts, and tells the reducer who leads."""
+        """Starts the service and passes the current leadership to the reducer."""
         super().run()
         self.put(events.LeaderChanged(*self.leadership))
 
     def after_put(self) -> None:
-        """Tells the reducer of another leader, and of what was published."""
+        """Passes a changed leadership and new publications to the reducer."""
         if (leadership := self.node.leadership()) != self.leadership:
             self.leadership = leadership
             self.put(events.LeaderChanged(*leadership))
@@ -71,29 +71,34 @@
             self.put(events.Published(self.version))
 
     def member_changed(self, update: Update) -> None:
-        """Does nothing: a voter serves whoever subscribes."""
+        """Does nothing; a voter serves any subscriber."""
 
     def answer(self, verb: str, args: Any) -> dict[str, Any]:
-        """Returns the result of a request; only the leader knows who is current."""
+        """Returns the result of a request.
+
+        Raises:
+            NotLeaderError: A status request to a follower, which does not know who is current.
+            PumicenotchError: The request cannot be answered.
+        """
         if verb == STATUS_VERB and not self.node.leads:
             raise NotLeaderError(self.node.leadership().address)
         return super().answer(verb, args)
 
     def has_scope(self, table: str, scope: str) -> bool:
-        """Returns True: a voter has all that is published."""
+        """Returns True; a voter holds all publications."""
         return True
 
     @property
     def view(self) -> View:
-        """What is published."""
+        """The published configuration."""
         return self.publications.view
 
     def age_ms(self) -> float:
-        """Returns how long ago the view was known to be current."""
+        """Returns the time in ms since the view was last known to be current."""
         return self.source.age_ms(self.timer.now())
 
     def status(self) -> dict[str, Any]:
-        """Returns what operators are told."""
+        """Returns the status that operators request."""
         members = self.node.state.members.values()
         names = [member.name for member in members if member.process_id and not member.voter]
         return self.source.status(self.timer.now(), names)
