--- a/pumicenotch/net/agent.py
+++ b/pumicenotch/net/agent.py
@@ -98,7 +98,7 @@
             case effects.RestartAgent():
                 self.restart_as_installed_version()
             case effects.ConfirmVersions(slots):
-                self.record_good_versions(slots)
+                self.record_working_versions(slots)
             case effects.Log(text):
                 logger.info("agent: {}", text)
             case _:
@@ -142,10 +142,12 @@
         attempts = {"tries": 0} if slot == AGENT_SLOT else {}
         self.put("swapped", slot, self.save(runs={**self.disk.runs, slot: version}, **attempts))
 
-    def record_good_versions(self, slots: Collection[str]) -> None:
+    def record_working_versions(self, slots: Collection[str]) -> None:
         """Records the versions in the slots as working, and removes unused versions."""
-        good_versions = {slot: version for slot, version in self.disk.runs.items() if slot in slots}
-        self.save(good={**self.disk.good, **good_versions}, tries=0, trouble="")
+        working_versions = {
+            slot: version for slot, version in self.disk.runs.items() if slot in slots
+        }
+        self.save(good={**self.disk.good, **working_versions}, tries=0, trouble="")
         self.remove_unused_versions()
 
     def remove_unused_versions(self) -> None:
--- a/pumicenotch/net/connection.py
+++ b/pumicenotch/net/connection.py
@@ -14,17 +14,19 @@
 
 from pumicenotch.net.outbox import Outbox
 
+# Errors of a connection that the peer closed or reset.
 LOST_ERRORS = (
     OSError,
     anyio.BrokenResourceError,
     anyio.ClosedResourceError,
-)  # Errors of a connection that the peer closed or reset.
+)
+# No descriptor is available, or no memory for one.
 EXHAUSTED_ERRNOS = (
     errno.EMFILE,
     errno.ENFILE,
     errno.ENOBUFS,
     errno.ENOMEM,
-)  # No descriptor is available, or no memory for one.
+)
 MAX_READ_BYTES = 64 * 1024  # Bytes passed to the reader of a dialed connection at once.
 # Limit of one receive. It exceeds uvloop's buffer of 256,000 bytes, so that no received bytes stay
 # in anyio's queue, where a close would not see them.
--- a/pumicenotch/net/dialer.py
+++ b/pumicenotch/net/dialer.py
@@ -35,9 +35,8 @@
     """The encoders, the reader factory and the write limit for connections to one party."""
 
     encoders: Encoders
-    make_reader: Callable[
-        [Deliver, str], Reader
-    ]  # Arguments: the receiver of the reader's events and the connection's name.
+    # Arguments: the receiver of the reader's events and the connection's name.
+    make_reader: Callable[[Deliver, str], Reader]
     max_unread_bytes: int  # Bytes that the party may leave unread.
 
 
--- a/pumicenotch/net/outbox.py
+++ b/pumicenotch/net/outbox.py
@@ -10,9 +10,8 @@
 from anyio.abc import ByteStream
 from loguru import logger
 
-CLOSE_TIMEOUT_S = (
-    2.0  # Time after a close to write the remaining data and for the peer to close its side.
-)
+# Time after a close to write the remaining data and for the peer to close its side.
+CLOSE_TIMEOUT_S = 2.0
 # Interval between checks for undelivered input. The check uses a timer instead of a turn of the
 # event loop: timer callbacks run after the callbacks of earlier reads, so that received bytes are
 # either with the reader or still in the kernel.
--- a/tests/net/parties.py
+++ b/tests/net/parties.py
@@ -1,4 +1,7 @@
-"""Stand-ins for the parties that the program talks to: blocking sockets on loopback, waits with a bound."""
+"""Stand-ins for gateways, worker pool, database and registry, and a runner for the program.
+
+The stand-ins use blocking sockets on loopback; every wait has a timeout.
+"""
 
 import json
 import os
@@ -18,9 +21,11 @@
 
 from tests.request_ids import rid, short
 
-POLL_PATIENCE_S = 1.0  # of a server, until it replaces a link on which no poll is answered
-LISTENERS: dict[Any, socket.socket] = {}  # of parties, by their addresses
-WAIT_S = 20.0  # far above what anything here takes: reached only where something is wrong
+# A server replaces a pool connection on which no poll is answered for this time.
+POLL_TIMEOUT_S = 1.0
+LISTENERS: dict[Any, socket.socket] = {}  # Listening sockets of the parties, by address.
+# Timeout of all waits, well above the duration of any step; reached only on a failure.
+WAIT_S = 20.0
 SETTINGS = {
     "classes": [
         {"name": "read", "target": 4_000_000, "deadline": 8_000_000, "effect": "repeatable"},
@@ -42,7 +47,7 @@
 
 
 class Peer:
-    """One accepted or dialled connection."""
+    """One accepted or dialed connection."""
 
     def __init__(self, sock: socket.socket) -> None:
         sock.settimeout(WAIT_S)
@@ -58,15 +63,15 @@
         self.file.close()
         self.sock.close()
 
-    def ended(self) -> bool:
-        """Waits for the other side to close."""
+    def is_closed_by_peer(self) -> bool:
+        """Waits for the other side to close the connection, by a shutdown or a reset."""
         try:
             return self.sock.recv(1) == b""
         except ConnectionResetError:
             return True
 
-    def closed_cleanly(self) -> bool:
-        """Waits for the other side to end its writing; a reset is none."""
+    def is_shut_down_by_peer(self) -> bool:
+        """Waits for the other side to end the connection; returns False if it is reset."""
         try:
             return self.sock.recv(1) == b""
         except ConnectionResetError:
@@ -74,7 +79,7 @@
 
 
 class Party:
-    """A listening address that accepts when it is told to."""
+    """A listening socket whose connections the test accepts one by one."""
 
     def __init__(self, address: str = "127.0.0.1:0") -> None:
         host, _, port = address.rpartition(":")
@@ -88,8 +93,11 @@
 
 
 class Pool(Peer):
-    """One link of a pool. A server replaces it where no poll is answered for a second: a stand-in that stood
-    still for so long itself takes the new link, as a pool does. The end of any other link fails the test.
+    """One connection of a worker pool.
+
+    A server replaces the connection if no poll is answered for a second. A stand-in that was itself
+    stalled for that long accepts the new connection, as a pool does. Any other end of the connection
+    fails the test.
     """
 
     serial = 0
@@ -97,76 +105,76 @@
     def __init__(self, sock: socket.socket) -> None:
         super().__init__(sock)
         self.address = sock.getsockname()
-        self.attended_at = time.monotonic()
-        self.excused_until = 0.0  # it has stood still: its server replaces the link
-        self.notices: list[dict[str, Any]] = []  # of this link, for the next one
+        self.last_activity_at_s = time.monotonic()
+        # After a stall, the server may replace the connection until this time.
+        self.replacement_expected_until_s = 0.0
+        self.notices: list[dict[str, Any]] = []  # Sent again on a replacing connection.
         self.spawned: list[str] = []
-        self.running_already: set[str] = (
-            set()
-        )  # as a new link came: asked for again, nothing happens
+        # Runs started on a previous connection; repeated start commands are ignored.
+        self.known_runs: set[str] = set()
 
     def line(self) -> bytes:
-        self.note_attendance()
+        self.record_activity()
         try:
             line = super().line()
         except ConnectionResetError:
             line = b""
-        self.attended_at = time.monotonic()
+        self.last_activity_at_s = time.monotonic()
         return line
 
     def send(self, data: bytes) -> None:
-        self.note_attendance()
+        self.record_activity()
         try:
             super().send(data)
         except (BrokenPipeError, ConnectionResetError):
-            if not self.is_excused():
+            if not self.is_replacement_expected():
                 raise
 
-    def note_attendance(self) -> None:
+    def record_activity(self) -> None:
         now = time.monotonic()
-        if now - self.attended_at > POLL_PATIENCE_S:
-            self.excused_until = now + 2 * POLL_PATIENCE_S
-        self.attended_at = now
+        if now - self.last_activity_at_s > POLL_TIMEOUT_S:
+            self.replacement_expected_until_s = now + 2 * POLL_TIMEOUT_S
+        self.last_activity_at_s = now
 
-    def is_excused(self) -> bool:
-        """It stood still for longer than a server waits for an answered poll, and just now."""
-        return time.monotonic() < self.excused_until
+    def is_replacement_expected(self) -> bool:
+        """Returns whether the stand-in was recently stalled for longer than the poll timeout."""
+        return time.monotonic() < self.replacement_expected_until_s
 
-    def take_new_link(self) -> None:
-        """Accepts the link that replaces this one, is bound anew and sends the missed notices again."""
+    def accept_replacement(self) -> None:
+        """Accepts the connection that replaces this one, binds it and repeats missed notices."""
         with socket.socket(fileno=os.dup(LISTENERS[self.address].fileno())) as listener:
             listener.settimeout(WAIT_S)
             sock, _ = listener.accept()
         self.close()
         Peer.__init__(self, sock)
-        self.excused_until = 0.0
-        self.attended_at = time.monotonic()
-        self.running_already = set(self.spawned)
-        last = self.command("bind")["serial"]
+        self.replacement_expected_until_s = 0.0
+        self.last_activity_at_s = time.monotonic()
+        self.known_runs = set(self.spawned)
+        last_serial = self.command("bind")["serial"]
         self.say("bound", how="running", duration=50000)
         for notice in self.notices:
-            if notice["serial"] > last:
+            if notice["serial"] > last_serial:
                 self.say(**notice)
 
-    def command(self, *wanted: str) -> dict[str, Any]:
-        """The next command of those; every poll on the way is answered."""
+    def command(self, *kinds: str) -> dict[str, Any]:
+        """Returns the next command of the given kinds; polls in between are answered."""
         while True:
             if not (line := self.line()):
-                if not self.is_excused():
+                if not self.is_replacement_expected():
                     break
-                self.take_new_link()
+                self.accept_replacement()
                 continue
-            said: dict[str, Any] = json.loads(line)
-            if said["msg"] == "poll":
-                self.say("polled", cookie=said["cookie"], stats=[0.1, 0.0])
-            if said["msg"] == "spawn":
-                if said["call"] in self.running_already:
+            message: dict[str, Any] = json.loads(line)
+            if message["msg"] == "poll":
+                self.say("polled", cookie=message["cookie"], stats=[0.1, 0.0])
+            if message["msg"] == "spawn":
+                if message["call"] in self.known_runs:
                     continue
-                self.spawned.append(said["call"])
-            if said["msg"] in wanted:
-                if "call" in said:
-                    said["call"] = short(said["call"])
-                return said
+                self.spawned.append(message["call"])
+            if message["msg"] in kinds:
+                if "call" in message:
+                    message["call"] = short(message["call"])
+                return message
         raise AssertionError("the pool's link ended")
 
     def say(self, msg: str, **fields: Any) -> None:
@@ -189,7 +197,9 @@
         super().__init__(socket.create_connection((host, int(port)), timeout=WAIT_S))
         self.unpacker = msgpack.Unpacker(raw=False)
 
-    def task(self, message: int, name: str, body: bytes, stage: str = "read", **more: str) -> None:
+    def task(
+        self, message_id: int, name: str, body: bytes, stage: str = "read", **more: str
+    ) -> None:
         fields = {
             "rid": rid(name),
             "t0": str(int(time.time() * 1000)),
@@ -198,7 +208,7 @@
             "mem": "2.5",
             "prio": "0.25",
         }
-        self.send(msgpack.packb([0, message, stage, [fields | more, body]]))
+        self.send(msgpack.packb([0, message_id, stage, [fields | more, body]]))
 
     def answer(self) -> Any:
         while True:
@@ -216,11 +226,11 @@
 
 
 class Program:
-    """The program in a process of its own, with a stand-in for each of the others."""
+    """The program in a child process, with stand-ins for the worker pool, database and registry."""
 
     def __init__(self, path: Path, listen: str = "127.0.0.1:0", **changes: Any) -> None:
         self.pool, self.db, self.registry = Party(), Party(), Party()
-        told = {
+        default_values = {
             "name": "n3",
             "listen": listen,
             "pool": self.pool.address,
@@ -231,10 +241,10 @@
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 64},
             "settings": SETTINGS,
         }
-        self.told, self.config = {**told, **changes}, path / "config.json"
-        self.config.write_text(json.dumps(self.told))
+        self.start_values, self.config_path = {**default_values, **changes}, path / "config.json"
+        self.config_path.write_text(json.dumps(self.start_values))
         command = [sys.executable, "-m", "pumicenotch"]
-        environment = {**os.environ, "LB_CONFIG": str(self.config)}
+        environment = {**os.environ, "LB_CONFIG": str(self.config_path)}
         self.process = subprocess.Popen(command, stderr=subprocess.PIPE, text=True, env=environment)
         self.log: list[str] = []
         Pool.serial = 0
@@ -250,7 +260,7 @@
             party.sock.close()
 
     def logged(self, pattern: str) -> str:
-        """Reads the log to the first line that fits, and returns what the pattern catches."""
+        """Reads the log up to the first line that matches; returns the first group of the match."""
         assert self.process.stderr is not None
         for line in self.process.stderr:
             self.log.append(line)
@@ -259,9 +269,9 @@
         raise AssertionError(f"no {pattern} in {self.log}")
 
     def bind(self, **replayed: bytes) -> Pool:
-        """A new link to the pool, on which the runs of those tasks turn out to have ended."""
+        """Accepts and binds a pool connection, and reports the given runs as finished on it."""
         pool = Pool(self.pool.accept().sock)
-        self.bound_with = pool.command("bind")["serial"]
+        self.bound_serial = pool.command("bind")["serial"]
         pool.say("bound", how="running", duration=50000)
         for call, result in replayed.items():
             pool.finish(call, result)
@@ -269,14 +279,16 @@
         return pool
 
     def reload(self, text: str | None = None, **changes: Any) -> str:
-        """Puts that in the configuration file, has it read, and returns what the log says of it."""
-        self.config.write_text(json.dumps({**self.told, **changes}) if text is None else text)
+        """Writes the configuration file, requests a reload and returns the next log line on it."""
+        self.config_path.write_text(
+            json.dumps({**self.start_values, **changes}) if text is None else text
+        )
         self.process.send_signal(signal.SIGHUP)
         return self.logged("(reload.*)")
 
     @contextmanager
-    def held(self) -> Iterator[None]:
-        """The process stands still meanwhile: what is put in place is all there in one turn of its loop."""
+    def suspended(self) -> Iterator[None]:
+        """Stops the process, so that all events of the block arrive in one turn of its loop."""
         self.process.send_signal(signal.SIGSTOP)
         os.waitid(os.P_PID, self.process.pid, os.WSTOPPED)
         try:
@@ -285,7 +297,7 @@
             self.process.send_signal(signal.SIGCONT)
 
     def end(self) -> tuple[int, str]:
-        """Asks it to end, and returns its exit status and its last counters."""
+        """Requests the shutdown; returns the exit status and the last counters."""
         self.process.send_signal(signal.SIGTERM)
         counters = self.logged("counters: (.*)")
         return self.process.wait(WAIT_S), counters
--- a/tests/net/test_configuration.py
+++ b/tests/net/test_configuration.py
@@ -1,4 +1,4 @@
-"""The distribution's carrier, by messages as a peer may send them."""
+"""Tests of the distribution service with malformed messages from peers."""
 
 from types import SimpleNamespace
 from typing import Any, cast
@@ -15,8 +15,8 @@
 @pytest.mark.parametrize(
     "payload", [None, 7, [], [["delta"]], [{}, 1], [None], ["no-kind"], ["delta"]]
 )
-def test_what_is_no_message_is_counted_and_raises_nothing(payload: Any) -> None:
-    """Guards against a message whose kind cannot be looked up ending its connection."""
+def test_malformed_message_is_counted_and_raises_nothing(payload: Any) -> None:
+    """Guards against a message with an unhashable kind ending its connection."""
     problems: list[str] = []
     me = MemberIdentity("n0", "127.0.0.1:1", "p", 0, "z", "r")
     hub = SimpleNamespace(
--- a/tests/net/test_fleet_member.py
+++ b/tests/net/test_fleet_member.py
@@ -1,4 +1,4 @@
-"""What a server reports to its node of its own work."""
+"""Tests of the overload reports of a server to its node, and of its connection limit."""
 
 from pumicenotch.distribution.instance_settings import InstanceSettings
 from pumicenotch.net.fleet_member import (
--- a/tests/net/test_instance_file.py
+++ b/tests/net/test_instance_file.py
@@ -1,4 +1,4 @@
-"""The file of ours in a running server: taken whole or not at all, beside whatever else goes on."""
+"""Tests of reloads of the instance file: a file is applied completely or not at all."""
 
 from pathlib import Path
 
@@ -6,7 +6,7 @@
 
 from tests.net.parties import Gateway, Program, result
 
-GOOD = (
+VALID_FILE = (
     'pool "cheap" {\n  stages  = ["read"]\n  reserve = 0.5\n}\npool "rest" {\n  stages = ["*"]\n}\n'
 )
 
@@ -15,7 +15,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     file = tmp_path / "ours.hcl"
-    file.write_text(GOOD)
+    file.write_text(VALID_FILE)
     monkeypatch.setenv("PUMICENOTCH_CONFIG", str(file))
     with Program(tmp_path) as program:
         pool = program.bind()
@@ -24,14 +24,14 @@
         assert pool.command("spawn")["call"] == "aa"
         pool.finish("aa", b"done")
         assert result(gateway.answer()) == b"done"
-        file.write_text(GOOD.replace("reserve", "reserv"))
-        told = program.reload()
-        assert "ours.hcl:3: pool.reserv: unknown attribute; did you mean reserve?" in told
-        assert "the running values stay in force" in told
+        file.write_text(VALID_FILE.replace("reserve", "reserv"))
+        log_line = program.reload()
+        assert "ours.hcl:3: pool.reserv: unknown attribute; did you mean reserve?" in log_line
+        assert "the running values stay in force" in log_line
         file.write_text("# nothing\n")
         program.reload()
         assert "pools are off" in program.logged("(reload.*)")
-        file.write_text(GOOD)
+        file.write_text(VALID_FILE)
         program.reload()
         assert "class pools of the file are in force" in program.logged("(reload.*)")
         status, counters = program.end()
--- a/tests/net/test_outbound_peers.py
+++ b/tests/net/test_outbound_peers.py
@@ -1,4 +1,4 @@
-"""Connections that a process dials to others: queued, probed, evicted and closed when idle."""
+"""Tests of dialed peer connections: queueing, probes, eviction and closing when idle."""
 
 from collections import Counter
 from types import SimpleNamespace
@@ -21,8 +21,8 @@
 HELLO = Hello("accra", "s1", "1", "10.0.0.1:7000")
 
 
-class RecordedHub:
-    """Stands in for the hub: a clock that is set, and what is written, closed and counted."""
+class RecordingHub:
+    """Stands in for the hub: has a manual clock and records writes, closes and problems."""
 
     def __init__(self) -> None:
         self.now_ms = 10_000.0
@@ -44,10 +44,10 @@
         self.problems.append(counter)
 
 
-class RecordedPeers(OutboundPeers):
-    """Keeps whom it would dial."""
+class RecordingPeers(OutboundPeers):
+    """Records the addresses to dial instead of dialing them."""
 
-    def __init__(self, hub: RecordedHub, max_connections: int) -> None:
+    def __init__(self, hub: RecordingHub, max_connections: int) -> None:
         super().__init__(hub, None, max_connections)  # type: ignore[arg-type]
         self.dialed: list[str] = []
 
@@ -56,26 +56,26 @@
 
 
 @pytest.fixture
-def hub() -> RecordedHub:
-    return RecordedHub()
+def hub() -> RecordingHub:
+    return RecordingHub()
 
 
 @pytest.fixture
-def peers(hub: RecordedHub) -> RecordedPeers:
-    return RecordedPeers(hub, max_connections=2)
+def peers(hub: RecordingHub) -> RecordingPeers:
+    return RecordingPeers(hub, max_connections=2)
 
 
 def notice(number: int) -> Notice:
     return Notice("members", [number])
 
 
-def connect(peers: RecordedPeers, address: str = ADDRESS) -> None:
+def connect(peers: RecordingPeers, address: str = ADDRESS) -> None:
     peers.send(address, notice(0))
     peers.on_up(f"peer-{address}")
 
 
 def test_hello_goes_first_and_what_was_queued_in_order(
-    hub: RecordedHub, peers: RecordedPeers
+    hub: RecordingHub, peers: RecordingPeers
 ) -> None:
     peers.send(ADDRESS, notice(1))
     peers.send(ADDRESS, notice(2))
@@ -85,7 +85,7 @@
 
 
 def test_queue_of_a_connection_being_dialled_is_bounded(
-    hub: RecordedHub, peers: RecordedPeers
+    hub: RecordingHub, peers: RecordingPeers
 ) -> None:
     for number in range(MAX_QUEUED_MESSAGES + 5):
         peers.send(ADDRESS, notice(number))
@@ -94,7 +94,7 @@
 
 
 def test_refused_dial_loses_the_queue_and_is_repeated_only_after_a_delay(
-    hub: RecordedHub, peers: RecordedPeers
+    hub: RecordingHub, peers: RecordingPeers
 ) -> None:
     peers.send(ADDRESS, notice(1))
     peers.on_down(CONNECTION)
@@ -110,7 +110,7 @@
 
 
 def test_connection_in_use_is_probed_once_until_it_answers(
-    hub: RecordedHub, peers: RecordedPeers
+    hub: RecordingHub, peers: RecordingPeers
 ) -> None:
     connect(peers)
     hub.now_ms += PROBE_INTERVAL_MS + 1.0
@@ -123,8 +123,8 @@
     assert [message for _, message in hub.written].count(PROBE) == 2
 
 
-def test_connection_that_answers_no_probe_is_cut_and_dialled_anew(
-    hub: RecordedHub, peers: RecordedPeers
+def test_connection_without_probe_response_is_closed_and_dialed_again(
+    hub: RecordingHub, peers: RecordingPeers
 ) -> None:
     connect(peers)
     hub.now_ms += PROBE_INTERVAL_MS + 1.0
@@ -142,7 +142,9 @@
     assert [message for _, message in hub.written[len(written) :]] == [HELLO, notice(3)]
 
 
-def test_least_recently_used_connection_makes_room(hub: RecordedHub, peers: RecordedPeers) -> None:
+def test_least_recently_used_connection_makes_room(
+    hub: RecordingHub, peers: RecordingPeers
+) -> None:
     connect(peers, "a:1")
     hub.now_ms += 1.0
     connect(peers, "b:1")
@@ -155,7 +157,7 @@
 
 
 def test_idle_connection_is_closed_and_one_in_use_is_not(
-    hub: RecordedHub, peers: RecordedPeers
+    hub: RecordingHub, peers: RecordingPeers
 ) -> None:
     connect(peers, "a:1")
     connect(peers, "b:1")
--- a/tests/net/test_outbox.py
+++ b/tests/net/test_outbox.py
@@ -1,4 +1,4 @@
-"""What keeps bounded that peers leave unread, without sockets."""
+"""Tests of the limit on bytes that a peer leaves unread, without sockets."""
 
 import anyio
 import pytest
@@ -11,7 +11,7 @@
 def test_unread_outbox_reports_it_and_ends_soon_after_its_close(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    class Stuck(ByteStream):
+    class StalledStream(ByteStream):
         async def send(self, item: bytes) -> None:
             await anyio.sleep_forever()
 
@@ -22,19 +22,24 @@
 
         async def aclose(self) -> None: ...
 
-    async def play() -> None:
-        written = Outbox({int: bytes}, 1000)
-        assert written.put(900)
+    async def exceed_limit() -> None:
+        unread_outbox = Outbox({int: bytes}, 1000)
+        assert unread_outbox.put(900)
 
-        async def talk() -> None:
-            assert not written.put(200)
-            written.close()
+        async def handle_input() -> None:
+            assert not unread_outbox.put(200)
+            unread_outbox.close()
             await anyio.sleep_forever()
 
         with anyio.fail_after(20.0):
             async with anyio.create_task_group() as group:
-                assert await connection.run_connection(group, Stuck(), written, talk) is None
-                group.cancel_scope.cancel()  # the writer of a stream that does not know it was closed
+                assert (
+                    await connection.run_connection(
+                        group, StalledStream(), unread_outbox, handle_input
+                    )
+                    is None
+                )
+                group.cancel_scope.cancel()  # Ends the writer, as this stream ignores its close.
 
     monkeypatch.setattr(outbox, "CLOSE_TIMEOUT_S", 0.01)
-    anyio.run(play)
+    anyio.run(exceed_limit)
--- a/tests/net/test_partial_input.py
+++ b/tests/net/test_partial_input.py
@@ -1,4 +1,4 @@
-"""Readers and writers cut at every byte offset, without sockets where none is needed."""
+"""Tests of readers and writers with input and output split at every byte offset."""
 
 import json
 import socket
@@ -16,11 +16,11 @@
 from tests.request_ids import rid
 
 FIELDS = {"rid": rid("aa"), "t0": "1", "peer": "1", "acct": "acme", "mem": "2.5", "prio": "0.25"}
-TASK = msgpack.packb([0, 1, "read", [FIELDS, b"body"]])
-GATEWAY = TASK + msgpack.packb([2, "cancelRequest", [1]]) + msgpack.packb([0, 2, "alive", [{}]])
+REQUEST = msgpack.packb([0, 1, "read", [FIELDS, b"body"]])
+GATEWAY = REQUEST + msgpack.packb([2, "cancelRequest", [1]]) + msgpack.packb([0, 2, "alive", [{}]])
 POOL = b"".join(
-    json.dumps({"call": rid("aa"), **said}).encode() + b"\n"
-    for said in (
+    json.dumps({"call": rid("aa"), **message}).encode() + b"\n"
+    for message in (
         {"msg": "blocked", "serial": 1, "blob": "cQ=="},
         {"msg": "finished", "serial": 2, "how": "fine", "duration": 5, "blob": "eA=="},
         {"msg": "chatter", "serial": 3, "how": "x"},
@@ -29,16 +29,16 @@
 DATABASE = b"%b ROWS 4\r\n\r\n\r\n\r\n%b FULL\r\n%b ROWS 0\r\n\r\n" % (3 * (rid("aa").encode(),))
 
 
-class Noted:
-    """Stands for the hub: what is put."""
+class RecordingHub:
+    """Stands in for the hub and records the delivered events."""
 
     def __init__(self) -> None:
-        self.made: list[object] = []
+        self.events: list[object] = []
         self.clock = Clock()
         self.clock.unix_offset = lambda: 0.0  # type: ignore[method-assign]
 
     def deliver(self, event: object) -> None:
-        self.made.append(event)
+        self.events.append(event)
 
 
 def readers() -> list[tuple[bytes, Any]]:
@@ -49,52 +49,52 @@
     ]
 
 
-@pytest.mark.parametrize("which", [0, 1, 2], ids=["gateway", "pool", "database"])
-def test_reader_delivers_the_same_events_wherever_its_bytes_are_split(which: int) -> None:
-    data, reader = readers()[which]
-    whole = Noted()
-    reader(whole).feed(data)
-    assert len(whole.made) == 3
-    for at in range(len(data) + 1):
-        cut = Noted()
-        reading = reader(cut)
-        reading.feed(data[:at])
-        before = len(cut.made)
-        assert cut.made == whole.made[:before]
-        reading.feed(data[at:])
-        assert cut.made == whole.made, at
-    one_by_one = Noted()
-    reading = reader(one_by_one)
+@pytest.mark.parametrize("reader_index", [0, 1, 2], ids=["gateway", "pool", "database"])
+def test_reader_delivers_the_same_events_wherever_its_bytes_are_split(reader_index: int) -> None:
+    data, reader = readers()[reader_index]
+    expected = RecordingHub()
+    reader(expected).feed(data)
+    assert len(expected.events) == 3
+    for offset in range(len(data) + 1):
+        split = RecordingHub()
+        decoder = reader(split)
+        decoder.feed(data[:offset])
+        before = len(split.events)
+        assert split.events == expected.events[:before]
+        decoder.feed(data[offset:])
+        assert split.events == expected.events, offset
+    one_by_one = RecordingHub()
+    decoder = reader(one_by_one)
     for byte in data:
-        reading.feed(bytes([byte]))
-    assert one_by_one.made == whole.made
+        decoder.feed(bytes([byte]))
+    assert one_by_one.events == expected.events
 
 
-@pytest.mark.parametrize("which", [0, 1, 2], ids=["gateway", "pool", "database"])
-def test_truncated_bytes_deliver_only_complete_messages(which: int) -> None:
-    """Each prefix, then the end: what comes of it is a prefix of what the whole brings."""
-    data, reader = readers()[which]
-    whole = Noted()
-    reader(whole).feed(data)
+@pytest.mark.parametrize("reader_index", [0, 1, 2], ids=["gateway", "pool", "database"])
+def test_truncated_bytes_deliver_only_complete_messages(reader_index: int) -> None:
+    """The events of each prefix of the input are a prefix of the events of the whole input."""
+    data, reader = readers()[reader_index]
+    expected = RecordingHub()
+    reader(expected).feed(data)
     counts = []
-    for at in range(len(data) + 1):
-        cut = Noted()
-        reader(cut).feed(data[:at])
-        assert cut.made == whole.made[: len(cut.made)]
-        counts.append(len(cut.made))
+    for offset in range(len(data) + 1):
+        split = RecordingHub()
+        reader(split).feed(data[:offset])
+        assert split.events == expected.events[: len(split.events)]
+        counts.append(len(split.events))
     assert counts == sorted(counts) and counts[-1] == 3
 
 
 def test_writer_cut_at_any_byte_sends_a_prefix() -> None:
-    """The peer is gone after so many bytes: what it has is a prefix of the frames, and the writing ends."""
+    """The connection breaks after a number of bytes: the peer has a prefix, and the writer ends."""
 
-    class Cut(ByteStream):
-        def __init__(self, most: int) -> None:
-            self.most, self.taken, self.closed = most, b"", False
+    class BreakingStream(ByteStream):
+        def __init__(self, byte_limit: int) -> None:
+            self.byte_limit, self.received, self.closed = byte_limit, b"", False
 
         async def send(self, item: bytes) -> None:
-            self.taken += item[: self.most - len(self.taken)]
-            if len(self.taken) == self.most:
+            self.received += item[: self.byte_limit - len(self.received)]
+            if len(self.received) == self.byte_limit:
                 raise anyio.BrokenResourceError
 
         async def receive(self, max_bytes: int = 1) -> bytes:
@@ -105,52 +105,55 @@
         async def aclose(self) -> None:
             self.closed = True
 
-    async def play(most: int) -> bytes:
-        written, stream = Outbox(gateways.ENCODERS, 100_000), Cut(most)
+    async def write(byte_limit: int) -> bytes:
+        written, stream = Outbox(gateways.ENCODERS, 100_000), BreakingStream(byte_limit)
         for message in (1, 2, 3):
             written.put(RequestServed(message, 0.5, b"result"))
         written.close()
         with anyio.fail_after(20.0):
             await written.write_to(stream)
         assert written.ended.is_set() and stream.closed
-        return stream.taken
+        return stream.received
 
-    whole = b"".join(
+    expected = b"".join(
         gateways.encode_served(RequestServed(message, 0.5, b"result")) for message in (1, 2, 3)
     )
-    for most in range(1, len(whole) + 1):
-        assert anyio.run(play, most) == whole[:most]
+    for byte_limit in range(1, len(expected) + 1):
+        assert anyio.run(write, byte_limit) == expected[:byte_limit]
 
 
 def test_stall_between_two_clocks_makes_a_request_look_older(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Both clocks jump by a second as either is read for the n-th time."""
-    for jump in range(1, 6):
+    """Both clocks jump by one second after the n-th reading of either clock."""
+    for reads_before_jump in range(1, 6):
         reads = 0
 
-        def reading(base: float, jump: int = jump) -> float:
+        def read_clock(base: float, reads_before_jump: int = reads_before_jump) -> float:
             nonlocal reads
             reads += 1
-            return base + (1.0 if reads > jump else 0.0)
+            return base + (1.0 if reads > reads_before_jump else 0.0)
 
-        monkeypatch.setattr("time.monotonic", lambda: reading(100.0))
-        monkeypatch.setattr("time.time", lambda: reading(5000.0))
+        monkeypatch.setattr("time.monotonic", lambda: read_clock(100.0))
+        monkeypatch.setattr("time.time", lambda: read_clock(5000.0))
         clock = Clock()
-        ahead = clock.unix_offset()
+        offset_ms = clock.unix_offset()
         now = clock.now()
-        assert now + ahead >= (5000.0 + (1.0 if reads > jump else 0.0)) * 1000.0 - 1e-6
+        assert (
+            now + offset_ms
+            >= (5000.0 + (1.0 if reads > reads_before_jump else 0.0)) * 1000.0 - 1e-6
+        )
         reads = 0
 
 
 def test_input_that_waits_in_the_kernel_is_unread() -> None:
-    here, there = socket.socketpair()
-    assert not outbox.has_unread_input(here)
-    there.send(b"x")
-    assert outbox.has_unread_input(here)
-    here.recv(1)
-    assert not outbox.has_unread_input(here)
-    there.close()
-    assert outbox.has_unread_input(here)  # its end is news too
-    here.close()
-    assert not outbox.has_unread_input(here)
+    local, remote = socket.socketpair()
+    assert not outbox.has_unread_input(local)
+    remote.send(b"x")
+    assert outbox.has_unread_input(local)
+    local.recv(1)
+    assert not outbox.has_unread_input(local)
+    remote.close()
+    assert outbox.has_unread_input(local)  # The end of the stream counts as unread.
+    local.close()
+    assert not outbox.has_unread_input(local)
--- a/tests/net/test_protocols.py
+++ b/tests/net/test_protocols.py
@@ -1,4 +1,4 @@
-"""The program over loopback, against stand-ins that keep to the protocols."""
+"""Tests of the program over loopback with stand-ins that speak the protocols."""
 
 import os
 import signal
@@ -14,34 +14,38 @@
 from tests.net.parties import Gateway, Party, Program, blob, result
 from tests.request_ids import rid
 
-FINE = '{"listen": "127.0.0.1:0", "pool": "127.0.0.1:1", '
-CLASSES = '"stop_ms": 900, "settings": {"classes": [{%s}]}}'
-ONE = '"settings": {"classes": [{"name": "x", "deadline": 9}]}'
+VALID_ADDRESSES = '{"listen": "127.0.0.1:0", "pool": "127.0.0.1:1", '
+CLASSES_TEMPLATE = '"stop_ms": 900, "settings": {"classes": [{%s}]}}'
+ONE_CLASS = '"settings": {"classes": [{"name": "x", "deadline": 9}]}'
 BODIES = [b"", bytes(range(256)) * 8, b"\r\n\x00{}"]
 
 
 def test_request_with_its_dependency_call_byte_for_byte(tmp_path: Path) -> None:
     with Program(tmp_path) as program:
         pool, gateway = program.bind(), Gateway(program.address)
-        assert program.bound_with == 0
+        assert program.bound_serial == 0
         db = None
-        for at, body in enumerate(BODIES, 1):
-            gateway.task(at, f"aa{at}", body)
+        for index, body in enumerate(BODIES, 1):
+            gateway.task(index, f"aa{index}", body)
             spawn = pool.command("spawn")
-            assert (spawn["call"], spawn["service"], blob(spawn)) == (f"aa{at}", "read", body)
-            pool.notice("blocked", call=f"aa{at}", blob=spawn["blob"])
+            assert (spawn["call"], spawn["service"], blob(spawn)) == (f"aa{index}", "read", body)
+            pool.notice("blocked", call=f"aa{index}", blob=spawn["blob"])
             db = db or program.db.accept()
             head, name, ms, length = db.line().split()
-            assert (head, name, int(length)) == (b"Q", rid(f"aa{at}").encode(), len(body))
+            assert (head, name, int(length)) == (b"Q", rid(f"aa{index}").encode(), len(body))
             assert 0 < int(ms) <= 8000
             assert db.file.read(len(body) + 2) == body + b"\r\n"
             reply = b"%b ROWS %d\r\n%b\r\n" % (name, 2 * len(body), 2 * body)
-            db.send(reply[:7])  # a reply may come in pieces
+            db.send(reply[:7])  # A reply may arrive in parts.
             db.send(reply[7:])
             assert blob(pool.command("supply")) == 2 * body
-            pool.finish(f"aa{at}", 2 * body)
+            pool.finish(f"aa{index}", 2 * body)
             answer = gateway.answer()
-            assert (answer[:2], result(answer), set(answer[3][1])) == ([1, at], 2 * body, {"hint"})
+            assert (answer[:2], result(answer), set(answer[3][1])) == (
+                [1, index],
+                2 * body,
+                {"hint"},
+            )
         program.process.send_signal(signal.SIGUSR1)
         assert "answered_served=3" in program.logged("counters: (.*)")
 
@@ -83,7 +87,7 @@
         gateway.task(3, "late", b"", t0="1000000000000")
         assert gateway.answer()[2][0] == "TryLater"
         gateway.task(4, "bad", b"", acct="nobody")
-        gateway.send(msgpack.packb([2, "news", [1]]))  # an unknown notification is skipped
+        gateway.send(msgpack.packb([2, "news", [1]]))  # Unknown notifications are skipped.
         assert gateway.answer()[2] == ["Failed", {"hint": "1.0000"}]
         gateway.task(5, "gone", b"")
         assert pool.command("spawn")["call"] == "gone"
@@ -116,11 +120,12 @@
         assert pool.command("spawn")["call"] == "other"
         pool.finish("other", b"x")
         assert result(good.answer()) == b"x"
-        assert bad.answer()[2][0] == "Failed"  # what it sends cannot be told apart any more
-        assert bad.ended()
+        # Message boundaries are lost after an invalid message, so earlier requests fail.
+        assert bad.answer()[2][0] == "Failed"
+        assert bad.is_closed_by_peer()
 
 
-def test_half_a_frame_before_an_end_or_a_reset_does_no_harm(tmp_path: Path) -> None:
+def test_partial_frame_before_a_shutdown_or_reset_is_ignored(tmp_path: Path) -> None:
     with Program(tmp_path) as program:
         pool, half, cut = program.bind(), Gateway(program.address), Gateway(program.address)
         for number, gateway in enumerate((half, cut), 1):
@@ -132,7 +137,7 @@
         cut.close()
         pool.finish("aa1", b"owed")
         assert result(half.answer()) == b"owed"
-        assert half.ended()
+        assert half.is_closed_by_peer()
         pool.finish("aa2", b"nobody waits")
         _, counters = program.end()
         assert "answered_gone=1" in counters
@@ -142,8 +147,8 @@
 def test_pool_connection_that_breaks_in_mid_line_is_resumed(tmp_path: Path) -> None:
     with Program(tmp_path) as program:
         pool, gateway = program.bind(), Gateway(program.address)
-        for at in (1, 2, 3):
-            gateway.task(at, f"aa{at}", b"")
+        for index in (1, 2, 3):
+            gateway.task(index, f"aa{index}", b"")
             pool.command("spawn")
         pool.say("chatter", how="no serial")
         pool.say("unknown", how="poll", call=None)
@@ -154,18 +159,19 @@
         pool.close()
         gateway.task(4, "aa4", b"")
         again = program.bind(aa2=b"two")
-        assert program.bound_with == 1
+        assert program.bound_serial == 1
         assert result(gateway.answer()) == b"two"
         sent = [again.command("spawn")["call"]]
         while sent[-1] != "aa4":
             sent.append(again.command("spawn")["call"])
-        assert sent in (["aa4"], ["aa3", "aa4"])  # aa3 unless a poll proved that it arrived
+        # The start of aa3 is repeated unless a poll proved that the command had arrived.
+        assert sent in (["aa4"], ["aa3", "aa4"])
         again.finish("aa4", b"four")
         assert result(gateway.answer()) == b"four"
 
 
 @pytest.mark.parametrize(
-    "spoilt",
+    "corrupt",
     [
         b"zz FULL\r\n",
         b"ID ROWS 10\r\nhalf",
@@ -178,7 +184,7 @@
     ],
 )
 def test_corrupt_reply_closes_its_connection_and_an_idempotent_request_calls_again(
-    tmp_path: Path, spoilt: bytes
+    tmp_path: Path, corrupt: bytes
 ) -> None:
     name = rid("aa").encode()
     with Program(tmp_path) as program:
@@ -187,8 +193,8 @@
         pool.notice("blocked", call=pool.command("spawn")["call"], blob="cQ==")
         db = program.db.accept()
         assert db.line().startswith(b"Q %b " % name)
-        db.send(spoilt.replace(b"ID", name))
-        if spoilt.endswith(b"half"):
+        db.send(corrupt.replace(b"ID", name))
+        if corrupt.endswith(b"half"):
             db.close()
         again = program.db.accept()
         assert again.line().startswith(b"Q %b " % name)
@@ -215,13 +221,13 @@
         old_db = program.db.accept()
         assert old_db.line().startswith(b"Q ")
         assert "the running values stay in force" in program.reload('{"listen"')
-        said = program.reload(**{name: party.address for name, party in new.items()}, stop_ms=1)
-        assert "moved ['db', 'pool', 'registry']; not applied: stop_ms" in said
+        message = program.reload(**{name: party.address for name, party in new.items()}, stop_ms=1)
+        assert "moved ['db', 'pool', 'registry']; not applied: stop_ms" in message
         assert new["registry"].accept().line().startswith(b"PUT ")
         assert registry.file.read().count(b"PUT ") == 1
         program.pool = new["pool"]
         again = program.bind(bb=b"two")
-        assert program.bound_with == 1
+        assert program.bound_serial == 1
         assert result(gateway.answer()) == b"two"
         old_db.line()
         old_db.send(rid("aa").encode() + b" ROWS 1\r\nx\r\n")
@@ -234,17 +240,24 @@
 
 
 def test_reports_continue_whatever_the_registry_does(tmp_path: Path) -> None:
-    odd = b"HTTP/1.1 500 Odd\r\nContent-Length: 0\r\n\r\n"
-    switched, fine = b"HTTP/1.1 101 Odd\r\n\r\n", b"HTTP/1.1 204 Fine\r\n\r\n"
+    error_response = b"HTTP/1.1 500 Odd\r\nContent-Length: 0\r\n\r\n"
+    switching_response, success_response = b"HTTP/1.1 101 Odd\r\n\r\n", b"HTTP/1.1 204 Fine\r\n\r\n"
     with Program(tmp_path) as program:
-        for answer in (None, odd, switched, b"nonsense\r\n\r\n", b"", fine):
+        for answer in (
+            None,
+            error_response,
+            switching_response,
+            b"nonsense\r\n\r\n",
+            b"",
+            success_response,
+        ):
             peer = program.registry.accept()
             assert peer.line().startswith(b"PUT ")
             if answer:
                 peer.send(answer)
             elif answer is not None:
-                peer.close()  # and where there is none, it hangs
-        assert peer.file.read(1)  # the rest of the report; the next comes on the same connection
+                peer.close()  # For None, the connection stays open without a response.
+        assert peer.file.read(1)  # Rest of the report; the connection is reused.
         while b"PUT " not in peer.line():
             pass
 
@@ -256,10 +269,10 @@
         gateway.task(1, "aa", b"")
         address = program.address
         program.process.kill()
-        assert gateway.ended()
+        assert gateway.is_closed_by_peer()
     with Program(tmp_path, listen=address) as program:
         pool, gateway = program.bind(), Gateway(address)
-        assert program.bound_with == 0
+        assert program.bound_serial == 0
         gateway.task(1, "bb", b"")
         assert pool.command("spawn")["call"] == "bb"
 
@@ -279,87 +292,101 @@
         busy = Gateway(program.address)
         busy.task(1, "aa", b"")
         assert pool.command("spawn")["call"] == "aa"
-        many = [Gateway(program.address) for _ in range(60)]
-        assert all(
-            each.ended() for each in many[:44]
-        )  # 64 less those left for calls and the program itself
-        many[-1].task(1, "bb", b"")
+        idle_gateways = [Gateway(program.address) for _ in range(60)]
+        # 44 of the 60 are closed: 64 descriptors less those reserved for calls and the program.
+        assert all(gateway.is_closed_by_peer() for gateway in idle_gateways[:44])
+        idle_gateways[-1].task(1, "bb", b"")
         assert pool.command("spawn")["call"] == "bb"
         pool.finish("aa", b"x")
         assert result(busy.answer()) == b"x"
 
 
 @pytest.mark.parametrize(
-    ("change", "said"),
+    ("change", "message"),
     [
         ("{", "config.json"),
         ("[]", "missing start value listen"),
         ('{"listen": "here", "pool": "127.0.0.1:1"}', "malformed start value listen='here'"),
         ('{"listen": "127.0.0.1:0"}', "missing start value pool"),
-        (FINE + '"seed": "xyz"}', "malformed start value seed='xyz'"),
-        (FINE + '"settings": {"family-info": {"cores": "many"}}}', "family-info.cores='many'"),
+        (VALID_ADDRESSES + '"seed": "xyz"}', "malformed start value seed='xyz'"),
+        (
+            VALID_ADDRESSES + '"settings": {"family-info": {"cores": "many"}}}',
+            "family-info.cores='many'",
+        ),
         (
-            FINE + '"settings": {"classes": [{"name": "x"}]}}',
+            VALID_ADDRESSES + '"settings": {"classes": [{"name": "x"}]}}',
             "missing start value classes.0.deadline",
         ),
         (None, "LB_CONFIG is not set"),
-        (FINE + '"db": "127.0.0.1:70000"}', "malformed start value db='127.0.0.1:70000'"),
-        (FINE + ONE + "}", "missing start value stop_ms"),
-        (FINE + ONE + ', "stop_ms": -1}', "stop_ms=-1: out of range; give a value from 0"),
-        (FINE + ONE + ', "stop_ms": NaN}', "stop_ms=nan: out of range"),
         (
-            FINE + ONE + ', "stop_ms": 900, "limits": {"sockets": 7}}',
+            VALID_ADDRESSES + '"db": "127.0.0.1:70000"}',
+            "malformed start value db='127.0.0.1:70000'",
+        ),
+        (VALID_ADDRESSES + ONE_CLASS + "}", "missing start value stop_ms"),
+        (
+            VALID_ADDRESSES + ONE_CLASS + ', "stop_ms": -1}',
+            "stop_ms=-1: out of range; give a value from 0",
+        ),
+        (VALID_ADDRESSES + ONE_CLASS + ', "stop_ms": NaN}', "stop_ms=nan: out of range"),
+        (
+            VALID_ADDRESSES + ONE_CLASS + ', "stop_ms": 900, "limits": {"sockets": 7}}',
             "limits.sockets=7: out of range",
         ),
-        (FINE + '"stop_ms": 900}', "missing start value settings.classes"),
-        (FINE + CLASSES % '"name": "x", "deadline": 0', "classes.0.deadline=0: out of range"),
+        (VALID_ADDRESSES + '"stop_ms": 900}', "missing start value settings.classes"),
         (
-            FINE + CLASSES % '"name": "x", "deadline": 9, "worth": -2',
+            VALID_ADDRESSES + CLASSES_TEMPLATE % '"name": "x", "deadline": 0',
+            "classes.0.deadline=0: out of range",
+        ),
+        (
+            VALID_ADDRESSES + CLASSES_TEMPLATE % '"name": "x", "deadline": 9, "worth": -2',
             "classes.0.worth=-2: out of range",
         ),
         (
-            FINE + CLASSES % '"name": "x", "deadline": Infinity',
+            VALID_ADDRESSES + CLASSES_TEMPLATE % '"name": "x", "deadline": Infinity',
             "classes.0.deadline=inf: out of range",
         ),
         (
-            FINE + CLASSES % '"name": "x", "deadline": 9, "effect": "x"',
+            VALID_ADDRESSES + CLASSES_TEMPLATE % '"name": "x", "deadline": 9, "effect": "x"',
             "give one of repeatable, by_key",
         ),
         (
-            FINE + CLASSES % '"name": "x", "deadline": 9, "effect": "by_key"',
+            VALID_ADDRESSES + CLASSES_TEMPLATE % '"name": "x", "deadline": 9, "effect": "by_key"',
             "classes.0.memory-span",
         ),
         (
-            FINE + CLASSES % '"name": "x", "deadline": 9},{"name": "x", "deadline": 9',
+            VALID_ADDRESSES
+            + CLASSES_TEMPLATE % '"name": "x", "deadline": 9},{"name": "x", "deadline": 9',
             "name is there twice",
         ),
         ("[" * 100000, "config.json"),
     ],
 )
-def test_bad_start_value_exits_with_one_line(tmp_path: Path, change: str | None, said: str) -> None:
+def test_bad_start_value_exits_with_one_line(
+    tmp_path: Path, change: str | None, message: str
+) -> None:
     config = tmp_path / "config.json"
     environment = {key: value for key, value in os.environ.items() if key != "LB_CONFIG"}
     if change is not None:
         config.write_text(change)
         environment["LB_CONFIG"] = str(config)
     command = [sys.executable, "-m", "pumicenotch"]
-    done = subprocess.run(
+    completed = subprocess.run(
         command, capture_output=True, text=True, env=environment, timeout=20, check=False
     )
-    assert done.returncode == 1
-    assert done.stderr.count("\n") == 1
-    assert said in done.stderr
+    assert completed.returncode == 1
+    assert completed.stderr.count("\n") == 1
+    assert message in completed.stderr
 
 
-def test_pool_that_stood_still_is_bound_anew_and_loses_no_run(tmp_path: Path) -> None:
-    """As long as a busy machine may hold a test process: the server takes the link for dead and dials again."""
+def test_stalled_pool_is_bound_again_and_loses_no_run(tmp_path: Path) -> None:
+    """A busy machine may stall the test process; the server then replaces the pool connection."""
     with Program(tmp_path) as program:
         pool, gateway = program.bind(), Gateway(program.address)
         for message in (1, 2):
             gateway.task(message, f"aa{message}", b"")
             assert pool.command("spawn")["call"] == f"aa{message}"
         time.sleep(1.3)
-        pool.finish("aa1", b"one")  # on a link that the server has closed
+        pool.finish("aa1", b"one")  # The server has closed this connection.
         gateway.task(3, "aa3", b"")
         assert pool.command("spawn")["call"] == "aa3"
         pool.finish("aa2", b"two")
@@ -368,7 +395,7 @@
         assert found == {1: b"one", 2: b"two", 3: b"three"}
 
 
-def test_pool_whose_link_ends_though_it_attended_fails_its_test(tmp_path: Path) -> None:
+def test_unexpected_end_of_a_pool_connection_fails_the_test(tmp_path: Path) -> None:
     with Program(tmp_path) as program:
         pool = program.bind()
         pool.command("poll")
