--- a/tests/net/test_protocols.py
+++ b/tests/net/test_protocols.py
@@ -221,8 +221,8 @@
         old_db = program.db.accept()
         assert old_db.line().startswith(b"Q ")
         assert "the running values stay in force" in program.reload('{"listen"')
-        message = program.reload(**{name: party.address for name, party in new.items()}, stop_ms=1)
-        assert "moved ['db', 'pool', 'registry']; not applied: stop_ms" in message
+        log_line = program.reload(**{name: party.address for name, party in new.items()}, stop_ms=1)
+        assert "moved ['db', 'pool', 'registry']; not applied: stop_ms" in log_line
         assert new["registry"].accept().line().startswith(b"PUT ")
         assert registry.file.read().count(b"PUT ") == 1
         program.pool = new["pool"]
