--- a/pumicenotch/net/fleet.py
+++ b/pumicenotch/net/fleet.py
@@ -40,9 +40,9 @@
     timer = ResettableTimer()
     make_subjects: Callable[[], Sequence[ReplicatedSubject]] = tuple
     if distribution is not None:
-        from pumicenotch.net.voter_configuration import make_subjects_of
+        from pumicenotch.net.voter_configuration import make_distribution_subjects
 
-        make_subjects = partial(make_subjects_of, distribution)
+        make_subjects = partial(make_distribution_subjects, distribution)
     setup = VoterSetup(
         member=new_member_setup(settings, timer.now(), seed),
         voters=dict(settings.names),
--- a/pumicenotch/net/instance_file.py
+++ b/pumicenotch/net/instance_file.py
@@ -52,7 +52,7 @@
     return compiled.taken(path, completed.returncode, completed.stdout, completed.stderr)
 
 
-async def read_again(path: str) -> "Ours | None":
+async def read_for_reload(path: str) -> "Ours | None":
     """Reads the file for a reload, without blocking the server.
 
     The result and the errors are those of `read_at_start`.
--- a/pumicenotch/net/reloads.py
+++ b/pumicenotch/net/reloads.py
@@ -74,7 +74,7 @@
         """Applies both files, or neither if one of them is invalid."""
         try:
             values = read_start_values()
-            instance = await instance_file.read_again(self.running.path)
+            instance = await instance_file.read_for_reload(self.running.path)
             cells = instance_file.read_cell_map(instance)
         except ValueError as error:
             self._refuse(str(error))
--- a/pumicenotch/net/voter_configuration.py
+++ b/pumicenotch/net/voter_configuration.py
@@ -19,7 +19,7 @@
 from pumicenotch.net.peers import PeerHub
 
 
-def make_subjects_of(settings: InstanceSettings) -> tuple[ReplicatedSubject, ...]:
+def make_distribution_subjects(settings: InstanceSettings) -> tuple[ReplicatedSubject, ...]:
     """Returns the initial replicated subjects of the distribution for a voter's state."""
     return (Publications(tables=settings.tables(), log=log_of(settings.settings)),)
 
