--- a/pumicenotch/__main__.py
+++ b/pumicenotch/__main__.py
@@ -153,7 +153,7 @@
                 max_unread_bytes(values), core.connections.limit
             ),
         )
-        hub.closers[LISTENER] = gateways.closing.cancel
+        hub.closers[LISTENER] = gateways.accept_scope.cancel
         group.start_soon(gateways.accept, listener, group)
         await anyio.lowlevel.checkpoint()  # the registry's outbox is there before the first report
         hub.deliver(Started())
--- a/pumicenotch/net/gateway_listener.py
+++ b/pumicenotch/net/gateway_listener.py
@@ -97,7 +97,7 @@
         self.max_unread_bytes = max_unread_bytes
         self.protocol = protocol
         self.next_ids = count(1)
-        self.closing = anyio.CancelScope()  # Cancelled to stop accepting connections.
+        self.accept_scope = anyio.CancelScope()  # Cancelled to stop accepting connections.
         self.outboxes: set[Outbox] = set()
         self.lingering: dict[Outbox, None] = {}  # Ordered set, oldest first.
         self.connection_count = 0  # Accepted connections that have not ended.
@@ -107,13 +107,13 @@
         hub.descriptor_releasers.append(self.release_descriptors)
 
     async def accept(self, listener: SocketListener, group: TaskGroup) -> None:
-        """Accepts connections and runs them in the task group until `closing` is cancelled.
+        """Accepts connections and runs them in the task group until `accept_scope` is cancelled.
 
         Accepting continues for a short time after the cancellation. Closing the listener at once
         would reset connections that wait in the backlog and lose the requests sent on them.
         """
         raw = listener.extra(SocketAttribute.raw_socket)
-        with self.closing:
+        with self.accept_scope:
             await self._accept_forever(raw, group)
         with anyio.move_on_after(FINAL_ACCEPT_WINDOW_S):
             await self._accept_forever(raw, group)
--- a/pumicenotch/route/__main__.py
+++ b/pumicenotch/route/__main__.py
@@ -109,7 +109,7 @@
         hub.dialers[PARTY] = NodeLinks(hub, group, address_of).dial
         max_unread_bytes = 2 * gateway_listener.MIN_UNREAD_BYTES
         callers = gateway_listener.GatewayListener(hub, max_unread_bytes)
-        hub.closers[LISTENER] = callers.closing.cancel
+        hub.closers[LISTENER] = callers.accept_scope.cancel
         group.start_soon(callers.accept, listener, group)
         group.start_soon(maps, hub, core, told.map)
         hub.deliver(Started())
