--- a/pumicenotch/lab/hollow_configuration.py
+++ b/pumicenotch/lab/hollow_configuration.py
@@ -13,7 +13,7 @@
 from pumicenotch.lab.published import Dataset
 from pumicenotch.lab.world import Configuration
 from pumicenotch.membership.messages import Update
-from pumicenotch.net.configuration import InstanceDistributionService, self_of
+from pumicenotch.net.configuration import InstanceDistributionService, peer_from_identity
 
 if TYPE_CHECKING:
     from pumicenotch.lab.hollow_instance import HollowHub
@@ -75,7 +75,7 @@
         """All anew, by a reducer that holds nothing yet."""
         self.fetching = True
         self.node = Node(
-            self_of(self.hub.node.me),
+            peer_from_identity(self.hub.node.me),
             self.addresses,
             self.settings.subscribed(),
             new_context(self.chance, self.settings.settings, self.settings.tables()),
--- a/pumicenotch/net/configuration.py
+++ b/pumicenotch/net/configuration.py
@@ -69,7 +69,7 @@
     )
 
 
-def self_of(member: MemberIdentity) -> events.Peer:
+def peer_from_identity(member: MemberIdentity) -> events.Peer:
     """Returns the distribution's representation of this process."""
     return events.Peer(member.name, member.zone, member.region, member.address, member.process_id)
 
@@ -303,7 +303,7 @@
         )
         limits = settings.settings._replace(max_children=children)
         self.node = Node(
-            self_of(hub.node.me),
+            peer_from_identity(hub.node.me),
             voters,
             settings.subscribed(),
             new_context(random.Random(seed), limits, settings.tables()),
--- a/pumicenotch/net/voter_configuration.py
+++ b/pumicenotch/net/voter_configuration.py
@@ -15,7 +15,12 @@
 from pumicenotch.fleet.replicated.subject import ReplicatedSubject
 from pumicenotch.fleet.voter.node import VoterNode
 from pumicenotch.membership.messages import Update
-from pumicenotch.net.configuration import STATUS_VERB, DistributionService, NotLeaderError, self_of
+from pumicenotch.net.configuration import (
+    STATUS_VERB,
+    DistributionService,
+    NotLeaderError,
+    peer_from_identity,
+)
 from pumicenotch.net.peers import PeerHub
 
 
@@ -40,7 +45,10 @@
         super().__init__(hub)
         self.node = node
         self.source = VoterSource(
-            self_of(node.me), self.publications, random.Random(seed), settings=settings.settings
+            peer_from_identity(node.me),
+            self.publications,
+            random.Random(seed),
+            settings=settings.settings,
         )
         self.version = self.publications.version
         self.leadership = node.leadership()
