--- a/tests/fleet/test_alone.py
+++ b/tests/fleet/test_alone.py
@@ -24,7 +24,7 @@
         monkeypatch.setenv("PUMICENOTCH_CONFIG", str(tmp_path / "ours.hcl"))
         with Program(tmp_path, stop_ms=2000) as program:
             if taken:
-                program.logged("(this server serves without its fleet)")
+                program.wait_for_log("(this server serves without its fleet)")
             pool = program.bind()
             gateway = Gateway(program.address)
             gateway.task(1, "aa", b"body")
--- a/tests/net/parties.py
+++ b/tests/net/parties.py
@@ -250,7 +250,7 @@
         Pool.serial = 0
 
     def __enter__(self) -> "Program":
-        self.address = self.logged(r"listening on (\S+)")
+        self.address = self.wait_for_log(r"listening on (\S+)")
         return self
 
     def __exit__(self, *_: object) -> None:
@@ -259,7 +259,7 @@
         for party in (self.pool, self.db, self.registry):
             party.sock.close()
 
-    def logged(self, pattern: str) -> str:
+    def wait_for_log(self, pattern: str) -> str:
         """Reads the log up to the first line that matches; returns the first group of the match."""
         assert self.process.stderr is not None
         for line in self.process.stderr:
@@ -284,7 +284,7 @@
             json.dumps({**self.start_values, **changes}) if text is None else text
         )
         self.process.send_signal(signal.SIGHUP)
-        return self.logged("(reload.*)")
+        return self.wait_for_log("(reload.*)")
 
     @contextmanager
     def suspended(self) -> Iterator[None]:
@@ -299,7 +299,7 @@
     def end(self) -> tuple[int, str]:
         """Requests the shutdown; returns the exit status and the last counters."""
         self.process.send_signal(signal.SIGTERM)
-        counters = self.logged("counters: (.*)")
+        counters = self.wait_for_log("counters: (.*)")
         return self.process.wait(WAIT_S), counters
 
 
--- a/tests/net/test_crossing_events.py
+++ b/tests/net/test_crossing_events.py
@@ -365,7 +365,7 @@
         assert pool.command("spawn")["call"] == "aa"
         successor = Program(tmp_path / "next", listen=program.address)
         with ThreadPoolExecutor(1) as threads:
-            waiting = threads.submit(successor.logged, "(still in use)")
+            waiting = threads.submit(successor.wait_for_log, "(still in use)")
             while not waiting.done():
                 # A pool that answers no poll for a second loses its connection.
                 pool.command("poll")
--- a/tests/net/test_instance_file.py
+++ b/tests/net/test_instance_file.py
@@ -30,10 +30,10 @@
         assert "the running values stay in force" in log_line
         file.write_text("# nothing\n")
         program.reload()
-        assert "pools are off" in program.logged("(reload.*)")
+        assert "pools are off" in program.wait_for_log("(reload.*)")
         file.write_text(VALID_FILE)
         program.reload()
-        assert "class pools of the file are in force" in program.logged("(reload.*)")
+        assert "class pools of the file are in force" in program.wait_for_log("(reload.*)")
         status, counters = program.end()
     assert status == 0
     assert "reloads_failed=1" in counters and "repools=2" in counters
--- a/tests/net/test_protocols.py
+++ b/tests/net/test_protocols.py
@@ -47,7 +47,7 @@
                 {"hint"},
             )
         program.process.send_signal(signal.SIGUSR1)
-        assert "answered_served=3" in program.logged("counters: (.*)")
+        assert "answered_served=3" in program.wait_for_log("counters: (.*)")
 
 
 def test_sigterm_notifies_all_parties_answers_and_exits_with_0(tmp_path: Path) -> None:
@@ -72,7 +72,7 @@
         pool.finish("aa", b"done")
         assert result(gateway.answer()) == b"done"
         gateway.close()
-        assert "answered_served=1" in program.logged("counters: (.*)")
+        assert "answered_served=1" in program.wait_for_log("counters: (.*)")
         assert program.process.wait(20) == 0
 
 
--- a/tests/net/test_server_process.py
+++ b/tests/net/test_server_process.py
@@ -249,7 +249,7 @@
         pool.finish(call, b"once")
         assert [result(next_response(gateway)) for gateway in again] == [b"once"] * 4
         successor.process.send_signal(signal.SIGUSR1)
-        assert "runs=1" in successor.logged("counters: (.*)").split()
+        assert "runs=1" in successor.wait_for_log("counters: (.*)").split()
 
 
 def test_connections_reset_after_their_accept_leave_nothing_behind(tmp_path: Path) -> None:
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -52,7 +52,7 @@
     with Program(
         tmp_path, settings=SETTINGS | {"family-info": family | {"callers": 180}}
     ) as program:
-        assert program.logged(r"callers are told a (\w+)") == "credit"
+        assert program.wait_for_log(r"callers are told a (\w+)") == "credit"
 
 
 def test_a_value_out_of_range_is_refused_by_its_path_with_the_range() -> None:
