--- a/benchmarks/returning.py
+++ b/benchmarks/returning.py
@@ -84,11 +84,11 @@
             said = pool.command("spawn", "supply", "pass", "suspend", "poll")
             if said["msg"] == "spawn":
                 serial += 1
-                pool.say("blocked", serial=serial, call=rid(said["call"]), blob="cQ==")
+                pool.send_message("blocked", serial=serial, call=rid(said["call"]), blob="cQ==")
             elif said["msg"] == "supply":
                 serial += 1
                 end = {"how": "fine", "duration": 5, "blob": "eA=="}
-                pool.say("finished", serial=serial, call=rid(said["call"]), **end)
+                pool.send_message("finished", serial=serial, call=rid(said["call"]), **end)
                 number += 1
                 gateway.task(number, f"s{at}-{number}"[:8], b"")
         program.process.kill()
--- a/tests/net/parties.py
+++ b/tests/net/parties.py
@@ -151,10 +151,10 @@
         self.last_activity_at_s = time.monotonic()
         self.known_runs = set(self.spawned)
         last_serial = self.command("bind")["serial"]
-        self.say("bound", how="running", duration=50000)
+        self.send_message("bound", how="running", duration=50000)
         for notice in self.notices:
             if notice["serial"] > last_serial:
-                self.say(**notice)
+                self.send_message(**notice)
 
     def command(self, *kinds: str) -> dict[str, Any]:
         """Returns the next command of the given kinds; polls in between are answered."""
@@ -166,7 +166,7 @@
                 continue
             message: dict[str, Any] = json.loads(line)
             if message["msg"] == "poll":
-                self.say("polled", cookie=message["cookie"], stats=[0.1, 0.0])
+                self.send_message("polled", cookie=message["cookie"], stats=[0.1, 0.0])
             if message["msg"] == "spawn":
                 if message["call"] in self.known_runs:
                     continue
@@ -177,7 +177,7 @@
                 return message
         raise AssertionError("the pool's link ended")
 
-    def say(self, msg: str, **fields: Any) -> None:
+    def send_message(self, msg: str, **fields: Any) -> None:
         self.send(json.dumps({"msg": msg, **fields}).encode() + b"\n")
 
     def notice(self, msg: str, **fields: Any) -> None:
@@ -185,7 +185,7 @@
         if "call" in fields:
             fields["call"] = rid(fields["call"])
         self.notices.append({"msg": msg, "serial": Pool.serial, **fields})
-        self.say(msg, serial=Pool.serial, **fields)
+        self.send_message(msg, serial=Pool.serial, **fields)
 
     def finish(self, call: str, result: bytes) -> None:
         self.notice("finished", call=call, how="fine", duration=5, blob=b64encode(result).decode())
@@ -272,7 +272,7 @@
         """Accepts and binds a pool connection, and reports the given runs as finished on it."""
         pool = Pool(self.pool.accept().sock)
         self.bound_serial = pool.command("bind")["serial"]
-        pool.say("bound", how="running", duration=50000)
+        pool.send_message("bound", how="running", duration=50000)
         for call, result in replayed.items():
             pool.finish(call, result)
         pool.command("poll")
--- a/tests/net/test_crossing_events.py
+++ b/tests/net/test_crossing_events.py
@@ -317,7 +317,7 @@
         new_connection = Pool(new_pool.accept().sock)
         serial = new_connection.command("bind")["serial"]
         assert serial in (0, 1)
-        new_connection.say("bound", how="running", duration=50000)
+        new_connection.send_message("bound", how="running", duration=50000)
         Pool.serial = serial
         if serial == 0:
             new_connection.finish("aa1", b"one")
@@ -348,7 +348,7 @@
         second_pool.notice("chatter", how="x")
         third_pool = Pool(program.pool.accept().sock)
         assert third_pool.command("bind")["serial"] == 2
-        third_pool.say("bound", how="running", duration=50000)
+        third_pool.send_message("bound", how="running", duration=50000)
         third_pool.send(b'{"msg":"finished","serial":3,"call":"spoi\xff"}\n')
         Pool.serial = 3
         third_pool.notice("chatter", how="x")
--- a/tests/net/test_protocols.py
+++ b/tests/net/test_protocols.py
@@ -150,8 +150,8 @@
         for index in (1, 2, 3):
             gateway.task(index, f"aa{index}", b"")
             pool.command("spawn")
-        pool.say("chatter", how="no serial")
-        pool.say("unknown", how="poll", call=None)
+        pool.send_message("chatter", how="no serial")
+        pool.send_message("unknown", how="poll", call=None)
         pool.send(b"no json\n{}\n[]\n")
         pool.finish("aa1", b"one")
         assert result(gateway.answer()) == b"one"
--- a/tests/net/test_server_process.py
+++ b/tests/net/test_server_process.py
@@ -56,7 +56,7 @@
 def bind_pool(program: Program, how: str, for_ms: float) -> Pool:
     pool = Pool(program.pool.accept().sock)
     program.bound_serial = pool.command("bind")["serial"]
-    pool.say("bound", how=how, duration=for_ms)
+    pool.send_message("bound", how=how, duration=for_ms)
     pool.command("poll")
     return pool
 
@@ -387,7 +387,7 @@
         pool = Pool(program.pool.accept().sock)
         pool.command("bind")
         assert check_health(gateway, 3) == (False, -1.0)
-        pool.say("bound", how="starting", duration=0)
+        pool.send_message("bound", how="starting", duration=0)
         pool.command("poll")
         healthy, hint = check_health(gateway, 4)
         assert healthy and 0.0 < hint <= 1.2 * COLD_SHARE
