--- a/tests/net/test_server_process.py
+++ b/tests/net/test_server_process.py
@@ -423,8 +423,8 @@
             while registry.line().strip():
                 pass
             assert registry.file.read(17) == b'{"state":"ready"}'
-            for at in range(0, len(response_bytes), 60):
-                registry.send(response_bytes[at : at + 60])
+            for index in range(0, len(response_bytes), 60):
+                registry.send(response_bytes[index : index + 60])
                 message += 1
                 check_health(gateway, message)
 
