--- a/pumicenotch/distribution/node.py
+++ b/pumicenotch/distribution/node.py
@@ -124,7 +124,7 @@
         error = self.error
         return {
             "version": self.view.version,
-            "newest": self._replica.copy.newest,
+            "newest": self._replica.copy.newest_version,
             "age_ms": None if age == NEVER else round(age),
             "relay": self.relay,
             "sources": [
@@ -161,14 +161,14 @@
             case Received(sender, message):
                 self._received(now, sender, message)
             case PeerChanged(peer):
-                self._placement.peer_changed(now, peer)
+                self._placement.on_peer_changed(now, peer)
             case SubscriptionChanged(subscription):
                 self._own = subscription
                 self._resubscribe(now, subscription.union(self._source.wanted()))
             case Started():
                 self._started_at = now
                 self._narrow_at = now + self._settings.narrow_ms
-                self._placement.started(now)
+                self._placement.on_started(now)
             case Ticked():
                 pass
         self._continue(now)
@@ -189,7 +189,11 @@
         replica = self._replica
         self._placement.choose(now, readable=not replica.copy.is_blocked())
         self._upstreams.tick(
-            now, replica.generation, self.view.version, replica.copy.newest, replica.subscription
+            now,
+            replica.generation,
+            self.view.version,
+            replica.copy.newest_version,
+            replica.subscription,
         )
         self._follow_upstreams(now)
 
@@ -197,7 +201,7 @@
         """Act on sources that were lost or promoted."""
         lost, self._upstreams.lost = self._upstreams.lost, []
         for address in lost:
-            self._replica.source_lost(address)
+            self._replica.on_source_lost(address)
             self._placement.request_choice(now)
         if self._upstreams.promoted:
             self._upstreams.promoted = False
@@ -228,7 +232,7 @@
 
     def _after_child(self, now: float, message: m.Message) -> None:
         if isinstance(message, m.Acknowledge | m.Subscribe | m.Unsubscribe):
-            self._acknowledger.changed(now, serves=True)
+            self._acknowledger.schedule(now, serves=True)
         if isinstance(message, m.Subscribe) and not self._replica.subscription.covers(
             message.subscription
         ):
@@ -239,21 +243,21 @@
         upstreams = self._upstreams
         match message:
             case m.Accepted(_, version, age_ms):
-                upstreams.received(now, address, version, age_ms)
+                upstreams.on_message(now, address, version, age_ms)
                 if upstreams.on_accepted(address, message):
                     self._acknowledger.acknowledge_now(now)
                     replica.on_version(now, version)
             case m.Announce(version, age_ms):
-                upstreams.received(now, address, version, age_ms)
+                upstreams.on_message(now, address, version, age_ms)
                 replica.on_version(now, version)
             case m.Delta():
-                upstreams.received(now, address, message.version, message.age_ms)
+                upstreams.on_message(now, address, message.version, message.age_ms)
                 replica.on_delta(now, address, message)
             case m.Scopes():
-                upstreams.received(now, address, message.version, message.age_ms)
+                upstreams.on_message(now, address, message.version, message.age_ms)
                 replica.on_scopes(now, address, message)
             case m.Records():
-                upstreams.received(now, address, None, 0)
+                upstreams.on_message(now, address, None, 0)
                 replica.on_records(now, address, message)
             case m.Mismatch():
                 replica.on_mismatch(message)
@@ -266,9 +270,9 @@
         upstream.last_message_at = now
         if message.reason == m.NOT_A_RELAY:
             self._placement.hints = message.candidates
-            self._upstreams.failed(now, address)
+            self._upstreams.on_source_failed(now, address)
         elif message.reason == m.BUSY and message.request == upstream.request:
-            self._upstreams.failed(now, address, message.retry_after_ms)
+            self._upstreams.on_source_failed(now, address, message.retry_after_ms)
         elif message.reason == m.UNKNOWN_CHILD:
             self._upstreams.resubscribe(now, address)
         self._replica.on_refused(now, address, message)
@@ -309,7 +313,7 @@
         source.coverage = self._replica.copy.coverage
         source.published(self._now)
         self._update_age()
-        self._acknowledger.changed(self._now, serves=bool(source.children))
+        self._acknowledger.schedule(self._now, serves=bool(source.children))
 
     def _update_age(self) -> None:
         for upstream in self._upstreams.active:
@@ -325,7 +329,7 @@
         code = self._reported_code()
         if not code and not copy.coverage.covers(self._own):
             code = BEHIND
-        own = own_report(self.me.name, copy.view.version, copy.newest, code)
+        own = own_report(self.me.name, copy.view.version, copy.newest_version, code)
         return merged([own, self._source.report()])
 
     def _reported_code(self) -> str:
@@ -339,7 +343,7 @@
         code = self._reported_code()
         if code != self._error_code:
             self._error_code = code
-            self._acknowledger.changed(now, serves=bool(self._source.children))
+            self._acknowledger.schedule(now, serves=bool(self._source.children))
             self._placement.request_choice(now)
         if now < self._acknowledger.next_send_at():
             return
--- a/pumicenotch/distribution/replica/__init__.py
+++ b/pumicenotch/distribution/replica/__init__.py
@@ -1,1 +1,1 @@
-"""What keeps an instance's copy up to date: its sources, deltas, transfers and audits."""
+"""Keeps an instance's copy of the configuration current: sources, deltas, transfers and audits."""
--- a/pumicenotch/distribution/replica/acknowledgements.py
+++ b/pumicenotch/distribution/replica/acknowledgements.py
@@ -1,6 +1,7 @@
-"""When a replica acknowledges to its sources what it has in force.
+"""Schedules and sends the acknowledgements of a replica to its sources.
 
-Soon after a change, not too often, and periodically as its heartbeat.
+An acknowledgement carries the version in force. It is sent soon after a change, at a bounded rate,
+and periodically as the replica's heartbeat.
 """
 
 from collections.abc import Sequence
@@ -13,7 +14,7 @@
 
 
 class Acknowledger:
-    """Acknowledges for one replica and all that it serves."""
+    """Sends the acknowledgements and rosters of one replica and the replicas that it serves."""
 
     def __init__(self, name: str, context: Context) -> None:
         self._name = name
@@ -24,27 +25,27 @@
         self._roster: tuple[str, ...] = ()
         self._next_roster_at = 0.0
 
-    def changed(self, now_ms: float, serves: bool) -> None:
-        """Acknowledge soon: something has changed."""
+    def schedule(self, now_ms: float, serves: bool) -> None:
+        """Schedules an acknowledgement after a change, within the shortest interval allowed."""
         min_interval_ms = (
             self._settings.aggregate_ms if serves else self._settings.min_acknowledge_ms
         )
         self._next_send_at = min(self._next_send_at, max(now_ms, self._sent_at + min_interval_ms))
 
     def acknowledge_now(self, now_ms: float) -> None:
-        """Acknowledge at once: another source is the primary one now."""
+        """Schedules an acknowledgement at once, after a change of the primary source."""
         self._next_send_at = now_ms
 
     def next_send_at(self) -> float:
-        """Return when `send` is to be called next."""
+        """Returns the time at which `send` is to be called next."""
         return self._next_send_at
 
     def send(
         self, now_ms: float, upstreams: Sequence[Upstream], version: int, report: Report
     ) -> None:
-        """Acknowledge to all sources that have accepted.
+        """Acknowledges the version in force to all sources that have accepted this replica.
 
-        The report goes to the primary one alone, so that each copy is counted once.
+        The report goes to the primary source alone, so that each copy is counted once.
         """
         self._sent_at = now_ms
         self._next_send_at = now_ms + self._settings.acknowledge_ms
@@ -57,7 +58,7 @@
     def send_roster(
         self, now_ms: float, upstreams: Sequence[Upstream], names: Sequence[str]
     ) -> None:
-        """Send the names of those that it serves, on changes and periodically."""
+        """Sends the names of the replicas served here, after changes and periodically."""
         roster = tuple(sorted(names))
         if (
             not upstreams
--- a/pumicenotch/distribution/replica/audit.py
+++ b/pumicenotch/distribution/replica/audit.py
@@ -1,6 +1,7 @@
-"""Periodic checks of digests against records.
+"""Periodic verification of records in memory against the digests of their scopes.
 
-One scope at a time, in slices: memory that was corrupted is found before it is served for long.
+One scope is verified at a time, in slices. Corrupted memory is detected before it has been served
+for long.
 """
 
 from collections.abc import Iterator
@@ -12,7 +13,7 @@
 
 
 class Audit:
-    """The check of one scope as it is in a view."""
+    """The verification of one scope of a view."""
 
     def __init__(self, scope_id: ScopeId, scope: Scope) -> None:
         self.scope_id = scope_id
@@ -21,8 +22,8 @@
         self._digest = 0
         self.done = False
 
-    def work(self, budget: int) -> None:
-        """Hash up to so many records."""
+    def process_slice(self, budget: int) -> None:
+        """Hashes up to `budget` records."""
         table, scope = self.scope_id
         for _ in range(budget):
             record = next(self._records, None)
@@ -36,36 +37,38 @@
 
     @property
     def matches(self) -> bool:
-        """Whether the records have the digest of their scope."""
+        """Whether the digest computed from the records is the digest of the scope."""
         return self._digest == self.scope.digest
 
 
 class Auditor:
-    """Checks one scope after the other, with a pause between: `next_audit_at` is when it starts."""
+    """Verifies the scopes of a view in turn; the next one starts at `next_audit_at`."""
 
     def __init__(self, settings: Settings, first_at: float) -> None:
         self.next_audit_at = first_at
         self.current: Audit | None = None
         self._settings = settings
-        self._last = BEFORE_ALL_SCOPES
+        self._last_audited = BEFORE_ALL_SCOPES
 
     def start(self, now_ms: float, view: View) -> None:
-        """Start with the next scope, if none is being checked."""
+        """Starts the audit of the next scope, unless one is in progress."""
         self.next_audit_at = now_ms + self._settings.audit_ms
         if self.current is None:
-            self.current = _next_audit(view, self._last)
-            self._last = BEFORE_ALL_SCOPES if self.current is None else self.current.scope_id
+            self.current = _next_audit(view, self._last_audited)
+            self._last_audited = (
+                BEFORE_ALL_SCOPES if self.current is None else self.current.scope_id
+            )
 
-    def work(self, view: View) -> Audit | None:
-        """Work on one slice.
+    def process_slice(self, view: View) -> Audit | None:
+        """Continues the current audit by one slice.
 
         Returns:
-            The audit when it is done, if its scope is still in force.
+            The audit once it is complete, if its scope is still in force; None otherwise.
         """
         audit = self.current
         if audit is None:
             return None
-        audit.work(self._settings.slice_audit)
+        audit.process_slice(self._settings.slice_audit)
         if not audit.done:
             return None
         self.current = None
@@ -73,7 +76,7 @@
 
 
 def _next_audit(view: View, after: ScopeId) -> Audit | None:
-    """Return the audit of the scope that comes after that one, or of the first."""
+    """Returns an audit of the scope that follows `after`, or of the first scope after the last."""
     following = None
     first = None
     for scope_id in view.scope_ids():
--- a/pumicenotch/distribution/replica/copy.py
+++ b/pumicenotch/distribution/replica/copy.py
@@ -1,7 +1,7 @@
-"""What an instance has in force, and how the next version comes into force.
+"""The configuration in force at an instance, and the switch to the next version.
 
-It is staged in slices, verified, and switched to at one instant. Whatever fails, the last good view
-stays.
+The next version is staged in slices and verified, and replaces the view in force in a single step.
+After a failure, the last verified view stays in force.
 """
 
 from collections.abc import Callable, Iterable
@@ -16,66 +16,71 @@
 from pumicenotch.distribution.replica.staging import Staging
 from pumicenotch.distribution.source.children import page_bytes
 
-NONE_BLOCKED = -1
-# Scopes named in an error.
+NO_BLOCKED_VERSION = -1
+# Number of scopes that an error names.
 MAX_NAMED_SCOPES = 3
 DIGEST_REMEDY = "none: they are fetched again; if this persists, look at this machine's memory"
 
 
 class Copy:
-    """The copy of one replica.
+    """The copy of the configuration that one replica keeps.
 
     Attributes:
-        view: what is in force.
+        view: the view in force.
         coverage: the scopes that the view covers.
-        newest: the newest version that any source has.
-        error: why the newest version is not in force, if that is an error.
-        needs_comparison: whether scopes are to be compared, as deltas are not enough.
-        suspects: scopes that are fetched whatever their digests are.
-        staging: the delta that is being staged.
-        blocked: the version that this program could not apply, or NONE_BLOCKED.
+        newest_version: the newest version that any source has announced.
+        error: the error that keeps the newest version from coming into force, if any.
+        needs_comparison: whether the copy can be updated only by comparing scope digests.
+        suspect_scopes: scopes to fetch even if their digests match.
+        staging: the delta that is being staged, if any.
+        blocked_version: the version that this program cannot apply, or NO_BLOCKED_VERSION.
     """
 
     def __init__(self, context: Context, on_switch: Callable[[LogEntry | None], None]) -> None:
-        """Create an empty copy.
+        """Creates an empty copy.
 
         Args:
-            context: the reducer's.
-            on_switch: called when another view is in force, with the delta's entry if it was one.
+            context: the settings and collaborators of the reducer.
+            on_switch: called after each switch to another view, with the log entry of the delta,
+                or None if the view came from a transfer.
         """
         self.view = View()
         self.coverage: Subscription = NOTHING
-        self.newest = 0
+        self.newest_version = 0
         self.error: DistributionError | None = None
         self.needs_comparison = True
-        self.suspects: set[ScopeId] = set()
+        self.suspect_scopes: set[ScopeId] = set()
         self.staging: Staging | None = None
-        self.blocked = NONE_BLOCKED
+        self.blocked_version = NO_BLOCKED_VERSION
         self._settings = context.settings
         self._tables = context.tables
         self._outbox = context.outbox
         self._counts = context.counts
         self._on_switch = on_switch
-        self._pending: dict[int, m.Delta] = {}  # by the version that they lead on from
+        # Complete deltas received ahead of their turn, by the version that they start from.
+        self._pending: dict[int, m.Delta] = {}
         self._pending_bytes = 0
 
     def is_blocked(self) -> bool:
-        """Whether the newest version is one that this program could not apply."""
-        return self.blocked != NONE_BLOCKED and self.blocked >= self.newest
+        """Returns whether this program is unable to apply the newest version."""
+        return (
+            self.blocked_version != NO_BLOCKED_VERSION
+            and self.blocked_version >= self.newest_version
+        )
 
     def is_lagging(self) -> bool:
-        """Whether a source has a newer version."""
-        return self.newest > self.view.version
+        """Returns whether a source has a newer version than the one in force."""
+        return self.newest_version > self.view.version
 
     # Deltas
 
     def stage(self, delta: m.Delta) -> None:
-        """Start staging a delta that leads on from the view in force."""
+        """Starts staging a delta that starts from the version in force."""
         self.staging = Staging(self.view, self.coverage, self._tables, delta.version)
         self.staging.add(delta)
 
     def queue(self, delta: m.Delta) -> None:
-        """Queue a complete delta that follows on later, within bounds."""
+        """Queues a complete delta that starts from a later version, unless the queue is full."""
         size = page_bytes(delta)
         fits = self._pending_bytes + size <= self._settings.max_queue_bytes
         if not delta.done or delta.start != m.START or delta.previous in self._pending or not fits:
@@ -83,8 +88,8 @@
         self._pending[delta.previous] = delta
         self._pending_bytes += size
 
-    def work(self) -> None:
-        """Stage one slice, and switch once everything is there and verified.
+    def process_slice(self) -> None:
+        """Stages one slice, and switches to the new view once it is complete and verified.
 
         Raises:
             DistributionError: a record cannot be applied.
@@ -92,12 +97,12 @@
         staging = self.staging
         if staging is None:
             return
-        if staging.work(self._settings.slice_changes) <= 0 or not staging.complete:
+        if staging.process_slice(self._settings.slice_changes) <= 0 or not staging.complete:
             return
         self.staging = None
         mismatches = staging.mismatches()
         if mismatches:
-            self.suspect(mismatches)
+            self.mark_suspect(mismatches)
             return
         view, entry = staging.finish()
         self.switch(view, self.coverage, entry)
@@ -105,13 +110,13 @@
     # The switch
 
     def switch(self, view: View, coverage: Subscription, entry: LogEntry | None) -> None:
-        """Put another version into force: the one place where that happens."""
+        """Puts another version into force. No other method does so."""
         assert view.version >= self.view.version, (view.version, self.view.version)
         self.view = view
         self.coverage = coverage
-        self.newest = max(self.newest, view.version)
-        if view.version > self.blocked:
-            self.blocked = NONE_BLOCKED
+        self.newest_version = max(self.newest_version, view.version)
+        if view.version > self.blocked_version:
+            self.blocked_version = NO_BLOCKED_VERSION
         if self.error is not None:
             self._outbox.log(
                 f"configuration version {view.version} is in force: {self.error.place} is repaired"
@@ -124,7 +129,7 @@
         self._stage_following()
 
     def narrow(self, subscription: Subscription) -> None:
-        """Drop scopes that are not in that subscription, and what was on its way."""
+        """Drops the scopes outside of the subscription, and discards staged and queued deltas."""
         self.staging = None
         self._pending.clear()
         self._pending_bytes = 0
@@ -144,18 +149,18 @@
             self.stage(following)
 
     def _drop_pending(self, version: int) -> None:
-        for previous in [earlier for earlier in self._pending if earlier < version]:
+        for previous in [queued for queued in self._pending if queued < version]:
             self._pending_bytes -= page_bytes(self._pending.pop(previous))
 
     # Errors
 
-    def block(self, version: int, error: DistributionError) -> None:
-        """Wait for a newer version, as this program cannot apply that one."""
-        self.blocked = max(self.blocked, version)
-        self.fail(error)
+    def block_version(self, version: int, error: DistributionError) -> None:
+        """Records that this program cannot apply a version; only a newer one is tried."""
+        self.blocked_version = max(self.blocked_version, version)
+        self.record_error(error)
 
-    def fail(self, error: DistributionError) -> None:
-        """Keep what is in force, and have the scopes compared."""
+    def record_error(self, error: DistributionError) -> None:
+        """Records an error, keeps the view in force and requests a comparison of scopes."""
         self.staging = None
         self.needs_comparison = True
         self._counts[error.code] += 1
@@ -163,12 +168,12 @@
             self._outbox.log(str(error))
         self.error = error
 
-    def suspect(self, scopes: Iterable[ScopeId]) -> None:
-        """Have these scopes fetched, as their records are not what they should be."""
+    def mark_suspect(self, scopes: Iterable[ScopeId]) -> None:
+        """Requests a fetch of scopes whose records do not match their digests."""
         scope_ids = list(scopes)
-        self.suspects.update(scope_ids)
+        self.suspect_scopes.update(scope_ids)
         names = ", ".join(f"{table}:{scope}" for table, scope in scope_ids[:MAX_NAMED_SCOPES])
-        self.fail(
+        self.record_error(
             DigestMismatchError(
                 f"scopes {names}", "the records are not what the source has", DIGEST_REMEDY
             )
--- a/pumicenotch/distribution/replica/fetching.py
+++ b/pumicenotch/distribution/replica/fetching.py
@@ -1,7 +1,7 @@
-"""The replica's side of a transfer by scopes.
+"""The replica's side of a transfer, which repairs a copy scope by scope.
 
-Digests are compared. The scopes that differ are fetched beside the view in force, verified, and
-switched to at once.
+The digests of the source are compared with those of the view in force. Scopes that differ are
+fetched while that view stays in force, verified, and put into force together.
 """
 
 from collections import deque
@@ -25,14 +25,14 @@
     """A transfer from one source, at the version of its first page.
 
     Attributes:
-        number: the replica's, for the source.
-        address: of the source.
+        number: identifies the transfer among those of this replica.
+        address: the address of the source.
         subscription: the scopes that are compared.
-        version: -1 until it is known.
-        compared_up_to: digests up to that scope have been compared.
-        compared_all: whether all have.
-        complete: scopes that were fetched and verified, by an earlier transfer too.
-        suspects: scopes that are fetched whatever their digests are.
+        version: the version at the source; -1 until the first page has arrived.
+        compared_up_to: the last scope whose digest has been compared.
+        compared_all: whether all digests have been compared.
+        complete: scopes that were fetched and verified, including those of an aborted transfer.
+        suspects: scopes to fetch even if their digests match.
     """
 
     def __init__(
@@ -57,10 +57,11 @@
         self._wanted: deque[Want] = deque()
         self._missing: set[ScopeId] = set()
         self._partial: dict[ScopeId, Scope] = {}
-        self._inbox: deque[tuple[ScopePage, int]] = deque()  # with how many records were read
+        # Received pages, each with the number of its records that were read.
+        self._inbox: deque[tuple[ScopePage, int]] = deque()
 
     def add_digests(self, page: Scopes, view: View) -> None:
-        """Compare a page of digests with that view."""
+        """Compares a page of the source's digests with a view."""
         self.version = page.version
         for table, name, digest in page.digests:
             scope_id = ScopeId(table, name)
@@ -79,27 +80,27 @@
         return scope_id not in self.suspects and view.digest(*scope_id) == digest
 
     def next_wants(self) -> tuple[Want, ...]:
-        """Return scopes for one more request."""
+        """Returns the scopes to ask for in the next request, and removes them from the queue."""
         count = min(MAX_WANTS, len(self._wanted))
         return tuple(self._wanted.popleft() for _ in range(count))
 
     @property
     def has_wants(self) -> bool:
-        """Whether there are scopes to be requested."""
+        """Whether scopes are waiting to be requested."""
         return bool(self._wanted)
 
     @property
     def has_work(self) -> bool:
-        """Whether there are received records to be read."""
+        """Whether received records are waiting to be read."""
         return bool(self._inbox)
 
     @property
     def done(self) -> bool:
-        """Whether all is there and verified."""
+        """Whether all subscribed scopes are present and verified."""
         return self.compared_all and not self._missing and not self._inbox
 
     def add(self, wants: Iterable[Want], pages: Iterable[ScopePage]) -> None:
-        """Take the answer to a request; what is missing in it is requested again."""
+        """Adds the answer to a request. Scopes and records missing from it are requested again."""
         received = {ScopeId(page.table, page.scope): page for page in pages}
         for want in wants:
             page = received.get(ScopeId(want.table, want.scope))
@@ -111,11 +112,11 @@
                 after = page.records[-1][0] if page.records else want.after
                 self._wanted.appendleft(want._replace(after=after))
 
-    def work(self, budget: int) -> int:
-        """Read up to so many records, and return how many more may be read.
+    def process_slice(self, budget: int) -> int:
+        """Reads up to `budget` records, and returns the part of the budget that is left.
 
         Raises:
-            DigestMismatchError: a scope is not what the source listed.
+            DigestMismatchError: the records of a scope do not have the digest that was listed.
             DistributionError: a record cannot be applied.
         """
         while self._inbox and budget > 0:
@@ -152,7 +153,7 @@
         self._missing.discard(scope_id)
 
     def build(self, view: View) -> View:
-        """Return the next view, without the scopes that the source did not list."""
+        """Returns the next view, without the scopes that the source did not list."""
         builder = Builder(view)
         for scope_id in view.scope_ids():
             if scope_id not in self._listed:
--- a/pumicenotch/distribution/replica/placement.py
+++ b/pumicenotch/distribution/replica/placement.py
@@ -1,6 +1,7 @@
-"""An instance's role in its zone, and its sources.
+"""Chooses an instance's role in its zone, and its sources.
 
-Relays have voters as sources, and nobody but relays and voters has children: there are no loops.
+Relays use voters as their sources, and only relays and voters have children. The distribution tree
+therefore has no loops.
 """
 
 from collections.abc import Sequence
@@ -16,11 +17,11 @@
 
 
 class Placement:
-    """Chooses the role and the sources; `next_choice_at` says when.
+    """Chooses the role and the sources of this instance; see `next_choice_at` for the times.
 
     Attributes:
         relay: whether this instance is a relay.
-        hints: addresses of relays that others have named.
+        hints: addresses of relays that other instances named in a refusal.
     """
 
     def __init__(
@@ -45,25 +46,25 @@
         self._choice_at = NEVER
         self._step_down_at = NEVER
 
-    def started(self, now_ms: float) -> None:
-        """Choose once the zone is known."""
+    def on_started(self, now_ms: float) -> None:
+        """Schedules the first choice, which is made once the zone's members are known."""
         self._started_at = now_ms
         self._choice_at = now_ms
 
-    def peer_changed(self, now_ms: float, peer: Peer) -> None:
-        """Note that another instance has joined, left or changed."""
-        if peer.address in self._voters or not self._zone.changed(peer):
+    def on_peer_changed(self, now_ms: float, peer: Peer) -> None:
+        """Updates the zone after another instance has joined, left or changed."""
+        if peer.address in self._voters or not self._zone.update_peer(peer):
             return
         if peer.alive:
             self._upstreams.stop_avoiding(peer.address)
         self._choice_at = now_ms
 
     def request_choice(self, now_ms: float) -> None:
-        """Choose again as soon as possible."""
+        """Schedules another choice as soon as possible."""
         self._choice_at = now_ms
 
     def next_choice_at(self, now_ms: float) -> float:
-        """Return when `choose` is to be called next."""
+        """Returns the time at which `choose` is to be called next."""
         if self._started_at == NEVER:
             return NEVER
         if not self._is_settled(now_ms):
@@ -71,18 +72,19 @@
         return min(self._choice_at, self._upstreams.next_tick_at(), self._step_down_at)
 
     def _is_settled(self, now_ms: float) -> bool:
-        """Whether enough is known of the zone to choose sources."""
+        """Returns whether enough members of the zone are known to choose sources."""
         is_settled = now_ms >= self._started_at + self._settings.settle_ms
         return is_settled or self._zone.size > self._settings.relays
 
     def choose(self, now_ms: float, readable: bool) -> None:
-        """Take the role and the sources that this instance should have now.
+        """Updates the role and the sources of this instance.
 
-        One that cannot read the newest version serves nobody: its children may be newer programs.
+        An instance that cannot read the newest version (`readable` is False) serves no children,
+        because they may run newer programs.
         """
         self._choice_at = NEVER
-        self._take_role(now_ms)
-        self._source.accepting = self.relay and self._zone.makes_me_relay() and readable
+        self._update_role(now_ms)
+        self._source.accepting = self.relay and self._zone.is_relay() and readable
         self._source.candidates = tuple(self._zone.relays()[: m.MAX_CANDIDATES])
         if not readable:
             self._source.dismiss(m.NOT_A_RELAY)
@@ -95,9 +97,9 @@
         alive = {*self._voters, *self._zone.addresses(), *self.hints}
         self._upstreams.choose(now_ms, preferred, fallback, alive)
 
-    def _take_role(self, now_ms: float) -> None:
-        wanted = self._zone.makes_me_relay()
-        if wanted:
+    def _update_role(self, now_ms: float) -> None:
+        should_relay = self._zone.is_relay()
+        if should_relay:
             self._step_down_at = NEVER
             if not self.relay:
                 self._change_role(relay=True)
@@ -111,7 +113,7 @@
     def _change_role(self, relay: bool) -> None:
         self.relay = relay
         self._step_down_at = NEVER
-        role = "a relay" if relay else "no relay any more"
+        role = "now a relay" if relay else "no longer a relay"
         self._outbox.log(f"this instance is {role} of zone {self._me.zone}")
         if not relay:
             self._source.dismiss(m.NOT_A_RELAY)
--- a/pumicenotch/distribution/replica/rendezvous.py
+++ b/pumicenotch/distribution/replica/rendezvous.py
@@ -1,7 +1,7 @@
-"""Rendezvous hashing.
+"""Rendezvous (highest random weight) hashing.
 
-Every instance chooses the same among the same candidates, and a candidate that joins or leaves
-moves only its own share.
+All instances make the same choice among the same candidates. A candidate that joins or leaves moves
+only its own share of the subjects.
 """
 
 from collections.abc import Callable, Iterable
@@ -15,7 +15,7 @@
 
 @lru_cache(maxsize=MAX_CACHED_SCORES)
 def score(subject: str, candidate: str) -> int:
-    """Return the score of a candidate for a subject; the highest is chosen."""
+    """Returns the score of a candidate for a subject; the candidate with the highest is chosen."""
     digest = blake2b(f"{subject}\0{candidate}".encode(), digest_size=8).digest()
     return int.from_bytes(digest, "big")
 
@@ -23,5 +23,7 @@
 def ranked(
     subject: str, candidates: Iterable[Candidate], name: Callable[[Candidate], str]
 ) -> list[Candidate]:
-    """Return the candidates, the best one first."""
-    return sorted(candidates, key=lambda each: (-score(subject, name(each)), name(each)))
+    """Returns the candidates by descending score, ties by name."""
+    return sorted(
+        candidates, key=lambda candidate: (-score(subject, name(candidate)), name(candidate))
+    )
--- a/pumicenotch/distribution/replica/replica.py
+++ b/pumicenotch/distribution/replica/replica.py
@@ -1,7 +1,7 @@
-"""How a copy is kept up to date.
+"""Keeps a copy of the configuration current.
 
-It takes deltas that are pushed, pulls what it has missed, and compares scopes where deltas are not
-enough.
+A replica applies the deltas that sources push, pulls the versions that it missed, and compares
+scope digests where deltas cannot update the copy.
 """
 
 from collections.abc import Callable
@@ -21,22 +21,22 @@
 
 
 class Sources(Protocol):
-    """What the replica needs to know of its sources."""
+    """The interface to the sources of a replica."""
 
-    def best(self, now_ms: float, min_version: int) -> str | None:
-        """Return the address of one that has at least that version and can be asked now."""
+    def select(self, now_ms: float, min_version: int) -> str | None:
+        """Returns the address of a source with at least that version that can be asked now."""
 
-    def failed(self, now_ms: float, address: str, wait_ms: float = 0.0) -> None:
-        """Note that a source did not answer, or not with what it should."""
+    def on_source_failed(self, now_ms: float, address: str, wait_ms: float = 0.0) -> None:
+        """Records that a source did not answer, or gave an answer that cannot be used."""
 
     def postpone(self, address: str, until_ms: float) -> None:
-        """Ask a source for nothing until then."""
+        """Sends no requests to a source before `until_ms`."""
 
 
 class Replica:
-    """Keeps `copy` at what its sources have, as far as `subscription` goes.
+    """Keeps the scopes of `subscription` in `copy` at the newest version of the sources.
 
-    `generation` numbers the subscriptions.
+    `generation` identifies the current subscription, and increases with each new one.
     """
 
     def __init__(
@@ -57,45 +57,47 @@
         self._requests = Requests(context)
         self._transfer: Transfer | None = None
         self._transfer_number = context.rng.getrandbits(30)
-        self._reusable: dict[ScopeId, Scope] = {}  # of a transfer that was aborted
-        self._not_before = 0.0  # of the next pull or transfer
+        # Verified scopes of a transfer that was aborted.
+        self._reusable: dict[ScopeId, Scope] = {}
+        # Earliest time of the next pull or transfer.
+        self._not_before = 0.0
         first_audit_at = context.settings.audit_ms * (1.0 + context.rng.random())
         self._auditor = Auditor(context.settings, first_audit_at)
 
-    # For the owner
+    # Interface to the node
 
     def next_tick_at(self, now_ms: float) -> float:
-        """Return when `tick` is to be called next."""
+        """Returns the time at which `tick` is to be called next."""
         if self._has_work():
             return now_ms
-        due = min(self._requests.next_retry_at(), self._auditor.next_audit_at)
-        if self._is_idle() and self._lags():
-            due = min(
-                due,
+        next_at = min(self._requests.next_retry_at(), self._auditor.next_audit_at)
+        if self._is_idle() and self._is_behind():
+            next_at = min(
+                next_at,
                 self._not_before if self._not_before > now_ms else now_ms + self._settings.retry_ms,
             )
-        return due
+        return next_at
 
     def tick(self, now_ms: float) -> None:
-        """Do one slice of work, and what is due."""
-        self._work(now_ms)
+        """Processes one slice, and sends the requests and retries whose time has come."""
+        self._process_slice(now_ms)
         for request in self._requests.tick(now_ms):
             self._counts["unanswered"] += 1
-            self._sources.failed(now_ms, request.address)
+            self._sources.on_source_failed(now_ms, request.address)
         self._start_catching_up(now_ms)
         if now_ms >= self._auditor.next_audit_at and self._is_idle():
             self._auditor.start(now_ms, self.copy.view)
 
     def on_version(self, now_ms: float, version: int) -> None:
-        """Note that a source has that version in force."""
-        if version > self.copy.newest and not self.copy.is_lagging():
-            # What is on its way has arrived by then.
+        """Records that a source has a version in force."""
+        if version > self.copy.newest_version and not self.copy.is_lagging():
+            # A delta that the source pushed has arrived by this time.
             pushed_by = now_ms + self._settings.missed_ms
             self._not_before = max(self._not_before, pushed_by)
-        self.copy.newest = max(self.copy.newest, version)
+        self.copy.newest_version = max(self.copy.newest_version, version)
 
     def subscribe(self, now_ms: float, subscription: Subscription) -> None:
-        """Take another subscription: drop what is no longer in it, and fetch what is new."""
+        """Changes the subscription: drops removed scopes, and schedules a fetch of added ones."""
         self.subscription = subscription
         self.generation += 1
         self._abort_transfer()
@@ -103,8 +105,8 @@
         self.copy.narrow(subscription)
         self._not_before = now_ms
 
-    def source_lost(self, address: str) -> None:
-        """Stop asking a source that was left."""
+    def on_source_lost(self, address: str) -> None:
+        """Cancels the requests to a source that is no longer in use."""
         self._requests.cancel(address)
         if self._transfer is not None and self._transfer.address == address:
             self._abort_transfer()
@@ -112,10 +114,10 @@
     # Messages
 
     def on_delta(self, now_ms: float, address: str, delta: m.Delta) -> None:
-        """Take a delta that was pushed, or the answer to a pull."""
+        """Handles a delta that was pushed or that answers a pull."""
         copy = self.copy
         is_answer = (
-            delta.request != 0 and self._requests.answered(delta.request, address) is not None
+            delta.request != 0 and self._requests.take_answered(delta.request, address) is not None
         )
         if delta.generation != self.generation:
             return
@@ -124,33 +126,34 @@
             copy.staging.add(delta)
             return
         if is_answer and copy.staging is not None and copy.staging.paged:
-            copy.staging = None  # the page is of another source's log
+            copy.staging = None  # the page comes from the log of another source
         if delta.version <= copy.view.version:
             if is_answer:
-                self._not_before = now_ms + self._settings.retry_ms  # that source has nothing newer
+                # The source that answered has no newer version.
+                self._not_before = now_ms + self._settings.retry_ms
         elif self._can_stage() and delta.previous == copy.view.version and delta.start == m.START:
             copy.stage(delta)
         else:
             copy.queue(delta)
 
     def on_scopes(self, now_ms: float, address: str, page: m.Scopes) -> None:
-        """Take the answer to a comparison."""
+        """Handles the answer to a Compare request."""
         transfer = self._transfer
-        is_answer = self._requests.answered(page.request, address) is not None
+        is_answer = self._requests.take_answered(page.request, address) is not None
         if not is_answer or transfer is None or page.transfer != transfer.number:
             return
         if page.version < self.copy.view.version or transfer.version not in (-1, page.version):
             self._counts["sources_behind"] += 1
             self._abort_transfer()
-            self._sources.failed(now_ms, address)
+            self._sources.on_source_failed(now_ms, address)
             return
         self.on_version(now_ms, page.version)
         transfer.add_digests(page, self.copy.view)
         self._continue_transfer(now_ms, transfer)
 
     def on_records(self, now_ms: float, address: str, page: m.Records) -> None:
-        """Take the answer to a fetch."""
-        request = self._requests.answered(page.request, address)
+        """Handles the answer to a Fetch request."""
+        request = self._requests.take_answered(page.request, address)
         transfer = self._transfer
         if request is None or transfer is None or page.transfer != transfer.number:
             return
@@ -158,23 +161,23 @@
         transfer.add(request.message.wants, page.parts)
 
     def on_refused(self, now_ms: float, address: str, refusal: m.Refused) -> None:
-        """Note that a request of this replica was refused."""
+        """Handles the refusal of a request of this replica."""
         if refusal.reason in (m.BUSY, m.NOT_READY):
             self._sources.postpone(address, now_ms + refusal.retry_after_ms)
         if refusal.reason == m.BUSY:
             self._requests.postpone(now_ms, refusal.request, refusal.retry_after_ms)
-        elif self._requests.answered(refusal.request, address) is not None:
+        elif self._requests.take_answered(refusal.request, address) is not None:
             self.copy.needs_comparison = self.copy.needs_comparison or refusal.reason == m.COMPACTED
             self.copy.staging = None
             self._abort_transfer()
 
     def on_mismatch(self, message: m.Mismatch) -> None:
-        """Note that a source has another digest for a scope at this version."""
+        """Handles the message that a source has another digest for a scope at the same version."""
         scope_id = ScopeId(message.table, message.scope)
         if message.version == self.copy.view.version and self.copy.coverage.contains(*scope_id):
-            self.copy.suspect([scope_id])
+            self.copy.mark_suspect([scope_id])
 
-    # Work, a slice at a time
+    # Sliced processing
 
     def _has_work(self) -> bool:
         staging = self.copy.staging
@@ -185,49 +188,51 @@
             or (transfer is not None and (transfer.has_work or transfer.done))
         )
 
-    def _work(self, now_ms: float) -> None:
+    def _process_slice(self, now_ms: float) -> None:
         transfer = self._transfer
         staging = self.copy.staging
         try:
             if transfer is not None:
-                self._work_transfer(now_ms, transfer)
+                self._process_transfer(now_ms, transfer)
             elif staging is not None:
-                self.copy.work()
+                self.copy.process_slice()
             else:
-                self._work_audit(now_ms)
+                self._process_audit(now_ms)
         except DistributionError as error:
-            self._failed(now_ms, error, transfer)
+            self._handle_error(now_ms, error, transfer)
 
-    def _failed(self, now_ms: float, error: DistributionError, transfer: Transfer | None) -> None:
+    def _handle_error(
+        self, now_ms: float, error: DistributionError, transfer: Transfer | None
+    ) -> None:
         staging = self.copy.staging
         self._abort_transfer()
         if transfer is not None and isinstance(error, DigestMismatchError):
-            self.copy.fail(error)
-            self._sources.failed(now_ms, transfer.address)
+            self.copy.record_error(error)
+            self._sources.on_source_failed(now_ms, transfer.address)
         elif transfer is not None:
-            self.copy.block(transfer.version, error)
+            self.copy.block_version(transfer.version, error)
         elif staging is not None:
-            self.copy.block(staging.version, error)
+            self.copy.block_version(staging.version, error)
 
-    def _work_transfer(self, now_ms: float, transfer: Transfer) -> None:
-        budget = transfer.work(self._settings.slice_changes)
+    def _process_transfer(self, now_ms: float, transfer: Transfer) -> None:
+        budget = transfer.process_slice(self._settings.slice_changes)
         self._continue_transfer(now_ms, transfer)
         if budget <= 0 or not transfer.done:
             return
         view = transfer.build(self.copy.view)
         self._end_transfer(transfer)
-        self.copy.suspects -= transfer.suspects
-        self.copy.needs_comparison = bool(self.copy.suspects)
+        self.copy.suspect_scopes -= transfer.suspects
+        self.copy.needs_comparison = bool(self.copy.suspect_scopes)
         self.copy.switch(view, transfer.subscription, None)
 
-    def _work_audit(self, now_ms: float) -> None:
+    def _process_audit(self, now_ms: float) -> None:
         view = self.copy.view
-        audit = self._auditor.work(view)
+        audit = self._auditor.process_slice(view)
         if audit is None:
             return
-        address = self._sources.best(now_ms, view.version)
+        address = self._sources.select(now_ms, view.version)
         if not audit.matches:
-            self.copy.suspect([audit.scope_id])
+            self.copy.mark_suspect([audit.scope_id])
         elif address is not None:
             digest = m.ScopeDigest(*audit.scope_id, audit.scope.digest)
             self._outbox.send(address, m.Check(view.version, digest))
@@ -240,18 +245,18 @@
         )
 
     def _is_idle(self) -> bool:
-        return self.copy.staging is None and self._transfer is None and not self._requests.open
+        return self.copy.staging is None and self._transfer is None and not self._requests.pending
 
-    def _lags(self) -> bool:
+    def _is_behind(self) -> bool:
         return not self.copy.is_blocked() and (self._needs_transfer() or self.copy.is_lagging())
 
     def _needs_transfer(self) -> bool:
         return self.copy.needs_comparison or not self.copy.coverage.covers(self.subscription)
 
     def _start_catching_up(self, now_ms: float) -> None:
-        """Start, or continue, what is needed to catch up."""
+        """Starts or continues the pull or transfer that is needed to catch up."""
         copy = self.copy
-        busy = self._transfer is not None or self._requests.open or copy.is_blocked()
+        busy = self._transfer is not None or self._requests.pending or copy.is_blocked()
         if busy or now_ms < self._not_before:
             return
         if copy.staging is not None:
@@ -263,20 +268,22 @@
             self._pull(now_ms, copy.view.version + 1, m.START)
 
     def _pull(self, now_ms: float, min_version: int, start: m.Cursor) -> None:
-        address = self._sources.best(now_ms, min_version)
+        address = self._sources.select(now_ms, min_version)
         if address is None:
             return
         self._counts["pulled"] += 1
-        have = self.copy.view.version
+        current_version = self.copy.view.version
         generation = self.generation
-        self._requests.send(now_ms, address, lambda number: m.Pull(number, generation, have, start))
+        self._requests.send(
+            now_ms, address, lambda number: m.Pull(number, generation, current_version, start)
+        )
 
     def _start_transfer(self, now_ms: float) -> None:
         copy = self.copy
-        newer = max(copy.view.version, copy.blocked) + 1
-        address = self._sources.best(now_ms, newer) if copy.is_lagging() else None
-        if address is None:  # nothing newer is to be had: at least all of what is in force
-            address = self._sources.best(now_ms, max(copy.view.version, copy.blocked + 1))
+        newer_version = max(copy.view.version, copy.blocked_version) + 1
+        address = self._sources.select(now_ms, newer_version) if copy.is_lagging() else None
+        if address is None:  # otherwise a source with at least the version in force serves
+            address = self._sources.select(now_ms, max(copy.view.version, copy.blocked_version + 1))
         if address is None:
             return
         self._counts["transfers"] += 1
@@ -286,15 +293,15 @@
             address,
             self.subscription,
             self._tables,
-            copy.suspects,
+            copy.suspect_scopes,
             self._reusable,
         )
         self._reusable = {}
         self._request_digests(now_ms, self._transfer)
 
     def _continue_transfer(self, now_ms: float, transfer: Transfer) -> None:
-        """Send requests of the transfer, as many as may be in flight."""
-        in_flight = [type(request.message) for request in self._requests.open.values()]
+        """Sends the next requests of the transfer, up to the limit on requests in flight."""
+        in_flight = [type(request.message) for request in self._requests.pending.values()]
         if not transfer.compared_all and m.Compare not in in_flight:
             self._request_digests(now_ms, transfer)
         for _ in range(self._settings.max_fetches - len(in_flight)):
@@ -318,7 +325,7 @@
         )
 
     def _abort_transfer(self) -> None:
-        """End a transfer early; what it has fetched and verified is of use to the next one."""
+        """Ends a transfer early, and keeps its verified scopes for the next one."""
         if self._transfer is not None:
             self._reusable = self._transfer.complete
             self._end_transfer(self._transfer)
--- a/pumicenotch/distribution/replica/staging.py
+++ b/pumicenotch/distribution/replica/staging.py
@@ -1,6 +1,7 @@
-"""A delta on its way into force.
+"""Staging of a received delta.
 
-Its pages are staged in slices beside the view in force, and verified before the switch.
+The pages of the delta are applied in slices to a new view, while the view in force remains in use.
+The new view is verified before the switch to it.
 """
 
 from collections import deque
@@ -15,13 +16,13 @@
 
 
 class Staging:
-    """What leads from the view in force to another version, without scopes outside of `coverage`.
+    """Stages the changes from the version in force to another, for the scopes in `coverage`.
 
     Attributes:
         previous: the version in force.
-        version: the one that it leads to.
-        end: where the next page begins.
-        paged: whether there are pages to come.
+        version: the version that the delta leads to.
+        end: the position at which the next page starts.
+        paged: whether further pages are expected.
     """
 
     def __init__(
@@ -39,7 +40,7 @@
         self._digests: dict[ScopeId, int] = {}
 
     def follows(self, delta: Delta) -> bool:
-        """Whether that is the next page."""
+        """Returns whether a delta is the next page."""
         return (
             self.paged
             and (delta.previous, delta.version) == (self.previous, self.version)
@@ -47,7 +48,7 @@
         )
 
     def add(self, delta: Delta) -> None:
-        """Add the next page."""
+        """Adds the next page."""
         self.end = delta.end
         self.paged = not delta.done
         self._unstaged.extend(delta.changes)
@@ -57,16 +58,16 @@
 
     @property
     def has_work(self) -> bool:
-        """Whether there are changes to stage."""
+        """Whether received changes are waiting to be staged."""
         return bool(self._unstaged)
 
     @property
     def complete(self) -> bool:
-        """Whether all pages are there and staged."""
+        """Whether all pages are received and staged."""
         return not self.paged and not self._unstaged
 
-    def work(self, budget: int) -> int:
-        """Stage changes up to that cost, and return what is left of it.
+    def process_slice(self, budget: int) -> int:
+        """Stages changes up to a cost of `budget`, and returns the part of the budget that is left.
 
         Raises:
             DistributionError: a record cannot be applied.
@@ -85,15 +86,15 @@
         return self._builder.put(change)
 
     def mismatches(self) -> list[ScopeId]:
-        """Return the scopes whose digests are not those of the source."""
-        wrong = [
+        """Returns the changed scopes whose digests differ from the source's, or were not sent."""
+        differing = [
             scope_id
             for scope_id in self._digests
             if self._builder.digest(scope_id) != self._digests[scope_id]
         ]
-        return sorted([*wrong, *(self._changes.scopes.keys() - self._digests.keys())])
+        return sorted([*differing, *(self._changes.scopes.keys() - self._digests.keys())])
 
     def finish(self) -> tuple[View, LogEntry]:
-        """Return the next view, and the entry of the log that a relay keeps for its children."""
+        """Returns the next view, and the log entry that a relay keeps for its children."""
         view = self._builder.finish(self.version)
         return view, LogEntry(self.previous, self.version, self._changes, self._digests)
--- a/pumicenotch/distribution/replica/upstreams.py
+++ b/pumicenotch/distribution/replica/upstreams.py
@@ -1,7 +1,7 @@
-"""The sources of one replica.
+"""Selection and supervision of the sources of one replica.
 
-They are two at most. They are kept while they serve, left at once when they fail, and after a while
-when others should serve instead.
+A replica uses at most two sources. It keeps a source that serves it, leaves a failed source at
+once, and leaves a working source after a random delay when another source is preferred.
 """
 
 from collections.abc import Container, Sequence
@@ -12,26 +12,26 @@
 from pumicenotch.distribution.protocol import messages as m
 from pumicenotch.distribution.settings import NEVER
 
-# The primary one pushes, the secondary one announces.
+# The primary source pushes deltas, the secondary one only announces versions.
 MAX_UPSTREAMS = 2
 
 
 @dataclass(slots=True)
 class Upstream:
-    """One source, as this replica knows it.
+    """The state of one source at this replica. Times are in milliseconds.
 
     Attributes:
-        address: where it listens.
-        last_message_at: when it was last heard from.
-        subscribe_at: when the next Subscribe is sent, while it has not accepted.
-        attempts: how many were sent.
-        request: the number of the last one.
-        accepted: whether it serves this replica.
-        version: in force there.
-        current_at: when that version was known to be the newest.
-        retry_at: until then it is asked for nothing.
-        unsubscribe_at: when it is left, if others should serve instead.
-        lagging_since: since when another source is ahead of it.
+        address: the address at which the source listens.
+        last_message_at: time of the last message from the source.
+        subscribe_at: time of the next Subscribe, while the source has not accepted.
+        attempts: number of Subscribe messages sent without an answer.
+        request: request number of the last Subscribe.
+        accepted: whether the source serves this replica.
+        version: the version in force at the source.
+        current_at: time at which that version was known to be the newest.
+        retry_at: time before which no requests are sent to the source.
+        unsubscribe_at: time at which the source is left, if another one is preferred.
+        lagging_since: time since which another source has a newer version.
     """
 
     address: str
@@ -48,12 +48,12 @@
 
 
 class Upstreams:
-    """The sources in use: the first of `active` is the primary one.
+    """The sources that a replica uses. The node collects and resets `lost` and `promoted`.
 
     Attributes:
-        active: in order.
-        lost: addresses that were left since the owner last looked.
-        promoted: whether the primary source has changed since then.
+        active: the sources in use, the primary one first.
+        lost: addresses of the sources that were left since the last reset.
+        promoted: whether the primary source has changed since the last reset.
     """
 
     def __init__(self, context: Context) -> None:
@@ -70,10 +70,10 @@
         self._swap_at = NEVER
 
     def find(self, address: str) -> Upstream | None:
-        """Return the source in use with that address."""
+        """Returns the source in use with that address; None if there is none."""
         return next((upstream for upstream in self.active if upstream.address == address), None)
 
-    # Choice
+    # Selection
 
     def choose(
         self,
@@ -82,7 +82,10 @@
         fallback: Sequence[str],
         alive: Container[str],
     ) -> None:
-        """Use the first two of the preferred ones that can be had, or one of the others."""
+        """Uses the first two usable preferred addresses, or else the first usable fallback address.
+
+        A source that is no longer alive is dropped at once.
+        """
         self._avoided_until = {
             address: avoided_until
             for address, avoided_until in self._avoided_until.items()
@@ -91,18 +94,18 @@
         usable = [address for address in preferred if address not in self._avoided_until]
         if not usable:
             usable = [address for address in fallback if address not in self._avoided_until][:1]
-        wanted = usable[:MAX_UPSTREAMS]
+        chosen = usable[:MAX_UPSTREAMS]
         for upstream in list(self.active):
-            self._keep_or_unsubscribe(now_ms, upstream, wanted, alive)
-        for address in wanted:
+            self._keep_or_unsubscribe(now_ms, upstream, chosen, alive)
+        for address in chosen:
             if len(self.active) < MAX_UPSTREAMS and self.find(address) is None:
                 self.active.append(Upstream(address, now_ms, now_ms))
-        self._swap(now_ms, wanted)
+        self._swap(now_ms, chosen)
 
     def _keep_or_unsubscribe(
-        self, now_ms: float, upstream: Upstream, wanted: Sequence[str], alive: Container[str]
+        self, now_ms: float, upstream: Upstream, chosen: Sequence[str], alive: Container[str]
     ) -> None:
-        if upstream.address in wanted:
+        if upstream.address in chosen:
             upstream.unsubscribe_at = NEVER
         elif upstream.address not in alive:
             self._drop(upstream)
@@ -112,10 +115,10 @@
             self._outbox.send(upstream.address, m.Unsubscribe())
             self._drop(upstream)
 
-    def _swap(self, now_ms: float, wanted: Sequence[str]) -> None:
-        """Make the better one of two the primary again, after a while."""
+    def _swap(self, now_ms: float, chosen: Sequence[str]) -> None:
+        """Restores the preferred order of two sources after a delay."""
         addresses = [upstream.address for upstream in self.active]
-        is_reversed = len(addresses) == MAX_UPSTREAMS and addresses == list(reversed(wanted))
+        is_reversed = len(addresses) == MAX_UPSTREAMS and addresses == list(reversed(chosen))
         if not is_reversed:
             self._swap_at = NEVER
         elif self._swap_at == NEVER:
@@ -134,8 +137,8 @@
         self.active.remove(upstream)
         self.lost.append(upstream.address)
 
-    def failed(self, now_ms: float, address: str, wait_ms: float = 0.0) -> None:
-        """Leave a source that failed, and avoid it for a while."""
+    def on_source_failed(self, now_ms: float, address: str, wait_ms: float = 0.0) -> None:
+        """Leaves a failed source, and avoids its address for a randomized time."""
         avoid_ms = self._settings.avoid_ms * (1.0 + self._rng.random())
         self._avoided_until[address] = now_ms + max(wait_ms, avoid_ms)
         self._counts["sources_failed"] += 1
@@ -145,19 +148,19 @@
             self._drop(upstream)
 
     def unsubscribe_all(self) -> None:
-        """Leave all sources: this instance has another role, and needs others."""
+        """Leaves all sources, because another role of this instance needs other sources."""
         for upstream in list(self.active):
             self._outbox.send(upstream.address, m.Unsubscribe())
             self._drop(upstream)
 
     def stop_avoiding(self, address: str) -> None:
-        """Consider a source again that has restarted."""
+        """Makes the address of a restarted source usable again."""
         self._avoided_until.pop(address, None)
 
-    # Messages of sources
+    # Messages from sources
 
-    def received(self, now_ms: float, address: str, version: int | None, age_ms: int) -> None:
-        """Note a message of a source, and the version that it has if it says so."""
+    def on_message(self, now_ms: float, address: str, version: int | None, age_ms: int) -> None:
+        """Records a message from a source, and the source's version if the message contains one."""
         upstream = self.find(address)
         if upstream is None:
             return
@@ -167,7 +170,7 @@
             upstream.current_at = max(upstream.current_at, now_ms - age_ms)
 
     def on_accepted(self, address: str, message: m.Accepted) -> bool:
-        """Return whether a source has accepted the last Subscribe."""
+        """Handles Accepted, and returns whether it answers the last Subscribe to that source."""
         upstream = self.find(address)
         if upstream is None or upstream.request != message.request:
             return False
@@ -176,31 +179,31 @@
         return True
 
     def resubscribe(self, now_ms: float, address: str) -> None:
-        """Subscribe again at a source that does not know this replica."""
+        """Schedules a new Subscribe to a source that does not know this replica."""
         upstream = self.find(address)
         if upstream is not None and upstream.accepted:
             upstream.accepted = False
             upstream.subscribe_at = now_ms
             upstream.attempts = 0
-            # It may be another process, with another history.
+            # The source may be a new process with another history of versions.
             upstream.version = 0
             upstream.current_at = -NEVER
 
     def resubscribe_all(self, now_ms: float) -> None:
-        """Subscribe again at all sources, as the subscription has changed."""
+        """Schedules a new Subscribe to all sources after a change of the subscription."""
         for upstream in self.active:
             upstream.accepted = False
             upstream.subscribe_at = now_ms
             upstream.attempts = 0
 
     def postpone(self, address: str, until_ms: float) -> None:
-        """Ask a source for nothing until then."""
+        """Sends no requests to a source before `until_ms`."""
         upstream = self.find(address)
         if upstream is not None:
             upstream.retry_at = max(upstream.retry_at, until_ms)
 
-    def best(self, now_ms: float, min_version: int) -> str | None:
-        """Return the primary source if it can be asked now, else the other."""
+    def select(self, now_ms: float, min_version: int) -> str | None:
+        """Returns the address of the first source that can be asked now and has the version."""
         for upstream in self.active:
             if (
                 upstream.accepted
@@ -210,26 +213,26 @@
                 return upstream.address
         return None
 
-    # Time
+    # Timers
 
     def tick(
         self, now_ms: float, generation: int, version: int, newest: int, subscription: Subscription
     ) -> None:
-        """Subscribe where it is due, and leave sources that are silent or lag."""
+        """Sends due Subscribe messages, and leaves sources that are silent or lag."""
         for upstream in list(self.active):
-            if self._silent(now_ms, upstream) or self._lags(now_ms, upstream, newest):
-                self.failed(now_ms, upstream.address)
+            if self._is_silent(now_ms, upstream) or self._is_lagging(now_ms, upstream, newest):
+                self.on_source_failed(now_ms, upstream.address)
             elif not upstream.accepted and now_ms >= upstream.subscribe_at:
                 self._subscribe(now_ms, upstream, generation, version, subscription)
 
-    def _silent(self, now_ms: float, upstream: Upstream) -> bool:
-        gave_up = not upstream.accepted and upstream.attempts > self._settings.max_attempts
-        return gave_up or now_ms - upstream.last_message_at >= self._settings.source_silent_ms
+    def _is_silent(self, now_ms: float, upstream: Upstream) -> bool:
+        is_exhausted = not upstream.accepted and upstream.attempts > self._settings.max_attempts
+        return is_exhausted or now_ms - upstream.last_message_at >= self._settings.source_silent_ms
 
-    def _lags(self, now_ms: float, upstream: Upstream, newest: int) -> bool:
-        """Whether another source has been ahead of it for long."""
-        is_elsewhere = any(each.version >= newest for each in self.active if each.accepted)
-        if not upstream.accepted or upstream.version >= newest or not is_elsewhere:
+    def _is_lagging(self, now_ms: float, upstream: Upstream, newest: int) -> bool:
+        """Returns whether another source has had a newer version for `source_lag_ms`."""
+        is_available = any(source.version >= newest for source in self.active if source.accepted)
+        if not upstream.accepted or upstream.version >= newest or not is_available:
             upstream.lagging_since = NEVER
             return False
         upstream.lagging_since = min(upstream.lagging_since, now_ms)
@@ -251,7 +254,7 @@
         self._outbox.send(upstream.address, message)
 
     def next_tick_at(self) -> float:
-        """Return when `choose` and `tick` are to be called next."""
+        """Returns the time at which `choose` and `tick` are to be called next."""
         next_at = NEVER
         if len(self.active) < MAX_UPSTREAMS:
             next_at = min(self._avoided_until.values(), default=NEVER)
--- a/pumicenotch/distribution/replica/zone.py
+++ b/pumicenotch/distribution/replica/zone.py
@@ -1,6 +1,7 @@
-"""The instances of one zone, and which of them are its relays.
+"""The instances of one zone, and the choice of its relays.
 
-Each instance decides by its own membership; those that agree on who is alive agree on the relays.
+Each instance computes the relays from its own membership view. Instances with the same view of live
+members compute the same relays.
 """
 
 from pumicenotch.distribution.events import Peer
@@ -8,16 +9,16 @@
 
 
 class Zone:
-    """The zone of this instance; peers of other zones are ignored."""
+    """The members of this instance's zone. Peers of other zones are ignored."""
 
     def __init__(self, me: Peer, relay_count: int, eligible: bool = True) -> None:
-        """Start with this instance alone.
+        """Creates a zone with this instance as its only member.
 
         Args:
             me: this instance.
-            relay_count: how many relays the zone has.
-            eligible: whether this instance may be a relay. Others that try it nonetheless are
-                refused, and go to the next.
+            relay_count: number of relays in the zone.
+            eligible: whether this instance may be a relay. If not, it refuses replicas that
+                subscribe here nonetheless, and they try the next relay.
         """
         self.me = me
         self._eligible = eligible
@@ -25,8 +26,8 @@
         self._peers: dict[str, Peer] = {}
         self._relays: list[Peer] = [me] if eligible else []
 
-    def changed(self, peer: Peer) -> bool:
-        """Note a peer, and return whether it is of this zone."""
+    def update_peer(self, peer: Peer) -> bool:
+        """Updates a peer, and returns whether the members of this zone may have changed."""
         if peer.name == self.me.name:
             return False
         if peer.zone != self.me.zone or not peer.alive:
@@ -34,27 +35,27 @@
                 return False
         else:
             self._peers[peer.name] = peer
-        everyone = [*([self.me] if self._eligible else []), *self._peers.values()]
-        order = ranked(self.me.zone, everyone, lambda candidate: candidate.name)
+        candidates = [*([self.me] if self._eligible else []), *self._peers.values()]
+        order = ranked(self.me.zone, candidates, lambda candidate: candidate.name)
         self._relays = order[: self._relay_count]
         return True
 
     @property
     def size(self) -> int:
-        """How many instances there are, this one included."""
+        """The number of live instances in the zone, including this one."""
         return 1 + len(self._peers)
 
     def addresses(self) -> set[str]:
-        """Return the addresses of the others that are alive."""
+        """Returns the addresses of the other live instances."""
         return {peer.address for peer in self._peers.values()}
 
     def relays(self) -> list[str]:
-        """Return the addresses of the other relays, in this instance's order of preference."""
+        """Returns the addresses of the other relays, in this instance's order of preference."""
         others = [peer for peer in self._relays if peer.name != self.me.name]
         return [
             peer.address for peer in ranked(self.me.name, others, lambda candidate: candidate.name)
         ]
 
-    def makes_me_relay(self) -> bool:
-        """Whether this instance is to be a relay."""
+    def is_relay(self) -> bool:
+        """Returns whether this instance is one of the zone's relays."""
         return any(peer.name == self.me.name for peer in self._relays)
--- a/tests/distribution/test_eligibility.py
+++ b/tests/distribution/test_eligibility.py
@@ -10,13 +10,13 @@
 
 def test_an_instance_that_is_not_eligible_is_no_relay_even_alone() -> None:
     zone = Zone(peer("n0"), 3, eligible=False)
-    assert not zone.makes_me_relay() and zone.relays() == []
-    zone.changed(peer("n1"))
-    assert not zone.makes_me_relay() and zone.relays() == ["n1:1"]
+    assert not zone.is_relay() and zone.relays() == []
+    zone.update_peer(peer("n1"))
+    assert not zone.is_relay() and zone.relays() == ["n1:1"]
 
 
 def test_an_instance_that_is_not_eligible_does_not_count_itself_among_the_relays() -> None:
     zone = Zone(peer("n0"), 2, eligible=False)
     for name in ("n1", "n2", "n3"):
-        zone.changed(peer(name))
+        zone.update_peer(peer(name))
     assert len(zone.relays()) == 2 and "n0:1" not in zone.relays()
--- a/tests/distribution/test_faults.py
+++ b/tests/distribution/test_faults.py
@@ -199,7 +199,7 @@
     former = {name for name, node in network.nodes().items() if node.relay}
     joined = 0
     while former <= {
-        name for name, node in network.nodes().items() if node._placement._zone.makes_me_relay()
+        name for name, node in network.nodes().items() if node._placement._zone.is_relay()
     }:
         joined += 1  # until one of those that join takes the place of one of them
         name = f"i{8 + joined}"
