--- a/pumicenotch/distribution/node.py
+++ b/pumicenotch/distribution/node.py
@@ -164,7 +164,7 @@
                 self._placement.on_peer_changed(now, peer)
             case SubscriptionChanged(subscription):
                 self._own = subscription
-                self._resubscribe(now, subscription.union(self._source.wanted()))
+                self._resubscribe(now, subscription.union(self._source.children_subscription()))
             case Started():
                 self._started_at = now
                 self._narrow_at = now + self._settings.narrow_ms
@@ -221,7 +221,7 @@
 
     def _received(self, now: float, sender: Sender, message: m.Message) -> None:
         if isinstance(message, FROM_CHILDREN):
-            self._source.received(now, sender, message)
+            self._source.on_message(now, sender, message)
             self._after_child(now, message)
         elif self._upstreams.find(sender.address) is None:
             if isinstance(message, m.Announce | m.Delta):
@@ -283,12 +283,12 @@
     def _update_subscription(self, now: float) -> None:
         if now >= self._widen_at:
             self._widen_at = NEVER
-            needed = self._own.union(self._source.wanted())
+            needed = self._own.union(self._source.children_subscription())
             if not self._replica.subscription.covers(needed):
                 self._resubscribe(now, self._replica.subscription.union(needed))
         if now >= self._narrow_at:
             self._narrow_at = now + self._settings.narrow_ms
-            self._resubscribe(now, self._own.union(self._source.wanted()))
+            self._resubscribe(now, self._own.union(self._source.children_subscription()))
 
     def _resubscribe(self, now: float, subscription: Subscription) -> None:
         if subscription == self._replica.subscription:
@@ -311,7 +311,7 @@
             source.log.append(entry)
         source.view = view
         source.coverage = self._replica.copy.coverage
-        source.published(self._now)
+        source.on_published(self._now)
         self._update_age()
         self._acknowledger.schedule(self._now, serves=bool(source.children))
 
--- a/pumicenotch/distribution/source/__init__.py
+++ b/pumicenotch/distribution/source/__init__.py
@@ -1,1 +1,1 @@
-"""What serves replicas: children, pushes, transfers, and a voter's part."""
+"""Serves replicas: their subscriptions, pushes and transfers, and the reports of voters."""
--- a/pumicenotch/distribution/source/children.py
+++ b/pumicenotch/distribution/source/children.py
@@ -1,4 +1,4 @@
-"""What a source knows of the replicas that it serves."""
+"""The state that a source keeps for each replica that it serves."""
 
 from dataclasses import dataclass
 
@@ -9,24 +9,27 @@
 from pumicenotch.distribution.protocol.reports import EMPTY, Report
 from pumicenotch.distribution.settings import Settings
 
-# Approximate sizes on the wire.
+# Approximate sizes on the wire of a digest, and of a page without its changes and digests.
 DIGEST_BYTES = 32
 PAGE_OVERHEAD_BYTES = 64
 
 
 @dataclass(slots=True)
 class Child:
-    """One replica that has subscribed here.
+    """A replica that has subscribed to this source.
 
     Attributes:
-        name, process_id, address: of its process.
-        generation: numbers its subscriptions.
+        name: the name of its instance.
+        process_id: the identifier of its process.
+        address: the address of its process.
+        generation: identifies its current subscription.
         subscription: the scopes that it needs.
-        primary: whether it wants pushes.
-        version: in force there, as it acknowledged.
-        pushed_version: the version that it has once everything sent has arrived.
-        last_message_at: when it was last heard from.
-        announced_version, announced_at: the last announcement.
+        primary: whether this is its primary source, which pushes deltas to it.
+        version: the version in force at the child, as last acknowledged.
+        pushed_version: the version that the child has once all messages to it have arrived.
+        last_message_at: time of its last message, in milliseconds.
+        announced_version: the last version that was announced or pushed to it.
+        announced_at: time of the last announcement or push, in milliseconds.
         report: its last report.
     """
 
@@ -45,7 +48,7 @@
 
     @classmethod
     def of(cls, now_ms: float, sender: Sender, message: Subscribe) -> "Child":
-        """Return the child that subscribes by this message."""
+        """Returns the child that a Subscribe message creates."""
         return cls(
             name=sender.name,
             process_id=sender.process_id,
@@ -61,19 +64,19 @@
         )
 
     def acknowledged(self, version: int) -> None:
-        """Note the version that is in force at the child."""
+        """Records the version that the child has acknowledged."""
         self.version = version
         self.pushed_version = max(self.pushed_version, version)
 
     def next_announcement_at(self, version: int, settings: Settings) -> float:
-        """Return when that version is to be announced to it."""
-        wait = (
+        """Returns the time at which a version is to be announced to the child."""
+        interval_ms = (
             settings.announce_ms if self.announced_version == version else settings.min_announce_ms
         )
-        return self.announced_at + wait
+        return self.announced_at + interval_ms
 
     def delta(self, request: int, age_ms: int, page: Page) -> Delta:
-        """Return a page as it is sent to this child."""
+        """Returns the message that sends a page to this child."""
         return Delta(
             request,
             self.generation,
@@ -89,6 +92,6 @@
 
 
 def page_bytes(page: Page | Delta) -> int:
-    """Return its approximate size on the wire."""
+    """Returns the approximate size of a page on the wire."""
     changes_bytes = sum(change.size for change in page.changes)
     return changes_bytes + DIGEST_BYTES * len(page.digests) + PAGE_OVERHEAD_BYTES
--- a/pumicenotch/distribution/source/source.py
+++ b/pumicenotch/distribution/source/source.py
@@ -1,6 +1,6 @@
-"""What serves replicas: in a voter, or in an instance that is a relay.
+"""The server side of the distribution, which runs in voters and relays.
 
-A source pushes what is small, announces the rest, and answers requests.
+A source pushes small deltas to its children, announces larger ones, and answers requests.
 """
 
 from collections.abc import Callable
@@ -17,32 +17,36 @@
 from pumicenotch.distribution.source.children import Child, page_bytes
 from pumicenotch.distribution.source.transfers import OpenTransfer, digest_page, record_page
 
-SCOPE_DIGEST_BYTES = 48  # about, on the wire
+# Approximate size of a scope's digest on the wire.
+SCOPE_DIGEST_BYTES = 48
 
 
 def log_of(settings: Settings) -> ChangeLog:
-    """Return an empty log within its bounds."""
+    """Returns an empty change log with the bounds of the settings."""
     return ChangeLog(max_entries=settings.max_log_versions, max_bytes=settings.max_log_bytes)
 
 
 class Source:
-    """Serves children. Its owner sets the public attributes, and calls `published` after a change.
+    """Serves the replicas that subscribe to it, its children.
+
+    The owner, a node or a voter, sets `view`, `log`, `coverage`, `accepting` and `candidates`, and
+    calls `on_published` after a change of the view.
 
     Attributes:
-        view: what is in force.
-        log: the changes that led to it.
+        view: the view in force.
+        log: the changes that led to the view.
         coverage: the scopes that the view covers.
-        accepting: whether further children may subscribe.
-        candidates: addresses of other sources, sent with a refusal.
-        children: by name.
+        accepting: whether replicas may subscribe.
+        candidates: addresses of other sources, which are sent with a refusal.
+        children: the children by name.
     """
 
     def __init__(self, context: Context, age_ms: Callable[[float], int]) -> None:
-        """Create a source without children.
+        """Creates a source without children.
 
         Args:
-            context: the reducer's.
-            age_ms: returns how long ago the view was known to be current.
+            context: the settings and collaborators of the reducer.
+            age_ms: returns, for the present time, how long ago the view was known to be current.
         """
         settings = context.settings
         self.view = View()
@@ -61,21 +65,21 @@
         self._push_queue: dict[str, None] = {}
         self._next_review_at = NEVER
 
-    # For the owner
+    # Interface to the owner
 
-    def published(self, now_ms: float) -> None:
-        """Push or announce the view that is in force now."""
+    def on_published(self, now_ms: float) -> None:
+        """Schedules pushes and announcements of the view that has come into force."""
         for child in self.children.values():
             if child.primary:
                 self._push_queue[child.name] = None
         self._next_review_at = min(self._next_review_at, now_ms)
 
     def next_tick_at(self, now_ms: float) -> float:
-        """Return when `tick` is to be called next."""
+        """Returns the time at which `tick` is to be called next."""
         return now_ms if self._push_queue else self._next_review_at
 
     def tick(self, now_ms: float) -> None:
-        """Push a slice of what is queued, or announce and expire what is due."""
+        """Pushes to a slice of the queued children, or reviews announcements and timeouts."""
         budget = self._settings.slice_bytes
         for name in list(self._push_queue)[: self._settings.slice_children]:
             del self._push_queue[name]
@@ -87,25 +91,25 @@
             self._review_children(now_ms)
 
     def report(self) -> Report:
-        """Return the report of all that have this as their primary source."""
+        """Returns the merged report of the children that have this as their primary source."""
         return merged(child.report for child in self.children.values() if child.primary)
 
-    def wanted(self) -> Subscription:
-        """Return the scopes that the children need."""
+    def children_subscription(self) -> Subscription:
+        """Returns the scopes that the children need."""
         return union_of(child.subscription for child in self.children.values())
 
     def dismiss(self, reason: str) -> None:
-        """Refuse all children from now on, for that reason."""
+        """Sends a refusal to all children, and removes them."""
         for child in self.children.values():
             self._outbox.send(child.address, m.Refused(0, reason, 0, self.candidates))
         self.children.clear()
         self._transfers.clear()
         self._push_queue.clear()
 
-    # Messages of children
+    # Messages from children
 
-    def received(self, now_ms: float, sender: Sender, message: m.Message) -> None:
-        """Take a message of a child, or of a replica that wants to be one."""
+    def on_message(self, now_ms: float, sender: Sender, message: m.Message) -> None:
+        """Handles a message from a child, or from a replica that subscribes."""
         if isinstance(message, m.Subscribe):
             self._subscribe(now_ms, sender, message)
             return
@@ -138,18 +142,18 @@
                 self._check(child, message)
 
     def _subscribe(self, now_ms: float, sender: Sender, message: m.Subscribe) -> None:
-        known_child = self.children.get(sender.name)
+        previous_child = self.children.get(sender.name)
         if not self.accepting:
             self._refuse(sender.address, message.request, m.NOT_A_RELAY, 0)
             return
-        if known_child is None and len(self.children) >= self._settings.max_children:
+        if previous_child is None and len(self.children) >= self._settings.max_children:
             self._refuse(
                 sender.address, message.request, m.BUSY, self._jittered(self._settings.busy_ms)
             )
             return
         child = Child.of(now_ms, sender, message)
-        if known_child is not None and known_child.process_id == child.process_id:
-            child.report = known_child.report
+        if previous_child is not None and previous_child.process_id == child.process_id:
+            child.report = previous_child.report
         self.children[child.name] = child
         self._transfers.pop(child.name, None)
         child.announced_version = self.view.version
@@ -169,12 +173,12 @@
             self._push_queue[child.name] = None
 
     def _pull(self, now_ms: float, child: Child, message: m.Pull) -> None:
-        if not self._serves(now_ms, child, message.request, message.generation):
+        if not self._can_serve(now_ms, child, message.request, message.generation):
             return
         page = self.log.page(
             message.have, message.start, child.subscription, self._settings.page_bytes
         )
-        if message.have >= self.view.version:  # there is nothing newer
+        if message.have >= self.view.version:  # the child has the newest version
             page = Page(message.have, message.have, m.START, m.START, True, (), ())
         if page is None:
             self._refuse(child.address, message.request, m.COMPACTED, 0)
@@ -185,7 +189,7 @@
         self._outbox.send(child.address, child.delta(message.request, self._age_ms(now_ms), page))
 
     def _compare(self, now_ms: float, child: Child, message: m.Compare) -> None:
-        if not self._serves(now_ms, child, message.request, message.generation):
+        if not self._can_serve(now_ms, child, message.request, message.generation):
             return
         transfer = self._transfers.get(child.name)
         if transfer is None or transfer.number != message.transfer:
@@ -193,8 +197,8 @@
                 self._refuse(child.address, message.request, m.NO_TRANSFER, 0)
                 return
             if transfer is None and len(self._transfers) >= self._settings.max_transfers:
-                wait = self._jittered(self._settings.busy_ms)
-                self._refuse(child.address, message.request, m.BUSY, wait)
+                wait_ms = self._jittered(self._settings.busy_ms)
+                self._refuse(child.address, message.request, m.BUSY, wait_ms)
                 return
             transfer = OpenTransfer(
                 message.transfer, child.generation, self.view, child.subscription, now_ms
@@ -224,7 +228,7 @@
             self._refuse(child.address, message.request, m.NO_TRANSFER, 0)
             return
         transfer.last_used_at = now_ms
-        if not self._admits(now_ms, child, message.request):
+        if not self._is_admitted(now_ms, child, message.request):
             return
         pages, size = record_page(transfer, message.wants, self._settings.page_bytes)
         self._bucket.spend(size)
@@ -237,25 +241,27 @@
 
     def _check(self, child: Child, message: m.Check) -> None:
         table, scope, digest = message.scope
-        is_known = message.version == self.view.version and self.coverage.contains(table, scope)
-        if is_known and digest != self.view.digest(table, scope):
+        is_comparable = message.version == self.view.version and self.coverage.contains(
+            table, scope
+        )
+        if is_comparable and digest != self.view.digest(table, scope):
             self._outbox.send(child.address, m.Mismatch(message.version, table, scope))
 
-    def _serves(self, now_ms: float, child: Child, request: int, generation: int) -> bool:
+    def _can_serve(self, now_ms: float, child: Child, request: int, generation: int) -> bool:
         if generation != child.generation:
             self._refuse(child.address, request, m.UNKNOWN_CHILD, 0)
             return False
         if not self.coverage.covers(child.subscription):
-            wait = self._jittered(self._settings.not_ready_ms)
-            self._refuse(child.address, request, m.NOT_READY, wait)
+            wait_ms = self._jittered(self._settings.not_ready_ms)
+            self._refuse(child.address, request, m.NOT_READY, wait_ms)
             return False
-        return self._admits(now_ms, child, request)
+        return self._is_admitted(now_ms, child, request)
 
-    def _admits(self, now_ms: float, child: Child, request: int) -> bool:
+    def _is_admitted(self, now_ms: float, child: Child, request: int) -> bool:
         if self._bucket.is_open(now_ms):
             return True
-        wait = self._bucket.wait_ms(now_ms) + self._jittered(self._settings.busy_ms)
-        self._refuse(child.address, request, m.BUSY, int(wait))
+        wait_ms = self._bucket.wait_ms(now_ms) + self._jittered(self._settings.busy_ms)
+        self._refuse(child.address, request, m.BUSY, int(wait_ms))
         return False
 
     def _refuse(self, address: str, request: int, reason: str, retry_after_ms: int) -> None:
@@ -268,7 +274,7 @@
     # Pushes and announcements
 
     def _push(self, now_ms: float, child: Child) -> int:
-        """Push what is small, as long as the child acknowledges, and return the bytes."""
+        """Pushes small deltas to a child within its window, and returns their size in bytes."""
         settings = self._settings
         pushed_bytes = 0
         while (
@@ -281,7 +287,7 @@
                 child.pushed_version, child.subscription, settings.max_push_bytes
             )
             if page is None:
-                break  # it is announced, and pulled
+                break  # the child pulls a delta of this size after its announcement
             pushed_bytes += page_bytes(page)
             self._outbox.send(child.address, child.delta(0, self._age_ms(now_ms), page))
             self._counts["pushed"] += 1
@@ -291,7 +297,7 @@
         return pushed_bytes
 
     def _review_children(self, now_ms: float) -> None:
-        """Announce the version where that is due, and remove silent children and transfers."""
+        """Sends due announcements, and removes silent children and idle transfers."""
         version = self.view.version
         announcements = 0
         next_review_at = NEVER
--- a/pumicenotch/distribution/source/transfers.py
+++ b/pumicenotch/distribution/source/transfers.py
@@ -1,7 +1,8 @@
-"""The source's side of a transfer by scopes.
+"""The source's side of a transfer, which repairs a child's copy scope by scope.
 
-A view is kept while a child compares digests with it and fetches the scopes that differ. A page
-follows from its position alone, so that a repeated request has the same answer.
+The source keeps one view for the whole transfer, while the child compares its digests and fetches
+the scopes that differ. The content of a page depends only on its position in that view, so that a
+repeated request gets the same answer.
 """
 
 from collections.abc import Sequence
@@ -20,7 +21,15 @@
 
 @dataclass(slots=True)
 class OpenTransfer:
-    """A transfer to a child: `number` is the child's, `view` what it compares with throughout."""
+    """A transfer to a child.
+
+    Attributes:
+        number: the child's number of the transfer.
+        generation: identifies the child's subscription at its start.
+        view: the view that the child compares with, unchanged throughout the transfer.
+        subscription: the scopes that are transferred.
+        last_used_at: time of the last request, in milliseconds.
+    """
 
     number: int
     generation: int
@@ -32,7 +41,7 @@
 def digest_page(
     transfer: OpenTransfer, after: ScopeId, max_scopes: int
 ) -> tuple[tuple[ScopeDigest, ...], bool]:
-    """Return the next subscribed scopes with their digests, and whether these are the last."""
+    """Returns the digests of the next subscribed scopes, and whether these are the last ones."""
     digests: list[ScopeDigest] = []
     for scope_id in transfer.view.subscribed_after(transfer.subscription, after):
         if len(digests) == max_scopes:
@@ -44,7 +53,7 @@
 def record_page(
     transfer: OpenTransfer, wants: Sequence[Want], max_bytes: int
 ) -> tuple[tuple[ScopePage, ...], int]:
-    """Return records of the wanted scopes as far as a message holds them, and their size."""
+    """Returns the pages of the wanted scopes that fit into a message, and their size in bytes."""
     pages: list[ScopePage] = []
     size = 0
     count = 0
@@ -68,7 +77,7 @@
 def _scope_page(
     view: View, want: Want, max_bytes: int, max_records: int, first: bool
 ) -> tuple[ScopePage, int]:
-    """Return a page of a scope; the first in a message has one record at least, however large."""
+    """Returns a page of a scope; the first one in a message has at least one record of any size."""
     scope = view.find(ScopeId(want.table, want.scope))
     records: list[tuple[str, str]] = []
     size = len(want.table) + len(want.scope) + RECORD_OVERHEAD_BYTES
--- a/pumicenotch/distribution/source/voter_source.py
+++ b/pumicenotch/distribution/source/voter_source.py
@@ -1,4 +1,4 @@
-"""A voter's part in the distribution: it serves relays, and reports to the leader."""
+"""The distribution in a voter: it serves relays, and reports on its children to the leader."""
 
 import random
 from collections.abc import Iterable
@@ -22,7 +22,7 @@
 from pumicenotch.distribution.settings import DEFAULTS, NEVER, Settings
 from pumicenotch.distribution.source.source import Source
 
-# Names in a status answer.
+# Number of missing copies that a status answer names.
 MAX_NAMED_MISSING = 64
 
 
@@ -32,9 +32,9 @@
 
 
 class VoterSource:
-    """Serves relays from the voters' book, which it reads and never changes.
+    """Serves relays from the voters' publications, which are read and never changed here.
 
-    `step` is the one way in.
+    `step` is the only entry point for events. `report` and `status` return the state.
     """
 
     def __init__(
@@ -55,27 +55,30 @@
         self._source = Source(context, self._age_ms)
         self._source.coverage = EVERYTHING
         self._source.accepting = True
-        self._take_book()
+        self._use_publications()
         self._leader = ""
         self._is_leader = False
         self._in_touch = False
-        self._last_in_touch_at = -NEVER  # when it was last in touch with the leader
+        # Time at which contact with the leader ended.
+        self._last_in_touch_at = -NEVER
         self._progress_at = NEVER
         self._progress_sent_at = -NEVER
         self._roster_at = NEVER
-        self._reports: dict[str, _VoterReport] = {}  # at the leader: of the other voters
-        self._rosters: dict[str, frozenset[str]] = {}  # by owner: a relay or a voter
+        # At the leader: the last reports of the other voters, by name.
+        self._reports: dict[str, _VoterReport] = {}
+        # Names of served replicas, by the relay or voter that serves them.
+        self._rosters: dict[str, frozenset[str]] = {}
 
     def step(self, now_ms: float, event: VoterEvent) -> list[Effect]:
-        """Take one event, and return the effects that are wanted."""
+        """Handles one event, and returns the effects to carry out."""
         now = max(self._now, now_ms)
         self._now = now
         match event:
             case Published():
-                self._take_book()
-                self._source.published(now)
+                self._use_publications()
+                self._source.on_published(now)
             case Received(sender, message):
-                self._received(now, sender, message)
+                self._on_message(now, sender, message)
             case LeaderChanged():
                 self._leader_changed(now, event)
             case Started():
@@ -87,21 +90,22 @@
             self._send_progress(now)
         if now >= self._roster_at:
             self._send_roster(now)
-        due = min(self._source.next_tick_at(now), self._progress_at, self._roster_at)
-        return [*self._outbox.take(), WakeAt(due)]
+        wake_at = min(self._source.next_tick_at(now), self._progress_at, self._roster_at)
+        return [*self._outbox.take(), WakeAt(wake_at)]
 
-    def _take_book(self) -> None:
+    def _use_publications(self) -> None:
         self._source.view = self.publications.view
         self._source.log = self.publications.log
 
     def _age_ms(self, now_ms: float) -> int:
-        """Return the age as messages carry it."""
+        """Returns the age of the view in milliseconds, bounded by AGE_UNKNOWN_MS."""
         return 0 if self._in_touch else int(min(m.AGE_UNKNOWN_MS, now_ms - self._last_in_touch_at))
 
     def age_ms(self, now_ms: float) -> float:
-        """Return how long ago this voter's book was known to be current; infinite before it was.
+        """Returns how long ago this voter's publications were known to be current, in milliseconds.
 
-        Nothing is newer while the voter is in touch with the leader.
+        The age is 0 while the voter is in touch with the leader, and infinite before the first
+        contact.
         """
         return 0.0 if self._in_touch else now_ms - self._last_in_touch_at
 
@@ -113,12 +117,12 @@
         if changed:
             self._progress_at = now
             self._roster_at = now
-            self._introduce()
+            self._send_relay_rosters()
         if not self._is_leader:
             self._reports.clear()
 
-    def _introduce(self) -> None:
-        """Send a new leader the rosters of the relays that this voter serves."""
+    def _send_relay_rosters(self) -> None:
+        """Sends a new leader the rosters of the relays that this voter serves."""
         if not self._leader or self._is_leader:
             return
         for owner in sorted(self._own_children() & self._rosters.keys()):
@@ -126,28 +130,28 @@
 
     # Messages
 
-    def _received(self, now: float, sender: Sender, message: m.Message) -> None:
+    def _on_message(self, now: float, sender: Sender, message: m.Message) -> None:
         match message:
             case m.Progress(report):
                 self._reports[sender.name] = _VoterReport(report, now)
             case m.Roster(owner, names):
-                self._take_roster(sender, owner, names)
+                self._store_roster(sender, owner, names)
             case _:
-                self._source.received(now, sender, message)
+                self._source.on_message(now, sender, message)
                 if isinstance(message, m.Acknowledge | m.Subscribe | m.Unsubscribe):
-                    earliest = self._progress_sent_at + self._settings.aggregate_ms
-                    self._progress_at = min(self._progress_at, max(now, earliest))
+                    earliest_at = self._progress_sent_at + self._settings.aggregate_ms
+                    self._progress_at = min(self._progress_at, max(now, earliest_at))
 
-    def _take_roster(self, sender: Sender, owner: str, names: tuple[str, ...]) -> None:
+    def _store_roster(self, sender: Sender, owner: str, names: tuple[str, ...]) -> None:
         self._rosters.pop(owner, None)
         while len(self._rosters) >= m.MAX_ROSTER_NAMES:
-            del self._rosters[next(iter(self._rosters))]  # the one that was updated longest ago
+            del self._rosters[next(iter(self._rosters))]  # the least recently updated roster
         self._rosters[owner] = frozenset(names)
-        own_child = sender.name == owner and owner in self._source.children
-        if own_child and self._leader and not self._is_leader:
+        is_own_child = sender.name == owner and owner in self._source.children
+        if is_own_child and self._leader and not self._is_leader:
             self._outbox.send(self._leader, m.Roster(owner, names))
 
-    # To the leader
+    # Messages to the leader
 
     def _send_progress(self, now: float) -> None:
         self._progress_sent_at = now
@@ -156,7 +160,7 @@
             self._outbox.send(self._leader, m.Progress(self._source.report()))
 
     def _send_roster(self, now: float) -> None:
-        """Send the names of those that this voter serves itself."""
+        """Sends the leader the names of the replicas that this voter serves directly."""
         self._roster_at = now + self._settings.acknowledge_ms
         if not self._leader or self._is_leader:
             return
@@ -166,29 +170,33 @@
     def _own_children(self) -> set[str]:
         return {child.name for child in self._source.children.values() if child.primary}
 
-    # At the leader
+    # Reports and status answers of the leader
 
     def report(self, now_ms: float) -> Report:
-        """Return the report of all copies that some voter has heard of."""
-        since = now_ms - self._settings.progress_silent_ms
-        others = [known.report for known in self._reports.values() if known.received_at >= since]
-        return merged([self._source.report(), *others])
-
-    def _accounted(self, now_ms: float) -> set[str]:
-        """Return the names of all copies that report to some voter."""
-        since = now_ms - self._settings.progress_silent_ms
+        """Returns the merged report of all copies that voters have reported recently."""
+        oldest = now_ms - self._settings.progress_silent_ms
+        reports = [
+            voter_report.report
+            for voter_report in self._reports.values()
+            if voter_report.received_at >= oldest
+        ]
+        return merged([self._source.report(), *reports])
+
+    def _reporting_names(self, now_ms: float) -> set[str]:
+        """Returns the names of all copies that report to a voter, directly or through a relay."""
+        oldest = now_ms - self._settings.progress_silent_ms
         direct = self._own_children()
-        for name, known in self._reports.items():
-            if known.received_at >= since:
+        for name, voter_report in self._reports.items():
+            if voter_report.received_at >= oldest:
                 direct |= self._rosters.get(name, frozenset())
         served = [self._rosters.get(name, frozenset()) for name in direct]
         return direct.union(*served)
 
     def status(self, now_ms: float, members: Iterable[str] = ()) -> dict[str, Any]:
-        """Return a status answer: how many copies have the newest version, and which have not."""
+        """Returns a status answer, with the number of current copies and the copies that are behind."""
         report = self.report(now_ms)
         version = self.publications.version
-        missing = sorted(set(members) - self._accounted(now_ms))
+        missing = sorted(set(members) - self._reporting_names(now_ms))
         return {
             "version": version,
             "copies": report.copies,
