--- a/pumicenotch/distribution/source/voter_source.py
+++ b/pumicenotch/distribution/source/voter_source.py
@@ -193,7 +193,7 @@
         return direct.union(*served)
 
     def status(self, now_ms: float, members: Iterable[str] = ()) -> dict[str, Any]:
-        """Returns a status answer, with the number of current copies and the copies that are behind."""
+        """Returns a status answer, which counts the current copies and names those behind."""
         report = self.report(now_ms)
         version = self.publications.version
         missing = sorted(set(members) - self._reporting_names(now_ms))
