--- a/pumicenotch/distribution/__init__.py
+++ b/pumicenotch/distribution/__init__.py
@@ -1,5 +1,6 @@
-"""Published configuration: versioned changes, from voters over relays to those that need them.
+"""Distribution of published configuration from the voters, through relays, to the instances.
 
-Reducers without I/O or clock: `Node` in an instance, `VoterSource` in a voter, and `Publications`,
-a subject of the voters' replicated state. The standard library alone.
+The package consists of reducers without I/O or clock: `Node` in an instance, `VoterSource` in a
+voter, and `Publications`, a subject of the voters' replicated state. It uses the standard library
+only.
 """
--- a/pumicenotch/distribution/context.py
+++ b/pumicenotch/distribution/context.py
@@ -1,4 +1,4 @@
-"""What the parts of one reducer share."""
+"""The settings and collaborators that the components of one reducer share."""
 
 import itertools
 import random
@@ -10,20 +10,20 @@
 from pumicenotch.distribution.outbox import Outbox
 from pumicenotch.distribution.settings import DEFAULTS, Settings
 
-# As a fraction of the delay.
+# Fraction of a retry delay that is added at most.
 MAX_RETRY_JITTER = 0.5
 
 
 class Context(NamedTuple):
-    """The collaborators of the parts of a `Node` or a `VoterSource`.
+    """The settings and collaborators of the components of a `Node` or a `VoterSource`.
 
     Attributes:
-        settings: times and bounds.
-        rng: the source of all random choices.
-        outbox: takes the effects of one step.
-        counts: events by name, for status answers.
-        request_numbers: gives each request to a source a number of its own.
-        tables: what records are checked against.
+        settings: times and limits.
+        rng: the generator for all random choices.
+        outbox: collects the effects of one step.
+        counts: numbers of events by name, for status answers.
+        request_numbers: yields a unique number for each request to a source.
+        tables: the tables against which records are checked.
     """
 
     settings: Settings
@@ -34,7 +34,7 @@
     tables: Mapping[str, Table]
 
     def retry_delay_ms(self, attempts: int) -> float:
-        """Return how long to wait after so many attempts: exponential backoff with jitter."""
+        """Returns the delay before the next attempt: exponential backoff with jitter."""
         backoff_ms = self.settings.retry_ms * float(1 << (attempts - 1))
         delay_ms = min(self.settings.max_retry_ms, backoff_ms)
         return delay_ms * (1.0 + MAX_RETRY_JITTER * self.rng.random())
@@ -43,5 +43,5 @@
 def new_context(
     rng: random.Random, settings: Settings = DEFAULTS, tables: Mapping[str, Table] = TABLES
 ) -> Context:
-    """Return the context of one reducer."""
+    """Returns a new context for one reducer."""
     return Context(settings, rng, Outbox(), Counter(), itertools.count(1), tables)
--- a/pumicenotch/distribution/data/__init__.py
+++ b/pumicenotch/distribution/data/__init__.py
@@ -1,1 +1,1 @@
-"""What is published: records in scopes of tables, views of them, and the log of their changes."""
+"""The published data: records in scopes of tables, views of them, and the log of changes."""
--- a/pumicenotch/distribution/data/changelog.py
+++ b/pumicenotch/distribution/data/changelog.py
@@ -1,4 +1,7 @@
-"""A bounded log of changes: it serves those that have missed some versions without a snapshot."""
+"""A bounded log of changes, from which replicas fetch the versions that they missed.
+
+A replica that missed more versions than the log contains compares scope digests instead.
+"""
 
 from bisect import bisect_left
 from collections.abc import Iterable, Mapping
@@ -16,15 +19,15 @@
 
 MAX_LOG_ENTRIES = 4096
 MAX_LOG_BYTES = 8 * 1024 * 1024
-# Entries that are considered for one page.
+# Number of entries that are merged into one page at most.
 MAX_MERGED_ENTRIES = 256
 DIGEST_OVERHEAD_BYTES = 24
-# An entry with as few changes is not worth counting by scope.
-FEW_CHANGES = 16
+# The size of an entry with at most this many changes is not filtered by scope, to save work.
+MAX_UNFILTERED_CHANGES = 16
 
 
 class ChangeSet:
-    """Changes by scope, with their sizes, so that nobody has to go through all of them at once."""
+    """Changes grouped by scope. Their sizes are kept, so that no step passes over all changes."""
 
     __slots__ = ("count", "scopes", "size", "sizes")
 
@@ -37,7 +40,7 @@
             self.add(scope_of(change), change)
 
     def add(self, scope_id: ScopeId, change: Change) -> None:
-        """Add a change of that scope."""
+        """Adds a change of a scope."""
         size = change.size
         self.scopes.setdefault(scope_id, []).append(change)
         self.sizes[scope_id] = self.sizes.get(scope_id, DIGEST_OVERHEAD_BYTES) + size
@@ -46,7 +49,7 @@
 
 
 class LogEntry:
-    """What led from version `previous` to `version`, by scope, with the digests after it."""
+    """The changes from version `previous` to `version`, by scope, with the digests at `version`."""
 
     __slots__ = ("count", "digests", "encoded", "previous", "scopes", "size", "sizes", "version")
 
@@ -60,11 +63,11 @@
         self.digests = digests
         self.size = changes.size
         self.count = changes.count
-        self.encoded: bytes | None = None  # cached by the book's snapshot
+        self.encoded: bytes | None = None  # the line of a snapshot, cached by its encoder
 
 
 class Page(NamedTuple):
-    """A part of what leads from one version to another; `done` when it is the last."""
+    """A part of the changes from one version to another; `done` is set on the last part."""
 
     previous: int
     version: int
@@ -76,12 +79,14 @@
 
 
 class ChangeLog:
-    """Entries in order, each beginning where the one before ended.
+    """A contiguous sequence of entries: each one starts from the version of the one before.
+
+    The oldest entries are dropped when the log exceeds its number of entries or bytes.
 
     Attributes:
-        base: the oldest version from which the log leads on.
-        entries: from the oldest to the newest.
-        size: of all entries, in bytes.
+        base: the oldest version from which the log continues.
+        entries: the entries from the oldest to the newest.
+        size: the size of all entries in bytes.
     """
 
     def __init__(
@@ -99,11 +104,11 @@
 
     @property
     def version(self) -> int:
-        """The version to which the log leads."""
+        """The version of the newest entry, or `base` if the log is empty."""
         return self.entries[-1].version if self.entries else self.base
 
     def append(self, entry: LogEntry) -> None:
-        """Append the next entry. One that does not follow on restarts the log after it."""
+        """Appends the next entry. An entry that leaves a gap is dropped and resets the log."""
         if entry.previous != self.version:
             self.reset(entry.version)
             return
@@ -112,7 +117,7 @@
         self._compact()
 
     def reset(self, version: int) -> None:
-        """Drop all entries and start at that version."""
+        """Drops all entries and continues from a version."""
         self.base = version
         self.entries = []
         self.size = 0
@@ -127,7 +132,7 @@
         del self.entries[:dropped]
 
     def index_after(self, version: int) -> int | None:
-        """Return the index of the entry that leads on from that version; None if there is none."""
+        """Returns the index of the entry that starts from a version; None if there is none."""
         index = bisect_left(self.entries, version, key=lambda entry: entry.previous)
         if index < len(self.entries) and self.entries[index].previous == version:
             return index
@@ -140,16 +145,16 @@
         subscription: Subscription,
         max_bytes: int = MAX_PAGE_BYTES,
     ) -> Page | None:
-        """Return what comes after version `have`, as far as a page holds.
+        """Returns the changes after version `have` that fit into one page.
 
         Args:
             have: the version that the receiver has.
-            start: where the page begins in the changes of the next version.
-            subscription: changes of other scopes are left out.
-            max_bytes: the size of the page; it has one change at least.
+            start: the position of the page in the changes of the next version.
+            subscription: the scopes of the receiver; changes of other scopes are left out.
+            max_bytes: the limit on the size of the page, which has at least one change.
 
         Returns:
-            The page; None if the log does not lead on from that version.
+            The page; None if the log does not continue from version `have`.
         """
         index = self.index_after(have)
         if index is None:
@@ -158,7 +163,7 @@
         return merged or entry_page(self.entries[index], start, subscription, max_bytes)
 
     def complete_page(self, have: int, subscription: Subscription, max_bytes: int) -> Page | None:
-        """Return one or more complete versions after that one; None if not even one fits."""
+        """Returns one or more complete versions after `have`; None if the next one does not fit."""
         index = self.index_after(have)
         if index is None or self._filtered_size(self.entries[index], subscription) > max_bytes:
             return None
@@ -166,8 +171,8 @@
 
     @staticmethod
     def _filtered_size(entry: LogEntry, subscription: Subscription) -> int:
-        """Return an entry's bytes, or more than any page holds where it has too many changes."""
-        if entry.count <= FEW_CHANGES:
+        """Returns the subscribed bytes of an entry; MAX_PAGE_BYTES + 1 if no page can hold it."""
+        if entry.count <= MAX_UNFILTERED_CHANGES:
             return entry.size
         count = 0
         size = 0
@@ -180,7 +185,7 @@
         return size
 
     def _merged_page(self, index: int, subscription: Subscription, max_bytes: int) -> Page:
-        """Return several versions in one page, of each record the last change."""
+        """Returns several versions as one page, with only the last change of each record."""
         changes: dict[tuple[str, str], Change] = {}
         digests: dict[ScopeId, int] = {}
         size = 0
@@ -205,9 +210,9 @@
 
 
 def entry_page(entry: LogEntry, start: Cursor, subscription: Subscription, max_bytes: int) -> Page:
-    """Return a page of one entry from that cursor on.
+    """Returns a page of one entry that starts at a cursor.
 
-    A cursor means the same at every source that has the entry.
+    A cursor denotes the same position at every source that has the entry.
     """
     changes: list[Change] = []
     digests: list[ScopeDigest] = []
--- a/pumicenotch/distribution/data/records.py
+++ b/pumicenotch/distribution/data/records.py
@@ -1,4 +1,4 @@
-"""Records and changes: keys, digests and the bounds that every module keeps."""
+"""Records and changes: their keys, their digests and the limits that apply to them."""
 
 import re
 from hashlib import blake2b
@@ -6,7 +6,7 @@
 
 from pumicenotch.distribution.errors import InvalidRecordError
 
-# In characters, of a scope and of a name.
+# Limit on the length of a scope and of a name, in characters.
 MAX_KEY_PART_LENGTH = 64
 MAX_VALUE_BYTES = 4096
 MAX_SCOPE_RECORDS = 4096
@@ -17,12 +17,12 @@
 
 
 class Change(NamedTuple):
-    """One record's new value.
+    """The new value of one record, or its deletion.
 
     Attributes:
         table: the record's table.
-        key: SCOPE/NAME.
-        value: canonical JSON; None deletes the record.
+        key: the key of the record, as SCOPE/NAME.
+        value: the value as canonical JSON; None deletes the record.
     """
 
     table: str
@@ -31,10 +31,11 @@
 
     @property
     def size(self) -> int:
-        """Its approximate bytes on the wire: values are ASCII, as canonical JSON is."""
+        """The approximate size on the wire in bytes. Values are ASCII, as canonical JSON is."""
         return len(self.table) + len(self.key) + len(self.value or "") + RECORD_OVERHEAD_BYTES
 
 
+# Approximate overhead of one record on the wire.
 RECORD_OVERHEAD_BYTES = 8
 
 
@@ -46,7 +47,7 @@
 
 
 def split_key(place: str, key: str) -> tuple[str, str]:
-    """Return the scope and the name of a record.
+    """Returns the scope and the name of a record.
 
     Raises:
         InvalidRecordError: the key is not SCOPE/NAME.
@@ -62,19 +63,19 @@
 
 
 def scope_of(change: Change) -> ScopeId:
-    """Return the scope of a change whose key has been checked."""
+    """Returns the scope of a change whose key has been checked."""
     return ScopeId(change.table, change.key.partition("/")[0])
 
 
 def record_digest(table: str, key: str, value: str) -> int:
-    """Return one record's summand of its scope's digest.
+    """Returns the digest of one record. A scope's digest is the sum of those of its records.
 
-    The digest guards against faults, not against forgery.
+    The digest detects faults. It does not protect against forgery.
     """
     text = f"{table}\0{key}\0{value}".encode()
     return int.from_bytes(blake2b(text, digest_size=DIGEST_BYTES).digest(), "big")
 
 
 def digest_bytes(digest: int) -> bytes:
-    """Return a digest as it stands on the wire."""
+    """Returns the encoding of a digest on the wire."""
     return digest.to_bytes(DIGEST_BYTES, "big")
--- a/pumicenotch/distribution/data/subscription.py
+++ b/pumicenotch/distribution/data/subscription.py
@@ -1,6 +1,7 @@
-"""Which scopes an instance needs.
+"""The set of scopes that an instance needs.
 
-Its state, its traffic and its work follow the subscription, not the fleet's total.
+The memory, traffic and work of an instance depend on its subscription, not on the total size of the
+configuration.
 """
 
 from bisect import bisect_right
@@ -10,17 +11,17 @@
 from pumicenotch.distribution.data.records import KEY_PART_PATTERN, ScopeId
 from pumicenotch.distribution.errors import InvalidSubscriptionError
 
-# Named in one subscription; instead of more, a complete table is subscribed to.
+# Number of scopes that one subscription names. With more, it contains the complete table.
 MAX_SCOPES = 1024
 MAX_TABLES = 16
-# In place of a table's scopes: every scope that it has or will have.
+# Stands for every scope that a table has or will have.
 ALL = None
 
 ERROR_PLACE = "subscription"
 
 
 class Subscription:
-    """For each table a set of scopes, or ALL. Immutable and hashable."""
+    """A set of scopes, or ALL, for each table. Immutable and hashable."""
 
     __slots__ = ("_ordered", "_tables")
 
@@ -34,18 +35,18 @@
 
     @property
     def tables(self) -> Mapping[str, frozenset[str] | None]:
-        """The scopes by table; None stands for all of a table."""
+        """The scopes by table; None stands for all scopes of the table."""
         return self._tables
 
     def contains(self, table: str, scope: str) -> bool:
-        """Whether the scope is subscribed to."""
+        """Returns whether the scope is subscribed to."""
         if table not in self._tables:
             return False
         scopes = self._tables[table]
         return scopes is None or scope in scopes
 
     def covers(self, subscription: "Subscription") -> bool:
-        """Whether every scope of that subscription is one of this, now and later."""
+        """Returns whether this contains all present and future scopes of `subscription`."""
         return all(
             self._covers_table(table, scopes) for table, scopes in subscription.tables.items()
         )
@@ -57,33 +58,33 @@
         return own_scopes is None or (scopes is not None and scopes <= own_scopes)
 
     def named_after(self, table: str, after: str) -> list[str]:
-        """Return the scopes that it names of a table and that come after that one, in order."""
+        """Returns the named scopes of a table that come after the scope `after`, in order."""
         if table not in self._ordered:
             self._ordered[table] = sorted(self._tables.get(table) or ())
         ordered = self._ordered[table]
         return ordered[bisect_right(ordered, after) :]
 
     def union(self, subscription: "Subscription") -> "Subscription":
-        """Return the union of both; see `union_of`."""
+        """Returns the union of both; see `union_of`."""
         return union_of((self, subscription))
 
     def intersection(self, subscription: "Subscription") -> "Subscription":
-        """Return what both contain."""
+        """Returns the scopes that both subscriptions contain."""
         shared: dict[str, frozenset[str] | None] = {}
         for table, scopes in self._tables.items():
             if table not in subscription.tables:
                 continue
-            second_scopes = subscription.tables[table]
+            other_scopes = subscription.tables[table]
             if scopes is None:
-                shared[table] = second_scopes
-            elif second_scopes is None:
+                shared[table] = other_scopes
+            elif other_scopes is None:
                 shared[table] = scopes
             else:
-                shared[table] = scopes & second_scopes
+                shared[table] = scopes & other_scopes
         return Subscription(shared)
 
     def scopes(self) -> list[ScopeId]:
-        """Return the scopes that it names; those of tables with ALL are not among them."""
+        """Returns the named scopes, without those of tables with ALL."""
         return [
             ScopeId(table, scope)
             for table, scopes in self._tables.items()
@@ -92,7 +93,7 @@
         ]
 
     def encode(self) -> list[object]:
-        """Return it as a list of tables and lists of scopes, as JSON and MessagePack carry it."""
+        """Returns pairs of a table and a list of its scopes, for JSON and MessagePack."""
         return [
             [table, None if scopes is None else sorted(scopes)]
             for table, scopes in self._tables.items()
@@ -109,16 +110,16 @@
 
 
 class _Everything(Subscription):
-    """A voter's: whatever tables there are or will be."""
+    """The subscription of a voter, which contains every present and future table."""
 
     __slots__ = ()
 
     def contains(self, table: str, scope: str) -> bool:
-        """Return True."""
+        """Returns True."""
         return True
 
     def covers(self, subscription: Subscription) -> bool:
-        """Return True."""
+        """Returns True."""
         return True
 
 
@@ -127,7 +128,7 @@
 
 
 def union_of(subscriptions: Iterable[Subscription]) -> Subscription:
-    """Return the union; tables of which too many scopes would be named are taken completely."""
+    """Returns the union. Above MAX_SCOPES named scopes, the largest tables become ALL."""
     merged: dict[str, set[str] | None] = {}
     for subscription in subscriptions:
         for table, scopes in subscription.tables.items():
@@ -145,10 +146,10 @@
 
 
 def decode_subscription(encoded: Any) -> Subscription:
-    """Return the subscription that `encode` gave.
+    """Returns the subscription that `encode` encoded.
 
     Raises:
-        InvalidSubscriptionError: it is none, or names too many scopes.
+        InvalidSubscriptionError: the value is not a subscription, or names too many scopes.
     """
     if not isinstance(encoded, list | tuple) or len(encoded) > MAX_TABLES:
         raise InvalidSubscriptionError(
--- a/pumicenotch/distribution/data/tables.py
+++ b/pumicenotch/distribution/data/tables.py
@@ -1,4 +1,4 @@
-"""The tables that can be published and what their records hold."""
+"""The tables that can be published, and the fields of their records."""
 
 import json
 from collections.abc import Mapping
@@ -14,7 +14,7 @@
 
 
 class Field(NamedTuple):
-    """A field of a record's value. Fields beyond those of the table are allowed and kept."""
+    """A field of a record's value. Fields that the table does not define are allowed and kept."""
 
     name: str
     kinds: tuple[type, ...]
@@ -43,17 +43,17 @@
 
 
 def canonical(value: Mapping[str, Any]) -> str:
-    """Return the one text of a record's value: keys in order, no spaces, ASCII."""
+    """Returns the canonical text of a record's value: sorted keys, no spaces, ASCII."""
     return json.dumps(
         value, sort_keys=True, separators=(",", ":"), ensure_ascii=True, allow_nan=False
     )
 
 
 def table_of(tables: Mapping[str, Table], name: str) -> Table:
-    """Return the table of that name.
+    """Returns the table with a name.
 
     Raises:
-        UnknownTableError: there is none.
+        UnknownTableError: there is no table with this name.
     """
     table = tables.get(name)
     if table is None:
@@ -64,11 +64,13 @@
 
 
 def check_change(tables: Mapping[str, Table], change: Change) -> None:
-    """Check a publisher's change.
+    """Checks that a change can be published.
 
     Raises:
-        UnknownTableError, InvalidRecordError, OversizedRecordError, UnreadableFormError: it cannot
-            be published.
+        UnknownTableError: there is no table with its name.
+        InvalidRecordError: its key or value is invalid, or its value is not canonical JSON.
+        OversizedRecordError: its value is too long.
+        UnreadableFormError: its form is newer than this program reads.
     """
     table = table_of(tables, change.table)
     place = f"record {change.table}:{change.key!s:.140}"
@@ -83,10 +85,11 @@
 
 
 def read_value(table: Table, key: str, text: str) -> Mapping[str, Any]:
-    """Return the value of a record.
+    """Parses the value of a record and checks it against its table.
 
     Raises:
-        InvalidRecordError, OversizedRecordError: it is no value of its table.
+        InvalidRecordError: the value is not a JSON object with the fields of its table.
+        OversizedRecordError: the value is too long.
         UnreadableFormError: its form is newer than this program reads.
     """
     place = f"record {table.name}:{key}"
--- a/pumicenotch/distribution/data/view.py
+++ b/pumicenotch/distribution/data/view.py
@@ -1,6 +1,6 @@
-"""Immutable views of the configuration, which share what did not change.
+"""Immutable views of the configuration. Successive views share their unchanged scopes.
 
-A `Builder` stages the next view in bounded slices, for a switch at one instant.
+A `Builder` stages the next view in bounded slices; the switch to it is then a single assignment.
 """
 
 from bisect import bisect_right
@@ -18,7 +18,7 @@
 from pumicenotch.distribution.data.subscription import Subscription
 from pumicenotch.distribution.errors import OversizedScopeError
 
-# Copying so many records of a scope costs as much as one change in a slice.
+# Number of records whose copying counts as one change in the budget of a slice.
 COPIED_RECORDS_PER_CHANGE = 32
 
 
@@ -30,17 +30,17 @@
     def __init__(self, records: dict[str, str], digest: int) -> None:
         self.records = records
         self.digest = digest
-        self.encoded: bytes | None = None  # cached by the book's snapshot
+        self.encoded: bytes | None = None  # the line of a snapshot, cached by its encoder
         self._names: list[str] | None = None
 
     def names_after(self, after: str) -> list[str]:
-        """Return the record names that come after that one, in order."""
+        """Returns the record names that come after `after`, in order."""
         if self._names is None:
             self._names = sorted(self.records)
         return self._names[bisect_right(self._names, after) :] if after else self._names
 
-    def recomputed(self, scope_id: ScopeId) -> int:
-        """Return the digest computed from the records."""
+    def compute_digest(self, scope_id: ScopeId) -> int:
+        """Returns the digest computed from the records."""
         table, scope = scope_id
         return (
             sum(
@@ -61,7 +61,7 @@
         self._names: list[str] | None = None
 
     def names_after(self, after: str) -> Iterator[str]:
-        """Yield the scope names that come after that one, in order."""
+        """Yields the scope names that come after `after`, in order."""
         if self._names is None:
             self._names = list(self.scopes)
         for index in range(bisect_right(self._names, after), len(self._names)):
@@ -73,7 +73,7 @@
 
 
 class View:
-    """The configuration at one version, as far as this process has it. Immutable."""
+    """The configuration at one version, limited to the scopes of this process. Immutable."""
 
     __slots__ = ("_tables", "version")
 
@@ -87,32 +87,32 @@
         return self._tables
 
     def lookup(self, table: str, key: str) -> str | None:
-        """Return the value of a record, a JSON text; None where there is none."""
+        """Returns the value of a record as JSON text; None if there is no such record."""
         scope, _, name = key.partition("/")
         return self.scope(table, scope).get(name)
 
     def scope(self, table: str, scope: str) -> Mapping[str, str]:
-        """Return the values of a scope's records by name."""
-        known_scope = self.find(ScopeId(table, scope))
-        return NO_RECORDS if known_scope is None else MappingProxyType(known_scope.records)
+        """Returns the values of a scope's records by name."""
+        found_scope = self.find(ScopeId(table, scope))
+        return NO_RECORDS if found_scope is None else MappingProxyType(found_scope.records)
 
     def digest(self, table: str, scope: str) -> int:
-        """Return a scope's digest; 0 where there are no records."""
-        known_scope = self.find(ScopeId(table, scope))
-        return 0 if known_scope is None else known_scope.digest
+        """Returns the digest of a scope; 0 if it has no records."""
+        found_scope = self.find(ScopeId(table, scope))
+        return 0 if found_scope is None else found_scope.digest
 
     def find(self, scope_id: ScopeId) -> Scope | None:
-        """Return a scope; None where there are no records."""
+        """Returns a scope; None if it has no records."""
         return self._tables.get(scope_id.table, NO_TABLE).scopes.get(scope_id.scope)
 
     def scope_ids(self) -> Iterator[ScopeId]:
-        """Yield all scopes, by table and name."""
+        """Yields all scopes, ordered by table and name."""
         for table in sorted(self._tables):
             for scope in self._tables[table].scopes:
                 yield ScopeId(table, scope)
 
     def subscribed_after(self, subscription: Subscription, after: ScopeId) -> Iterator[ScopeId]:
-        """Yield the scopes of a subscription that come after that one, by table and name."""
+        """Yields the subscribed scopes that come after `after`, ordered by table and name."""
         for table, wanted_scopes in subscription.tables.items():
             if table < after.table:
                 continue
@@ -128,24 +128,24 @@
                     yield ScopeId(table, scope)
 
     def record_count(self) -> int:
-        """Return how many records there are in all."""
+        """Returns the total number of records."""
         return sum(
             len(scope.records) for table in self._tables.values() for scope in table.scopes.values()
         )
 
 
 class Builder:
-    """Stages changes onto copies of scopes; the view that it starts from remains as it is."""
+    """Stages changes in copies of scopes. The base view remains unchanged."""
 
     def __init__(self, view: View) -> None:
         self.base = view
         self._drafts: dict[ScopeId, Scope] = {}
-        # Drafts that are a scope in use elsewhere: copied before a change.
+        # Drafts that are shared with another owner, and are copied before a change.
         self._shared: set[ScopeId] = set()
         self._new_scopes: dict[str, int] = {}
 
     def put(self, change: Change) -> int:
-        """Stage one change, and return its cost in changes.
+        """Stages one change, and returns its cost in changes.
 
         Raises:
             OversizedScopeError: the scope or the table would have too many records or scopes.
@@ -153,9 +153,9 @@
         scope_name, _, name = change.key.partition("/")
         scope_id = ScopeId(change.table, scope_name)
         draft, cost = self._draft(scope_id)
-        former = draft.records.pop(name, None)
-        if former is not None:
-            draft.digest -= record_digest(change.table, change.key, former)
+        previous_value = draft.records.pop(name, None)
+        if previous_value is not None:
+            draft.digest -= record_digest(change.table, change.key, previous_value)
         if change.value is not None:
             draft.records[name] = change.value
             draft.digest += record_digest(change.table, change.key, change.value)
@@ -164,22 +164,22 @@
         return cost
 
     def replace(self, scope_id: ScopeId, scope: Scope) -> None:
-        """Stage a complete scope, as it came from a source."""
+        """Stages a complete scope, for example one fetched from a source."""
         self._drafts[scope_id] = scope
         self._shared.add(scope_id)
 
     def drop(self, scope_id: ScopeId) -> None:
-        """Stage the removal of a scope."""
+        """Stages the removal of a scope."""
         if self.base.find(scope_id) is not None or scope_id in self._drafts:
             self.replace(scope_id, Scope({}, 0))
 
     def digest(self, scope_id: ScopeId) -> int:
-        """Return a scope's digest after what is staged."""
+        """Returns the digest of a scope with its staged changes."""
         draft = self._drafts.get(scope_id) or self.base.find(scope_id)
         return 0 if draft is None else draft.digest
 
     def finish(self, version: int) -> View:
-        """Return the next view; the work was done while it was staged."""
+        """Returns the next view, from the scopes that are already staged."""
         tables = dict(self.base.tables)
         for table in {scope_id.table for scope_id in self._drafts}:
             scopes = dict(tables.get(table, NO_TABLE).scopes)
--- a/pumicenotch/distribution/effects.py
+++ b/pumicenotch/distribution/effects.py
@@ -1,4 +1,4 @@
-"""What a node or a voter's source asks of its carrier."""
+"""The effects that a node or a voter's source returns from `step`, for its owner to carry out."""
 
 from typing import NamedTuple
 
@@ -6,29 +6,29 @@
 
 
 class SendTo(NamedTuple):
-    """Send a message once; it is lost with its connection."""
+    """Sends a message once. The message is lost if its connection fails."""
 
     address: str
     message: Message
 
 
 class Log(NamedTuple):
-    """Write a line to the log."""
+    """Writes a line to the log."""
 
     text: str
 
 
 class WakeAt(NamedTuple):
-    """Put in `Ticked` at that time; a later one replaces it.
+    """Requests a `Ticked` event at a time in milliseconds. A later WakeAt replaces an earlier one.
 
-    A time that has passed means: as soon as other work has had its turn.
+    If the time has passed, `Ticked` follows as soon as other events have been handled.
     """
 
     at_ms: float
 
 
 class InForce(NamedTuple):
-    """This instance's view is at that version now."""
+    """Announces that a version has come into force at this instance."""
 
     version: int
 
--- a/pumicenotch/distribution/errors.py
+++ b/pumicenotch/distribution/errors.py
@@ -1,4 +1,4 @@
-"""What can go wrong with published configuration. Every text ends with what an operator can do."""
+"""The errors of published configuration. Every text ends with a remedy for the operator."""
 
 from typing import ClassVar
 
@@ -6,7 +6,10 @@
 
 
 class DistributionError(InputError):
-    """The root of the errors of this package. A ValueError, as readers of log entries raise."""
+    """The base class of the errors of this package.
+
+    It is a ValueError, which readers of log entries are expected to raise.
+    """
 
     code: ClassVar[str] = "distribution"
 
@@ -16,13 +19,13 @@
 
 
 class UnknownTableError(DistributionError):
-    """A change, a lookup or a subscription names no table of this program."""
+    """A change, a lookup or a subscription names a table that this program does not have."""
 
     code = "unknown-table"
 
 
 class InvalidRecordError(DistributionError):
-    """A record's key or value is not of its table's form."""
+    """A record's key or value is not valid for its table."""
 
     code = "invalid-record"
 
@@ -52,7 +55,7 @@
 
 
 class OversizedScopeError(DistributionError):
-    """A scope would hold more records, or a table more scopes, than allowed."""
+    """A scope would have more records, or a table more scopes, than allowed."""
 
     code = "oversized-scope"
 
@@ -70,7 +73,7 @@
 
 
 class DigestMismatchError(DistributionError):
-    """A scope's records do not have the digest that was told for them."""
+    """The records of a scope do not have the expected digest."""
 
     code = "digest-mismatch"
 
@@ -88,6 +91,6 @@
 
 
 class MalformedMessageError(DistributionError):
-    """A message is not of the form that sources and replicas send."""
+    """A message is not a valid message of a source or replica."""
 
     code = "malformed-message"
--- a/pumicenotch/distribution/events.py
+++ b/pumicenotch/distribution/events.py
@@ -1,4 +1,4 @@
-"""What happens to a node or to a voter's source: the inputs of `step`."""
+"""The events that a node or a voter's source handles in `step`."""
 
 from typing import NamedTuple
 
@@ -8,9 +8,9 @@
 
 
 class Peer(NamedTuple):
-    """An instance, as this one's membership knows it. Voters are no peers: they are configured.
+    """An instance in the membership view of this one. Voters come from the configuration instead.
 
-    `process_id` is of its process, drawn at its start.
+    `process_id` identifies the process of the instance, and is chosen at its start.
     """
 
     name: str
@@ -22,15 +22,15 @@
 
 
 class Started(NamedTuple):
-    """The process starts, or starts to use the distribution."""
+    """The process has started, or has started to use the distribution."""
 
 
 class Ticked(NamedTuple):
-    """The time of a `WakeAt` has come."""
+    """The time of the last `WakeAt` has passed."""
 
 
 class Received(NamedTuple):
-    """A message has come."""
+    """A message has arrived."""
 
     sender: Sender
     message: Message
@@ -43,21 +43,22 @@
 
 
 class SubscriptionChanged(NamedTuple):
-    """This instance needs other scopes from now on."""
+    """The set of scopes that this instance needs has changed."""
 
     subscription: Subscription
 
 
 class Published(NamedTuple):
-    """The voter's book is at another version: by an entry of the log, or by a loaded snapshot."""
+    """The voter's publications are at another version, after a log entry or a loaded snapshot."""
 
     version: int
 
 
 class LeaderChanged(NamedTuple):
-    """Another voter leads, as far as this voter knows.
+    """This voter's view of the leader has changed.
 
-    `in_touch` says whether it hears the leader or, being the leader itself, a majority.
+    `in_touch` is set while the voter receives messages from the leader or, as the leader, from a
+    majority.
     """
 
     address: str
--- a/pumicenotch/distribution/instance_settings.py
+++ b/pumicenotch/distribution/instance_settings.py
@@ -1,4 +1,4 @@
-"""What a configuration file says of one process's part in the distribution."""
+"""The distribution settings of one process, from its configuration file."""
 
 from collections.abc import Mapping
 from typing import Any, NamedTuple
@@ -10,21 +10,28 @@
 
 
 class ScopesOfTable(NamedTuple):
-    """The scopes of a table that an instance needs; None stands for all of them."""
+    """The scopes of a table that an instance needs; None stands for all scopes."""
 
     table: str
     scopes: tuple[str, ...] | None
 
 
 class NewestForm(NamedTuple):
-    """Records of that table are read up to this form, whatever the program knows by itself."""
+    """Overrides the newest form of a table's records that this program reads."""
 
     table: str
     form: int
 
 
 class InstanceSettings(NamedTuple):
-    """One process's part. A voter has no subscription: it has everything."""
+    """The distribution settings of one process. Voters need no subscription: they have all scopes.
+
+    Attributes:
+        subscription: the scopes that the instance needs, by table.
+        relay: whether the instance may be a relay.
+        newest_forms: overrides of the newest forms that the instance reads.
+        settings: times and limits.
+    """
 
     subscription: tuple[ScopesOfTable, ...] = ()
     relay: bool = True
@@ -32,11 +39,11 @@
     settings: Settings = DEFAULTS
 
     def subscribed(self) -> Subscription:
-        """Return the scopes that the instance needs."""
+        """Returns the scopes that the instance needs."""
         return Subscription(dict(self.subscription))
 
     def meaning(self) -> str:
-        """Return the subscription as a text for a person."""
+        """Returns a readable description of the subscription."""
         parts = [
             f"{table} (all)" if scopes is None else f"{table} ({', '.join(scopes)})"
             for table, scopes in self.subscription
@@ -44,7 +51,7 @@
         return ", ".join(parts) or "no table"
 
     def tables(self) -> Mapping[str, Table]:
-        """Return the tables, with the newest forms that the instance reads."""
+        """Returns the tables, with the newest forms that the instance reads."""
         newest = dict(self.newest_forms)
         return {
             name: table._replace(form=newest.get(name, table.form))
@@ -53,10 +60,10 @@
 
 
 class InvalidInstanceSettingsError(InputError):
-    """The compiled plan was not written by this program's own reader."""
+    """The distribution settings in a compiled plan are not in the form that `encode` returns."""
 
 
-# The keys of a compiled plan where they differ from the fields of `Settings`.
+# Keys in a compiled plan that differ from the names of the fields of `Settings`.
 _LIMIT_KEYS: Mapping[str, str] = {
     "max_children": "children_most",
     "source_lag_ms": "source_behind_ms",
@@ -76,7 +83,7 @@
 
 
 def encode(settings: InstanceSettings) -> dict[str, object]:
-    """Return what JSON carries: limits by name, as other versions of the program may have more."""
+    """Returns settings for JSON. Limits are keyed by name, as other versions may have more."""
     limits = {
         _LIMIT_KEYS.get(field, field): value for field, value in settings.settings._asdict().items()
     }
@@ -84,10 +91,10 @@
 
 
 def decode_instance_settings(encoded: Any) -> InstanceSettings | None:
-    """Return what `encode` gave, read from JSON again; None stays None.
+    """Returns the settings that `encode` encoded, after they were read from JSON; None for None.
 
     Raises:
-        InvalidInstanceSettingsError: it is something else.
+        InvalidInstanceSettingsError: the value is not in the form that `encode` returns.
     """
     if encoded is None:
         return None
--- a/pumicenotch/distribution/node.py
+++ b/pumicenotch/distribution/node.py
@@ -1,4 +1,4 @@
-"""An instance's part in the distribution: its replica, and a source where it is a relay."""
+"""The distribution in an instance: its replica, and a source for others if it is a relay."""
 
 from collections.abc import Sequence
 from typing import Any
@@ -28,7 +28,7 @@
 from pumicenotch.distribution.settings import NEVER
 from pumicenotch.distribution.source.source import Source
 
-FROM_CHILDREN = (
+CHILD_MESSAGES = (
     m.Subscribe,
     m.Unsubscribe,
     m.Acknowledge,
@@ -41,7 +41,10 @@
 
 
 class Node:
-    """A replica, and a source for others. `step` is the one way in."""
+    """A replica of the configuration, and a source for other replicas.
+
+    `step` is the only entry point for events.
+    """
 
     def __init__(
         self,
@@ -51,19 +54,19 @@
         context: Context,
         relay_eligible: bool = True,
     ) -> None:
-        """Create a node without any configuration.
+        """Creates a node without any configuration.
 
         Args:
             me: this instance.
-            voters: their addresses.
-            subscription: what this instance needs for itself.
-            context: settings and collaborators.
-            relay_eligible: whether it may be a relay.
+            voters: the addresses of the voters.
+            subscription: the scopes that this instance itself needs.
+            context: the settings and collaborators.
+            relay_eligible: whether this instance may be a relay.
         """
         self.me = me
         self.counts = context.counts
         self._settings = context.settings
-        self._own = subscription
+        self._own_subscription = subscription
         self._now = 0.0
         self._outbox = context.outbox
         self._upstreams = Upstreams(context)
@@ -87,17 +90,17 @@
         return self._replica.copy.view
 
     def covers(self, table: str, scope: str) -> bool:
-        """Whether the view covers that scope, with or without records in it."""
+        """Returns whether the view covers a scope, with or without records in it."""
         return self._replica.copy.coverage.contains(table, scope)
 
     @property
     def relay(self) -> bool:
-        """Whether it serves others of its zone."""
+        """Whether this instance serves other replicas of its zone."""
         return self._placement.relay
 
     @property
     def error(self) -> DistributionError | None:
-        """What keeps this copy from the newest version, if anything does."""
+        """The error that keeps this copy from the newest version, or None."""
         if self._replica.copy.error is not None:
             return self._replica.copy.error
         if self._is_ahead_of_sources():
@@ -115,11 +118,11 @@
         )
 
     def age_ms(self, now_ms: float) -> float:
-        """Return how long ago this copy was known to be current; infinite before it was."""
+        """Returns the milliseconds since this copy was known to be current; initially infinite."""
         return max(0.0, now_ms - self._current_at)
 
     def status(self, now_ms: float) -> dict[str, Any]:
-        """Return a status answer: version, age, sources, role, error with remedy."""
+        """Returns a status answer with version, age, role, sources, and error with its remedy."""
         age = self.age_ms(now_ms)
         error = self.error
         return {
@@ -137,13 +140,13 @@
         }
 
     def _is_ahead_of_sources(self) -> bool:
-        """Whether all sources have had lower versions for long.
+        """Returns whether all sources have had lower versions for `source_silent_ms`.
 
-        No version goes back, so nothing repairs it by itself.
+        Versions never decrease, so that this state is not repaired without an operator.
         """
         versions = [upstream.version for upstream in self._upstreams.active if upstream.accepted]
-        silent = self._now - self._current_at >= self._settings.source_silent_ms
-        return bool(versions) and max(versions) < self.view.version and silent
+        is_outdated = self._now - self._current_at >= self._settings.source_silent_ms
+        return bool(versions) and max(versions) < self.view.version and is_outdated
 
     def _has_source(self) -> bool:
         return any(upstream.accepted for upstream in self._upstreams.active)
@@ -151,19 +154,19 @@
     def _encoded_age_ms(self, now_ms: float) -> int:
         return int(min(m.AGE_UNKNOWN_MS, self.age_ms(now_ms)))
 
-    # The one way in
+    # Events
 
     def step(self, now_ms: float, event: NodeEvent) -> list[Effect]:
-        """Take one event, and return the effects that are wanted."""
+        """Handles one event, and returns the effects to carry out."""
         now = max(self._now, now_ms)
         self._now = now
         match event:
             case Received(sender, message):
-                self._received(now, sender, message)
+                self._on_message(now, sender, message)
             case PeerChanged(peer):
                 self._placement.on_peer_changed(now, peer)
             case SubscriptionChanged(subscription):
-                self._own = subscription
+                self._own_subscription = subscription
                 self._resubscribe(now, subscription.union(self._source.children_subscription()))
             case Started():
                 self._started_at = now
@@ -171,15 +174,15 @@
                 self._placement.on_started(now)
             case Ticked():
                 pass
-        self._continue(now)
+        self._process_due_work(now)
         return [*self._outbox.take(), WakeAt(self._next_wake_at(now))]
 
-    def _continue(self, now: float) -> None:
-        """Do a slice of each thing that is due."""
+    def _process_due_work(self, now: float) -> None:
+        """Processes one slice of each due activity."""
         if now >= self._placement.next_choice_at(now):
             self._choose(now)
         self._replica.tick(now)
-        self._follow_upstreams(now)
+        self._handle_source_changes(now)
         self._update_subscription(now)
         if now >= self._source.next_tick_at(now):
             self._source.tick(now)
@@ -195,10 +198,10 @@
             replica.copy.newest_version,
             replica.subscription,
         )
-        self._follow_upstreams(now)
+        self._handle_source_changes(now)
 
-    def _follow_upstreams(self, now: float) -> None:
-        """Act on sources that were lost or promoted."""
+    def _handle_source_changes(self, now: float) -> None:
+        """Handles the loss of sources and a change of the primary source."""
         lost, self._upstreams.lost = self._upstreams.lost, []
         for address in lost:
             self._replica.on_source_lost(address)
@@ -219,18 +222,18 @@
 
     # Messages
 
-    def _received(self, now: float, sender: Sender, message: m.Message) -> None:
-        if isinstance(message, FROM_CHILDREN):
+    def _on_message(self, now: float, sender: Sender, message: m.Message) -> None:
+        if isinstance(message, CHILD_MESSAGES):
             self._source.on_message(now, sender, message)
-            self._after_child(now, message)
+            self._after_child_message(now, message)
         elif self._upstreams.find(sender.address) is None:
             if isinstance(message, m.Announce | m.Delta):
                 self._outbox.send(sender.address, m.Unsubscribe())
         else:
-            self._from_source(now, sender.address, message)
+            self._on_source_message(now, sender.address, message)
             self._update_age()
 
-    def _after_child(self, now: float, message: m.Message) -> None:
+    def _after_child_message(self, now: float, message: m.Message) -> None:
         if isinstance(message, m.Acknowledge | m.Subscribe | m.Unsubscribe):
             self._acknowledger.schedule(now, serves=True)
         if isinstance(message, m.Subscribe) and not self._replica.subscription.covers(
@@ -238,7 +241,7 @@
         ):
             self._widen_at = min(self._widen_at, now + self._settings.widen_ms)
 
-    def _from_source(self, now: float, address: str, message: m.Message) -> None:
+    def _on_source_message(self, now: float, address: str, message: m.Message) -> None:
         replica = self._replica
         upstreams = self._upstreams
         match message:
@@ -262,9 +265,9 @@
             case m.Mismatch():
                 replica.on_mismatch(message)
             case m.Refused():
-                self._refused(now, address, message)
+                self._on_refused(now, address, message)
 
-    def _refused(self, now: float, address: str, message: m.Refused) -> None:
+    def _on_refused(self, now: float, address: str, message: m.Refused) -> None:
         upstream = self._upstreams.find(address)
         assert upstream is not None
         upstream.last_message_at = now
@@ -278,17 +281,19 @@
         self._replica.on_refused(now, address, message)
         self._placement.request_choice(now)
 
-    # The subscription: for this instance and for its children
+    # Subscription of this instance and its children
 
     def _update_subscription(self, now: float) -> None:
         if now >= self._widen_at:
             self._widen_at = NEVER
-            needed = self._own.union(self._source.children_subscription())
+            needed = self._own_subscription.union(self._source.children_subscription())
             if not self._replica.subscription.covers(needed):
                 self._resubscribe(now, self._replica.subscription.union(needed))
         if now >= self._narrow_at:
             self._narrow_at = now + self._settings.narrow_ms
-            self._resubscribe(now, self._own.union(self._source.children_subscription()))
+            self._resubscribe(
+                now, self._own_subscription.union(self._source.children_subscription())
+            )
 
     def _resubscribe(self, now: float, subscription: Subscription) -> None:
         if subscription == self._replica.subscription:
@@ -302,7 +307,7 @@
     # Switches
 
     def _on_switch(self, entry: LogEntry | None) -> None:
-        """Serve the view that the replica has put into force."""
+        """Makes the view that has come into force available to children."""
         source = self._source
         view = self.view
         if entry is None or not self.relay:
@@ -317,23 +322,23 @@
 
     def _update_age(self) -> None:
         for upstream in self._upstreams.active:
-            # One with a lower version lags, or has another history.
+            # A source with a lower version lags, or has another history of versions.
             if upstream.version == self.view.version:
                 self._current_at = max(self._current_at, upstream.current_at)
 
     # Acknowledgements
 
     def report(self) -> Report:
-        """Return the report of this copy and of those that it serves."""
+        """Returns the merged report of this copy and the copies that it serves."""
         copy = self._replica.copy
         code = self._reported_code()
-        if not code and not copy.coverage.covers(self._own):
+        if not code and not copy.coverage.covers(self._own_subscription):
             code = BEHIND
-        own = own_report(self.me.name, copy.view.version, copy.newest_version, code)
-        return merged([own, self._source.report()])
+        copy_report = own_report(self.me.name, copy.view.version, copy.newest_version, code)
+        return merged([copy_report, self._source.report()])
 
     def _reported_code(self) -> str:
-        """Return the code of the error that is acknowledged to sources."""
+        """Returns the code of the error that acknowledgements report; empty without an error."""
         error = self._replica.copy.error
         if error is None:
             return SourceBehindError.code if self._is_ahead_of_sources() else ""
@@ -349,5 +354,5 @@
             return
         active = self._upstreams.active
         self._acknowledger.send(now, active, self.view.version, self.report())
-        served = [child.name for child in self._source.children.values() if child.primary]
-        self._acknowledger.send_roster(now, active, served)
+        child_names = [child.name for child in self._source.children.values() if child.primary]
+        self._acknowledger.send_roster(now, active, child_names)
--- a/pumicenotch/distribution/outbox.py
+++ b/pumicenotch/distribution/outbox.py
@@ -1,4 +1,4 @@
-"""Where the parts of a reducer put the effects of one step."""
+"""Collects the effects of one step of a reducer."""
 
 from pumicenotch.distribution.effects import Effect, InForce, Log, SendTo
 from pumicenotch.distribution.protocol.messages import Message
@@ -11,19 +11,19 @@
         self._effects: list[Effect] = []
 
     def send(self, address: str, message: Message) -> None:
-        """Send a message."""
+        """Adds the effect that sends a message."""
         self._effects.append(SendTo(address, message))
 
     def log(self, text: str) -> None:
-        """Write a line to the log."""
+        """Adds the effect that writes a line to the log."""
         self._effects.append(Log(text))
 
     def in_force(self, version: int) -> None:
-        """Announce that another view is in force."""
+        """Adds the effect that announces the version in force."""
         self._effects.append(InForce(version))
 
     def take(self) -> list[Effect]:
-        """Return all effects, and start with none again."""
+        """Returns all effects, and empties the outbox."""
         effects = self._effects
         self._effects = []
         return effects
--- a/pumicenotch/distribution/protocol/__init__.py
+++ b/pumicenotch/distribution/protocol/__init__.py
@@ -1,1 +1,1 @@
-"""What sources, relays and replicas send each other."""
+"""The messages between sources and replicas, and their encoding."""
--- a/pumicenotch/distribution/protocol/messages.py
+++ b/pumicenotch/distribution/protocol/messages.py
@@ -1,4 +1,4 @@
-"""What sources, replicas and voters send each other. `codec` has their form on the wire."""
+"""The messages between sources, replicas and voters. `codec` encodes them for the wire."""
 
 from typing import Any, NamedTuple
 
@@ -6,25 +6,29 @@
 from pumicenotch.distribution.data.subscription import Subscription
 from pumicenotch.distribution.protocol.reports import Report
 
-METHOD = "configuration"  # the method of the notifications that carry these messages
-# Of records in one message.
+# The method of the notifications that contain these messages.
+METHOD = "configuration"
+# Size of the records in one message.
 MAX_PAGE_BYTES = 32 * 1024
-# As many as are read and staged within 1 ms.
+# Number of changes or records in one message. They are read and staged within 1 ms.
 MAX_PAGE_CHANGES = 160
+# Number of digests in one answer to Compare.
 MAX_PAGE_SCOPES = 256
 MAX_WANTS = 64
 MAX_CANDIDATES = 8
 MAX_ROSTER_NAMES = 1024
-# The age of a copy that was never known to be current.
+# The age of a copy that was never known to be current, and the limit on ages in messages.
 AGE_UNKNOWN_MS = (1 << 31) - 1
 
-# Why a source refuses a request.
-NOT_A_RELAY = "not-a-relay"  # it has no voters as sources, or cannot read the current version
-UNKNOWN_CHILD = "unknown-child"  # subscribe first: it has restarted or dropped the child
-BUSY = "busy"  # retry later: its rate limit, or too many children or transfers
-NOT_READY = "not-ready"  # it does not have all of the subscription yet
-COMPACTED = "compacted"  # its log does not reach back so far: compare scopes
-NO_TRANSFER = "no-transfer"  # it no longer keeps that transfer: start another
+# Reasons for which a source refuses a request.
+NOT_A_RELAY = "not-a-relay"  # the instance is no relay, or cannot read the current version
+UNKNOWN_CHILD = (
+    "unknown-child"  # the source restarted or dropped the child, which must subscribe again
+)
+BUSY = "busy"  # retry later: rate limit reached, or too many children or transfers
+NOT_READY = "not-ready"  # the source does not have all subscribed scopes yet
+COMPACTED = "compacted"  # the log does not contain the version any more: compare scopes
+NO_TRANSFER = "no-transfer"  # the source no longer keeps the transfer: start another
 
 
 class Cursor(NamedTuple):
@@ -36,7 +40,7 @@
 
 
 START = Cursor()
-# Comes before all scopes.
+# Sorts before all scopes.
 BEFORE_ALL_SCOPES = ScopeId("", "")
 
 
@@ -49,7 +53,7 @@
 
 
 class Want(NamedTuple):
-    """Asks for the records of a scope whose names come after `after`."""
+    """A request for the records of a scope whose names come after `after`."""
 
     table: str
     scope: str
@@ -57,7 +61,10 @@
 
 
 class ScopePage(NamedTuple):
-    """Records of a scope as (name, value) pairs, by name; `done` with the last of the scope."""
+    """Records of a scope as (name, value) pairs, ordered by name.
+
+    `done` is set if these include the last record of the scope.
+    """
 
     table: str
     scope: str
@@ -65,18 +72,18 @@
     done: bool
 
 
-# From a child to its source
+# Messages from a child to its source
 
 
 class Subscribe(NamedTuple):
-    """Asks to be served.
+    """Asks a source to serve the sender as its child.
 
     Attributes:
-        request: numbers the child's requests.
-        generation: numbers its subscriptions; it cannot use what is filtered by another one.
-        version: in force at the child.
-        primary: whether it wants pushes, or announcements alone.
-        subscription: the scopes that it needs.
+        request: the number of the request at the child.
+        generation: identifies the subscription; the child ignores deltas for another one.
+        version: the version in force at the child.
+        primary: whether the child wants pushed deltas, or only announcements.
+        subscription: the scopes that the child needs.
     """
 
     request: int
@@ -87,11 +94,11 @@
 
 
 class Unsubscribe(NamedTuple):
-    """The child has other sources now."""
+    """Ends the subscription of a child that now uses other sources."""
 
 
 class Acknowledge(NamedTuple):
-    """What the child and all that it serves have in force; also its heartbeat."""
+    """Reports the versions in force at the child and at its own children; also its heartbeat."""
 
     version: int
     primary: bool
@@ -99,7 +106,7 @@
 
 
 class Pull(NamedTuple):
-    """Asks for the changes after version `have`, of the next one from `start` on."""
+    """Asks for the changes after version `have`, beginning at the position `start`."""
 
     request: int
     generation: int
@@ -110,7 +117,7 @@
 class Compare(NamedTuple):
     """Asks for the digests of the subscribed scopes that come after `after`.
 
-    The first one of a transfer fixes the transfer's version at the source.
+    The first Compare of a transfer determines the version of the transfer at the source.
     """
 
     request: int
@@ -120,7 +127,7 @@
 
 
 class Fetch(NamedTuple):
-    """Asks for records of scopes at the transfer's version."""
+    """Asks for records of scopes at the version of the transfer."""
 
     request: int
     transfer: int
@@ -128,23 +135,23 @@
 
 
 class EndTransfer(NamedTuple):
-    """The source may drop that transfer's view."""
+    """Allows the source to drop the view of a transfer."""
 
     transfer: int
 
 
 class Check(NamedTuple):
-    """Asks whether this is the digest of that scope at that version."""
+    """Asks a source to compare the digest of a scope at a version with its own."""
 
     version: int
     scope: ScopeDigest
 
 
-# From a source to its child
+# Messages from a source to its child
 
 
 class Accepted(NamedTuple):
-    """Answers Subscribe. `age_ms`: how long ago the version was known to be current."""
+    """Answers Subscribe. The source knew `version` to be current `age_ms` ago."""
 
     request: int
     version: int
@@ -152,7 +159,10 @@
 
 
 class Refused(NamedTuple):
-    """Refuses a request, or everything with request 0; `candidates` are other sources."""
+    """Refuses a request, or with request 0 the whole subscription.
+
+    `candidates` are addresses of other sources.
+    """
 
     request: int
     reason: str
@@ -161,17 +171,18 @@
 
 
 class Announce(NamedTuple):
-    """The source has this version in force, and knew it to be current `age_ms` ago."""
+    """Announces the version in force at the source, which knew it to be current `age_ms` ago."""
 
     version: int
     age_ms: int
 
 
 class Delta(NamedTuple):
-    """Changes that lead from `previous` to `version`, filtered by the child's subscription.
+    """The changes from `previous` to `version`, filtered by the child's subscription.
 
-    All of them, or a page from `start` to `end`. `digests` are those of the scopes that the page
-    changes, at `version`. Pushed with request 0.
+    A delta contains all changes, or a page of them from `start` to `end`; `done` is set on the last
+    page. `digests` are the digests at `version` of the scopes that the page changes. A pushed delta
+    has request 0.
     """
 
     request: int
@@ -198,7 +209,7 @@
 
 
 class Records(NamedTuple):
-    """Answers Fetch with at least one page of a scope, not necessarily all that was wanted."""
+    """Answers Fetch with one page or more, not necessarily with all records that were asked for."""
 
     request: int
     transfer: int
@@ -206,7 +217,7 @@
 
 
 class Mismatch(NamedTuple):
-    """Answers Check where the digest differs; a match is not answered."""
+    """Answers Check if the digest differs. A matching digest is not answered."""
 
     version: int
     table: str
@@ -214,15 +225,15 @@
 
 
 class Progress(NamedTuple):
-    """From a voter to the leader: the aggregated report of all that it serves."""
+    """Sent by a voter to the leader: the merged report of all copies that the voter serves."""
 
     report: Report
 
 
 class Roster(NamedTuple):
-    """The names of those that a relay or a voter serves as their primary source.
+    """The names of the replicas whose primary source is the relay or voter `owner`.
 
-    From a relay to its voter, and from there to the leader, on changes and periodically.
+    Sent by a relay to its voter, and by the voter to the leader, after changes and periodically.
     """
 
     owner: str
@@ -248,7 +259,7 @@
     | Progress
     | Roster
 )
-# The words on the wire.
+# The message types by their kind on the wire.
 MESSAGE_TYPES: dict[str, type[Any]] = {
     "subscribe": Subscribe,
     "unsubscribe": Unsubscribe,
@@ -268,11 +279,16 @@
     "progress": Progress,
     "roster": Roster,
 }
-KINDS_BY_TYPE: dict[type[Any], str] = {type_: kind for kind, type_ in MESSAGE_TYPES.items()}
+KINDS_BY_TYPE: dict[type[Any], str] = {
+    message_type: kind for kind, message_type in MESSAGE_TYPES.items()
+}
 
 
 def item_count(message: Message) -> int:
-    """Return how many changes, records and digests a message carries: what decoding it costs."""
+    """Returns the number of items in a message, which determines the cost of decoding it.
+
+    Items are changes, records and digests.
+    """
     match message:
         case Delta():
             return len(message.changes) + len(message.digests)
--- a/pumicenotch/distribution/protocol/reports.py
+++ b/pumicenotch/distribution/protocol/reports.py
@@ -1,16 +1,16 @@
-"""Aggregated acknowledgements: how many copies there are, how many are current, which are not."""
+"""Merged acknowledgements: the number of copies, the number of current ones, and the others."""
 
 from collections.abc import Iterable
 from typing import NamedTuple
 
-# Of further ones a report has only the count.
+# Number of problems that a report names. Further ones are only counted.
 MAX_NAMED_PROBLEMS = 64
-# The code of a copy that is late, without an error.
+# The code of a copy that is behind without an error.
 BEHIND = "behind"
 
 
 class CopyProblem(NamedTuple):
-    """A copy that has not the newest version in force, and why: an error's code, or BEHIND."""
+    """A copy without the newest version in force. `code` is the code of its error, or BEHIND."""
 
     name: str
     version: int
@@ -18,15 +18,15 @@
 
 
 class Report(NamedTuple):
-    """The state of a copy and of all that it serves.
+    """The state of a copy and of all copies that it serves.
 
     Attributes:
-        copies: how many there are.
-        lowest: the lowest version in force at any of them.
-        newest: the newest version that any of them knows of.
-        current: how many have the newest in force.
-        problems: those that have not, as far as they are named.
-        unnamed: how many more have not.
+        copies: the number of copies.
+        lowest: the lowest version in force at any copy.
+        newest: the newest version that any copy knows of.
+        current: the number of copies with the newest version in force.
+        problems: copies without the newest version, up to MAX_NAMED_PROBLEMS.
+        unnamed: the number of further copies without the newest version.
     """
 
     copies: int
@@ -41,7 +41,7 @@
 
 
 def own_report(name: str, version: int, newest: int, code: str) -> Report:
-    """Return the report of one copy alone."""
+    """Returns the report of one copy."""
     newest = max(version, newest)
     if version == newest and not code:
         return Report(1, version, newest, 1)
@@ -49,18 +49,20 @@
 
 
 def merged(reports: Iterable[Report]) -> Report:
-    """Return the report of all of them together."""
-    counted = [report for report in reports if report.copies]
-    if not counted:
+    """Returns one report that covers the copies of all given reports."""
+    nonempty = [report for report in reports if report.copies]
+    if not nonempty:
         return EMPTY
-    newest = max(report.newest for report in counted)
-    problems = sorted({problem for report in counted for problem in report.problems})
-    unnamed = sum(report.unnamed for report in counted) + max(0, len(problems) - MAX_NAMED_PROBLEMS)
+    newest = max(report.newest for report in nonempty)
+    problems = sorted({problem for report in nonempty for problem in report.problems})
+    unnamed = sum(report.unnamed for report in nonempty) + max(
+        0, len(problems) - MAX_NAMED_PROBLEMS
+    )
     return Report(
-        copies=sum(report.copies for report in counted),
-        lowest=min(report.lowest for report in counted),
+        copies=sum(report.copies for report in nonempty),
+        lowest=min(report.lowest for report in nonempty),
         newest=newest,
-        current=sum(report.current for report in counted if report.newest == newest),
+        current=sum(report.current for report in nonempty if report.newest == newest),
         problems=tuple(problems[:MAX_NAMED_PROBLEMS]),
         unnamed=unnamed,
     )
--- a/pumicenotch/distribution/publications/__init__.py
+++ b/pumicenotch/distribution/publications/__init__.py
@@ -1,1 +1,1 @@
-"""How changes are published: log entries, uploads, the voters' book and its snapshots."""
+"""Publishes changes: entries of the voters' log, uploads, the resulting state and its snapshots."""
--- a/pumicenotch/distribution/publications/book.py
+++ b/pumicenotch/distribution/publications/book.py
@@ -1,6 +1,7 @@
-"""The voters' book of publications: what the entries of their log make of the configuration.
+"""The replicated state of published configuration at a voter.
 
-The same entries lead to the same book at every voter.
+`Publications` applies the entries of the voters' replicated log. The same entries lead to the same
+state at every voter.
 """
 
 from collections.abc import Mapping, Sequence
@@ -25,20 +26,21 @@
 )
 from pumicenotch.distribution.publications.uploads import MAX_UPLOADS, Upload, changes_digest
 
-# The level of the fleet's entries from which on voters read these.
+# The lowest level of the fleet's log entries at which voters read the entries of this subject.
 LEVEL = 3
-# Requests whose outcomes are kept, so that a retry changes nothing.
+# Number of requests whose outcomes are kept, so that a retry returns the first outcome.
 MAX_REQUESTS = 1000
+# Number of publications in the history.
 MAX_HISTORY = 200
 
 
 class Outcome(NamedTuple):
-    """What an entry came to, as the fleet's state passes it on.
+    """The result of an entry, which the fleet's replicated state returns to the proposer.
 
     Attributes:
-        ok: whether it was applied.
-        text: for whoever sent it.
-        value: a version or the number of a part; of a refused entry the error's code.
+        ok: whether the entry was applied.
+        text: the answer to the proposer of the entry.
+        value: the version or the number of the part; for a refused entry, the code of the error.
     """
 
     ok: bool
@@ -47,9 +49,16 @@
 
 
 class Publication(NamedTuple):
-    """One publication in the history; its changes are in the log while that reaches back to it.
+    """A publication in the history. Its changes are in the change log until they are compacted.
 
-    The field names are those of status answers.
+    The field names are also the keys in status answers.
+
+    Attributes:
+        version: the version that the publication created.
+        by: the publisher.
+        why: the reason.
+        at_ms: Unix time in milliseconds.
+        changes: the number of changes.
     """
 
     version: int
@@ -60,7 +69,11 @@
 
 
 class Publications:
-    """The configuration, its log of changes, and what is being uploaded."""
+    """The configuration, its change log and the unfinished uploads.
+
+    This is a subject of the fleet's replicated state, which uses `name`, `level`, `verbs`, `admit`,
+    `apply`, `dump` and `load`.
+    """
 
     name: ClassVar[str] = "configuration"
     level: ClassVar[int] = LEVEL
@@ -78,26 +91,27 @@
 
     @property
     def version(self) -> int:
-        """The present version of the configuration."""
+        """The current version of the configuration."""
         return self.view.version
 
     def admit(self, verb: str, args: tuple[Any, ...]) -> None:
-        """Check an entry before it is proposed: whether its records are of their tables' form.
+        """Checks before an entry is proposed that its records are valid for their tables.
 
-        That is not checked where it is applied, so that voters with other tables agree.
+        `apply` does not check this, so that voters whose programs have different tables reach the
+        same state.
 
         Raises:
-            DistributionError: it cannot be published.
+            DistributionError: the entry cannot be published.
         """
         entry = entry_of(verb, args)
         if isinstance(entry, PublishEntry) and entry.request in self.requests:
-            return  # a retry: it has the same answer again
+            return  # a retry, which gets the first outcome again
         for change in entry.changes:
             check_change(self.tables, change)
         self._check_previous(entry.previous)
 
     def apply(self, index: int, verb: str, args: tuple[Any, ...]) -> Outcome:
-        """Apply the entry at that log index, its fields as the readers of `verbs` gave them."""
+        """Applies a log entry, whose fields the readers of `verbs` have read."""
         entry = entry_of(verb, args)
         try:
             return self._stage(entry) if isinstance(entry, StageEntry) else self._publish(entry)
@@ -143,12 +157,12 @@
             return self.requests[entry.request]
         self._check_previous(entry.previous)
         if entry.parts:
-            upload = self._finished_upload(entry)
+            upload = self._complete_upload(entry)
         else:
             upload = self._small_upload(entry.digest, entry.changes)
         self.view, log_entry = upload.finish()
         self.log.append(log_entry)
-        self.uploads.clear()  # they were made against the former version
+        self.uploads.clear()  # uploads against the previous version can no longer be published
         publication = Publication(
             self.version,
             entry.published_by,
@@ -159,10 +173,10 @@
         self.history.append(publication)
         del self.history[:-MAX_HISTORY]
         outcome = Outcome(True, f"version {self.version}", self.version)
-        self._remember(entry.request, outcome)
+        self._store_outcome(entry.request, outcome)
         return outcome
 
-    def _finished_upload(self, entry: PublishEntry) -> Upload:
+    def _complete_upload(self, entry: PublishEntry) -> Upload:
         upload = self.uploads.get(entry.upload)
         if upload is None or upload.parts != entry.parts or upload.digest != entry.digest:
             raise InvalidPublicationError(
@@ -181,21 +195,21 @@
         upload.add(changes)
         return upload
 
-    def _remember(self, request: str, outcome: Outcome) -> None:
+    def _store_outcome(self, request: str, outcome: Outcome) -> None:
         self.requests[request] = outcome
         while len(self.requests) > MAX_REQUESTS:
             del self.requests[next(iter(self.requests))]
 
     def dump(self) -> bytes:
-        """Return a snapshot; what has not changed since the last one is not encoded again."""
+        """Returns a snapshot. Parts unchanged since the last one are not encoded again."""
         head = snapshot.Head(self.version, self.log.base, self.requests, self.history)
         return snapshot.encode(head, self.view, self.log, self.uploads)
 
     def load(self, data: bytes) -> None:
-        """Replace everything by a snapshot.
+        """Replaces the whole state by that of a snapshot.
 
         Raises:
-            DistributionError: the data is none; then nothing is changed.
+            DistributionError: the data is not a valid snapshot. The state is then unchanged.
         """
         loaded = snapshot.decode(data)
         self.view = loaded.view
--- a/pumicenotch/distribution/publications/entries.py
+++ b/pumicenotch/distribution/publications/entries.py
@@ -1,7 +1,7 @@
-"""The log entries by which the voters publish: `(verb, *fields)`.
+"""The entries of the voters' log that publish configuration: `(verb, *fields)`.
 
-Fields are read before an entry is proposed, and again where it is applied. What is checked here is
-the same in every program of one level.
+The fields of an entry are read before it is proposed, and again when it is applied. The checks in
+this module are the same in all programs of one level.
 """
 
 from collections.abc import Callable, Mapping
@@ -35,10 +35,10 @@
     """Stages one part of an upload.
 
     Attributes:
-        upload: the upload's id.
+        upload: the identifier of the upload.
         part: the number of the part, from 0.
         previous: the version that the publication was made against.
-        changes: those of the part.
+        changes: the changes of the part.
     """
 
     upload: str
@@ -48,18 +48,18 @@
 
 
 class PublishEntry(NamedTuple):
-    """Publishes an upload or, with 0 parts, the changes that it carries itself.
+    """Publishes an upload or, if `parts` is 0, the changes in this entry.
 
     Attributes:
-        request: an id, so that a retry changes nothing.
-        upload: the upload's id; empty if there is none.
-        parts: how many parts the upload has.
-        digest: of all changes.
+        request: the identifier of the request; a retry with it changes nothing.
+        upload: the identifier of the upload; empty if there is none.
+        parts: the number of parts of the upload.
+        digest: the digest of all changes.
         previous: the version that the publication was made against.
-        published_by: who publishes.
-        reason: why.
-        published_at_ms: Unix time.
-        changes: those of a small publication.
+        published_by: the publisher.
+        reason: the reason for the publication.
+        published_at_ms: Unix time in milliseconds.
+        changes: the changes of a publication without an upload.
     """
 
     request: str
@@ -77,12 +77,12 @@
 
 
 def entry_of(verb: str, fields: tuple[Any, ...]) -> PublicationEntry:
-    """Return the entry with those fields, as the readers of `FIELD_READERS` have read them."""
+    """Returns the entry with the given fields, which the readers of `FIELD_READERS` have read."""
     return StageEntry._make(fields) if verb == "stage" else PublishEntry._make(fields)
 
 
 def read_identifier(value: Any) -> str:
-    """Read an id."""
+    """Reads an identifier."""
     if not isinstance(value, str) or not KEY_PART_PATTERN.match(value):
         raise InvalidPublicationError(
             ERROR_PLACE,
@@ -93,12 +93,12 @@
 
 
 def read_optional_identifier(value: Any) -> str:
-    """Read an id, or an empty text."""
+    """Reads an identifier or an empty string."""
     return read_identifier(value) if value != "" else ""
 
 
 def read_number(value: Any) -> int:
-    """Read a whole number from 0."""
+    """Reads a non-negative integer."""
     if type(value) is not int or value < 0:
         raise InvalidPublicationError(
             ERROR_PLACE, f"{value!r:.40} is no whole number from 0", "give one"
@@ -107,7 +107,7 @@
 
 
 def read_reason(value: Any) -> str:
-    """Read who publishes, or why."""
+    """Reads the publisher or the reason of a publication."""
     if not isinstance(value, str) or not value.strip() or len(value) > MAX_REASON_LENGTH:
         raise InvalidPublicationError(
             ERROR_PLACE,
@@ -118,7 +118,7 @@
 
 
 def read_digest(value: Any) -> str:
-    """Read the digest of a publication."""
+    """Reads the digest of a publication."""
     if not isinstance(value, str) or len(value) > MAX_KEY_PART_LENGTH:
         raise InvalidPublicationError(
             ERROR_PLACE, "its digest is no text", "use changes_digest of its changes"
@@ -127,7 +127,7 @@
 
 
 def read_changes(value: Any) -> tuple[Change, ...]:
-    """Read the changes of one part."""
+    """Reads the changes of one part."""
     if not isinstance(value, list | tuple) or len(value) > MAX_PART_CHANGES:
         raise OversizedPublicationError(
             ERROR_PLACE,
@@ -143,7 +143,10 @@
 
 
 def read_change(value: Any) -> Change:
-    """Read one change, as every program does; its table's form is checked before it is proposed."""
+    """Reads one change with the checks that all programs of one level share.
+
+    `Publications.admit` checks the value against its table before the entry is proposed.
+    """
     if not isinstance(value, list | tuple) or len(value) != 3 or not all(map(_is_text, value[:2])):
         raise InvalidRecordError(
             ERROR_PLACE, f"{value!r:.80} is no change", "give [table, SCOPE/NAME, value]"
@@ -169,7 +172,7 @@
     return isinstance(value, str)
 
 
-# By verb, a reader for each field of the entry.
+# The readers of an entry's fields, by verb.
 FIELD_READERS: Mapping[str, tuple[FieldReader, ...]] = {
     "stage": (read_identifier, read_number, read_number, read_changes),
     "publish": (
--- a/pumicenotch/distribution/publications/snapshot.py
+++ b/pumicenotch/distribution/publications/snapshot.py
@@ -1,7 +1,7 @@
-"""The book as bytes, for the voters' snapshots.
+"""The encoding of published configuration in the voters' snapshots.
 
-JSON, with a line for each scope, log entry and upload. A line is cached with what it describes
-until that changes.
+A snapshot is a sequence of JSON lines: a head, then one line for each scope, log entry and upload.
+The line of a scope or log entry is cached in that object.
 """
 
 import json
@@ -15,17 +15,18 @@
 from pumicenotch.distribution.publications.uploads import Upload
 
 FORMAT_VERSION = 1
+# In characters.
 MAX_ERROR_LENGTH = 200
 
 
 class Head(NamedTuple):
-    """The first line.
+    """The first line of a snapshot.
 
     Attributes:
-        version: of the configuration.
-        base: of the change log.
-        requests: outcomes of requests, by their ids.
-        history: publications.
+        version: the version of the configuration.
+        base: the oldest version from which the change log continues.
+        requests: the outcomes of requests by identifier.
+        history: the fields of past publications, oldest first.
     """
 
     version: int
@@ -35,7 +36,7 @@
 
 
 class Snapshot(NamedTuple):
-    """All that a snapshot contains."""
+    """The decoded content of a snapshot."""
 
     head: Head
     view: View
@@ -44,7 +45,7 @@
 
 
 def encode(head: Head, view: View, log: ChangeLog, uploads: Mapping[str, Upload]) -> bytes:
-    """Return a snapshot; the same content gives the same bytes."""
+    """Returns a snapshot. The same content always gives the same bytes."""
     lines = [_line("head", FORMAT_VERSION, *head)]
     lines += [_scope_line(scope_id, view) for scope_id in view.scope_ids()]
     lines += [_entry_line(entry) for entry in log.entries]
@@ -75,10 +76,10 @@
 
 
 def decode(data: bytes) -> Snapshot:
-    """Return what `encode` was given.
+    """Returns the content that `encode` was given.
 
     Raises:
-        DistributionError: the data is no snapshot.
+        DistributionError: the data is not a valid snapshot.
     """
     try:
         return _decode_lines([json.loads(line) for line in data.split(b"\n")])
@@ -113,7 +114,7 @@
     for table, name, records in scopes:
         scope = Scope(records, 0)
         scope_id = ScopeId(table, name)
-        scope.digest = scope.recomputed(scope_id)
+        scope.digest = scope.compute_digest(scope_id)
         builder.replace(scope_id, scope)
     return builder.finish(version)
 
--- a/pumicenotch/distribution/publications/uploads.py
+++ b/pumicenotch/distribution/publications/uploads.py
@@ -1,4 +1,4 @@
-"""Publications on their way into the book: the parts of a large one are staged one by one."""
+"""Uploads: large publications are staged in parts, and then published as one version."""
 
 from collections.abc import Sequence
 from typing import Any
@@ -13,27 +13,28 @@
 from pumicenotch.distribution.data.view import Builder, View
 from pumicenotch.distribution.errors import InvalidPublicationError, OversizedPublicationError
 
+# Limits of one part, and of a whole publication.
 MAX_PART_CHANGES = 200
 MAX_PART_BYTES = 32 * 1024
 MAX_CHANGES = 100_000
 MAX_BYTES = 32 * 1024 * 1024
-# At one time; a further one replaces the oldest.
+# Number of unfinished uploads. A further one replaces the oldest.
 MAX_UPLOADS = 4
 OVERSIZED_REMEDY = "divide it into several publications"
 
 
 def changes_digest(changes: Sequence[Change]) -> str:
-    """Return the digest of all changes of a publication, whatever their order."""
+    """Returns the digest of the changes of a publication, which does not depend on their order."""
     total = sum(record_digest(change.table, change.key, change.value or "") for change in changes)
     return f"{total % DIGEST_MODULUS:032x}"
 
 
 class Upload:
-    """What is staged of one publication.
+    """The staged changes of one publication.
 
     Attributes:
         previous: the version that the publication was made against.
-        parts: how many have been staged.
+        parts: the number of parts that have been staged.
     """
 
     def __init__(self, view: View) -> None:
@@ -46,15 +47,16 @@
 
     @property
     def digest(self) -> str:
-        """The digest of what is staged."""
+        """The digest of the staged changes."""
         return f"{self._digest % DIGEST_MODULUS:032x}"
 
     def add(self, changes: Sequence[Change]) -> None:
-        """Stage the next part. The upload is of no use after an error.
+        """Stages the next part. After an error, the upload must be discarded.
 
         Raises:
-            InvalidPublicationError: a record is named twice.
-            OversizedPublicationError, OversizedScopeError: there is too much of it.
+            InvalidPublicationError: a record occurs twice in the upload.
+            OversizedPublicationError: the upload has too many changes or bytes.
+            OversizedScopeError: a scope or a table would become too large.
         """
         for change in changes:
             if (change.table, change.key) in self._keys:
@@ -76,13 +78,13 @@
             )
 
     def finish(self) -> tuple[View, LogEntry]:
-        """Return the view with all of it in force, and its entry of the change log."""
+        """Returns the view with all staged changes, and the entry for the change log."""
         view = self._builder.finish(self.previous + 1)
         digests = {scope_id: self._builder.digest(scope_id) for scope_id in self._changes.scopes}
         return view, LogEntry(self.previous, view.version, self._changes, digests)
 
     def changes(self) -> list[Change]:
-        """Return all staged changes, by scope."""
+        """Returns all staged changes, grouped by scope."""
         return [change for changes in self._changes.scopes.values() for change in changes]
 
 
@@ -94,18 +96,19 @@
     published_at_ms: int,
     changes: Sequence[Change],
 ) -> list[tuple[Any, ...]]:
-    """Return the log entries by which a publisher has changes published.
+    """Returns the log entries that publish changes as one version.
 
     Args:
-        request: an id of its own for each publication.
+        request: a unique identifier of the publication.
         previous: the version that the publication is made against.
-        published_by: who publishes.
-        reason: why.
-        published_at_ms: Unix time.
-        changes: all of them.
+        published_by: the publisher.
+        reason: the reason for the publication.
+        published_at_ms: Unix time in milliseconds.
+        changes: all changes of the publication.
 
     Returns:
-        One `publish`, or a `stage` for each part and a `publish`, as (verb, *fields).
+        Entries as (verb, *fields): a `stage` for each part and then a `publish`, or a `publish`
+        alone if all changes fit into one part.
     """
     parts = [[list(change) for change in part] for part in _divide(changes)]
     digest = changes_digest(changes)
--- a/pumicenotch/distribution/replica/fetching.py
+++ b/pumicenotch/distribution/replica/fetching.py
@@ -32,7 +32,7 @@
         compared_up_to: the last scope whose digest has been compared.
         compared_all: whether all digests have been compared.
         complete: scopes that were fetched and verified, including those of an aborted transfer.
-        suspects: scopes to fetch even if their digests match.
+        suspect_scopes: scopes to fetch even if their digests match.
     """
 
     def __init__(
@@ -41,7 +41,7 @@
         address: str,
         subscription: Subscription,
         tables: Mapping[str, Table],
-        suspects: Iterable[ScopeId],
+        suspect_scopes: Iterable[ScopeId],
         reusable: Mapping[ScopeId, Scope],
     ) -> None:
         self.number = number
@@ -52,7 +52,7 @@
         self.compared_all = False
         self.complete: dict[ScopeId, Scope] = dict(reusable)
         self._tables = tables
-        self.suspects = frozenset(suspects)
+        self.suspect_scopes = frozenset(suspect_scopes)
         self._listed: dict[ScopeId, int] = {}
         self._wanted: deque[Want] = deque()
         self._missing: set[ScopeId] = set()
@@ -77,7 +77,7 @@
         if fetched is not None and fetched.digest == digest:
             return True
         self.complete.pop(scope_id, None)
-        return scope_id not in self.suspects and view.digest(*scope_id) == digest
+        return scope_id not in self.suspect_scopes and view.digest(*scope_id) == digest
 
     def next_wants(self) -> tuple[Want, ...]:
         """Returns the scopes to ask for in the next request, and removes them from the queue."""
--- a/pumicenotch/distribution/replica/rendezvous.py
+++ b/pumicenotch/distribution/replica/rendezvous.py
@@ -24,6 +24,4 @@
     subject: str, candidates: Iterable[Candidate], name: Callable[[Candidate], str]
 ) -> list[Candidate]:
     """Returns the candidates by descending score, ties by name."""
-    return sorted(
-        candidates, key=lambda candidate: (-score(subject, name(candidate)), name(candidate))
-    )
+    return sorted(candidates, key=lambda item: (-score(subject, name(item)), name(item)))
--- a/pumicenotch/distribution/replica/replica.py
+++ b/pumicenotch/distribution/replica/replica.py
@@ -221,7 +221,7 @@
             return
         view = transfer.build(self.copy.view)
         self._end_transfer(transfer)
-        self.copy.suspect_scopes -= transfer.suspects
+        self.copy.suspect_scopes -= transfer.suspect_scopes
         self.copy.needs_comparison = bool(self.copy.suspect_scopes)
         self.copy.switch(view, transfer.subscription, None)
 
--- a/pumicenotch/distribution/settings.py
+++ b/pumicenotch/distribution/settings.py
@@ -1,60 +1,66 @@
-"""The times and bounds of sources and replicas, in one place."""
+"""The times and limits of sources and replicas."""
 
 from typing import NamedTuple
 
 from pumicenotch.distribution.data.changelog import MAX_LOG_BYTES, MAX_LOG_ENTRIES
 from pumicenotch.distribution.protocol.messages import MAX_PAGE_BYTES, MAX_PAGE_SCOPES
 
-# A time that does not come.
+# A time that is never reached, in milliseconds.
 NEVER = float("inf")
 
 
 class Settings(NamedTuple):
-    """What a process spends on distribution, and when it does what.
+    """The times and limits of one process. Times are in milliseconds, sizes in bytes.
 
     Attributes:
-        relays: relays of a zone.
-        relay_linger_ms: how long a relay that is no longer among the first ones goes on.
-        max_children: replicas that a source serves.
-        settle_ms: after the start, unless enough peers are known before; then sources are chosen.
-        avoid_ms: how long a source that failed is avoided, and by chance up to as much again.
-        source_silent_ms: without a message for so long a source counts as failed.
-        source_lag_ms: a source that others are ahead of for so long is left.
-        min_leave_ms: the least time after which a source is left that others should replace.
-        max_leave_ms: the most time after which it is.
-        widen_ms: a relay waits so long for further children before it asks for their scopes.
-        narrow_ms: it keeps scopes that no child needs any more for so long.
-        child_silent_ms: without an acknowledgement for so long a child is dropped.
-        announce_ms: the longest time between two announcements.
-        min_announce_ms: the shortest time between two announcements of different versions.
-        acknowledge_ms: the longest time between two acknowledgements.
-        min_acknowledge_ms: the shortest, of a replica that serves nobody.
-        aggregate_ms: the shortest, of one that serves others.
-        roster_ms: the longest time between two rosters.
-        progress_silent_ms: how long a voter's report counts.
-        max_push_bytes: a larger delta is announced, and pulled in pages.
-        page_bytes: of records in the answer to one request.
-        page_scopes: digests in the answer to one comparison.
-        push_window: versions that are pushed to a child without an acknowledgement.
-        retry_ms: of a request without an answer, and by chance up to half as much again.
-        max_retry_ms: the bound of its backoff.
-        max_attempts: of one request; then another source is chosen.
-        not_ready_ms: the retry-after of a relay whose scopes are on their way.
-        missed_ms: a version that was announced and not pushed is pulled after that.
-        max_fetches: requests in flight.
-        max_transfers: transfers that a source serves at one time.
-        transfer_idle_ms: after so long without a request a transfer is dropped.
-        bytes_per_second: what a source sends in answer to pulls and transfers.
-        bytes_burst: what it may send at once.
-        busy_ms: the shortest retry-after of a busy source, and by chance up to as much again.
-        max_log_versions: entries of the log of changes; replicas that miss more compare scopes.
-        max_log_bytes: bytes of the log of changes.
-        slice_changes: changes read, hashed and staged in one step: half a millisecond.
-        slice_bytes: bytes pushed in one step.
-        slice_children: children that a delta is pushed to in one step.
-        slice_audit: records whose digests are computed in one step.
-        max_queue_bytes: received pages that wait to be applied.
-        audit_ms: between two scopes whose digest is computed.
+        relays: number of relays of a zone.
+        relay_linger_ms: time for which a relay with children continues after it was replaced.
+        max_children: number of replicas that a source serves.
+        settle_ms: time after the start at which sources are chosen, or earlier once the zone has
+            enough known members.
+        avoid_ms: shortest time for which a failed source is avoided, with up to 100 % jitter.
+        source_silent_ms: time without a message after which a source is treated as failed.
+        source_lag_ms: time for which a source may lag behind another one before it is left.
+        min_leave_ms: shortest delay before a working source is left for a preferred one.
+        max_leave_ms: longest delay before a working source is left for a preferred one.
+        widen_ms: time for which a relay waits for further children before it subscribes to the
+            scopes that they need.
+        narrow_ms: interval at which a relay drops scopes that no child needs any more.
+        child_silent_ms: time without a message after which a child is dropped.
+        announce_ms: longest time between two announcements.
+        min_announce_ms: shortest time between two announcements of different versions.
+        acknowledge_ms: longest time between two acknowledgements.
+        min_acknowledge_ms: shortest time between two acknowledgements of a replica without
+            children.
+        aggregate_ms: shortest time between two acknowledgements of a replica with children.
+        roster_ms: longest time between two rosters.
+        progress_silent_ms: time after which the last report of a voter is ignored.
+        max_push_bytes: size of the largest delta that is pushed. Larger ones are announced, and
+            pulled in pages.
+        page_bytes: size of the records in the answer to one request.
+        page_scopes: number of digests in the answer to one comparison.
+        push_window: number of versions that are pushed to a child without an acknowledgement.
+        retry_ms: first retry delay of a request without an answer, with up to 50 % jitter.
+        max_retry_ms: longest retry delay, before jitter.
+        max_attempts: number of attempts of one request before another source is chosen.
+        not_ready_ms: shortest retry-after of a relay that does not have the scopes yet, with up to
+            100 % jitter.
+        missed_ms: time after which an announced version that was not pushed is pulled.
+        max_fetches: number of requests in flight.
+        max_transfers: number of transfers that a source serves at one time.
+        transfer_idle_ms: time without a request after which a source drops a transfer.
+        bytes_per_second: sustained rate at which a source answers pulls and transfers.
+        bytes_burst: bytes that a source may send at once in answer to pulls and transfers.
+        busy_ms: shortest retry-after of a busy source, with up to 100 % jitter.
+        max_log_versions: number of entries in the change log. Replicas that missed more versions
+            compare scopes.
+        max_log_bytes: size of the change log.
+        slice_changes: changes that are read, hashed and staged in one step; half a millisecond.
+        slice_bytes: bytes that are pushed in one step.
+        slice_children: number of children to which a delta is pushed in one step.
+        slice_audit: number of records whose digests are computed in one step.
+        max_queue_bytes: size of the received deltas that wait to be applied.
+        audit_ms: time between the audits of two scopes.
     """
 
     relays: int = 3
--- a/pumicenotch/distribution/source/source.py
+++ b/pumicenotch/distribution/source/source.py
@@ -197,8 +197,8 @@
                 self._refuse(child.address, message.request, m.NO_TRANSFER, 0)
                 return
             if transfer is None and len(self._transfers) >= self._settings.max_transfers:
-                wait_ms = self._jittered(self._settings.busy_ms)
-                self._refuse(child.address, message.request, m.BUSY, wait_ms)
+                delay_ms = self._jittered(self._settings.busy_ms)
+                self._refuse(child.address, message.request, m.BUSY, delay_ms)
                 return
             transfer = OpenTransfer(
                 message.transfer, child.generation, self.view, child.subscription, now_ms
@@ -252,16 +252,16 @@
             self._refuse(child.address, request, m.UNKNOWN_CHILD, 0)
             return False
         if not self.coverage.covers(child.subscription):
-            wait_ms = self._jittered(self._settings.not_ready_ms)
-            self._refuse(child.address, request, m.NOT_READY, wait_ms)
+            delay_ms = self._jittered(self._settings.not_ready_ms)
+            self._refuse(child.address, request, m.NOT_READY, delay_ms)
             return False
         return self._is_admitted(now_ms, child, request)
 
     def _is_admitted(self, now_ms: float, child: Child, request: int) -> bool:
         if self._bucket.is_open(now_ms):
             return True
-        wait_ms = self._bucket.wait_ms(now_ms) + self._jittered(self._settings.busy_ms)
-        self._refuse(child.address, request, m.BUSY, int(wait_ms))
+        delay_ms = self._bucket.wait_ms(now_ms) + self._jittered(self._settings.busy_ms)
+        self._refuse(child.address, request, m.BUSY, int(delay_ms))
         return False
 
     def _refuse(self, address: str, request: int, reason: str, retry_after_ms: int) -> None:
--- a/tests/distribution/test_faults.py
+++ b/tests/distribution/test_faults.py
@@ -107,7 +107,7 @@
     spoil(node, "c/t4", '{"weight":666}')
     held = node.view.find(ScopeId("tenants", "c"))
     assert held is not None
-    held.digest = held.recomputed(ScopeId("tenants", "c"))  # wrong, and consistent
+    held.digest = held.compute_digest(ScopeId("tenants", "c"))  # wrong, and consistent
     network.run(20_000)
     network.assert_settled()
 
