--- a/tests/distribution/test_eligibility.py
+++ b/tests/distribution/test_eligibility.py
@@ -1,4 +1,4 @@
-"""Which instances of a zone may be its relays."""
+"""Guards against an instance that may not be a relay being counted among its zone's relays."""
 
 from pumicenotch.distribution.events import Peer
 from pumicenotch.distribution.replica.zone import Zone
--- a/tests/distribution/test_messages.py
+++ b/tests/distribution/test_messages.py
@@ -1,4 +1,7 @@
-"""Messages on the wire, subscriptions, reports, rendezvous hashing, admission."""
+"""Tests of message encoding, subscriptions, merged reports, rendezvous hashing and the rate limit.
+
+Guards against malformed messages that raise anything but MalformedMessageError.
+"""
 
 import random
 from typing import Any
@@ -51,13 +54,13 @@
 ]
 
 
-@pytest.mark.parametrize("message", MESSAGES, ids=lambda each: type(each).__name__)
+@pytest.mark.parametrize("message", MESSAGES, ids=lambda message: type(message).__name__)
 def test_a_message_is_the_same_after_the_wire(message: m.Message) -> None:
-    told = msgpack.unpackb(msgpack.packb(encode(message)))
-    found = decode(told)
-    assert found == message and type(found) is type(message)
+    encoded = msgpack.unpackb(msgpack.packb(encode(message)))
+    decoded = decode(encoded)
+    assert decoded == message and type(decoded) is type(message)
     with pytest.raises(MalformedMessageError):
-        decode([*told, 1])
+        decode([*encoded, 1])
 
 
 def test_every_kind_has_its_fields() -> None:
@@ -76,57 +79,62 @@
 
 @settings(max_examples=200, deadline=None, derandomize=True)
 @given(st.sampled_from(sorted(m.MESSAGE_TYPES)), st.integers(0, 10), VALUES)
-def test_a_corrupted_message_is_malformed_and_nothing_else(kind: str, at: int, value: Any) -> None:
-    told = encode(next(message for message in MESSAGES if m.KINDS_BY_TYPE[type(message)] == kind))
-    told[min(at, len(told) - 1)] = value
+def test_a_corrupted_message_is_malformed_and_nothing_else(
+    kind: str, index: int, value: Any
+) -> None:
+    encoded = encode(
+        next(message for message in MESSAGES if m.KINDS_BY_TYPE[type(message)] == kind)
+    )
+    encoded[min(index, len(encoded) - 1)] = value
     try:
-        decode(told)
+        decode(encoded)
     except MalformedMessageError as error:
         assert error.remedy
 
 
-@pytest.mark.parametrize("told", [None, [], "pull", [7], ["nothing"], ["pull", 1], {"pull": 1}])
-def test_what_is_no_message_is_malformed(told: Any) -> None:
+@pytest.mark.parametrize("encoded", [None, [], "pull", [7], ["nothing"], ["pull", 1], {"pull": 1}])
+def test_what_is_no_message_is_malformed(encoded: Any) -> None:
     with pytest.raises(MalformedMessageError):
-        decode(told)
+        decode(encoded)
 
 
 def test_subscriptions_are_combined_and_compared_by_scope() -> None:
-    one = Subscription({"tenants": ["a", "b"], "routes": None})
-    other = Subscription({"tenants": ["b", "c"]})
+    first = Subscription({"tenants": ["a", "b"], "routes": None})
+    second = Subscription({"tenants": ["b", "c"]})
     assert (
-        one.contains("routes", "any")
-        and one.contains("tenants", "a")
-        and not one.contains("tenants", "c")
+        first.contains("routes", "any")
+        and first.contains("tenants", "a")
+        and not first.contains("tenants", "c")
     )
-    assert one.union(other) == Subscription({"tenants": ["a", "b", "c"], "routes": None})
-    assert one.intersection(other) == Subscription({"tenants": ["b"]})
-    assert one.union(other).covers(one) and not one.covers(other) and one.covers(NOTHING)
-    assert decode_subscription(one.encode()) == one
-    many = Subscription({"tenants": [f"c{at}" for at in range(MAX_SCOPES)]})
-    assert many.union(one).tables["tenants"] is None  # taken whole where it would name too many
+    assert first.union(second) == Subscription({"tenants": ["a", "b", "c"], "routes": None})
+    assert first.intersection(second) == Subscription({"tenants": ["b"]})
+    assert first.union(second).covers(first) and not first.covers(second) and first.covers(NOTHING)
+    assert decode_subscription(first.encode()) == first
+    many = Subscription({"tenants": [f"c{index}" for index in range(MAX_SCOPES)]})
+    # The union would name too many scopes, and contains the complete table instead.
+    assert many.union(first).tables["tenants"] is None
 
 
 @pytest.mark.parametrize(
-    "told",
+    "encoded",
     [
         7,
         [["t"]],
         [["t", [1]]],
         [["t", ["a b"]]],
         [["t", "abc"]],
-        [["t", [f"c{at}" for at in range(1025)]]],
+        [["t", [f"c{index}" for index in range(1025)]]],
         [["t", None]] * 17,
     ],
 )
-def test_a_malformed_subscription_is_refused(told: Any) -> None:
+def test_a_malformed_subscription_is_refused(encoded: Any) -> None:
     with pytest.raises(InvalidSubscriptionError):
-        decode_subscription(told)
+        decode_subscription(encoded)
 
 
 def test_reports_are_merged_and_name_a_bounded_number_of_copies() -> None:
-    late = [own_report(f"i{at}", 1, 2, "") for at in range(MAX_NAMED_PROBLEMS + 6)]
-    report = merged([own_report("ok", 2, 2, ""), *late])
+    late_reports = [own_report(f"i{index}", 1, 2, "") for index in range(MAX_NAMED_PROBLEMS + 6)]
+    report = merged([own_report("ok", 2, 2, ""), *late_reports])
     assert (report.copies, report.lowest, report.newest, report.current) == (
         MAX_NAMED_PROBLEMS + 7,
         1,
@@ -135,25 +143,24 @@
     )
     assert len(report.problems) == MAX_NAMED_PROBLEMS and report.unnamed == 6
     assert report.problems[0].code == BEHIND
-    assert (
-        merged([Report(2, 5, 5, 2), Report(3, 4, 4, 3)]).current == 2
-    )  # current is of the newest alone
+    # Only copies with the newest version are current.
+    assert merged([Report(2, 5, 5, 2), Report(3, 4, 4, 3)]).current == 2
 
 
 def test_a_candidate_that_leaves_moves_only_its_own_share() -> None:
-    candidates = [f"relay{at}" for at in range(5)]
-    first = {f"i{at}": ranked(f"i{at}", candidates, str)[0] for at in range(500)}
-    fewer = {name: ranked(name, candidates[1:], str)[0] for name in first}
-    assert all(fewer[name] == relay for name, relay in first.items() if relay != "relay0")
+    candidates = [f"relay{index}" for index in range(5)]
+    first = {f"i{index}": ranked(f"i{index}", candidates, str)[0] for index in range(500)}
+    remaining = {name: ranked(name, candidates[1:], str)[0] for name in first}
+    assert all(remaining[name] == relay for name, relay in first.items() if relay != "relay0")
     shares = [list(first.values()).count(relay) for relay in candidates]
     assert min(shares) > 60
 
 
 def test_a_token_bucket_limits_the_rate() -> None:
-    bucket, sent, chance = TokenBucket(1_000.0, 500.0), 0, random.Random(1)
+    bucket, sent, rng = TokenBucket(1_000.0, 500.0), 0, random.Random(1)
     for now in range(0, 10_000, 10):
         if bucket.is_open(now):
-            size = chance.randrange(200)
+            size = rng.randrange(200)
             bucket.spend(size)
             sent += size
     assert 10_000 <= sent <= 10_000 + 500 + 200
--- a/tests/distribution/test_network.py
+++ b/tests/distribution/test_network.py
@@ -1,5 +1,7 @@
-"""Replicas over a network that does its worst: in the end all have what was published, and never anything
-else on the way.
+"""Replicas over a faulty network: all of them converge on the published contents.
+
+Guards against views that mix versions, and against replicas that never catch up after lost
+messages, cut links, restarts or a changed subscription.
 """
 
 from hypothesis import HealthCheck, given, settings
@@ -11,7 +13,7 @@
 from pumicenotch.distribution.events import SubscriptionChanged
 from tests.distribution.network import Network, Weather, tenant
 
-STORM = Weather(delay_ms=(0.5, 60.0), loss=0.2, doubled=0.1)
+HEAVY_FAULTS = Weather(delay_ms=(0.5, 60.0), loss=0.2, doubled=0.1)
 
 
 def test_a_publication_reaches_all_in_time() -> None:
@@ -26,8 +28,8 @@
 def test_a_burst_of_fifty_is_in_force_within_three_seconds() -> None:
     network = Network(2, zones=1, instances=10)
     network.run(3_000)
-    for at in range(50):
-        network.publish([tenant("c1", f"t{at}", at)])
+    for number in range(50):
+        network.publish([tenant("c1", f"t{number}", number)])
     network.run(6_000)
     network.assert_settled()
 
@@ -36,8 +38,8 @@
     network = Network(3, instances=6, log=lambda: ChangeLog(max_entries=50))
     network.run(3_000)
     network.cut = {"i0", "i1", "i2"}
-    for at in range(200):
-        network.publish([tenant(f"c{at % 7}", f"t{at}", at)])
+    for number in range(200):
+        network.publish([tenant(f"c{number % 7}", f"t{number}", number)])
     network.run(30_000)
     assert network.node("i0").view.version == 0
     assert network.node("i0").age_ms(network.now) > 20_000
@@ -50,7 +52,7 @@
     network = Network(4, instances=9)
     network.run(3_000)
     relay = next(name for name, node in network.nodes().items() if node.relay)
-    del network.reducers[relay]  # nobody is told
+    del network.reducers[relay]  # without notice to its peers
     network.publish([tenant("c1", "a", 1)])
     network.run(6_000)
     network.assert_settled()
@@ -59,19 +61,19 @@
 SUBSCRIPTIONS = [Subscription({"tenants": scopes}) for scopes in (None, ["c0"], ["c1", "c2"])]
 
 
-def run_script(seed: int, script: list[tuple[str, int]], weather: Weather) -> Network:
+def run_actions(seed: int, actions: list[tuple[str, int]], weather: Weather) -> Network:
     network = Network(
         seed,
         voters=2,
         instances=5,
         weather=weather,
         log=lambda: ChangeLog(max_entries=4),
-        subscription=lambda at: SUBSCRIPTIONS[at % 3],
+        subscription=lambda position: SUBSCRIPTIONS[position % 3],
     )
     network.run(1_500)
-    for what, which in script:
-        act(network, what, which)
-        network.run(network.now + 150 + 37 * which)
+    for action, index in actions:
+        perform(network, action, index)
+        network.run(network.now + 150 + 37 * index)
     network.weather, network.cut = Weather(), set()
     for name in network.peers:
         if name not in network.reducers:
@@ -80,33 +82,35 @@
     return network
 
 
-def act(network: Network, what: str, which: int) -> None:
-    name = f"i{which % 5}"
-    if what == "put":
-        network.publish([tenant(f"c{which % 3}", f"t{which % 4}", network.serial)])
-    elif what == "drop":
-        network.publish([Change("tenants", f"c{which % 3}/t{which % 4}", None)])
-    elif what == "bulk":
-        network.publish([tenant(f"c{at % 3}", f"bulk{at}-{which}", at) for at in range(900)])
-    elif what == "subscribe":
-        network.subscriptions[name] = SUBSCRIPTIONS[which // 5]
+def perform(network: Network, action: str, index: int) -> None:
+    name = f"i{index % 5}"
+    if action == "put":
+        network.publish([tenant(f"c{index % 3}", f"t{index % 4}", network.serial)])
+    elif action == "drop":
+        network.publish([Change("tenants", f"c{index % 3}/t{index % 4}", None)])
+    elif action == "bulk":
+        network.publish(
+            [tenant(f"c{number % 3}", f"bulk{number}-{index}", number) for number in range(900)]
+        )
+    elif action == "subscribe":
+        network.subscriptions[name] = SUBSCRIPTIONS[index // 5]
         network.step(name, SubscriptionChanged(network.subscriptions[name]))
-    elif what == "cut":
+    elif action == "cut":
         network.cut ^= {name}
-    elif what == "crash" and name in network.reducers:
+    elif action == "crash" and name in network.reducers:
         network.stop(name)
-    elif what == "crash":
+    elif action == "crash":
         network.start_instance(name)
 
 
-STEPS = st.tuples(
+ACTIONS = st.tuples(
     st.sampled_from(["put", "put", "drop", "bulk", "cut", "crash", "subscribe"]), st.integers(0, 14)
 )
 
 
 @settings(max_examples=25, deadline=None, derandomize=True, suppress_health_check=list(HealthCheck))
-@given(st.integers(0, 10_000), st.lists(STEPS, min_size=1, max_size=12))
+@given(st.integers(0, 10_000), st.lists(ACTIONS, min_size=1, max_size=12))
 def test_all_replicas_converge_on_what_was_published(
-    seed: int, script: list[tuple[str, int]]
+    seed: int, actions: list[tuple[str, int]]
 ) -> None:
-    run_script(seed, script, STORM).assert_settled()
+    run_actions(seed, actions, HEAVY_FAULTS).assert_settled()
