--- a/pumicenotch/distribution/node.py
+++ b/pumicenotch/distribution/node.py
@@ -20,7 +20,7 @@
     Ticked,
 )
 from pumicenotch.distribution.protocol import messages as m
-from pumicenotch.distribution.protocol.reports import BEHIND, Report, merged, own_report
+from pumicenotch.distribution.protocol.reports import BEHIND, Report, merge_reports, own_report
 from pumicenotch.distribution.replica.acknowledgements import Acknowledger
 from pumicenotch.distribution.replica.placement import Placement
 from pumicenotch.distribution.replica.replica import Replica
@@ -335,7 +335,7 @@
         if not code and not copy.coverage.covers(self._own_subscription):
             code = BEHIND
         copy_report = own_report(self.me.name, copy.view.version, copy.newest_version, code)
-        return merged([copy_report, self._source.report()])
+        return merge_reports([copy_report, self._source.report()])
 
     def _reported_code(self) -> str:
         """Returns the code of the error that acknowledgements report; empty without an error."""
--- a/pumicenotch/distribution/protocol/reports.py
+++ b/pumicenotch/distribution/protocol/reports.py
@@ -48,7 +48,7 @@
     return Report(1, version, newest, 0, (CopyProblem(name, version, code or BEHIND),))
 
 
-def merged(reports: Iterable[Report]) -> Report:
+def merge_reports(reports: Iterable[Report]) -> Report:
     """Returns one report that covers the copies of all given reports."""
     nonempty = [report for report in reports if report.copies]
     if not nonempty:
--- a/pumicenotch/distribution/replica/placement.py
+++ b/pumicenotch/distribution/replica/placement.py
@@ -9,7 +9,7 @@
 from pumicenotch.distribution.context import Context
 from pumicenotch.distribution.events import Peer
 from pumicenotch.distribution.protocol import messages as m
-from pumicenotch.distribution.replica.rendezvous import ranked
+from pumicenotch.distribution.replica.rendezvous import rank_candidates
 from pumicenotch.distribution.replica.upstreams import Upstreams
 from pumicenotch.distribution.replica.zone import Zone
 from pumicenotch.distribution.settings import NEVER
@@ -36,7 +36,7 @@
         self.relay = False
         self.hints: tuple[str, ...] = ()
         self._me = me
-        self._voters = tuple(ranked(me.name, voters, lambda address: address))
+        self._voters = tuple(rank_candidates(me.name, voters, lambda address: address))
         self._settings = context.settings
         self._upstreams = upstreams
         self._source = source
--- a/pumicenotch/distribution/replica/rendezvous.py
+++ b/pumicenotch/distribution/replica/rendezvous.py
@@ -20,7 +20,7 @@
     return int.from_bytes(digest, "big")
 
 
-def ranked(
+def rank_candidates(
     subject: str, candidates: Iterable[Candidate], name: Callable[[Candidate], str]
 ) -> list[Candidate]:
     """Returns the candidates by descending score, ties by name."""
--- a/pumicenotch/distribution/replica/zone.py
+++ b/pumicenotch/distribution/replica/zone.py
@@ -5,7 +5,7 @@
 """
 
 from pumicenotch.distribution.events import Peer
-from pumicenotch.distribution.replica.rendezvous import ranked
+from pumicenotch.distribution.replica.rendezvous import rank_candidates
 
 
 class Zone:
@@ -36,7 +36,7 @@
         else:
             self._peers[peer.name] = peer
         candidates = [*([self.me] if self._eligible else []), *self._peers.values()]
-        order = ranked(self.me.zone, candidates, lambda candidate: candidate.name)
+        order = rank_candidates(self.me.zone, candidates, lambda candidate: candidate.name)
         self._relays = order[: self._relay_count]
         return True
 
@@ -53,7 +53,8 @@
         """Returns the addresses of the other relays, in this instance's order of preference."""
         others = [peer for peer in self._relays if peer.name != self.me.name]
         return [
-            peer.address for peer in ranked(self.me.name, others, lambda candidate: candidate.name)
+            peer.address
+            for peer in rank_candidates(self.me.name, others, lambda candidate: candidate.name)
         ]
 
     def is_relay(self) -> bool:
--- a/pumicenotch/distribution/source/source.py
+++ b/pumicenotch/distribution/source/source.py
@@ -11,7 +11,7 @@
 from pumicenotch.distribution.data.view import View
 from pumicenotch.distribution.events import Sender
 from pumicenotch.distribution.protocol import messages as m
-from pumicenotch.distribution.protocol.reports import Report, merged
+from pumicenotch.distribution.protocol.reports import Report, merge_reports
 from pumicenotch.distribution.settings import NEVER, Settings
 from pumicenotch.distribution.source.admission import TokenBucket
 from pumicenotch.distribution.source.children import Child, page_bytes
@@ -92,7 +92,7 @@
 
     def report(self) -> Report:
         """Returns the merged report of the children that have this as their primary source."""
-        return merged(child.report for child in self.children.values() if child.primary)
+        return merge_reports(child.report for child in self.children.values() if child.primary)
 
     def children_subscription(self) -> Subscription:
         """Returns the scopes that the children need."""
--- a/pumicenotch/distribution/source/voter_source.py
+++ b/pumicenotch/distribution/source/voter_source.py
@@ -17,7 +17,7 @@
     VoterEvent,
 )
 from pumicenotch.distribution.protocol import messages as m
-from pumicenotch.distribution.protocol.reports import Report, merged
+from pumicenotch.distribution.protocol.reports import Report, merge_reports
 from pumicenotch.distribution.publications.book import Publications
 from pumicenotch.distribution.settings import DEFAULTS, NEVER, Settings
 from pumicenotch.distribution.source.source import Source
@@ -180,7 +180,7 @@
             for voter_report in self._reports.values()
             if voter_report.received_at >= oldest
         ]
-        return merged([self._source.report(), *reports])
+        return merge_reports([self._source.report(), *reports])
 
     def _reporting_names(self, now_ms: float) -> set[str]:
         """Returns the names of all copies that report to a voter, directly or through a relay."""
--- a/tests/distribution/test_messages.py
+++ b/tests/distribution/test_messages.py
@@ -25,10 +25,10 @@
     BEHIND,
     MAX_NAMED_PROBLEMS,
     Report,
-    merged,
+    merge_reports,
     own_report,
 )
-from pumicenotch.distribution.replica.rendezvous import ranked
+from pumicenotch.distribution.replica.rendezvous import rank_candidates
 from pumicenotch.distribution.source.admission import TokenBucket
 
 REPORT = own_report("i1", 3, 4, "unreadable-form")
@@ -134,7 +134,7 @@
 
 def test_reports_are_merged_and_name_a_bounded_number_of_copies() -> None:
     late_reports = [own_report(f"i{index}", 1, 2, "") for index in range(MAX_NAMED_PROBLEMS + 6)]
-    report = merged([own_report("ok", 2, 2, ""), *late_reports])
+    report = merge_reports([own_report("ok", 2, 2, ""), *late_reports])
     assert (report.copies, report.lowest, report.newest, report.current) == (
         MAX_NAMED_PROBLEMS + 7,
         1,
@@ -144,13 +144,13 @@
     assert len(report.problems) == MAX_NAMED_PROBLEMS and report.unnamed == 6
     assert report.problems[0].code == BEHIND
     # Only copies with the newest version are current.
-    assert merged([Report(2, 5, 5, 2), Report(3, 4, 4, 3)]).current == 2
+    assert merge_reports([Report(2, 5, 5, 2), Report(3, 4, 4, 3)]).current == 2
 
 
 def test_a_candidate_that_leaves_moves_only_its_own_share() -> None:
     candidates = [f"relay{index}" for index in range(5)]
-    first = {f"i{index}": ranked(f"i{index}", candidates, str)[0] for index in range(500)}
-    remaining = {name: ranked(name, candidates[1:], str)[0] for name in first}
+    first = {f"i{index}": rank_candidates(f"i{index}", candidates, str)[0] for index in range(500)}
+    remaining = {name: rank_candidates(name, candidates[1:], str)[0] for name in first}
     assert all(remaining[name] == relay for name, relay in first.items() if relay != "relay0")
     shares = [list(first.values()).count(relay) for relay in candidates]
     assert min(shares) > 60
