--- a/pumicenotch/distribution/source/source.py
+++ b/pumicenotch/distribution/source/source.py
@@ -21,7 +21,7 @@
 SCOPE_DIGEST_BYTES = 48
 
 
-def log_of(settings: Settings) -> ChangeLog:
+def new_change_log(settings: Settings) -> ChangeLog:
     """Returns an empty change log with the bounds of the settings."""
     return ChangeLog(max_entries=settings.max_log_versions, max_bytes=settings.max_log_bytes)
 
@@ -50,7 +50,7 @@
         """
         settings = context.settings
         self.view = View()
-        self.log = log_of(settings)
+        self.log = new_change_log(settings)
         self.coverage: Subscription = NOTHING
         self.accepting = False
         self.candidates: tuple[str, ...] = ()
--- a/pumicenotch/net/voter_configuration.py
+++ b/pumicenotch/net/voter_configuration.py
@@ -10,7 +10,7 @@
 from pumicenotch.distribution.data.view import View
 from pumicenotch.distribution.instance_settings import InstanceSettings
 from pumicenotch.distribution.publications.book import Publications
-from pumicenotch.distribution.source.source import log_of
+from pumicenotch.distribution.source.source import new_change_log
 from pumicenotch.distribution.source.voter_source import VoterSource
 from pumicenotch.fleet.replicated.subject import ReplicatedSubject
 from pumicenotch.fleet.voter.node import VoterNode
@@ -21,7 +21,7 @@
 
 def make_subjects_of(settings: InstanceSettings) -> tuple[ReplicatedSubject, ...]:
     """What a voter's state holds beside the fleet's own subjects, empty."""
-    return (Publications(tables=settings.tables(), log=log_of(settings.settings)),)
+    return (Publications(tables=settings.tables(), log=new_change_log(settings.settings)),)
 
 
 class VoterDistributionService(DistributionService):
