--- a/pumicenotch/distribution/data/changelog.py
+++ b/pumicenotch/distribution/data/changelog.py
@@ -63,7 +63,8 @@
         self.digests = digests
         self.size = changes.size
         self.count = changes.count
-        self.encoded: bytes | None = None  # the line of a snapshot, cached by its encoder
+        # The line of this entry in a snapshot, cached by the encoder.
+        self.encoded: bytes | None = None
 
 
 class Page(NamedTuple):
@@ -171,7 +172,10 @@
 
     @staticmethod
     def _filtered_size(entry: LogEntry, subscription: Subscription) -> int:
-        """Returns the subscribed bytes of an entry; MAX_PAGE_BYTES + 1 if no page can hold it."""
+        """Returns the subscribed bytes of an entry; MAX_PAGE_BYTES + 1 if no page can hold it.
+
+        For an entry with few changes, this is its total size.
+        """
         if entry.count <= MAX_UNFILTERED_CHANGES:
             return entry.size
         count = 0
--- a/pumicenotch/distribution/data/tables.py
+++ b/pumicenotch/distribution/data/tables.py
@@ -132,9 +132,9 @@
             )
         return
     if type(value[field.name]) not in field.kinds:
-        wanted = " or ".join(kind.__name__ for kind in field.kinds)
+        kind_names = " or ".join(kind.__name__ for kind in field.kinds)
         raise InvalidRecordError(
-            place, f"the field {field.name} is no {wanted}", f"publish a {wanted}"
+            place, f"the field {field.name} is no {kind_names}", f"publish a {kind_names}"
         )
 
 
--- a/pumicenotch/distribution/data/view.py
+++ b/pumicenotch/distribution/data/view.py
@@ -30,7 +30,8 @@
     def __init__(self, records: dict[str, str], digest: int) -> None:
         self.records = records
         self.digest = digest
-        self.encoded: bytes | None = None  # the line of a snapshot, cached by its encoder
+        # The line of this scope in a snapshot, cached by the encoder.
+        self.encoded: bytes | None = None
         self._names: list[str] | None = None
 
     def names_after(self, after: str) -> list[str]:
--- a/pumicenotch/distribution/node.py
+++ b/pumicenotch/distribution/node.py
@@ -202,8 +202,8 @@
 
     def _handle_source_changes(self, now: float) -> None:
         """Handles the loss of sources and a change of the primary source."""
-        lost, self._upstreams.lost = self._upstreams.lost, []
-        for address in lost:
+        lost_addresses, self._upstreams.lost_addresses = self._upstreams.lost_addresses, []
+        for address in lost_addresses:
             self._replica.on_source_lost(address)
             self._placement.request_choice(now)
         if self._upstreams.promoted:
@@ -304,7 +304,7 @@
         self._upstreams.resubscribe_all(now)
         self._placement.request_choice(now)
 
-    # Switches
+    # Changes of the view in force
 
     def _on_switch(self, entry: LogEntry | None) -> None:
         """Makes the view that has come into force available to children."""
--- a/pumicenotch/distribution/protocol/messages.py
+++ b/pumicenotch/distribution/protocol/messages.py
@@ -21,14 +21,18 @@
 AGE_UNKNOWN_MS = (1 << 31) - 1
 
 # Reasons for which a source refuses a request.
-NOT_A_RELAY = "not-a-relay"  # the instance is no relay, or cannot read the current version
-UNKNOWN_CHILD = (
-    "unknown-child"  # the source restarted or dropped the child, which must subscribe again
-)
-BUSY = "busy"  # retry later: rate limit reached, or too many children or transfers
-NOT_READY = "not-ready"  # the source does not have all subscribed scopes yet
-COMPACTED = "compacted"  # the log does not contain the version any more: compare scopes
-NO_TRANSFER = "no-transfer"  # the source no longer keeps the transfer: start another
+# The instance does not have voters as its sources, or cannot read the current version.
+NOT_A_RELAY = "not-a-relay"
+# The source has restarted or dropped the child, which must subscribe again.
+UNKNOWN_CHILD = "unknown-child"
+# The rate limit is reached, or there are too many children or transfers. The child retries later.
+BUSY = "busy"
+# The source does not have all subscribed scopes yet.
+NOT_READY = "not-ready"
+# The log no longer contains the version of the child, which must compare scopes.
+COMPACTED = "compacted"
+# The source no longer keeps the transfer. The child must start another one.
+NO_TRANSFER = "no-transfer"
 
 
 class Cursor(NamedTuple):
--- a/pumicenotch/distribution/publications/book.py
+++ b/pumicenotch/distribution/publications/book.py
@@ -105,7 +105,8 @@
         """
         entry = entry_of(verb, args)
         if isinstance(entry, PublishEntry) and entry.request in self.requests:
-            return  # a retry, which gets the first outcome again
+            # A retry gets the outcome of the first request again.
+            return
         for change in entry.changes:
             check_change(self.tables, change)
         self._check_previous(entry.previous)
@@ -162,7 +163,8 @@
             upload = self._small_upload(entry.digest, entry.changes)
         self.view, log_entry = upload.finish()
         self.log.append(log_entry)
-        self.uploads.clear()  # uploads against the previous version can no longer be published
+        # Uploads against the previous version can no longer be published.
+        self.uploads.clear()
         publication = Publication(
             self.version,
             entry.published_by,
--- a/pumicenotch/distribution/replica/audit.py
+++ b/pumicenotch/distribution/replica/audit.py
@@ -77,13 +77,13 @@
 
 def _next_audit(view: View, after: ScopeId) -> Audit | None:
     """Returns an audit of the scope that follows `after`, or of the first scope after the last."""
-    following = None
+    next_scope_id = None
     first = None
     for scope_id in view.scope_ids():
         first = first or scope_id
         if scope_id > after:
-            following = scope_id
+            next_scope_id = scope_id
             break
-    chosen = following or first
+    chosen = next_scope_id or first
     scope = None if chosen is None else view.find(chosen)
     return None if chosen is None or scope is None else Audit(chosen, scope)
--- a/pumicenotch/distribution/replica/copy.py
+++ b/pumicenotch/distribution/replica/copy.py
@@ -107,7 +107,7 @@
         view, entry = staging.finish()
         self.switch(view, self.coverage, entry)
 
-    # The switch
+    # Switch to another view
 
     def switch(self, view: View, coverage: Subscription, entry: LogEntry | None) -> None:
         """Puts another version into force. No other method does so."""
@@ -126,7 +126,7 @@
         self._drop_pending(view.version)
         self._outbox.in_force(view.version)
         self._on_switch(entry)
-        self._stage_following()
+        self._stage_next()
 
     def narrow(self, subscription: Subscription) -> None:
         """Drops the scopes outside of the subscription, and discards staged and queued deltas."""
@@ -140,13 +140,13 @@
                 builder.drop(scope_id)
         self.view = builder.finish(self.view.version)
 
-    def _stage_following(self) -> None:
-        following = self._pending.pop(self.view.version, None)
-        if following is None:
+    def _stage_next(self) -> None:
+        next_delta = self._pending.pop(self.view.version, None)
+        if next_delta is None:
             return
-        self._pending_bytes -= page_bytes(following)
+        self._pending_bytes -= page_bytes(next_delta)
         if not self.needs_comparison:
-            self.stage(following)
+            self.stage(next_delta)
 
     def _drop_pending(self, version: int) -> None:
         for previous in [queued for queued in self._pending if queued < version]:
--- a/pumicenotch/distribution/replica/replica.py
+++ b/pumicenotch/distribution/replica/replica.py
@@ -126,7 +126,8 @@
             copy.staging.add(delta)
             return
         if is_answer and copy.staging is not None and copy.staging.paged:
-            copy.staging = None  # the page comes from the log of another source
+            # The page comes from the log of another source.
+            copy.staging = None
         if delta.version <= copy.view.version:
             if is_answer:
                 # The source that answered has no newer version.
@@ -282,7 +283,8 @@
         copy = self.copy
         newer_version = max(copy.view.version, copy.blocked_version) + 1
         address = self._sources.select(now_ms, newer_version) if copy.is_lagging() else None
-        if address is None:  # otherwise a source with at least the version in force serves
+        # Otherwise, any source that is not behind this copy and is past the blocked version.
+        if address is None:
             address = self._sources.select(now_ms, max(copy.view.version, copy.blocked_version + 1))
         if address is None:
             return
--- a/pumicenotch/distribution/replica/upstreams.py
+++ b/pumicenotch/distribution/replica/upstreams.py
@@ -48,17 +48,17 @@
 
 
 class Upstreams:
-    """The sources that a replica uses. The node collects and resets `lost` and `promoted`.
+    """The sources that a replica uses. The node reads and resets `lost_addresses`, `promoted`.
 
     Attributes:
         active: the sources in use, the primary one first.
-        lost: addresses of the sources that were left since the last reset.
+        lost_addresses: addresses of the sources that were left since the last reset.
         promoted: whether the primary source has changed since the last reset.
     """
 
     def __init__(self, context: Context) -> None:
         self.active: list[Upstream] = []
-        self.lost: list[str] = []
+        self.lost_addresses: list[str] = []
         self.promoted = False
         self._context = context
         self._settings = context.settings
@@ -135,7 +135,7 @@
         if self.active[0] is upstream:
             self.promoted = True
         self.active.remove(upstream)
-        self.lost.append(upstream.address)
+        self.lost_addresses.append(upstream.address)
 
     def on_source_failed(self, now_ms: float, address: str, wait_ms: float = 0.0) -> None:
         """Leaves a failed source, and avoids its address for a randomized time."""
--- a/pumicenotch/distribution/source/source.py
+++ b/pumicenotch/distribution/source/source.py
@@ -178,7 +178,8 @@
         page = self.log.page(
             message.have, message.start, child.subscription, self._settings.page_bytes
         )
-        if message.have >= self.view.version:  # the child has the newest version
+        # The child has the newest version already.
+        if message.have >= self.view.version:
             page = Page(message.have, message.have, m.START, m.START, True, (), ())
         if page is None:
             self._refuse(child.address, message.request, m.COMPACTED, 0)
@@ -287,7 +288,8 @@
                 child.pushed_version, child.subscription, settings.max_push_bytes
             )
             if page is None:
-                break  # the child pulls a delta of this size after its announcement
+                # The child pulls a delta of this size after its announcement.
+                break
             pushed_bytes += page_bytes(page)
             self._outbox.send(child.address, child.delta(0, self._age_ms(now_ms), page))
             self._counts["pushed"] += 1
--- a/pumicenotch/distribution/source/voter_source.py
+++ b/pumicenotch/distribution/source/voter_source.py
@@ -145,7 +145,8 @@
     def _store_roster(self, sender: Sender, owner: str, names: tuple[str, ...]) -> None:
         self._rosters.pop(owner, None)
         while len(self._rosters) >= m.MAX_ROSTER_NAMES:
-            del self._rosters[next(iter(self._rosters))]  # the least recently updated roster
+            # The first roster is the least recently updated one.
+            del self._rosters[next(iter(self._rosters))]
         self._rosters[owner] = frozenset(names)
         is_own_child = sender.name == owner and owner in self._source.children
         if is_own_child and self._leader and not self._is_leader:
--- a/tests/distribution/test_faults.py
+++ b/tests/distribution/test_faults.py
@@ -212,7 +212,8 @@
     while former <= {
         name for name, node in network.nodes().items() if node._placement._zone.is_relay()
     }:
-        joined += 1  # until a joining instance replaces one of the former relays
+        # Instances join until one of them replaces a former relay.
+        joined += 1
         name = f"i{8 + joined}"
         network.peers[name] = events.Peer(name, "z0", "r", name, "")
         network.subscriptions[name] = Subscription({"tenants": None})
--- a/tests/distribution/test_network.py
+++ b/tests/distribution/test_network.py
@@ -52,7 +52,8 @@
     network = Network(4, instances=9)
     network.run(3_000)
     relay = next(name for name, node in network.nodes().items() if node.relay)
-    del network.reducers[relay]  # without notice to its peers
+    # The relay fails without notice to its peers.
+    del network.reducers[relay]
     network.publish([tenant("c1", "a", 1)])
     network.run(6_000)
     network.assert_settled()
--- a/tests/distribution/test_publications.py
+++ b/tests/distribution/test_publications.py
@@ -218,7 +218,8 @@
     assert publications.log.page(1, START, EVERYTHING) is None
     page = publications.log.page(2, START, Subscription({"tenants": ["c"]}))
     assert page is not None and (page.previous, page.version, page.done) == (2, 5, True)
-    assert page.changes == (tenant("c", "same", 4),)  # only the last change of each record
+    # A page has only the last change of each record.
+    assert page.changes == (tenant("c", "same", 4),)
     assert [digest.scope for digest in page.digests] == ["c"]
 
 
