--- a/pumicenotch/net/voter_configuration.py
+++ b/pumicenotch/net/voter_configuration.py
@@ -10,7 +10,7 @@
 from pumicenotch.distribution.data.view import View
 from pumicenotch.distribution.instance_settings import InstanceSettings
 from pumicenotch.distribution.publications.book import Publications
-from pumicenotch.distribution.source.source import log_of
+from pumicenotch.distribution.source.source import new_change_log
 from pumicenotch.distribution.source.voter_source import VoterSource
 from pumicenotch.fleet.replicated.subject import ReplicatedSubject
 from pumicenotch.fleet.voter.node import VoterNode
@@ -26,7 +26,7 @@
 
 def make_distribution_subjects(settings: InstanceSettings) -> tuple[ReplicatedSubject, ...]:
     """Returns the initial replicated subjects of the distribution for a voter's state."""
-    return (Publications(tables=settings.tables(), log=log_of(settings.settings)),)
+    return (Publications(tables=settings.tables(), log=new_change_log(settings.settings)),)
 
 
 class VoterDistributionService(DistributionService):
