--- a/pumicenotch/cli/cells.py
+++ b/pumicenotch/cli/cells.py
@@ -55,10 +55,10 @@
 @cells.command
 def compile(file: Path, /, *, out: Path) -> None:
     """The first map, of epoch 1, from an HCL file."""
-    from pumicenotch.config.cells import first
+    from pumicenotch.config.cells import read_first_map
 
     try:
-        made = first(file)
+        made = read_first_map(file)
     except InvalidFileError as error:
         wrong(error)
     kept(made, out)
--- a/pumicenotch/config/__init__.py
+++ b/pumicenotch/config/__init__.py
@@ -1,7 +1,7 @@
-"""The file of ours: HCL read by a library, checked against schemas by another, every fault named by its
-place.
+"""Configuration files: HCL parsed by one library and checked against schemas by another.
 
-Reading takes some 45 MB for a moment, which a server in 32 MB does not have: it is done in a process of its
-own (`python -m pumicenotch.config FILE`), which hands over the compiled plan (`compiled`, standard library
-alone).
+Every error names its place. Reading a file takes about 45 MB of memory for a moment, which a server
+limited to 32 MB does not have. The file is therefore read in a process of its own,
+`python -m pumicenotch.config FILE`, which returns the compiled plan as JSON; `compiled` reads it with the
+standard library only.
 """
--- a/pumicenotch/config/__main__.py
+++ b/pumicenotch/config/__main__.py
@@ -1,4 +1,7 @@
-"""Reads a file of ours and prints the compiled plan; faults go to standard error, with exit status 2."""
+"""Reads a configuration file and prints the compiled plan.
+
+Errors are printed to standard error, with exit status 2.
+"""
 
 import sys
 
@@ -7,12 +10,13 @@
 
 
 def main() -> None:
+    """Compiles the file that the command line names."""
     try:
-        made = ours_of(sys.argv[1])
+        config = ours_of(sys.argv[1])
     except InvalidFileError as error:
         print(error, file=sys.stderr)
         sys.exit(2)
-    print(dump(made))
+    print(dump(config))
 
 
 if __name__ == "__main__":
--- a/pumicenotch/config/agent.py
+++ b/pumicenotch/config/agent.py
@@ -1,4 +1,4 @@
-"""The schema of an agent's file, and what stands on its disk."""
+"""The schema of an agent's file, and the state that an agent keeps on disk."""
 
 import json
 from pathlib import Path
@@ -7,100 +7,126 @@
 from pydantic import Field, model_validator
 
 from pumicenotch.config.files import put
-from pumicenotch.config.fleet import Address, Name, once
+from pumicenotch.config.fleet import Address, Name, check_unique
 from pumicenotch.config.hcl import InvalidFileError
 from pumicenotch.config.schema import Schema, read
 from pumicenotch.fleet.releases.release import BUDGETS, SLOTS
 
 Version = Annotated[str, Field(pattern=r"^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$")]
-FORM = 1
+FORMAT_VERSION = 1  # of the state on disk
 
 
 class Slot(Schema):
-    """`slot "program" { version = "..." }`: what stands there at the agent's first start."""
+    """`slot "program" { version = "..." }`: the version in the slot at the agent's first start."""
 
     name: Name
     version: Version
 
     @model_validator(mode="after")
-    def known(self) -> "Slot":
+    def check_name(self) -> "Slot":
+        """Raises ValueError unless the slot may be set in the file."""
         if self.name not in SLOTS or self.name == BUDGETS:
             raise ValueError(f"slot {self.name!r}: allowed: {', '.join(SLOTS[:-1])}")
         return self
 
 
 class AgentFile(Schema):
+    """An agent's file.
+
+    Attributes:
+        fleet: The name of the fleet.
+        member: The fleet's name for the server or voter that the agent runs.
+        voters: The addresses of the voters.
+        home: The agent's own folder.
+        source: The folder from which versions are fetched.
+        command: The command of the server. `{program}`, `{config}` and `{map}` stand for the folders of
+            the installed versions, `{home}` for the agent's own folder.
+        environment: Additional variables as NAME=VALUE, with the same placeholders.
+        slot: The versions at the agent's first start.
+        start_ms: A server that does not serve within this time after its start counts as silent.
+        drain_ms: The time for a drain, after which the server is stopped.
+        seed: Seeds the agent's random numbers.
+    """
+
     fleet: Name
-    member: Name  # the server or voter that it stands beside, by its name in the fleet
+    member: Name
     voters: Annotated[tuple[Address, ...], Field(min_length=1, max_length=7)]
-    home: Annotated[str, Field(min_length=1)]  # the agent's own folder
-    source: Annotated[str, Field(min_length=1)]  # versions are fetched from there
-    command: Annotated[
-        tuple[str, ...], Field(min_length=1)
-    ]  # {program}, {config}, {map} stand for folders
-    environment: tuple[str, ...] = ()  # NAME=VALUE, with the same
+    home: Annotated[str, Field(min_length=1)]
+    source: Annotated[str, Field(min_length=1)]
+    command: Annotated[tuple[str, ...], Field(min_length=1)]
+    environment: tuple[str, ...] = ()
     slot: tuple[Slot, ...]
-    start_ms: Annotated[float, Field(gt=0.0, le=3_600_000.0)] = (
-        30_000.0  # until it serves, else it is silent
-    )
-    drain_ms: Annotated[float, Field(gt=0.0, le=3_600_000.0)] = (
-        30_000.0  # for a drain, before it is ended
-    )
+    start_ms: Annotated[float, Field(gt=0.0, le=3_600_000.0)] = 30_000.0
+    drain_ms: Annotated[float, Field(gt=0.0, le=3_600_000.0)] = 30_000.0
     seed: Annotated[int, Field(ge=0)] = 0
 
     @model_validator(mode="after")
-    def fits(self) -> "AgentFile":
-        once([each.name for each in self.slot], "slot")
+    def check_slots(self) -> "AgentFile":
+        """Raises ValueError if slots are missing or repeated, or a placeholder is unknown."""
+        check_unique([each.name for each in self.slot], "slot")
         if not self.slot:
-            raise ValueError("one slot at the least: what the server runs")
+            raise ValueError("at least one slot is required: the versions that the server runs")
         for pair in self.environment:
             if "=" not in pair:
                 raise ValueError(f"environment: {pair!r}: NAME=VALUE is wanted")
-        known = {each.name: each.name for each in self.slot}
+        placeholders = {each.name: each.name for each in self.slot}
         for text in (*self.command, *self.environment):
             try:
-                text.format(**known, home="")
+                text.format(**placeholders, home="")
             except (KeyError, IndexError, ValueError) as error:
                 raise ValueError(
-                    f"{text!r}: {error}: known: {{home}}, {', '.join(known)}"
+                    f"{text!r}: {error}: known: {{home}}, {', '.join(placeholders)}"
                 ) from None
         return self
 
 
 class Disk(NamedTuple):
-    """What an agent must know when it comes back."""
+    """The state that an agent needs after a restart.
+
+    Attributes:
+        runs: The installed version of each slot.
+        good: The last version of each slot with which the server has served.
+        pid: The process ID of the server; 0 without one.
+        began: When that process started, in ticks of the system. Tells a reused process ID apart.
+        tries: Starts of the agent's current version before its first contact with the fleet.
+        trouble: A problem found by the program that starts agents.
+    """
 
     runs: dict[str, str]
-    good: dict[str, str]  # the last that served
-    pid: int = 0  # of its server, and when that process began, in the system's ticks
+    good: dict[str, str]
+    pid: int = 0
     began: str = ""
-    tries: int = 0  # starts of an agent's version that has not spoken with the fleet yet
-    trouble: str = ""  # that whoever starts agents met
+    tries: int = 0
+    trouble: str = ""
 
 
 def agent_of(path: str | Path) -> AgentFile:
-    """Raises InvalidFileError."""
+    """Reads an agent's file. Raises InvalidFileError."""
     return read(path, AgentFile)
 
 
-def disk_of(told: AgentFile) -> Disk:
-    """Raises InvalidFileError on what no agent has written."""
-    first = {each.name: each.version for each in told.slot}
-    path = Path(told.home) / "agent.json"
+def disk_of(file: AgentFile) -> Disk:
+    """Reads the agent's state; without one, returns the state before the first start.
+
+    Raises:
+        InvalidFileError: The file was not written by an agent.
+    """
+    initial = {each.name: each.version for each in file.slot}
+    path = Path(file.home) / "agent.json"
     try:
-        held = json.loads(path.read_text())
-        if held.pop("form") != FORM:
-            raise ValueError("another form")
-        made = Disk(**held)
-        return made._replace(runs={**first, **made.runs}, good={**first, **made.good})
+        document = json.loads(path.read_text())
+        if document.pop("form") != FORMAT_VERSION:
+            raise ValueError("unknown format version")
+        disk = Disk(**document)
+        return disk._replace(runs={**initial, **disk.runs}, good={**initial, **disk.good})
     except FileNotFoundError:
-        return Disk(first, first)
+        return Disk(initial, initial)
     except (OSError, ValueError, KeyError, TypeError, AttributeError) as error:
         raise InvalidFileError(
-            f"{path}:1: cannot be read as an agent's: {error}; move it away to begin anew"
+            f"{path}:1: cannot be read as an agent's: {error}; move it away to start afresh"
         ) from None
 
 
-def write(told: AgentFile, disk: Disk) -> None:
-    """Whole or not at all. Raises OSError."""
-    put(Path(told.home) / "agent.json", json.dumps({"form": FORM, **disk._asdict()}))
+def write(file: AgentFile, disk: Disk) -> None:
+    """Writes the agent's state atomically. Raises OSError."""
+    put(Path(file.home) / "agent.json", json.dumps({"form": FORMAT_VERSION, **disk._asdict()}))
--- a/pumicenotch/config/compiled.py
+++ b/pumicenotch/config/compiled.py
@@ -1,4 +1,7 @@
-"""A plan as one line of JSON, which is what a server takes: written by the reader of HCL, read without it."""
+"""The compiled form of a server's file: one line of JSON.
+
+Written by the process that reads HCL; servers read it with the standard library only.
+"""
 
 import json
 import os
@@ -15,30 +18,38 @@
     unknown_classes,
 )
 
-if TYPE_CHECKING:  # nothing of a fleet is loaded where there is none
+if TYPE_CHECKING:  # a server without a fleet does not import these packages
     from pumicenotch.distribution.instance_settings import InstanceSettings
     from pumicenotch.fleet.member.settings import FleetSettings
 
-FORM = 1  # of the line; a server refuses what it does not know
+# A server refuses a line of another version.
+FORMAT_VERSION = 1
 
 
 class InvalidConfigError(InputError):
-    """The file or the line cannot be taken; the text says why, for each fault a line."""
+    """A file or a compiled line is invalid. The text has one line for each error."""
 
 
 class Ours(NamedTuple):
-    """All that a file of ours says."""
+    """The content of a server's file.
+
+    Attributes:
+        plan: The pools; None without pools.
+        node: This node's name in the cell map.
+        map: The path of the cell map; "" without cells.
+        fleet: The server's place in a fleet; None outside of one.
+        distribution: Which distributed configuration the server takes; None for none.
+    """
 
     plan: PoolsPlan | None = None
-    node: str = ""  # this node's name in the cell map
-    map: str = ""  # the file of the cell map; "": the node knows of no cells
-    fleet: "FleetSettings | None" = None  # its place in a fleet, if it is in one
-    distribution: "InstanceSettings | None" = (
-        None  # its part in distributing configuration, if it has one
-    )
+    node: str = ""
+    map: str = ""
+    fleet: "FleetSettings | None" = None
+    distribution: "InstanceSettings | None" = None
 
 
 def dump(ours: Ours) -> str:
+    """Returns the compiled line."""
     plan = encode_plan(ours.plan) if ours.plan is not None else None
     fleet = ours.fleet._asdict() if ours.fleet is not None else None
     cells = {"node": ours.node, "map": ours.map}
@@ -48,34 +59,48 @@
 
         distribution = encode(ours.distribution)
     return json.dumps(
-        {"form": FORM, "plan": plan, "cells": cells, "fleet": fleet, "distribution": distribution}
+        {
+            "form": FORMAT_VERSION,
+            "plan": plan,
+            "cells": cells,
+            "fleet": fleet,
+            "distribution": distribution,
+        }
     )
 
 
 def load(text: str, name: str) -> Ours:
-    """Raises InvalidConfigError on anything that `dump` does not write."""
+    """Parses a compiled line.
+
+    Args:
+        text: The line.
+        name: The name of the source in errors, such as the path.
+
+    Raises:
+        InvalidConfigError: The text was not written by `dump` in a known version.
+    """
     try:
-        told = json.loads(text)
-        if told["form"] != FORM:
+        document = json.loads(text)
+        if document["form"] != FORMAT_VERSION:
             raise InvalidConfigError(
-                f"{name}:1: form: {told['form']!r} is unknown, {FORM} is allowed: compile it anew"
+                f"{name}:1: form: {document['form']!r} is unknown, {FORMAT_VERSION} is allowed: compile it anew"
             )
-        node, map_file = told["cells"]["node"], told["cells"]["map"]
+        node, map_file = document["cells"]["node"], document["cells"]["map"]
         if not isinstance(node, str) or not isinstance(map_file, str):
-            raise TypeError("no names")
+            raise TypeError("node and map must be text")
         fleet = None
-        if told.get("fleet") is not None:
+        if document.get("fleet") is not None:
             from pumicenotch.fleet.member.settings import read_settings
 
-            fleet = read_settings(told["fleet"])
+            fleet = read_settings(document["fleet"])
         distribution = None
-        if told.get("distribution") is not None:
+        if document.get("distribution") is not None:
             from pumicenotch.distribution.instance_settings import decode_instance_settings
 
-            distribution = decode_instance_settings(told["distribution"])
-        if told["plan"] is None:
+            distribution = decode_instance_settings(document["distribution"])
+        if document["plan"] is None:
             return Ours(None, node, map_file, fleet, distribution)
-        plan = decode_plan(told["plan"])
+        plan = decode_plan(document["plan"])
     except InvalidPoolsPlanError as error:
         raise InvalidConfigError(f"{name}:1: plan: {error}") from None
     except (ValueError, KeyError, TypeError) as error:
@@ -88,12 +113,19 @@
 
 
 def command(path: str) -> list[str]:
-    """Reads the file in a process of its own, whose memory is given back with its end."""
+    """Returns the command of a process that compiles the file.
+
+    The memory for reading HCL is freed when the process ends.
+    """
     return [sys.executable, "-m", "pumicenotch.config", path]
 
 
 def taken(path: str, status: int, out: bytes, errors: bytes) -> Ours:
-    """What such a process made of the file. Raises InvalidConfigError with what it said."""
+    """Returns the result of the process of `command`.
+
+    Raises:
+        InvalidConfigError: The process failed; the text is what it printed to standard error.
+    """
     if status:
         raise InvalidConfigError(
             errors.decode(errors="replace").strip()[:4000]
@@ -103,7 +135,7 @@
 
 
 def from_file(path: str) -> Ours:
-    """A compiled plan, by its ending `.json`. Raises InvalidConfigError."""
+    """Reads a compiled file, which has the suffix `.json`. Raises InvalidConfigError."""
     try:
         with open(path, encoding="utf-8") as file:
             return load(file.read(), path)
@@ -114,12 +146,17 @@
 
 
 def environment(path: str, ours: Ours) -> dict[str, str]:
-    """For a server that is started by one who has read the file already."""
+    """Returns the environment for starting a server whose file has already been read."""
     return {**os.environ, "PUMICENOTCH_CONFIG": path, "PUMICENOTCH_PLAN": dump(ours)}
 
 
 def describe(ours: Ours, stages: list[str]) -> dict[str, Any]:
-    """What it means, for a person."""
+    """Returns a description of the file for operators.
+
+    Args:
+        ours: The content of the file.
+        stages: The names of all known request classes; empty if they are not known.
+    """
     plan = ours.plan
     cells = f"node {ours.node} by the map {ours.map}" if ours.map else ""
     settings = ours.fleet
--- a/pumicenotch/config/distribution.py
+++ b/pumicenotch/config/distribution.py
@@ -1,4 +1,4 @@
-"""The schemas of the block `distribution` in a server's block `fleet`, and in a voter's file."""
+"""The schemas of the block `distribution` in a server's block `fleet` and in a voter's file."""
 
 from typing import Annotated
 
@@ -11,28 +11,31 @@
 from pumicenotch.distribution.instance_settings import InstanceSettings, NewestForm, ScopesOfTable
 from pumicenotch.distribution.settings import DEFAULTS, Settings
 
-SERVICE_TABLES = ("routes", "policies")  # keyed by service
-CELL_TABLES = ("homes", "tenants")  # keyed by cell
+# Tables whose records are keyed by service, and by cell.
+SERVICE_TABLES = ("routes", "policies")
+CELL_TABLES = ("homes", "tenants")
 
 Scope = Annotated[str, Field(pattern=rf"^[A-Za-z0-9._-]{{1,{MAX_KEY_PART_LENGTH}}}$")]
 
 
-def known_table(name: str) -> str:
+def check_table(name: str) -> str:
+    """Returns the name. Raises ValueError if there is no such table."""
     if name not in TABLES:
-        raise ValueError(f"there is no table {name!r}: allowed: {', '.join(TABLES)}")
+        raise ValueError(f"unknown table {name!r}: allowed: {', '.join(TABLES)}")
     return name
 
 
 class TableBlock(Schema):
-    """`table "NAME" { newest_form = N }`: takes records of forms beyond those that this program knows."""
+    """`table "NAME" { newest_form = N }`: accepts records of newer forms than this program knows."""
 
     name: str
     newest_form: Annotated[int, Field(ge=1, le=1000)]
 
     @field_validator("name")
     @classmethod
-    def names_a_table(cls, name: str) -> str:
-        return known_table(name)
+    def check_name(cls, name: str) -> str:
+        """Raises ValueError if there is no such table."""
+        return check_table(name)
 
 
 class SubscribeBlock(Schema):
@@ -44,18 +47,20 @@
 
     @field_validator("name")
     @classmethod
-    def names_a_table(cls, name: str) -> str:
-        return known_table(name)
+    def check_name(cls, name: str) -> str:
+        """Raises ValueError if there is no such table."""
+        return check_table(name)
 
     @model_validator(mode="after")
-    def names_scopes_or_all(self) -> "SubscribeBlock":
+    def check_scopes(self) -> "SubscribeBlock":
+        """Raises ValueError unless exactly one of `scopes` and `all` is given."""
         if self.all == bool(self.scopes):
             raise ValueError("either scopes = [...] or all = true is wanted")
         return self
 
 
 class LimitsBlock(Schema):
-    """What one process spends on serving others."""
+    """`limits { ... }`: what one process spends on serving other processes."""
 
     children: Annotated[int, Field(ge=1, le=4096)] = DEFAULTS.max_children
     transfers: Annotated[int, Field(ge=1, le=1024)] = DEFAULTS.max_transfers
@@ -68,18 +73,20 @@
 
 
 class SourceBlock(Schema):
-    """What servers and voters have in common."""
+    """The settings that servers and voters have in common."""
 
     relays: Annotated[int, Field(ge=1, le=16)] = DEFAULTS.relays
     table: tuple[TableBlock, ...] = ()
     limits: LimitsBlock = LimitsBlock()
 
     @model_validator(mode="after")
-    def names_each_table_once(self) -> "SourceBlock":
+    def check_tables(self) -> "SourceBlock":
+        """Raises ValueError if a table is named twice."""
         check_unique("table", [block.name for block in self.table])
         return self
 
     def settings(self) -> Settings:
+        """Returns the defaults with the values of this block."""
         limits = self.limits
         return DEFAULTS._replace(
             relays=self.relays,
@@ -94,30 +101,37 @@
         )
 
     def newest_forms(self) -> tuple[NewestForm, ...]:
+        """Returns the newest accepted form of each table that the block names."""
         return tuple(NewestForm(block.name, block.newest_form) for block in self.table)
 
 
 class VoterDistributionBlock(SourceBlock):
-    """Of a voter: it holds all tables."""
+    """`distribution { ... }` of a voter, which subscribes to all tables."""
 
     def instance_settings(self) -> InstanceSettings:
+        """Returns the settings of the voter."""
         return InstanceSettings(newest_forms=self.newest_forms(), settings=self.settings())
 
 
 class DistributionBlock(SourceBlock):
-    """Of a server."""
+    """`distribution { ... }` of a server."""
 
     relay: bool = True
     subscribe: tuple[SubscribeBlock, ...] = ()
 
     @model_validator(mode="after")
-    def subscribes_to_each_table_once(self) -> "DistributionBlock":
+    def check_subscriptions(self) -> "DistributionBlock":
+        """Raises ValueError if a table is subscribed to twice."""
         check_unique("subscribe", [block.name for block in self.subscribe])
         return self
 
     def instance_settings(self, services: tuple[str, ...], cell: str) -> InstanceSettings:
-        """`services` and `cell` are what the server is for: what it subscribes to unless the block says
-        otherwise.
+        """Returns the settings of the server.
+
+        Args:
+            services: The services of the server. Unless the block has subscriptions, the server
+                subscribes to their records and to those of its cell.
+            cell: The cell of the server; "" without one.
         """
         subscribed = tuple(
             ScopesOfTable(block.name, None if block.all else block.scopes)
@@ -132,12 +146,14 @@
 
 
 def default_subscription(services: tuple[str, ...], cell: str) -> tuple[ScopesOfTable, ...]:
-    found = [ScopesOfTable(table, services) for table in SERVICE_TABLES if services]
-    found += [ScopesOfTable(table, (cell,)) for table in CELL_TABLES if cell]
-    return tuple(found)
+    """Returns the subscription to the records of the services and the cell."""
+    scopes = [ScopesOfTable(table, services) for table in SERVICE_TABLES if services]
+    scopes += [ScopesOfTable(table, (cell,)) for table in CELL_TABLES if cell]
+    return tuple(scopes)
 
 
 def check_unique(kind: str, names: list[str]) -> None:
+    """Raises ValueError if a name occurs twice."""
     for name in names:
         if names.count(name) > 1:
-            raise ValueError(f"{kind} {name!r} stands twice: once is allowed")
+            raise ValueError(f"{kind} {name!r} is defined twice: once is allowed")
--- a/pumicenotch/config/file.py
+++ b/pumicenotch/config/file.py
@@ -1,4 +1,4 @@
-"""The schema of the file that `serve --config` takes, and the plan that it comes to."""
+"""The schema of a server's file, which `pumicenotch serve --config` reads."""
 
 from pathlib import Path
 from typing import Annotated
@@ -11,11 +11,24 @@
 from pumicenotch.config.schema import Schema, read
 from pumicenotch.pools import plan
 
-Part = Annotated[float, Field(ge=0.0, le=1.0)]
-MOST_POOLS = 16  # a pool is for a kind of work: what is done for each at an event must stay flat
+Fraction = Annotated[float, Field(ge=0.0, le=1.0)]
+# Each event does work for every pool, so their number is limited.
+MAX_POOLS = 16
 
 
 class Pool(Schema):
+    """`pool "NAME" { ... }`; see `pools.plan.PoolPlan`.
+
+    Attributes:
+        name: The unique name.
+        stages: The request classes of the pool; `*` for all others.
+        reserve: The fraction of slots that is reserved for the pool.
+        weight: The pool's claim on slots that are not reserved, relative to other pools; 0 for a claim
+            by the priority of its classes.
+        most: The maximum fraction of slots that the pool may use.
+        lends: Whether other pools may use the pool's idle slots.
+    """
+
     name: Annotated[str, Field(pattern=r"^[a-z][a-z0-9-]{0,30}$")]
     stages: tuple[Annotated[str, Field(min_length=1, max_length=64)], ...]
     reserve: Annotated[float, Field(ge=0.0, le=0.9)] = 0.0
@@ -25,22 +38,43 @@
 
 
 class Retries(Schema):
-    ratio: Part = 0.1
+    """`retries { ... }`: the retry budget.
+
+    Attributes:
+        ratio: Retries that each first attempt permits while slots are short.
+        burst: The maximum number of retries that can be saved up.
+        callers_most: The number of callers, and of tenants, for which a budget is kept.
+        likeness_ms: Within this time a request of the same content counts as a retry; 0 to count only
+            marked retries.
+    """
+
+    ratio: Fraction = 0.1
     burst: Annotated[float, Field(ge=1.0, le=10000.0)] = 10.0
     callers_most: Annotated[int, Field(ge=1, le=65536)] = 1024
     likeness_ms: Annotated[float, Field(ge=0.0, le=60000.0)] = 4000.0
 
 
 class Reading(Schema):
-    reserve: Part = 0.5
+    """`reading { ... }`: the fraction of reading kept for reserved pools while reading is behind."""
+
+    reserve: Fraction = 0.5
 
 
 class Cells(Schema):
+    """`cells { ... }`.
+
+    Attributes:
+        node: This node's name in the cell map.
+        map: The path of the cell map, relative to the folder of this file.
+    """
+
     node: Annotated[str, Field(min_length=1, max_length=64)]
-    map: Annotated[str, Field(min_length=1)]  # the file of the map, beside this one unless absolute
+    map: Annotated[str, Field(min_length=1)]
 
 
 class File(Schema):
+    """A server's file."""
+
     pool: tuple[Pool, ...] = ()
     retries: Retries = Retries()
     reading: Reading = Reading()
@@ -49,16 +83,17 @@
     fleet: FleetBlock | None = None
 
     @model_validator(mode="after")
-    def carries(self) -> "File":
-        if len(self.pool) > MOST_POOLS:
-            raise ValueError(f"{len(self.pool)} pools: {MOST_POOLS} are allowed")
-        made = self.plan()
-        if made is not None:
-            plan.check(made)
+    def check_plan(self) -> "File":
+        """Raises ValueError if the pools exceed the limit or contradict each other."""
+        if len(self.pool) > MAX_POOLS:
+            raise ValueError(f"{len(self.pool)} pools: at most {MAX_POOLS} are allowed")
+        pools_plan = self.plan()
+        if pools_plan is not None:
+            plan.check(pools_plan)
         return self
 
     def plan(self) -> plan.PoolsPlan | None:
-        """None where the file names no pools: all classes are as one."""
+        """Returns the plan; None without pools, when all classes share all slots."""
         if not self.pool:
             return None
         pools = tuple(
@@ -77,19 +112,19 @@
 
 
 def plan_of(path: str | Path) -> plan.PoolsPlan | None:
-    """The plan in an HCL file. Raises InvalidFileError."""
+    """Reads a server's file and returns its plan. Raises InvalidFileError."""
     return read(path, File).plan()
 
 
 def ours_of(path: str | Path) -> Ours:
-    """All that an HCL file says. Raises InvalidFileError."""
-    told = read(path, File)
-    fleet = told.fleet.settings() if told.fleet is not None else None
-    distribution = told.fleet.distribution_settings() if told.fleet is not None else None
-    if told.cells is None:
-        return Ours(told.plan(), fleet=fleet, distribution=distribution)
-    cell_map = str((Path(path).parent / told.cells.map).resolve())
-    return Ours(told.plan(), told.cells.node, cell_map, fleet, distribution)
+    """Reads a server's file. Raises InvalidFileError."""
+    file = read(path, File)
+    fleet = file.fleet.settings() if file.fleet is not None else None
+    distribution = file.fleet.distribution_settings() if file.fleet is not None else None
+    if file.cells is None:
+        return Ours(file.plan(), fleet=fleet, distribution=distribution)
+    cell_map = str((Path(path).parent / file.cells.map).resolve())
+    return Ours(file.plan(), file.cells.node, cell_map, fleet, distribution)
 
 
 __all__ = ["File", "InvalidFileError", "ours_of", "plan_of"]
--- a/pumicenotch/config/files.py
+++ b/pumicenotch/config/files.py
@@ -1,4 +1,4 @@
-"""Files that are there whole or not at all, and the cell map as such a file. Standard library alone."""
+"""Writes files atomically, and reads the cell map. Uses the standard library only."""
 
 import os
 from pathlib import Path
@@ -7,8 +7,10 @@
 
 
 def put(path: Path, text: str) -> None:
-    """In the place of what was there, at once: a full disk or a crash leaves the old, and so does a power
-    loss. Raises OSError.
+    """Replaces a file atomically.
+
+    After a full disk, a crash or a power loss the file has its old content or its new one. Raises
+    OSError.
     """
     temporary = path.with_name(path.name + ".new")
     with temporary.open("w", encoding="utf-8") as file:
@@ -19,13 +21,18 @@
 
 
 def cell_map(path: str | Path) -> tuple[CellMap, float]:
-    """The map in that file, and when the file was last confirmed: written, or touched (Unix ms). Raises
-    InvalidCellMapError.
+    """Reads a cell map file.
+
+    Returns the map and when it was last confirmed as the newest: the modification time of the file in
+    Unix ms, which whoever publishes maps updates by writing or touching the file.
+
+    Raises:
+        InvalidCellMapError: The file cannot be read or is invalid.
     """
     try:
         with open(path, encoding="utf-8") as file:
-            confirmed = os.fstat(file.fileno()).st_mtime * 1000.0
-            return load(file.read(), str(path)), confirmed
+            confirmed_at = os.fstat(file.fileno()).st_mtime * 1000.0
+            return load(file.read(), str(path)), confirmed_at
     except (OSError, UnicodeDecodeError) as error:
         raise InvalidCellMapError(
             f"{path}:1: cannot be read: {getattr(error, 'strerror', None) or error}"
--- a/pumicenotch/config/fleet.py
+++ b/pumicenotch/config/fleet.py
@@ -16,10 +16,14 @@
 Address = Annotated[str, Field(pattern=r"^[^:]+:[0-9]{1,5}$")]
 Place = Annotated[str, Field(max_length=64)]
 Services = Annotated[tuple[Name, ...], Field(max_length=32)]
-VOTERS = (1, 3, 5, 7)  # an even number loses no more voters than one less does; one is for a trial
+# Permitted numbers of voters. An even number tolerates no more failures than one voter less; a single
+# voter is for trials.
+VOTER_COUNTS = (1, 3, 5, 7)
 
 
 class Placed(Schema):
+    """The placement of a member: where it is, which services it serves and uses, and its capacity."""
+
     zone: Place = ""
     region: Place = ""
     cell: Place = ""
@@ -29,22 +33,27 @@
 
 
 class FleetBlock(Placed):
-    """Of a server: `fleet "NAME" { ... }`."""
+    """`fleet "NAME" { ... }` of a server.
+
+    `advertise` is the address at which other members reach the server, if not `listen`.
+    """
 
     name: Name
     member: Name
     listen: Address
-    advertise: Address | None = None  # where the others reach it, if not where it listens
+    advertise: Address | None = None
     voters: Annotated[tuple[Address, ...], Field(min_length=1, max_length=7)]
     seeds: tuple[Address, ...] = ()
     distribution: DistributionBlock | None = None
 
     def distribution_settings(self) -> InstanceSettings | None:
+        """Returns the settings of distribution; None without the block."""
         if self.distribution is None:
             return None
         return self.distribution.instance_settings(self.serves, self.cell)
 
     def settings(self) -> FleetSettings:
+        """Returns the settings of the member."""
         return FleetSettings(
             self.name,
             self.member,
@@ -62,11 +71,15 @@
 
 
 class VoterBlock(Schema):
+    """`voter "NAME" { ... }`."""
+
     name: Name
     address: Address
 
 
 class BudgetBlock(Schema):
+    """`budget "NAME" { ... }`: a limit on unavailable members; see `fleet.drains.budgets`."""
+
     name: Name
     each: Literal["fleet", "zone", "region", "cell", "service", "callers"]
     only: Place = ""
@@ -76,39 +89,47 @@
     apart: bool = False
 
     @model_validator(mode="after")
-    def says_one_thing(self) -> "BudgetBlock":
+    def check_budget(self) -> "BudgetBlock":
+        """Raises ValueError unless the block sets exactly one valid limit."""
         budgets.check_budget(self.budget())
         return self
 
     def budget(self) -> budgets.Budget:
-        said = (self.most_out, self.least_serving, self.least_capacity)
-        most, least, capacity = (-1 if value is None else value for value in said)
+        """Returns the budget, in which -1 stands for a limit that is not set."""
+        limits = (self.most_out, self.least_serving, self.least_capacity)
+        most, least, capacity = (-1 if value is None else value for value in limits)
         return budgets.Budget(
             self.name, self.each, self.only, int(most), int(least), float(capacity), self.apart
         )
 
 
 class HandBlock(Placed):
-    """A replica or proxy of a service below that none of our processes stands beside."""
+    """`by_hand "NAME" { ... }`: a replica or proxy of a downstream service that has no agent or server of
+    the fleet beside it.
+    """
 
     name: Name
 
 
 class BudgetsFile(Schema):
-    """What `pumicenotch fleet budget FILE` takes."""
+    """The file of `pumicenotch fleet budget FILE`."""
 
     budget: tuple[BudgetBlock, ...] = ()
 
     @model_validator(mode="after")
-    def differ(self) -> "BudgetsFile":
-        once([block.name for block in self.budget], "budget")
+    def check_names(self) -> "BudgetsFile":
+        """Raises ValueError if two budgets have the same name."""
+        check_unique([block.name for block in self.budget], "budget")
         return self
 
     def budgets(self) -> tuple[budgets.Budget, ...]:
+        """Returns the budgets."""
         return tuple(block.budget() for block in self.budget)
 
 
 class VoterFile(BudgetsFile):
+    """A voter's file."""
+
     fleet: Name
     member: Name
     listen: Address
@@ -122,17 +143,19 @@
     seed: Annotated[int, Field(ge=0)] = 0
 
     @model_validator(mode="after")
-    def fits(self) -> "VoterFile":
+    def check_voters(self) -> "VoterFile":
+        """Raises ValueError if a name occurs twice, or the voters are invalid."""
         names = [block.name for block in self.voter]
-        once(names, "voter")
-        once([block.name for block in self.by_hand], "by_hand")
-        if len(names) not in VOTERS:
+        check_unique(names, "voter")
+        check_unique([block.name for block in self.by_hand], "by_hand")
+        if len(names) not in VOTER_COUNTS:
             raise ValueError(f"{len(names)} voters: 3, 5 or 7 are allowed, or 1 for a trial")
         if self.member not in names:
             raise ValueError(f"member {self.member!r} is none of the voters: {', '.join(names)}")
         return self
 
     def settings(self) -> FleetSettings:
+        """Returns the settings of the member."""
         names = tuple((block.name, block.address) for block in self.voter)
         manual_members = tuple(
             budgets.Member(
@@ -162,14 +185,15 @@
         )
 
 
-def once(names: list[str], kind: str) -> None:
-    twice = [name for name, many in Counter(names).items() if many > 1]
-    if twice:
-        raise ValueError(f"{kind} {', '.join(twice)}: stands twice")
+def check_unique(names: list[str], kind: str) -> None:
+    """Raises ValueError if a name occurs twice."""
+    duplicates = [name for name, count in Counter(names).items() if count > 1]
+    if duplicates:
+        raise ValueError(f"{kind} {', '.join(duplicates)}: is defined twice")
 
 
 class VoterSettings(NamedTuple):
-    """All that a voter's file says."""
+    """The content of a voter's file."""
 
     fleet: FleetSettings
     seed: int
@@ -177,12 +201,12 @@
 
 
 def voter_of(path: str | Path) -> VoterSettings:
-    """Raises InvalidFileError."""
-    told = read(path, VoterFile)
-    distribution = told.distribution.instance_settings() if told.distribution is not None else None
-    return VoterSettings(told.settings(), told.seed, distribution)
+    """Reads a voter's file. Raises InvalidFileError."""
+    file = read(path, VoterFile)
+    distribution = file.distribution.instance_settings() if file.distribution is not None else None
+    return VoterSettings(file.settings(), file.seed, distribution)
 
 
 def budgets_of(path: str | Path) -> tuple[budgets.Budget, ...]:
-    """Raises InvalidFileError."""
+    """Reads a file of budgets. Raises InvalidFileError."""
     return read(path, BudgetsFile).budgets()
--- a/pumicenotch/config/publication.py
+++ b/pumicenotch/config/publication.py
@@ -1,4 +1,7 @@
-"""The file of a publication: JSON lines `{"table": ..., "key": ..., "value": {...} | null}`, one a record."""
+"""Reads the file of a publication, which has one JSON object per line and record.
+
+Each line is `{"table": ..., "key": ..., "value": {...} | null}`; null deletes the record.
+"""
 
 import json
 import sys
@@ -11,27 +14,34 @@
 from pumicenotch.distribution.errors import DistributionError, InvalidRecordError
 from pumicenotch.errors import InputError
 
-FILE_BYTES_MOST = 64 * 1024 * 1024
-FAULTS_MOST = 20  # told at once
+MAX_FILE_BYTES = 64 * 1024 * 1024
+MAX_FAULTS = 20  # reported at once
 FIELDS = ("table", "key", "value")
 FORM_REMEDY = 'give {"table": ..., "key": ..., "value": {...} or null}'
 
-# Which forms are accepted is the voters' to say: they may know newer ones than this program.
+# The voters decide which forms are accepted: they may know newer ones than this program.
 ANY_FORM: Mapping[str, Table] = {
     name: table._replace(form=sys.maxsize) for name, table in TABLES.items()
 }
 
 
 class InvalidPublicationFileError(InputError):
-    """What is wrong with a file, a line each: `FILE:LINE: what is wrong: what is allowed`."""
+    """A file is invalid. Each line of the text is `FILE:LINE: what is wrong: what is allowed`."""
 
 
 class PublicationFile(NamedTuple):
+    """The content of a file.
+
+    Attributes:
+        changes: The changes in the order of the file.
+        lines: The line of each record, by table and key.
+    """
+
     changes: list[Change]
-    lines: Mapping[tuple[str, str], int]  # of each record
+    lines: Mapping[tuple[str, str], int]
 
     def line_of(self, refusal: str) -> int:
-        """Of the record that a refusal of the voters is about; 0 if it is about none."""
+        """Returns the line of the record that the voters' refusal names; 0 if it names none."""
         for (table, key), line in self.lines.items():
             if refusal.startswith(f"record {table}:{key}:"):
                 return line
@@ -39,7 +49,7 @@
 
 
 def read_publication(path: Path) -> PublicationFile:
-    """Raises InvalidPublicationFileError."""
+    """Reads and checks a file. Raises InvalidPublicationFileError."""
     changes: list[Change] = []
     faults: list[str] = []
     first_lines: dict[tuple[str, str], int] = {}
@@ -53,65 +63,71 @@
         except DistributionError as error:
             faults.append(f"{path}:{number}: {error}")
     if not changes and not faults:
-        faults.append(f"{path}:1: there is no record in it: {FORM_REMEDY}")
-    if len(faults) > FAULTS_MOST:
-        faults[FAULTS_MOST:] = [f"{path}: {len(faults) - FAULTS_MOST} further lines are wrong"]
+        faults.append(f"{path}:1: the file has no records: {FORM_REMEDY}")
+    if len(faults) > MAX_FAULTS:
+        faults[MAX_FAULTS:] = [f"{path}: {len(faults) - MAX_FAULTS} further lines are invalid"]
     if faults:
         raise InvalidPublicationFileError("\n".join(faults))
     return PublicationFile(changes, first_lines)
 
 
 def lines_of(path: Path) -> list[str]:
+    """Returns the lines of the file. Raises InvalidPublicationFileError."""
     try:
-        if (size := path.stat().st_size) > FILE_BYTES_MOST:
+        if (size := path.stat().st_size) > MAX_FILE_BYTES:
             raise InvalidPublicationFileError(
-                f"{path}:1: {size} bytes: up to {FILE_BYTES_MOST} are allowed"
+                f"{path}:1: {size} bytes: at most {MAX_FILE_BYTES} are allowed"
             )
         return path.read_text(encoding="utf-8").splitlines()
     except OSError as error:
         raise InvalidPublicationFileError(f"{path}:1: cannot be read: {error.strerror}") from None
     except UnicodeDecodeError as error:
-        raise InvalidPublicationFileError(f"{path}:1: no UTF-8 at byte {error.start}") from None
+        raise InvalidPublicationFileError(f"{path}:1: not UTF-8 at byte {error.start}") from None
 
 
 def change_of(line: str) -> Change:
-    """Raises DistributionError."""
-    told = parsed(line)
-    if not isinstance(told, dict) or set(told) != set(FIELDS):
-        raise InvalidRecordError("line", "no object with exactly table, key and value", FORM_REMEDY)
-    table, key, value = (told[name] for name in FIELDS)
+    """Returns the change in a line. Raises DistributionError."""
+    document = parse_json(line)
+    if not isinstance(document, dict) or set(document) != set(FIELDS):
+        raise InvalidRecordError(
+            "line", "not an object with exactly table, key and value", FORM_REMEDY
+        )
+    table, key, value = (document[name] for name in FIELDS)
     if not isinstance(table, str) or not isinstance(key, str):
-        raise InvalidRecordError("line", "table and key are no texts", FORM_REMEDY)
+        raise InvalidRecordError("line", "table and key must be text", FORM_REMEDY)
     if value is not None and not isinstance(value, dict):
         raise InvalidRecordError(
-            f"record {table}:{key}", "the value is neither object nor null", FORM_REMEDY
+            f"record {table}:{key}", "the value is neither an object nor null", FORM_REMEDY
         )
-    change = Change(table, key, None if value is None else text_of(table, key, value))
+    change = Change(table, key, None if value is None else canonical_text(table, key, value))
     check_change(ANY_FORM, change)
     return change
 
 
-def parsed(line: str) -> Any:
+def parse_json(line: str) -> Any:
+    """Parses a line. Raises InvalidRecordError."""
     try:
         return json.loads(line)
     except (ValueError, RecursionError) as error:
-        raise InvalidRecordError("line", f"no JSON ({error})"[:200], FORM_REMEDY) from None
+        raise InvalidRecordError("line", f"not JSON ({error})"[:200], FORM_REMEDY) from None
 
 
-def text_of(table: str, key: str, value: Mapping[str, Any]) -> str:
+def canonical_text(table: str, key: str, value: Mapping[str, Any]) -> str:
+    """Returns the canonical JSON of a record's value. Raises InvalidRecordError."""
     try:
         return canonical(value)
     except (ValueError, RecursionError) as error:
         raise InvalidRecordError(
-            f"record {table}:{key}", f"no plain JSON value ({error})", FORM_REMEDY
+            f"record {table}:{key}", f"not a plain JSON value ({error})", FORM_REMEDY
         ) from None
 
 
 def check_repeated(change: Change, first_lines: dict[tuple[str, str], int], number: int) -> None:
+    """Raises InvalidRecordError if an earlier line has the same record."""
     first = first_lines.setdefault((change.table, change.key), number)
     if first != number:
         raise InvalidRecordError(
             f"record {change.table}:{change.key}",
-            f"it stands in line {first} already",
+            f"already defined in line {first}",
             "name a record once",
         )
--- a/pumicenotch/config/router.py
+++ b/pumicenotch/config/router.py
@@ -11,19 +11,33 @@
 
 
 class RouterFile(Schema):
+    """The router's file.
+
+    Attributes:
+        listen: The address for callers, `HOST:PORT`.
+        map: The path of the cell map, which is read again when it changes.
+        settings: The path of a JSON file as named by LB_CONFIG, with request classes and their time
+            limits.
+        stop_ms: The time from a request to shut down until the process is killed.
+        sockets: The limit of sockets.
+        seed: Seeds the random choice of nodes.
+    """
+
     listen: Address
-    map: Annotated[str, Field(min_length=1)]  # the cell map; read again when it changes
-    settings: Annotated[
-        str, Field(min_length=1)
-    ]  # a JSON file as LB_CONFIG names it: stages and their time limits
+    map: Annotated[str, Field(min_length=1)]
+    settings: Annotated[str, Field(min_length=1)]
     stop_ms: Annotated[float, Field(ge=0.0, le=600_000.0)] = 3000.0
     sockets: Annotated[int, Field(ge=64, le=1_000_000)] = 1024
     seed: Annotated[int, Field(ge=0)] = 0
 
 
 def router_of(path: str | Path) -> RouterFile:
-    """With the other files' paths beside it. Raises InvalidFileError."""
-    told, folder = read(path, RouterFile), Path(path).parent
-    return told.model_copy(
-        update={"map": str(folder / told.map), "settings": str(folder / told.settings)}
+    """Reads the router's file, and resolves relative paths in it against its folder.
+
+    Raises:
+        InvalidFileError: The file cannot be read or is invalid.
+    """
+    file, folder = read(path, RouterFile), Path(path).parent
+    return file.model_copy(
+        update={"map": str(folder / file.map), "settings": str(folder / file.settings)}
     )
--- a/pumicenotch/config/versions.py
+++ b/pumicenotch/config/versions.py
@@ -1,4 +1,7 @@
-"""Versions as folders, known by their content: what is there is hashed, so that half a copy is none."""
+"""Versions of programs and files as folders that are named by a hash of their content.
+
+The hash reveals an incomplete copy.
+"""
 
 import hashlib
 import os
@@ -8,69 +11,88 @@
 from pumicenotch.errors import InputError
 from pumicenotch.fleet.releases.release import VERSION_PATTERN
 
-LETTERS = 32  # of a version's name: 128 bits
-CHUNK = 1 << 20
-PART = ".part-"  # how a folder is called until it is whole
+NAME_LENGTH = 32  # hexadecimal digits, 128 bits
+CHUNK_BYTES = 1 << 20
+PART = ".part-"  # prefix of a folder that is incomplete
 
 
 class InvalidVersionError(InputError):
-    """The folder is no version, or not the one that was wanted."""
+    """A folder is not a version, or not the expected one."""
 
 
 def content(folder: Path) -> str:
-    """The version that a folder holds: of every file its path, whether it may be run, and its bytes; compiled
-    Python is left out. Raises InvalidVersionError.
+    """Returns the version in a folder.
+
+    The hash covers the path, the executable bit and the bytes of each file, but no compiled Python.
+
+    Raises:
+        InvalidVersionError: The folder cannot be read, is empty or contains a link.
     """
-    whole = hashlib.sha256()
+    digest = hashlib.sha256()
     try:
-        found = sorted(path for path in folder.rglob("*") if path.is_file() or path.is_symlink())
-        for path in found:
+        paths = sorted(path for path in folder.rglob("*") if path.is_file() or path.is_symlink())
+        for path in paths:
             name = path.relative_to(folder).as_posix()
             if "__pycache__" in path.parts:
                 continue
             if path.is_symlink():
                 raise InvalidVersionError(f"{path}: a link: a version holds all that it is")
-            one = hashlib.sha256()
+            file_digest = hashlib.sha256()
             with path.open("rb") as file:
-                while data := file.read(CHUNK):
-                    one.update(data)
-            runs = os.access(path, os.X_OK)
-            whole.update(f"{len(name)}:{name}:{int(runs)}:{one.hexdigest()}\n".encode())
+                while data := file.read(CHUNK_BYTES):
+                    file_digest.update(data)
+            is_executable = os.access(path, os.X_OK)
+            digest.update(
+                f"{len(name)}:{name}:{int(is_executable)}:{file_digest.hexdigest()}\n".encode()
+            )
     except OSError as error:
         raise InvalidVersionError(f"{folder}: {error.strerror or error}") from None
-    if not found:
+    if not paths:
         raise InvalidVersionError(f"{folder}: holds nothing")
-    return whole.hexdigest()[:LETTERS]
+    return digest.hexdigest()[:NAME_LENGTH]
 
 
 def fetch(version: str, source: Path, into: Path) -> None:
-    """Copies SOURCE/VERSION into INTO/VERSION, there only once it is whole and checked. Raises InvalidVersionError."""
+    """Copies a version between folders of versions. The copy appears once it is complete and checked.
+
+    Raises:
+        InvalidVersionError: The name is invalid, or the copy failed or has another content.
+    """
     if not VERSION_PATTERN.fullmatch(version):
         raise InvalidVersionError(f"{version!r:.80} names no version")
     put(source / version, version, into)
 
 
 def pack(folder: Path, into: Path) -> str:
-    """Puts a folder among the versions that agents fetch from; its version. Raises InvalidVersionError."""
+    """Copies a folder to the versions that agents fetch, and returns its version.
+
+    Raises:
+        InvalidVersionError: The folder is not a version, or the copy failed.
+    """
     version = content(folder)
     put(folder, version, into)
     return version
 
 
 def put(folder: Path, version: str, into: Path) -> None:
-    goal, part = into / version, into / f"{PART}{version}"
+    """Copies a folder to `into` under the name of its version, unless it is there already.
+
+    Raises:
+        InvalidVersionError: The copy failed or has another content.
+    """
+    target, part = into / version, into / f"{PART}{version}"
     try:
-        if goal.is_dir():
-            if content(goal) == version:
+        if target.is_dir():
+            if content(target) == version:
                 return
-            shutil.rmtree(goal)  # spoilt since: put there again
+            shutil.rmtree(target)  # corrupted since it was copied
         into.mkdir(parents=True, exist_ok=True)
         shutil.rmtree(part, ignore_errors=True)
         shutil.copytree(folder, part, ignore=shutil.ignore_patterns("__pycache__"))
         if (found := content(part)) != version:
             raise InvalidVersionError(f"half a copy, or another version: {found} is in {folder}")
         sync(part)
-        part.rename(goal)
+        part.rename(target)
         sync(into)
     except shutil.Error as error:
         raise InvalidVersionError(
@@ -85,24 +107,24 @@
 
 
 def sync(folder: Path) -> None:
-    """What was written there outlasts a power loss."""
+    """Flushes a folder to disk, so that its content survives a power loss."""
     for path in [*folder.rglob("*"), folder]:
-        handle = os.open(path, os.O_RDONLY)
+        descriptor = os.open(path, os.O_RDONLY)
         try:
-            os.fsync(handle)
+            os.fsync(descriptor)
         finally:
-            os.close(handle)
+            os.close(descriptor)
 
 
 def remove(folder: Path) -> None:
-    """Out of sight at once, then away: half of one is never taken for a version."""
-    gone = folder.with_name(f"{PART}gone-{folder.name}")
-    folder.rename(gone)
-    shutil.rmtree(gone, ignore_errors=True)
+    """Removes a version. It is renamed first, so that a partly removed one is never used."""
+    renamed = folder.with_name(f"{PART}gone-{folder.name}")
+    folder.rename(renamed)
+    shutil.rmtree(renamed, ignore_errors=True)
 
 
 def held(into: Path) -> list[str]:
-    """The versions there; what an agent's end has left half copied is taken away."""
+    """Returns the versions in a folder, and removes copies that a stopped agent left incomplete."""
     into.mkdir(parents=True, exist_ok=True)
     for path in into.iterdir():
         if path.name.startswith(PART):
--- a/tests/fleet/test_agent_files.py
+++ b/tests/fleet/test_agent_files.py
@@ -108,7 +108,7 @@
     ("old", "new", "fault"),
     [
         ('slot "agent"', 'slot "engine"', "9: slot.*allowed: program, config, map, agent"),
-        ('slot "agent"', 'slot "program"', "1: slot program: stands twice"),
+        ('slot "agent"', 'slot "program"', "1: slot program: is defined twice"),
         ("PYTHONPATH={{program}}", "PYTHONPATH={{map}}", "1: .*map.*known"),
         ("PYTHONPATH={{program}}", "PYTHONPATH", "NAME=VALUE is wanted"),
         ("voters  =", "voter =", "3: voter: unknown attribute; did you mean voters"),
--- a/tests/fleet/test_fleet_files.py
+++ b/tests/fleet/test_fleet_files.py
@@ -81,7 +81,7 @@
 @pytest.mark.parametrize(
     "text, fault",
     [
-        (VOTER.replace('voter "v3"', 'voter "v2"'), "voter v2: stands twice"),
+        (VOTER.replace('voter "v3"', 'voter "v2"'), "voter v2: is defined twice"),
         (
             VOTER.replace('voter "v3" { address = "127.0.0.1:7103" }\n', ""),
             "2 voters: 3, 5 or 7 are allowed",
--- a/tests/test_distribution_config.py
+++ b/tests/test_distribution_config.py
@@ -1,5 +1,6 @@
-"""The block `distribution` in a server's and in a voter's file: what is wrong is named with its line and what
-is allowed; what is right comes whole to a server.
+"""Guards against settings of the block `distribution` that are lost, misread or accepted though invalid.
+
+Servers get them through the compiled plan, which another version of the program may have written.
 """
 
 import json
@@ -45,10 +46,10 @@
   }
 }
 """
-LARGEST = 4 * " " + 'subscribe "routes" {\n      all = true\n    }\n'
+SUBSCRIBE_ALL = 4 * " " + 'subscribe "routes" {\n      all = true\n    }\n'
 
 
-def put(folder: Path, text: str) -> Path:
+def write_file(folder: Path, text: str) -> Path:
     path = folder / "file.hcl"
     path.write_text(text)
     return path
@@ -59,29 +60,29 @@
 
 
 def settings_of(folder: Path, text: str) -> InstanceSettings:
-    found = ours_of(put(folder, text)).distribution
-    assert found is not None
-    return found
+    settings = ours_of(write_file(folder, text)).distribution
+    assert settings is not None
+    return settings
 
 
-def test_a_server_subscribes_to_its_services_and_its_cell_unless_told_otherwise(
+def test_a_server_subscribes_to_its_services_and_its_cell_by_default(
     tmp_path: Path,
 ) -> None:
-    found = settings_of(tmp_path, SERVER)
-    assert found.settings == DEFAULTS._replace(relays=2) and found.relay
-    assert found.subscribed() == Subscription(
+    settings = settings_of(tmp_path, SERVER)
+    assert settings.settings == DEFAULTS._replace(relays=2) and settings.relay
+    assert settings.subscribed() == Subscription(
         {"routes": ["orders"], "policies": ["orders"], "homes": ["c1"], "tenants": ["c1"]}
     )
-    assert settings_of(tmp_path, with_line(LARGEST)).subscription == (
+    assert settings_of(tmp_path, with_line(SUBSCRIBE_ALL)).subscription == (
         ScopesOfTable("routes", None),
     )
 
 
-def test_it_comes_whole_through_the_compiled_plan(tmp_path: Path) -> None:
+def test_settings_survive_compilation(tmp_path: Path) -> None:
     text = with_line(
-        LARGEST + '    relay = false\n    table "homes" {\n      newest_form = 2\n    }\n'
+        SUBSCRIBE_ALL + '    relay = false\n    table "homes" {\n      newest_form = 2\n    }\n'
     )
-    ours = ours_of(put(tmp_path, text))
+    ours = ours_of(write_file(tmp_path, text))
     assert ours.distribution is not None and not ours.distribution.relay
     assert (
         ours.distribution.tables()["homes"].form == 2
@@ -91,40 +92,44 @@
     assert "configuration" in compiled.describe(ours, [])["fleet"]
 
 
-def test_without_the_block_there_is_none(tmp_path: Path) -> None:
-    ours = ours_of(put(tmp_path, SERVER.replace("  distribution {\n    relays = 2\n  }\n", "")))
+def test_settings_are_none_without_the_block(tmp_path: Path) -> None:
+    ours = ours_of(
+        write_file(tmp_path, SERVER.replace("  distribution {\n    relays = 2\n  }\n", ""))
+    )
     assert ours.fleet is not None and ours.distribution is None
-    told = json.loads(compiled.dump(ours))
-    del told["distribution"]  # as an older program compiled it
-    assert compiled.load(json.dumps(told), "plan") == ours
+    document = json.loads(compiled.dump(ours))
+    del document["distribution"]  # as compiled by an older program
+    assert compiled.load(json.dumps(document), "plan") == ours
 
 
-def test_limits_of_another_version_of_the_program_are_passed_over() -> None:
-    told = json.loads(json.dumps(encode(InstanceSettings(newest_forms=(NewestForm("homes", 3),)))))
-    told["settings"]["of_a_later_program"] = 1
-    del told["settings"]["relays"]
-    assert decode_instance_settings(told) == InstanceSettings(
+def test_unknown_limits_of_another_version_are_ignored() -> None:
+    document = json.loads(
+        json.dumps(encode(InstanceSettings(newest_forms=(NewestForm("homes", 3),))))
+    )
+    document["settings"]["of_a_later_program"] = 1
+    del document["settings"]["relays"]
+    assert decode_instance_settings(document) == InstanceSettings(
         newest_forms=(NewestForm("homes", 3),)
     )
-    wrongs: list[Any] = [
+    invalid_documents: list[Any] = [
         [],
         {},
-        {**told, "settings": {"relays": "x"}},
-        {**told, "subscription": [1]},
+        {**document, "settings": {"relays": "x"}},
+        {**document, "subscription": [1]},
     ]
-    for wrong in wrongs:
+    for invalid in invalid_documents:
         with pytest.raises(InvalidInstanceSettingsError, match="distribution"):
-            decode_instance_settings(wrong)
+            decode_instance_settings(invalid)
 
 
-def test_a_voters_file_has_its_limits(tmp_path: Path) -> None:
-    found = voter_of(put(tmp_path, VOTER)).distribution
-    assert found is not None and found.settings == DEFAULTS._replace(relays=2, max_children=7)
-    assert voter_of(put(tmp_path, VOTER[: VOTER.index("distribution")])).distribution is None
+def test_the_limits_of_a_voters_file_are_read(tmp_path: Path) -> None:
+    settings = voter_of(write_file(tmp_path, VOTER)).distribution
+    assert settings is not None and settings.settings == DEFAULTS._replace(relays=2, max_children=7)
+    assert voter_of(write_file(tmp_path, VOTER[: VOTER.index("distribution")])).distribution is None
 
 
 @pytest.mark.parametrize(
-    "text, fault",
+    "text, expected",
     [
         (
             with_line("    relays = 0\n"),
@@ -136,16 +141,19 @@
             "8: fleet.distribution.relais: unknown attribute; did you mean relays?",
         ),
         (
-            with_line(LARGEST.replace("routes", "moons")),
-            "8: fleet.distribution.subscribe.name: there is no table 'moons': allowed: routes, tenants",
+            with_line(SUBSCRIBE_ALL.replace("routes", "moons")),
+            "8: fleet.distribution.subscribe.name: unknown table 'moons': allowed: routes, tenants",
         ),
-        (with_line(LARGEST + LARGEST), "fleet.distribution: subscribe 'routes' stands twice"),
         (
-            with_line(LARGEST.replace("all = true", 'scopes = ["a b"]')),
+            with_line(SUBSCRIBE_ALL + SUBSCRIBE_ALL),
+            "fleet.distribution: subscribe 'routes' is defined twice",
+        ),
+        (
+            with_line(SUBSCRIBE_ALL.replace("all = true", 'scopes = ["a b"]')),
             "9: fleet.distribution.subscribe.scopes",
         ),
         (
-            with_line(LARGEST.replace("all = true", "all = false")),
+            with_line(SUBSCRIBE_ALL.replace("all = true", "all = false")),
             "8: fleet.distribution.subscribe: either scopes = [...] or all = true is wanted",
         ),
         (
@@ -158,13 +166,15 @@
         ),
     ],
 )
-def test_what_is_wrong_with_a_servers_block_is_named(tmp_path: Path, text: str, fault: str) -> None:
-    path = put(tmp_path, text)
-    with pytest.raises(InvalidFileError) as found:
+def test_errors_in_a_servers_block_are_reported_by_line(
+    tmp_path: Path, text: str, expected: str
+) -> None:
+    path = write_file(tmp_path, text)
+    with pytest.raises(InvalidFileError) as caught:
         ours_of(path)
-    assert fault in str(found.value) and str(found.value).startswith(f"{path}:")
+    assert expected in str(caught.value) and str(caught.value).startswith(f"{path}:")
 
 
-def test_a_voter_subscribes_to_nothing(tmp_path: Path) -> None:
+def test_a_voter_must_not_have_subscriptions(tmp_path: Path) -> None:
     with pytest.raises(InvalidFileError, match=r"distribution\.subscribe: unknown block"):
-        voter_of(put(tmp_path, VOTER.replace("  relays = 2\n", LARGEST)))
+        voter_of(write_file(tmp_path, VOTER.replace("  relays = 2\n", SUBSCRIBE_ALL)))
--- a/tests/test_publication_file.py
+++ b/tests/test_publication_file.py
@@ -1,51 +1,51 @@
-"""The file of a publication: what is wrong is named with its line and what is allowed."""
+"""Guards against invalid records that are published, or reported without the line of the mistake."""
 
 from pathlib import Path
 
 import pytest
 
 from pumicenotch.config.publication import (
-    FAULTS_MOST,
+    MAX_FAULTS,
     InvalidPublicationFileError,
     read_publication,
 )
 from pumicenotch.distribution.data.records import Change
 
-GOOD = '{"table": "homes", "key": "c1/t1", "value": {"cell": "c1"}}\n'
+VALID_LINE = '{"table": "homes", "key": "c1/t1", "value": {"cell": "c1"}}\n'
 
 
-def put(folder: Path, text: str) -> Path:
+def write_file(folder: Path, text: str) -> Path:
     path = folder / "changes.jsonl"
     path.write_text(text)
     return path
 
 
-def test_records_and_deletions_come_in_order_with_their_lines(tmp_path: Path) -> None:
-    told = read_publication(
-        put(tmp_path, GOOD + '\n{"table":"tenants","key":"c1/t1","value":null}\n')
+def test_records_and_deletions_are_read_in_order_with_their_lines(tmp_path: Path) -> None:
+    file = read_publication(
+        write_file(tmp_path, VALID_LINE + '\n{"table":"tenants","key":"c1/t1","value":null}\n')
     )
-    assert told.changes == [
+    assert file.changes == [
         Change("homes", "c1/t1", '{"cell":"c1"}'),
         Change("tenants", "c1/t1", None),
     ]
-    assert told.line_of("record tenants:c1/t1: its form is 2: ...") == 3
-    assert told.line_of("publication: it was made against version 3: ...") == 0
+    assert file.line_of("record tenants:c1/t1: its form is 2: ...") == 3
+    assert file.line_of("publication: it was made against version 3: ...") == 0
 
 
-def test_newer_forms_are_left_to_the_voters(tmp_path: Path) -> None:
-    told = read_publication(
-        put(tmp_path, '{"table":"homes","key":"c1/t1","value":{"cell":"c1","form":9}}\n')
+def test_newer_forms_are_accepted_for_the_voters_to_check(tmp_path: Path) -> None:
+    file = read_publication(
+        write_file(tmp_path, '{"table":"homes","key":"c1/t1","value":{"cell":"c1","form":9}}\n')
     )
-    assert told.changes[0].value == '{"cell":"c1","form":9}'
+    assert file.changes[0].value == '{"cell":"c1","form":9}'
 
 
 @pytest.mark.parametrize(
-    "text, fault",
+    "text, expected",
     [
-        ("", ":1: there is no record in it"),
-        (GOOD + "{\n", ":2: line: no JSON"),
-        (GOOD + "[]\n", ":2: line: no object with exactly table, key and value"),
-        ('{"table":"homes","key":"c1/t1"}\n', ":1: line: no object with exactly"),
+        ("", ":1: the file has no records"),
+        (VALID_LINE + "{\n", ":2: line: not JSON"),
+        (VALID_LINE + "[]\n", ":2: line: not an object with exactly table, key and value"),
+        ('{"table":"homes","key":"c1/t1"}\n', ":1: line: not an object with exactly"),
         (
             '{"table":"moons","key":"c1/t1","value":null}\n',
             ":1: table 'moons': there is none of this name",
@@ -63,30 +63,30 @@
             ":1: record homes:c1/t1: the field cell is missing",
         ),
         ('{"table":"homes","key":"c1/t1","value":{"cell":1}}\n', "the field cell is no str"),
-        (GOOD + GOOD, ":2: record homes:c1/t1: it stands in line 1 already"),
+        (VALID_LINE + VALID_LINE, ":2: record homes:c1/t1: already defined in line 1"),
         (
             '{"table":"homes","key":"c1/t1","value":{"cell":"' + 5000 * "x" + '"}}\n',
             "keep it within 4096",
         ),
     ],
 )
-def test_what_is_wrong_is_named_with_its_line(tmp_path: Path, text: str, fault: str) -> None:
-    path = put(tmp_path, text)
-    with pytest.raises(InvalidPublicationFileError) as found:
+def test_errors_are_reported_by_line(tmp_path: Path, text: str, expected: str) -> None:
+    path = write_file(tmp_path, text)
+    with pytest.raises(InvalidPublicationFileError) as caught:
         read_publication(path)
-    assert fault in str(found.value) and str(found.value).startswith(f"{path}:")
+    assert expected in str(caught.value) and str(caught.value).startswith(f"{path}:")
 
 
-def test_of_many_wrong_lines_the_first_are_told(tmp_path: Path) -> None:
-    with pytest.raises(InvalidPublicationFileError) as found:
-        read_publication(put(tmp_path, (FAULTS_MOST + 5) * "{\n"))
-    told = str(found.value).splitlines()
-    assert len(told) == FAULTS_MOST + 1 and told[-1].endswith("5 further lines are wrong")
+def test_only_the_first_of_many_errors_are_reported(tmp_path: Path) -> None:
+    with pytest.raises(InvalidPublicationFileError) as caught:
+        read_publication(write_file(tmp_path, (MAX_FAULTS + 5) * "{\n"))
+    lines = str(caught.value).splitlines()
+    assert len(lines) == MAX_FAULTS + 1 and lines[-1].endswith("5 further lines are invalid")
 
 
-def test_a_file_that_is_not_there_or_no_text_is_named(tmp_path: Path) -> None:
+def test_a_missing_or_binary_file_is_reported(tmp_path: Path) -> None:
     with pytest.raises(InvalidPublicationFileError, match="cannot be read: No such file"):
         read_publication(tmp_path / "none")
     (tmp_path / "bytes").write_bytes(b"\xff")
-    with pytest.raises(InvalidPublicationFileError, match="no UTF-8 at byte 0"):
+    with pytest.raises(InvalidPublicationFileError, match="not UTF-8 at byte 0"):
         read_publication(tmp_path / "bytes")
