--- a/pumicenotch/cli/app.py
+++ b/pumicenotch/cli/app.py
@@ -30,7 +30,7 @@
     """What an HCL file says, or one that was compiled; what is wrong with it ends the command."""
     if path.endswith(".json"):
         try:
-            return compiled.from_file(path)
+            return compiled.load_file(path)
         except compiled.InvalidConfigError as error:
             wrong(error)
     try:
--- a/pumicenotch/cli/cells.py
+++ b/pumicenotch/cli/cells.py
@@ -12,7 +12,7 @@
 
 from pumicenotch.cells import moves
 from pumicenotch.cells.map import CellMap, InvalidCellMapError, dump
-from pumicenotch.config.files import cell_map, put
+from pumicenotch.config.files import load_cell_map, write_atomically
 from pumicenotch.config.hcl import InvalidFileError
 
 cells = App(
@@ -28,7 +28,7 @@
 
 def held(path: Path) -> CellMap:
     try:
-        return cell_map(path)[0]
+        return load_cell_map(path)[0]
     except InvalidCellMapError as error:
         wrong(error)
 
@@ -42,7 +42,7 @@
                 f"{out}: holds epoch {before.epoch} already: epoch {made.epoch} does not replace it"
             )
     try:
-        put(out, dump(made) + "\n")
+        write_atomically(out, dump(made) + "\n")
     except OSError as error:
         wrong(f"{out}: cannot be written: {error.strerror}")
     print(f"{out}: epoch {made.epoch}, {len(made.cells)} cells, {len(made.tenants)} tenants")
--- a/pumicenotch/config/agent.py
+++ b/pumicenotch/config/agent.py
@@ -6,7 +6,7 @@
 
 from pydantic import Field, model_validator
 
-from pumicenotch.config.files import put
+from pumicenotch.config.files import write_atomically
 from pumicenotch.config.fleet import Address, Name, check_unique
 from pumicenotch.config.hcl import InvalidFileError
 from pumicenotch.config.schema import Schema, read
@@ -129,4 +129,6 @@
 
 def write(file: AgentFile, disk: Disk) -> None:
     """Writes the agent's state atomically. Raises OSError."""
-    put(Path(file.home) / "agent.json", json.dumps({"form": FORMAT_VERSION, **disk._asdict()}))
+    write_atomically(
+        Path(file.home) / "agent.json", json.dumps({"form": FORMAT_VERSION, **disk._asdict()})
+    )
--- a/pumicenotch/config/compiled.py
+++ b/pumicenotch/config/compiled.py
@@ -112,7 +112,7 @@
     return Ours(plan, node, map_file, fleet, distribution)
 
 
-def command(path: str) -> list[str]:
+def compile_command(path: str) -> list[str]:
     """Returns the command of a process that compiles the file.
 
     The memory for reading HCL is freed when the process ends.
@@ -120,8 +120,8 @@
     return [sys.executable, "-m", "pumicenotch.config", path]
 
 
-def taken(path: str, status: int, out: bytes, errors: bytes) -> Ours:
-    """Returns the result of the process of `command`.
+def parse_compiler_output(path: str, status: int, out: bytes, errors: bytes) -> Ours:
+    """Returns the result of the process of `compile_command`.
 
     Raises:
         InvalidConfigError: The process failed; the text is what it printed to standard error.
@@ -134,7 +134,7 @@
     return load(out.decode(errors="replace"), path)
 
 
-def from_file(path: str) -> Ours:
+def load_file(path: str) -> Ours:
     """Reads a compiled file, which has the suffix `.json`. Raises InvalidConfigError."""
     try:
         with open(path, encoding="utf-8") as file:
--- a/pumicenotch/config/files.py
+++ b/pumicenotch/config/files.py
@@ -6,7 +6,7 @@
 from pumicenotch.cells.map import CellMap, InvalidCellMapError, load
 
 
-def put(path: Path, text: str) -> None:
+def write_atomically(path: Path, text: str) -> None:
     """Replaces a file atomically.
 
     After a full disk, a crash or a power loss the file has its old content or its new one. Raises
@@ -20,7 +20,7 @@
     temporary.replace(path)
 
 
-def cell_map(path: str | Path) -> tuple[CellMap, float]:
+def load_cell_map(path: str | Path) -> tuple[CellMap, float]:
     """Reads a cell map file.
 
     Returns the map and when it was last confirmed as the newest: the modification time of the file in
--- a/pumicenotch/config/versions.py
+++ b/pumicenotch/config/versions.py
@@ -20,7 +20,7 @@
     """A folder is not a version, or not the expected one."""
 
 
-def content(folder: Path) -> str:
+def version_of(folder: Path) -> str:
     """Returns the version in a folder.
 
     The hash covers the path, the executable bit and the bytes of each file, but no compiled Python.
@@ -60,7 +60,7 @@
     """
     if not VERSION_PATTERN.fullmatch(version):
         raise InvalidVersionError(f"{version!r:.80} names no version")
-    put(source / version, version, into)
+    install(source / version, version, into)
 
 
 def pack(folder: Path, into: Path) -> str:
@@ -69,12 +69,12 @@
     Raises:
         InvalidVersionError: The folder is not a version, or the copy failed.
     """
-    version = content(folder)
-    put(folder, version, into)
+    version = version_of(folder)
+    install(folder, version, into)
     return version
 
 
-def put(folder: Path, version: str, into: Path) -> None:
+def install(folder: Path, version: str, into: Path) -> None:
     """Copies a folder to `into` under the name of its version, unless it is there already.
 
     Raises:
@@ -83,13 +83,13 @@
     target, part = into / version, into / f"{PART}{version}"
     try:
         if target.is_dir():
-            if content(target) == version:
+            if version_of(target) == version:
                 return
             shutil.rmtree(target)  # corrupted since it was copied
         into.mkdir(parents=True, exist_ok=True)
         shutil.rmtree(part, ignore_errors=True)
         shutil.copytree(folder, part, ignore=shutil.ignore_patterns("__pycache__"))
-        if (found := content(part)) != version:
+        if (found := version_of(part)) != version:
             raise InvalidVersionError(f"half a copy, or another version: {found} is in {folder}")
         sync(part)
         part.rename(target)
@@ -123,7 +123,7 @@
     shutil.rmtree(renamed, ignore_errors=True)
 
 
-def held(into: Path) -> list[str]:
+def list_versions(into: Path) -> list[str]:
     """Returns the versions in a folder, and removes copies that a stopped agent left incomplete."""
     into.mkdir(parents=True, exist_ok=True)
     for path in into.iterdir():
--- a/pumicenotch/lab/control_plane.py
+++ b/pumicenotch/lab/control_plane.py
@@ -11,7 +11,7 @@
 from pumicenotch.cells.map import Cell, CellMap, Tenant, dump
 from pumicenotch.cells.place import Node as PlacedNode
 from pumicenotch.cells.place import assign_tenants
-from pumicenotch.config.files import put
+from pumicenotch.config.files import write_atomically
 from pumicenotch.lab.server_process import HERE, POLL_S, Node
 from pumicenotch.lab.world import World
 
@@ -33,7 +33,7 @@
         return self.folder / f"{name}-map.json"
 
     def write_map(self, name: str) -> None:
-        put(self.path(name), dump(self.map))
+        write_atomically(self.path(name), dump(self.map))
 
     def node_file(self, node: Node, pools: str) -> Path:
         self.write_map(f"n{node.number}")
--- a/pumicenotch/lab/experiment_file.py
+++ b/pumicenotch/lab/experiment_file.py
@@ -7,7 +7,7 @@
 
 from pydantic import Field, model_validator
 
-from pumicenotch.config.compiled import InvalidConfigError, from_file
+from pumicenotch.config.compiled import InvalidConfigError, load_file
 from pumicenotch.config.file import InvalidFileError, plan_of
 from pumicenotch.config.hcl import Block, parse
 from pumicenotch.config.schema import Schema, load
@@ -273,6 +273,6 @@
         return None
     file = path.parent / arm.pools
     try:
-        return from_file(str(file)).plan if file.suffix == ".json" else plan_of(file)
+        return load_file(str(file)).plan if file.suffix == ".json" else plan_of(file)
     except InvalidConfigError as error:
         raise InvalidFileError(str(error)) from None
--- a/pumicenotch/lab/experiment_results.py
+++ b/pumicenotch/lab/experiment_results.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from pumicenotch.config.file import InvalidFileError
-from pumicenotch.config.files import put
+from pumicenotch.config.files import write_atomically
 from pumicenotch.lab.experiment import Run
 from pumicenotch.lab.experiment_file import Bound, Experiment
 
@@ -116,7 +116,7 @@
 def keep(folder: Path, told: dict[str, Any], found: list[Run]) -> None:
     """Each file whole or not at all: a full disk leaves what was there."""
     folder.mkdir(parents=True, exist_ok=True)
-    put(folder / "summary.json", json.dumps(told, indent=1) + "\n")
+    write_atomically(folder / "summary.json", json.dumps(told, indent=1) + "\n")
     table = io.StringIO(newline="")
     rows = csv.DictWriter(
         table, ["arm", "seed", "second", "class", "asked", "served", "rejected", "late"]
@@ -124,7 +124,7 @@
     rows.writeheader()
     for run in found:
         rows.writerows({"arm": run.arm, "seed": run.seed, **row} for row in run.rows)
-    put(folder / "windows.csv", table.getvalue())
+    write_atomically(folder / "windows.csv", table.getvalue())
 
 
 def kept_summary(folder: Path) -> dict[str, Any]:
--- a/pumicenotch/net/agent.py
+++ b/pumicenotch/net/agent.py
@@ -130,7 +130,7 @@
         harm.
         """
         try:
-            content = await to_thread.run_sync(versions.content, self.versions / version)
+            content = await to_thread.run_sync(versions.version_of, self.versions / version)
         except versions.InvalidVersionError as error:
             self.put("swapped", slot, str(error))
             return
@@ -223,7 +223,7 @@
         process_id=secrets.token_hex(6),
         voters=tuple(file.voters),
         versions=disk.runs,
-        stored=tuple(versions.held(Path(file.home) / VERSIONS_FOLDER)),
+        stored=tuple(versions.list_versions(Path(file.home) / VERSIONS_FOLDER)),
         has_server=is_running(disk.pid, disk.began),
         start_timeout_ms=file.start_ms,
         drain_timeout_ms=file.drain_ms,
--- a/pumicenotch/net/instance_file.py
+++ b/pumicenotch/net/instance_file.py
@@ -41,14 +41,14 @@
     if compiled_text:
         return compiled.load(compiled_text, path)
     if path.endswith(COMPILED_SUFFIX):
-        return compiled.from_file(path)
+        return compiled.load_file(path)
     try:
         done = subprocess.run(
-            compiled.command(path), capture_output=True, timeout=READ_TIMEOUT_S, check=False
+            compiled.compile_command(path), capture_output=True, timeout=READ_TIMEOUT_S, check=False
         )
     except subprocess.TimeoutExpired:
         raise compiled.InvalidConfigError(timeout_text(path)) from None
-    return compiled.taken(path, done.returncode, done.stdout, done.stderr)
+    return compiled.parse_compiler_output(path, done.returncode, done.stdout, done.stderr)
 
 
 async def read_again(path: str) -> "Ours | None":
@@ -58,10 +58,10 @@
     from pumicenotch.config import compiled
 
     if path.endswith(COMPILED_SUFFIX):
-        return compiled.from_file(path)
+        return compiled.load_file(path)
     with anyio.move_on_after(READ_TIMEOUT_S):
-        done = await anyio.run_process(compiled.command(path), check=False)
-        return compiled.taken(path, done.returncode, done.stdout, done.stderr)
+        done = await anyio.run_process(compiled.compile_command(path), check=False)
+        return compiled.parse_compiler_output(path, done.returncode, done.stdout, done.stderr)
     raise compiled.InvalidConfigError(timeout_text(path))
 
 
@@ -74,9 +74,9 @@
     """Reads the cell map that the file names, if it names one; raises ValueError if it is wrong."""
     if instance is None or not instance.map:
         return None
-    from pumicenotch.config.files import cell_map
+    from pumicenotch.config.files import load_cell_map
 
-    return cell_map(instance.map)[0]
+    return load_cell_map(instance.map)[0]
 
 
 def make_fence(instance: "Ours | None") -> "Fence | None":
--- a/pumicenotch/route/__main__.py
+++ b/pumicenotch/route/__main__.py
@@ -16,7 +16,7 @@
 
 from pumicenotch import start
 from pumicenotch.cells.map import InvalidCellMapError, is_newer
-from pumicenotch.config.files import cell_map
+from pumicenotch.config.files import load_cell_map
 from pumicenotch.config.hcl import InvalidFileError
 from pumicenotch.config.router import RouterFile, router_of
 from pumicenotch.net import gateway_listener, logs
@@ -46,7 +46,7 @@
         InvalidCellMapError: The cell map is invalid or cannot be read.
         InvalidStartValueError: The settings are invalid or cannot be read.
     """
-    cells, confirmed_at = cell_map(config.map)
+    cells, confirmed_at = load_cell_map(config.map)
     try:
         with open(config.settings, encoding="utf-8") as file:
             pairs = start.flatten(json.load(file))
@@ -89,7 +89,7 @@
             mtime_ms = os.stat(path).st_mtime * 1000.0
             if mtime_ms == seen_mtime_ms:
                 continue
-            cells, confirmed_at = cell_map(path)
+            cells, confirmed_at = load_cell_map(path)
             seen_mtime_ms = mtime_ms
             if is_newer(core.cells, cells):
                 text = f"the cell map of epoch {cells.epoch} is in force"
--- a/tests/fleet/test_agent_files.py
+++ b/tests/fleet/test_agent_files.py
@@ -9,7 +9,14 @@
 from pumicenotch.cli.agent import TRIES, environment_of
 from pumicenotch.config import agent, versions
 from pumicenotch.config.hcl import InvalidFileError
-from pumicenotch.config.versions import PART, InvalidVersionError, content, fetch, held, pack
+from pumicenotch.config.versions import (
+    PART,
+    InvalidVersionError,
+    fetch,
+    list_versions,
+    pack,
+    version_of,
+)
 
 
 def folder(path: Path, **files: str) -> Path:
@@ -23,46 +30,46 @@
 def test_a_version_is_known_by_names_contents_and_what_may_be_run(tmp_path: Path) -> None:
     one = folder(tmp_path / "a", x="1", sub__y="2")
     same = folder(tmp_path / "b", sub__y="2", x="1")
-    assert content(one) == content(same)
+    assert version_of(one) == version_of(same)
     folder(same, **{"__pycache____z.pyc": "3"})
-    assert content(one) == content(same), "what Python has compiled is no content"
-    found = {content(one)}
+    assert version_of(one) == version_of(same), "what Python has compiled is no content"
+    found = {version_of(one)}
     for name, text in (("x", "2"), ("z", "1")):
-        found.add(content(folder(tmp_path / name, **{"x": "1", "sub__y": "2", name: text})))
+        found.add(version_of(folder(tmp_path / name, **{"x": "1", "sub__y": "2", name: text})))
     os.chmod(same / "x", 0o755)
-    found.add(content(same))
+    found.add(version_of(same))
     assert len(found) == 4
     (one / "link").symlink_to(one / "x")
     with pytest.raises(InvalidVersionError, match="a link"):
-        content(one)
+        version_of(one)
     (tmp_path / "empty").mkdir()
     with pytest.raises(InvalidVersionError, match="holds nothing"):
-        content(tmp_path / "empty")
+        version_of(tmp_path / "empty")
 
 
 def test_half_a_copy_is_never_held(tmp_path: Path) -> None:
     source, into = tmp_path / "source", tmp_path / "into"
     version = pack(folder(tmp_path / "a", x="1", y="2"), source)
     assert pack(tmp_path / "a", source) == version, "a second time changes nothing"
-    assert held(into) == []
+    assert list_versions(into) == []
     (source / version / "y").unlink()
     with pytest.raises(InvalidVersionError, match="half a copy"):
         fetch(version, source, into)
-    assert held(into) == []
+    assert list_versions(into) == []
     (source / version / "y").write_text("2")
     fetch(version, source, into)
-    assert held(into) == [version]
+    assert list_versions(into) == [version]
     (into / version / "x").write_text("spoilt since")
     fetch(version, source, into)
-    assert content(into / version) == version
+    assert version_of(into / version) == version
     (into / f"{PART}other").mkdir()  # of an agent that was killed
-    assert held(into) == [version] and not (into / f"{PART}other").exists()
+    assert list_versions(into) == [version] and not (into / f"{PART}other").exists()
     with pytest.raises(InvalidVersionError, match="No such file"):
         fetch("v-none", source, into)
     with pytest.raises(InvalidVersionError, match="names no version"):
         fetch(f"../source/{version}", source, into)
     versions.remove(into / version)
-    assert held(into) == []
+    assert list_versions(into) == []
 
 
 def test_a_full_disk_is_told_and_leaves_nothing(
@@ -70,7 +77,7 @@
 ) -> None:
     source, into = tmp_path / "source", tmp_path / "into"
     version = pack(folder(tmp_path / "a", x="1"), source)
-    held(into)
+    list_versions(into)
 
     def full(*_: object, **__: object) -> None:
         raise OSError(28, "No space left on device", str(into))
@@ -78,7 +85,7 @@
     monkeypatch.setattr(shutil, "copytree", full)
     with pytest.raises(InvalidVersionError, match="No space left"):
         fetch(version, source, into)
-    assert held(into) == []
+    assert list_versions(into) == []
 
 
 FILE = """\
