--- a/pumicenotch/__main__.py
+++ b/pumicenotch/__main__.py
@@ -41,7 +41,7 @@
 from pumicenotch.server.settings import ServerSettings
 
 if TYPE_CHECKING:  # a server without a fleet does not import these modules
-    from pumicenotch.config.compiled import Ours
+    from pumicenotch.config.compiled import InstanceConfig
     from pumicenotch.net.peers import PeerHub
 
 # Share of the memory limit for written data that the pool does not read while it hangs.
@@ -172,7 +172,7 @@
         group.cancel_scope.cancel()
 
 
-def available_descriptors(values: StartValues, instance: "Ours | None") -> int:
+def available_descriptors(values: StartValues, instance: "InstanceConfig | None") -> int:
     """Returns the number of descriptors that the core may use.
 
     A fleet's connections are subtracted from the configured number, and the soft limit of the
--- a/pumicenotch/cells/fence.py
+++ b/pumicenotch/cells/fence.py
@@ -30,7 +30,7 @@
     # The key is known: answered from memory, or together with the first attempt.
     SERVE = auto()
     RUN = auto()
-    # Never run here, and never will be under this epoch or an older one.
+    # The key has never run here, and never will under this epoch or an older one.
     CLEAR = auto()
     # Not run: the node has seen a newer epoch of the tenant.
     OLD_MAP = auto()
--- a/pumicenotch/cli/app.py
+++ b/pumicenotch/cli/app.py
@@ -26,7 +26,7 @@
     sys.exit(WRONG)
 
 
-def ours_of(path: str) -> compiled.Ours:
+def ours_of(path: str) -> compiled.InstanceConfig:
     """What an HCL file says, or one that was compiled; what is wrong with it ends the command."""
     if path.endswith(".json"):
         try:
@@ -35,7 +35,7 @@
             wrong(error)
     try:
         from pumicenotch.config.file import InvalidFileError
-        from pumicenotch.config.file import ours_of as read
+        from pumicenotch.config.file import instance_config_of as read
     except ModuleNotFoundError as error:
         wrong(f"pumicenotch: HCL needs {error.name}: pip install 'pumicenotch[cli]'")
     try:
--- a/pumicenotch/config/__main__.py
+++ b/pumicenotch/config/__main__.py
@@ -6,13 +6,13 @@
 import sys
 
 from pumicenotch.config.compiled import dump
-from pumicenotch.config.file import InvalidFileError, ours_of
+from pumicenotch.config.file import InvalidFileError, instance_config_of
 
 
 def main() -> None:
     """Compiles the file that the command line names."""
     try:
-        config = ours_of(sys.argv[1])
+        config = instance_config_of(sys.argv[1])
     except InvalidFileError as error:
         print(error, file=sys.stderr)
         sys.exit(2)
--- a/pumicenotch/config/agent.py
+++ b/pumicenotch/config/agent.py
@@ -13,7 +13,8 @@
 from pumicenotch.fleet.releases.release import BUDGETS, SLOTS
 
 Version = Annotated[str, Field(pattern=r"^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$")]
-FORMAT_VERSION = 1  # of the state on disk
+# The version of the state on disk. An agent refuses any other.
+FORMAT_VERSION = 1
 
 
 class Slot(Schema):
--- a/pumicenotch/config/compiled.py
+++ b/pumicenotch/config/compiled.py
@@ -30,7 +30,7 @@
     """A file or a compiled line is invalid. The text has one line for each error."""
 
 
-class Ours(NamedTuple):
+class InstanceConfig(NamedTuple):
     """The content of a server's file.
 
     Attributes:
@@ -48,16 +48,16 @@
     distribution: "InstanceSettings | None" = None
 
 
-def dump(ours: Ours) -> str:
+def dump(config: InstanceConfig) -> str:
     """Returns the compiled line."""
-    plan = encode_plan(ours.plan) if ours.plan is not None else None
-    fleet = ours.fleet._asdict() if ours.fleet is not None else None
-    cells = {"node": ours.node, "map": ours.map}
+    plan = encode_plan(config.plan) if config.plan is not None else None
+    fleet = config.fleet._asdict() if config.fleet is not None else None
+    cells = {"node": config.node, "map": config.map}
     distribution = None
-    if ours.distribution is not None:
+    if config.distribution is not None:
         from pumicenotch.distribution.instance_settings import encode
 
-        distribution = encode(ours.distribution)
+        distribution = encode(config.distribution)
     return json.dumps(
         {
             "form": FORMAT_VERSION,
@@ -69,7 +69,7 @@
     )
 
 
-def load(text: str, name: str) -> Ours:
+def load(text: str, name: str) -> InstanceConfig:
     """Parses a compiled line.
 
     Args:
@@ -99,7 +99,7 @@
 
             distribution = decode_instance_settings(document["distribution"])
         if document["plan"] is None:
-            return Ours(None, node, map_file, fleet, distribution)
+            return InstanceConfig(None, node, map_file, fleet, distribution)
         plan = decode_plan(document["plan"])
     except InvalidPoolsPlanError as error:
         raise InvalidConfigError(f"{name}:1: plan: {error}") from None
@@ -109,7 +109,7 @@
         raise InvalidConfigError(
             f"{name}:1: no compiled plan ({type(error).__name__}): compile it anew"
         ) from None
-    return Ours(plan, node, map_file, fleet, distribution)
+    return InstanceConfig(plan, node, map_file, fleet, distribution)
 
 
 def compile_command(path: str) -> list[str]:
@@ -120,7 +120,7 @@
     return [sys.executable, "-m", "pumicenotch.config", path]
 
 
-def parse_compiler_output(path: str, status: int, out: bytes, errors: bytes) -> Ours:
+def parse_compiler_output(path: str, status: int, out: bytes, errors: bytes) -> InstanceConfig:
     """Returns the result of the process of `compile_command`.
 
     Raises:
@@ -134,7 +134,7 @@
     return load(out.decode(errors="replace"), path)
 
 
-def load_file(path: str) -> Ours:
+def load_file(path: str) -> InstanceConfig:
     """Reads a compiled file, which has the suffix `.json`. Raises InvalidConfigError."""
     try:
         with open(path, encoding="utf-8") as file:
@@ -145,28 +145,28 @@
         ) from None
 
 
-def environment(path: str, ours: Ours) -> dict[str, str]:
+def environment(path: str, config: InstanceConfig) -> dict[str, str]:
     """Returns the environment for starting a server whose file has already been read."""
-    return {**os.environ, "PUMICENOTCH_CONFIG": path, "PUMICENOTCH_PLAN": dump(ours)}
+    return {**os.environ, "PUMICENOTCH_CONFIG": path, "PUMICENOTCH_PLAN": dump(config)}
 
 
-def describe(ours: Ours, stages: list[str]) -> dict[str, Any]:
+def describe(config: InstanceConfig, stages: list[str]) -> dict[str, Any]:
     """Returns a description of the file for operators.
 
     Args:
-        ours: The content of the file.
+        config: The content of the file.
         stages: The names of all known request classes; empty if they are not known.
     """
-    plan = ours.plan
-    cells = f"node {ours.node} by the map {ours.map}" if ours.map else ""
-    settings = ours.fleet
+    plan = config.plan
+    cells = f"node {config.node} by the map {config.map}" if config.map else ""
+    settings = config.fleet
     fleet = (
         f"{settings.name} of {settings.fleet}, among instances on {settings.listen}"
         if settings is not None
         else ""
     )
-    if ours.distribution is not None:
-        fleet += f"; takes published configuration of {ours.distribution.meaning()}"
+    if config.distribution is not None:
+        fleet += f"; takes published configuration of {config.distribution.meaning()}"
     if plan is None:
         return {
             "pools": [],
--- a/pumicenotch/config/file.py
+++ b/pumicenotch/config/file.py
@@ -5,7 +5,7 @@
 
 from pydantic import Field, model_validator
 
-from pumicenotch.config.compiled import Ours
+from pumicenotch.config.compiled import InstanceConfig
 from pumicenotch.config.fleet import FleetBlock
 from pumicenotch.config.hcl import InvalidFileError
 from pumicenotch.config.schema import Schema, read
@@ -116,15 +116,15 @@
     return read(path, File).plan()
 
 
-def ours_of(path: str | Path) -> Ours:
+def instance_config_of(path: str | Path) -> InstanceConfig:
     """Reads a server's file. Raises InvalidFileError."""
     file = read(path, File)
     fleet = file.fleet.settings() if file.fleet is not None else None
     distribution = file.fleet.distribution_settings() if file.fleet is not None else None
     if file.cells is None:
-        return Ours(file.plan(), fleet=fleet, distribution=distribution)
+        return InstanceConfig(file.plan(), fleet=fleet, distribution=distribution)
     cell_map = str((Path(path).parent / file.cells.map).resolve())
-    return Ours(file.plan(), file.cells.node, cell_map, fleet, distribution)
+    return InstanceConfig(file.plan(), file.cells.node, cell_map, fleet, distribution)
 
 
-__all__ = ["File", "InvalidFileError", "ours_of", "plan_of"]
+__all__ = ["File", "InvalidFileError", "instance_config_of", "plan_of"]
--- a/pumicenotch/config/publication.py
+++ b/pumicenotch/config/publication.py
@@ -15,7 +15,8 @@
 from pumicenotch.errors import InputError
 
 MAX_FILE_BYTES = 64 * 1024 * 1024
-MAX_FAULTS = 20  # reported at once
+# Errors that are reported in full; further ones are only counted.
+MAX_FAULTS = 20
 FIELDS = ("table", "key", "value")
 FORM_REMEDY = 'give {"table": ..., "key": ..., "value": {...} or null}'
 
--- a/pumicenotch/config/versions.py
+++ b/pumicenotch/config/versions.py
@@ -11,9 +11,9 @@
 from pumicenotch.errors import InputError
 from pumicenotch.fleet.releases.release import VERSION_PATTERN
 
-NAME_LENGTH = 32  # hexadecimal digits, 128 bits
+NAME_LENGTH = 32  # hexadecimal digits: 128 bits of the hash
 CHUNK_BYTES = 1 << 20
-PART = ".part-"  # prefix of a folder that is incomplete
+PART = ".part-"  # name prefix of a folder that is incomplete or being removed
 
 
 class InvalidVersionError(InputError):
--- a/pumicenotch/net/instance_file.py
+++ b/pumicenotch/net/instance_file.py
@@ -16,7 +16,7 @@
 if TYPE_CHECKING:
     from pumicenotch.cells.fence import Fence
     from pumicenotch.cells.map import CellMap
-    from pumicenotch.config.compiled import Ours
+    from pumicenotch.config.compiled import InstanceConfig
     from pumicenotch.net.start_values import StartValues
     from pumicenotch.pools.plan import PoolsPlan
     from pumicenotch.server.core import MakePools
@@ -27,7 +27,7 @@
 READ_TIMEOUT_S = 30.0  # a second on a quiet machine
 
 
-def read_at_start(path: str) -> "Ours | None":
+def read_at_start(path: str) -> "InstanceConfig | None":
     """Reads the file before anything else runs; None where none is named.
 
     Raises:
@@ -51,7 +51,7 @@
     return compiled.parse_compiler_output(path, done.returncode, done.stdout, done.stderr)
 
 
-async def read_again(path: str) -> "Ours | None":
+async def read_again(path: str) -> "InstanceConfig | None":
     """Reads the file while the server goes on; the same otherwise."""
     if not path:
         return None
@@ -70,7 +70,7 @@
     return f"{path}:1: not read within {READ_TIMEOUT_S:g} s"
 
 
-def read_cell_map(instance: "Ours | None") -> "CellMap | None":
+def read_cell_map(instance: "InstanceConfig | None") -> "CellMap | None":
     """Reads the cell map that the file names, if it names one; raises ValueError if it is wrong."""
     if instance is None or not instance.map:
         return None
@@ -79,7 +79,7 @@
     return load_cell_map(instance.map)[0]
 
 
-def make_fence(instance: "Ours | None") -> "Fence | None":
+def make_fence(instance: "InstanceConfig | None") -> "Fence | None":
     """Returns what this node knows of cells, where the file names a map; raises ValueError."""
     cells = read_cell_map(instance)
     if cells is None:
--- a/pumicenotch/net/reloads.py
+++ b/pumicenotch/net/reloads.py
@@ -18,7 +18,7 @@
 
 if TYPE_CHECKING:  # nothing of a fleet is loaded where there is none
     from pumicenotch.cells.map import CellMap
-    from pumicenotch.config.compiled import Ours
+    from pumicenotch.config.compiled import InstanceConfig
     from pumicenotch.net.configuration import InstanceDistributionService
     from pumicenotch.net.peers import PeerHub
 
@@ -32,7 +32,7 @@
         instance: What that file says.
     """
 
-    def __init__(self, values: StartValues, path: str, instance: "Ours | None") -> None:
+    def __init__(self, values: StartValues, path: str, instance: "InstanceConfig | None") -> None:
         self.values = values
         self.path = path
         self.instance = instance
@@ -116,7 +116,7 @@
             text = f"the cell map of epoch {cells.epoch} is in force"
             self.hub.deliver(CellMapReplaced(cells, text))
 
-    def _apply_distribution(self, instance: "Ours", current: "Ours") -> None:
+    def _apply_distribution(self, instance: "InstanceConfig", current: "InstanceConfig") -> None:
         settings = instance.distribution
         if settings == current.distribution:
             return
@@ -129,7 +129,7 @@
             logger.info("reload: this server takes published configuration of {}", meaning)
         self.running.instance = current._replace(distribution=settings)
 
-    def _apply_pools(self, instance: "Ours", current: "Ours") -> None:
+    def _apply_pools(self, instance: "InstanceConfig", current: "InstanceConfig") -> None:
         if instance.plan == current.plan:
             return
         self.running.instance = instance
--- a/pumicenotch/route/decide.py
+++ b/pumicenotch/route/decide.py
@@ -144,7 +144,7 @@
 
     # Requests on one connection, as the gateways' protocol defines.
     MAX_OPEN_REQUESTS = 32
-    # Connections to one node: a node accepts as many requests from one caller.
+    # Connections to one node. Together they carry as many requests as a node accepts from one caller.
     MAX_CONNECTIONS_PER_NODE = 8
     # An unused connection to a node is closed after this time.
     IDLE_TIMEOUT_MS = 5000.0
@@ -155,8 +155,8 @@
     LISTENER_CLOSE_MS = 300.0
     # Idle connections of callers are closed this long before the shutdown, as by the server.
     CONNECTIONS_CLOSE_MS = 250.0
-    # As the server's: how long before being killed the router shuts down, and the time that the network
-    # layer has at least to finish.
+    # How long before being killed the router shuts down, and the minimum time that the network layer gets
+    # to finish. Both are as in the server.
     STOP_MARGIN_MS, MIN_EXIT_MS = 100.0, 40.0
     # Retries that a tenant's first attempt adds to its budget, and the most that it can save up.
     RETRY_RATIO, RETRY_BURST = 0.2, 20.0
@@ -174,11 +174,11 @@
         shutdown_ms: float,
         max_sockets: int,
     ) -> None:
-        # The limit of callers' connections, and likewise of nodes' connections.
-        half = max_sockets // 2 - self.SPARE_DESCRIPTORS // 2
-        super().__init__(max_sockets // 2, max(8, half))
+        # The limit of callers' connections, and also that of connections to nodes.
+        connection_limit = max_sockets // 2 - self.SPARE_DESCRIPTORS // 2
+        super().__init__(max_sockets // 2, max(8, connection_limit))
         self.decoder = RequestDecoder(request_classes, class_indexes, {}, self.requests)
-        self.max_node_connections = max(4, half)
+        self.max_node_connections = max(4, connection_limit)
         self.cells, self.confirmed_at = cells, confirmed_at
         self.shutdown_ms, self.shutdown_at = shutdown_ms, float("inf")
         generator = random.Random(seed)
@@ -317,7 +317,7 @@
             self.requests.remove(request)
             return
         if self.connections.closes_idle and not (request.idempotency_key or request.is_retry):
-            self.reject_request(request, 0.0, False)  # a first attempt this late never ran
+            self.reject_request(request, 0.0, False)  # too late for a first attempt, which never ran
             self.requests.remove(request)
             return
         tenant = fields.get("acct", "")
--- a/tests/compatibility/test_pools.py
+++ b/tests/compatibility/test_pools.py
@@ -9,7 +9,7 @@
 import pytest
 
 from pumicenotch.config import compiled
-from pumicenotch.config.file import ours_of
+from pumicenotch.config.file import instance_config_of
 from pumicenotch.interface import Idempotency, IncomingRequest, RequestClass, SlotQuery
 from pumicenotch.pools import ClassPools, PoolPlan, PoolsPlan
 
@@ -22,7 +22,7 @@
 @pytest.mark.parametrize("name", FILES)
 def test_a_file_is_compiled_to_the_same_line(name: str) -> None:
     line = (GOLDEN / f"{name}.compiled.json").read_text()
-    assert compiled.dump(ours_of(FILES[name])) + "\n" == line
+    assert compiled.dump(instance_config_of(FILES[name])) + "\n" == line
 
 
 @pytest.mark.parametrize("name", FILES)
@@ -34,13 +34,13 @@
 @pytest.mark.parametrize("name", FILES)
 def test_what_check_prints_of_a_plan_has_the_same_keys_and_values(name: str) -> None:
     described = json.loads((GOLDEN / f"{name}.described.json").read_text())
-    told = compiled.describe(ours_of(FILES[name]), ["preview", "bake"])
+    told = compiled.describe(instance_config_of(FILES[name]), ["preview", "bake"])
     assert json.loads(json.dumps(told)) == described
     assert list(told) == list(described)
 
 
 def test_the_counters_of_a_status_answer_have_the_same_names() -> None:
-    plan = ours_of(FILES["full"]).plan
+    plan = instance_config_of(FILES["full"]).plan
     assert plan is not None
     pools = ClassPools(0.0, plan, [REQUEST_CLASS] * 2, {"preview": 0, "bake": 1})
     assert list(pools.counts()) == json.loads((GOLDEN / "counter_names.json").read_text())
--- a/tests/fleet/test_alone.py
+++ b/tests/fleet/test_alone.py
@@ -53,7 +53,7 @@
     """Neither in a server nor in a voter."""
     script = (
         "import sys, pumicenotch.__main__, pumicenotch.net.fleet, pumicenotch.config.compiled as compiled\n"
-        "compiled.load(compiled.dump(compiled.Ours()), 'plan')\n"
+        "compiled.load(compiled.dump(compiled.InstanceConfig()), 'plan')\n"
         "whole = ('pumicenotch.distribution', 'pumicenotch.net.configuration',"
         " 'pumicenotch.net.voter_configuration')\n"
         "print([name for name in sys.modules if name.startswith(whole)])"
--- a/tests/fleet/test_fleet_files.py
+++ b/tests/fleet/test_fleet_files.py
@@ -10,7 +10,7 @@
 import pytest
 
 from pumicenotch.config import compiled
-from pumicenotch.config.file import ours_of
+from pumicenotch.config.file import instance_config_of
 from pumicenotch.config.fleet import budgets_of, voter_of
 from pumicenotch.config.hcl import InvalidFileError
 from pumicenotch.fleet.drains.budgets import Member
@@ -48,7 +48,7 @@
 
 
 def test_a_servers_block_comes_whole_through_the_compiled_plan(tmp_path: Path) -> None:
-    ours = ours_of(put(tmp_path, SERVER))
+    ours = instance_config_of(put(tmp_path, SERVER))
     settings = ours.fleet
     assert settings is not None and settings.member("x")[:7] == (
         "n3",
@@ -61,9 +61,9 @@
     )
     assert compiled.load(compiled.dump(ours), "plan").fleet == settings
     assert "n3 of accra" in compiled.describe(ours, [])["fleet"]
-    without = json.loads(compiled.dump(compiled.Ours()))
+    without = json.loads(compiled.dump(compiled.InstanceConfig()))
     del without["fleet"]  # as an older program compiled it
-    assert compiled.load(json.dumps(without), "plan") == compiled.Ours()
+    assert compiled.load(json.dumps(without), "plan") == compiled.InstanceConfig()
     wrong: list[Any] = [{"fleet": 1}, [], {"fleet": "a", "name": "b", "listen": 3, "voters": []}]
     for each in wrong:
         with pytest.raises(ValueError, match="fleet"):
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -150,40 +150,40 @@
 
 
 def test_only_higher_epochs_replace_a_map_and_one_epoch_has_one_content() -> None:
-    one = make_map(t="a")
-    two = moves.move(one, ["t"], "b", 0.0)
+    first_map = make_map(t="a")
+    second_map = moves.move(first_map, ["t"], "b", 0.0)
     assert (
-        is_newer(None, one)
-        and is_newer(one, two)
-        and not is_newer(two, one)
-        and not is_newer(two, two)
+        is_newer(None, first_map)
+        and is_newer(first_map, second_map)
+        and not is_newer(second_map, first_map)
+        and not is_newer(second_map, second_map)
     )
     with pytest.raises(InvalidCellMapError, match="two contents"):
-        is_newer(two, moves.move(one, ["t"], "b", 0.0, span=1))
+        is_newer(second_map, moves.move(first_map, ["t"], "b", 0.0, span=1))
 
 
 def test_a_move_does_not_change_the_epochs_of_other_tenants() -> None:
-    one = make_map(t="a", u="a")
-    two = moves.move(one, ["t"], "b", 0.0)
-    assert (two.tenant_epoch("t"), two.tenant_epoch("u")) == (2, 1)
-    assert moves.changed_tenants(one, two) == ("t",)
-    three = moves.resize(two, "a", make_nodes("A1", "A2"), 0.0)
-    assert (three.tenant_epoch("t"), three.tenant_epoch("u")) == (2, 3)
+    first_map = make_map(t="a", u="a")
+    second_map = moves.move(first_map, ["t"], "b", 0.0)
+    assert (second_map.tenant_epoch("t"), second_map.tenant_epoch("u")) == (2, 1)
+    assert moves.changed_tenants(first_map, second_map) == ("t",)
+    third_map = moves.resize(second_map, "a", make_nodes("A1", "A2"), 0.0)
+    assert (third_map.tenant_epoch("t"), third_map.tenant_epoch("u")) == (2, 3)
 
 
 # Homes of idempotency keys
 
 
 def test_the_former_home_is_asked_until_one_window_and_one_lease_after_settling() -> None:
-    one = make_map(t="a")
-    two = moves.move(one, ["t"], "b", 100.0)
+    first_map = make_map(t="a")
+    second_map = moves.move(first_map, ["t"], "b", 100.0)
     for key in (f"k{at}" for at in range(30)):
-        before = one.homes("t", key, 0.0)
-        moving = two.homes("t", key, 1599.0)
-        settled = moves.settle(two, 200.0)
+        before = first_map.homes("t", key, 0.0)
+        moving = second_map.homes("t", key, 1599.0)
+        settled = moves.settle(second_map, 200.0)
         assert settled.homes("t", key, 1699.0) == moving and settled.tenant_epoch(
             "t"
-        ) == two.tenant_epoch("t")
+        ) == second_map.tenant_epoch("t")
         after = settled.homes("t", key, 1701.0)
         assert before is not None and moving is not None and after is not None
         assert moving.former_homes == (before.home,) and moving.home.name[0] == "B"
@@ -191,11 +191,11 @@
 
 
 def test_a_resize_asks_only_about_keys_whose_home_changes() -> None:
-    one = make_map(t="a")
-    two = moves.resize(one, "a", make_nodes("A1", "A2", "A3", "A4"), 0.0)
+    first_map = make_map(t="a")
+    second_map = moves.resize(first_map, "a", make_nodes("A1", "A2", "A3", "A4"), 0.0)
     asked = 0
     for key in (f"k{at}" for at in range(400)):
-        before, after = one.homes("t", key, 0.0), two.homes("t", key, 1.0)
+        before, after = first_map.homes("t", key, 0.0), second_map.homes("t", key, 1.0)
         assert before is not None and after is not None
         assert after.former_homes == ((before.home,) if before.home != after.home else ())
         asked += bool(after.former_homes)
@@ -203,12 +203,14 @@
 
 
 def test_after_several_moves_every_former_home_is_asked() -> None:
-    one = make_map(t="a")._replace(cells={**make_map().cells, "c": Cell("c", make_nodes("C1"))})
-    three = moves.move(moves.move(one, ["t"], "b", 0.0), ["t"], "c", 10.0)
-    homes = three.homes("t", "k", 20.0)
+    first_map = make_map(t="a")._replace(
+        cells={**make_map().cells, "c": Cell("c", make_nodes("C1"))}
+    )
+    third_map = moves.move(moves.move(first_map, ["t"], "b", 0.0), ["t"], "c", 10.0)
+    homes = third_map.homes("t", "k", 20.0)
     assert homes is not None and homes.home.name == "C1"
     assert [node.name[0] for node in homes.former_homes] == ["A", "B"]
-    moved_back = moves.move(three, ["t"], "a", 30.0).homes("t", "k", 40.0)
+    moved_back = moves.move(third_map, ["t"], "a", 30.0).homes("t", "k", 40.0)
     assert moved_back is not None and moved_back.home.name[0] == "A"
     assert [node.name[0] for node in moved_back.former_homes] == ["B", "C"], (
         "the home itself is not asked as a former home"
@@ -281,9 +283,9 @@
 def test_a_route_has_one_result_and_reaches_the_home_only_after_every_former_home_is_clear(
     results: list[SendResult], keyed: bool
 ) -> None:
-    two = moves.move(make_map(t="a"), ["t"], "b", 0.0)
+    second_map = moves.move(make_map(t="a"), ["t"], "b", 0.0)
     idempotency = Idempotency.KEYED if keyed else Idempotency.IDEMPOTENT
-    route = plan_route(two, 0.0, 1.0, "t", idempotency, "k", ["B1", "B2"])
+    route = plan_route(second_map, 0.0, 1.0, "t", idempotency, "k", ["B1", "B2"])
     assert isinstance(route, Route)
     step, sent, cleared = route.start(), [], 0
     for result in results:
@@ -319,72 +321,92 @@
 
 
 def test_a_router_with_an_unconfirmed_map_routes_only_idempotent_requests() -> None:
-    one = make_map(t="a")
-    assert plan_route(one, 0.0, 501.0, "t", Idempotency.KEYED, "k", []) == RouteResult(
+    first_map = make_map(t="a")
+    assert plan_route(first_map, 0.0, 501.0, "t", Idempotency.KEYED, "k", []) == RouteResult(
         "rejected", "map_unconfirmed", 200.0
     )
-    assert isinstance(plan_route(one, 0.0, 501.0, "t", Idempotency.IDEMPOTENT, "", ["A1"]), Route)
-    assert isinstance(plan_route(one, 0.0, 499.0, "t", Idempotency.KEYED, "k", []), Route)
+    assert isinstance(
+        plan_route(first_map, 0.0, 501.0, "t", Idempotency.IDEMPOTENT, "", ["A1"]), Route
+    )
+    assert isinstance(plan_route(first_map, 0.0, 499.0, "t", Idempotency.KEYED, "k", []), Route)
 
 
 # Moves
 
 
 def test_routers_get_a_map_only_after_every_affected_node_has_it() -> None:
-    one = make_map(t="a")
-    two = moves.move(one, ["t"], "b", 0.0)
+    first_map = make_map(t="a")
+    second_map = moves.move(first_map, ["t"], "b", 0.0)
     acknowledged = {name: 1 for name in ("A1", "A2", "A3", "B1", "B2", "B3")}
-    assert moves.progress(one, two, acknowledged, {"r": 1}, 1.0).stage is moves.Stage.DRAFTED
+    assert (
+        moves.progress(first_map, second_map, acknowledged, {"r": 1}, 1.0).stage
+        is moves.Stage.DRAFTED
+    )
     acknowledged |= {"A1": 2, "A2": 2, "B1": 2, "B2": 2, "B3": 2}
-    assert moves.progress(one, two, acknowledged, {"r": 1}, 1.0) == (
+    assert moves.progress(first_map, second_map, acknowledged, {"r": 1}, 1.0) == (
         moves.Stage.TELLING_NODES,
         ("A3",),
     )
-    assert not moves.may_publish_to_routers(one, two, acknowledged)
-    assert moves.may_publish_to_routers(one, two, acknowledged, force=["A3"])
+    assert not moves.may_publish_to_routers(first_map, second_map, acknowledged)
+    assert moves.may_publish_to_routers(first_map, second_map, acknowledged, force=["A3"])
     acknowledged["A3"] = 2
-    assert moves.progress(one, two, acknowledged, {"r": 1}, 1.0) == (
+    assert moves.progress(first_map, second_map, acknowledged, {"r": 1}, 1.0) == (
         moves.Stage.TELLING_ROUTERS,
         ("r",),
     )
-    assert moves.progress(one, two, acknowledged, {"r": 2}, 9000.0).stage is moves.Stage.OPEN
-    three = moves.settle(two, 100.0)
+    assert (
+        moves.progress(first_map, second_map, acknowledged, {"r": 2}, 9000.0).stage
+        is moves.Stage.OPEN
+    )
+    third_map = moves.settle(second_map, 100.0)
     acknowledged = dict.fromkeys(acknowledged, 3)
-    assert moves.progress(one, three, acknowledged, {"r": 3}, 1599.0).stage is moves.Stage.SETTLING
-    assert moves.progress(one, three, acknowledged, {"r": 3}, 1600.0).stage is moves.Stage.DONE
+    assert (
+        moves.progress(first_map, third_map, acknowledged, {"r": 3}, 1599.0).stage
+        is moves.Stage.SETTLING
+    )
+    assert (
+        moves.progress(first_map, third_map, acknowledged, {"r": 3}, 1600.0).stage
+        is moves.Stage.DONE
+    )
 
 
 def test_an_evacuated_cell_has_no_tenants_and_the_others_stay_within_their_bounds() -> None:
-    one = make_map(**{f"t{at}": "ab"[at % 2] for at in range(40)})
-    one = one._replace(cells={**one.cells, "c": Cell("c", make_nodes("C1", "C2", "C3"))})
-    two = validate(moves.evacuate(one, "a", 0.0, {}))
-    assert two.epoch == 2
-    tenants_by_cell = Counter(each.cell for each in two.tenants.values())
+    first_map = make_map(**{f"t{at}": "ab"[at % 2] for at in range(40)})
+    first_map = first_map._replace(
+        cells={**first_map.cells, "c": Cell("c", make_nodes("C1", "C2", "C3"))}
+    )
+    second_map = validate(moves.evacuate(first_map, "a", 0.0, {}))
+    assert second_map.epoch == 2
+    tenants_by_cell = Counter(each.cell for each in second_map.tenants.values())
     assert tenants_by_cell["a"] == 0 and max(tenants_by_cell.values()) <= 1.25 * 20 + 1
-    moved = [name for name in one.tenants if one.tenants[name].cell != two.tenants[name].cell]
-    assert all(one.tenants[name].cell == "a" for name in moved)
-    assert all(two.tenants[name].former for name in moved)
+    moved = [
+        name
+        for name in first_map.tenants
+        if first_map.tenants[name].cell != second_map.tenants[name].cell
+    ]
+    assert all(first_map.tenants[name].cell == "a" for name in moved)
+    assert all(second_map.tenants[name].former for name in moved)
     with pytest.raises(InvalidCellMapError, match="only one"):
-        moves.evacuate(one._replace(cells={"a": one.cells["a"]}), "a", 0.0, {})
+        moves.evacuate(first_map._replace(cells={"a": first_map.cells["a"]}), "a", 0.0, {})
 
 
 def test_an_aborted_move_is_a_move_to_the_next_epoch() -> None:
-    one = make_map(t="a", u="b")
-    two = moves.move(one, ["t"], "b", 0.0)
-    three = validate(moves.abort(one, two, 10.0))
+    first_map = make_map(t="a", u="b")
+    second_map = moves.move(first_map, ["t"], "b", 0.0)
+    third_map = validate(moves.abort(first_map, second_map, 10.0))
     assert (
-        three.epoch == 3
-        and three.tenants["t"].cell == "a"
-        and three.tenants["u"] == one.tenants["u"]
+        third_map.epoch == 3
+        and third_map.tenants["t"].cell == "a"
+        and third_map.tenants["u"] == first_map.tenants["u"]
     )
-    homes = three.homes("t", "k", 20.0)
+    homes = third_map.homes("t", "k", 20.0)
     assert homes is not None and [node.name[0] for node in homes.former_homes] == ["B"]
     with pytest.raises(InvalidCellMapError, match="is already in cell a"):
-        moves.move(one, ["t"], "a", 0.0)
+        moves.move(first_map, ["t"], "a", 0.0)
     with pytest.raises(InvalidCellMapError, match="no cell"):
-        moves.move(one, ["t"], "zz", 0.0)
+        moves.move(first_map, ["t"], "zz", 0.0)
     with pytest.raises(InvalidCellMapError, match="nothing to abort"):
-        moves.abort(one, one, 0.0)
+        moves.abort(first_map, first_map, 0.0)
 
 
 def test_expired_former_nodes_are_removed_from_the_map() -> None:
@@ -401,15 +423,15 @@
 def aborted_move_maps(lease_ms: float = 500.0) -> list[CellMap]:
     """Returns a map, the map of a move, and the map that aborts the move."""
     cells = {"a": Cell("a", make_nodes("A")), "b": Cell("b", make_nodes("B"))}
-    one = CellMap(1, cells, {"t": Tenant("a")}, WINDOW_MS, lease_ms)
-    two = moves.move(one, ["t"], "b", 0.0)
-    return [one, two, moves.abort(one, two, 0.0)]
+    first_map = CellMap(1, cells, {"t": Tenant("a")}, WINDOW_MS, lease_ms)
+    second_map = moves.move(first_map, ["t"], "b", 0.0)
+    return [first_map, second_map, moves.abort(first_map, second_map, 0.0)]
 
 
 def settled_move_maps(settled_at: float, lease_ms: float = 500.0) -> list[CellMap]:
     """Returns a map, the map of a move, and the map that settles the move."""
-    one, two, _ = aborted_move_maps(lease_ms)
-    return [one, two, moves.settle(two, settled_at)]
+    first_map, second_map, _ = aborted_move_maps(lease_ms)
+    return [first_map, second_map, moves.settle(second_map, settled_at)]
 
 
 def explore(model: Moving, max_states: int = 400_000) -> Found:
@@ -528,8 +550,10 @@
     }
     found = explore(Moving(settled_move_maps(0.0), [0.0, 0.0, 0.0], **cut_off))
     assert not found.violation and found.whole, found.text()
-    without = explore(Moving(settled_move_maps(0.0, lease_ms=0.0), [0.0, 0.0, 0.0], **cut_off))
-    assert without.violation.startswith("ran twice, on A and B"), (
+    without_lease = explore(
+        Moving(settled_move_maps(0.0, lease_ms=0.0), [0.0, 0.0, 0.0], **cut_off)
+    )
+    assert without_lease.violation.startswith("ran twice, on A and B"), (
         "without a lease the operator must stop forced nodes, see docs/cells.md"
     )
 
@@ -549,12 +573,12 @@
 @settings(max_examples=60, deadline=None)
 @given(st.randoms(use_true_random=False), st.integers(2, 4))
 def test_long_random_runs_run_nothing_twice(generator: random.Random, tries: int) -> None:
-    one, two, _ = aborted_move_maps()
+    first_map, second_map, _ = aborted_move_maps()
     maps = [
-        one,
-        two,
-        moves.settle(two, 500.0),
-        moves.move(moves.settle(two, 500.0), ["t"], "a", 750.0),
+        first_map,
+        second_map,
+        moves.settle(second_map, 500.0),
+        moves.move(moves.settle(second_map, 500.0), ["t"], "a", 750.0),
     ]
     bounds: dict[str, Any] = {
         "routers": 3,
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -106,9 +106,9 @@
 )
 def test_a_compiled_plan_loads_unchanged(plans: list[PoolPlan]) -> None:
     plan = PoolsPlan(tuple(plans), fixed_limits=True, retry_ratio=0.25)
-    ours = compiled.Ours(plan, "n1", "/map.json")
-    assert compiled.load(compiled.dump(ours), "F") == ours
-    assert compiled.load(compiled.dump(compiled.Ours()), "F") == compiled.Ours()
+    config = compiled.InstanceConfig(plan, "n1", "/map.json")
+    assert compiled.load(compiled.dump(config), "F") == config
+    assert compiled.load(compiled.dump(compiled.InstanceConfig()), "F") == compiled.InstanceConfig()
 
 
 @given(
@@ -122,7 +122,7 @@
 
 
 def test_compiled_lines_of_newer_versions_or_incomplete_ones_are_refused() -> None:
-    line = compiled.dump(compiled.Ours(PoolsPlan((PoolPlan("a", ("x",)),))))
+    line = compiled.dump(compiled.InstanceConfig(PoolsPlan((PoolPlan("a", ("x",)),))))
     with pytest.raises(compiled.InvalidConfigError, match="form: 9 is unknown, 1 is allowed"):
         compiled.load(line.replace('"form": 1', '"form": 9'), "F")
     with pytest.raises(compiled.InvalidConfigError, match="no compiled plan"):
--- a/tests/test_distribution_config.py
+++ b/tests/test_distribution_config.py
@@ -10,7 +10,7 @@
 import pytest
 
 from pumicenotch.config import compiled
-from pumicenotch.config.file import ours_of
+from pumicenotch.config.file import instance_config_of
 from pumicenotch.config.fleet import voter_of
 from pumicenotch.config.hcl import InvalidFileError
 from pumicenotch.distribution.data.subscription import Subscription
@@ -60,7 +60,7 @@
 
 
 def settings_of(folder: Path, text: str) -> InstanceSettings:
-    settings = ours_of(write_file(folder, text)).distribution
+    settings = instance_config_of(write_file(folder, text)).distribution
     assert settings is not None
     return settings
 
@@ -82,24 +82,24 @@
     text = with_line(
         SUBSCRIBE_ALL + '    relay = false\n    table "homes" {\n      newest_form = 2\n    }\n'
     )
-    ours = ours_of(write_file(tmp_path, text))
-    assert ours.distribution is not None and not ours.distribution.relay
+    config = instance_config_of(write_file(tmp_path, text))
+    assert config.distribution is not None and not config.distribution.relay
     assert (
-        ours.distribution.tables()["homes"].form == 2
-        and ours.distribution.tables()["routes"].form == 1
+        config.distribution.tables()["homes"].form == 2
+        and config.distribution.tables()["routes"].form == 1
     )
-    assert compiled.load(compiled.dump(ours), "plan") == ours
-    assert "configuration" in compiled.describe(ours, [])["fleet"]
+    assert compiled.load(compiled.dump(config), "plan") == config
+    assert "configuration" in compiled.describe(config, [])["fleet"]
 
 
 def test_settings_are_none_without_the_block(tmp_path: Path) -> None:
-    ours = ours_of(
+    config = instance_config_of(
         write_file(tmp_path, SERVER.replace("  distribution {\n    relays = 2\n  }\n", ""))
     )
-    assert ours.fleet is not None and ours.distribution is None
-    document = json.loads(compiled.dump(ours))
+    assert config.fleet is not None and config.distribution is None
+    document = json.loads(compiled.dump(config))
     del document["distribution"]  # as compiled by an older program
-    assert compiled.load(json.dumps(document), "plan") == ours
+    assert compiled.load(json.dumps(document), "plan") == config
 
 
 def test_unknown_limits_of_another_version_are_ignored() -> None:
@@ -171,7 +171,7 @@
 ) -> None:
     path = write_file(tmp_path, text)
     with pytest.raises(InvalidFileError) as caught:
-        ours_of(path)
+        instance_config_of(path)
     assert expected in str(caught.value) and str(caught.value).startswith(f"{path}:")
 
 
