--- a/pumicenotch/route/decide.py
+++ b/pumicenotch/route/decide.py
@@ -313,11 +313,13 @@
         self.connections.add_request(request)
         self.requests.add(request)
         if self.has_exited:
-            self.fail_request(request)  # may have run on a node that can no longer be asked
+            # An earlier attempt may have run on a node, which can no longer be asked.
+            self.fail_request(request)
             self.requests.remove(request)
             return
         if self.connections.closes_idle and not (request.idempotency_key or request.is_retry):
-            self.reject_request(request, 0.0, False)  # too late for a first attempt, which never ran
+            # Too late for a first attempt, which has never run.
+            self.reject_request(request, 0.0, False)
             self.requests.remove(request)
             return
         tenant = fields.get("acct", "")
