--- a/pumicenotch/config/compiled.py
+++ b/pumicenotch/config/compiled.py
@@ -1,4 +1,7 @@
-"""A plan as one line of JSON, which is what a server takes: written by the reader of HCL, read without it."""
+"""The compiled form of a server's file: one line of JSON.
+
+Written by the process that reads HCL; servers read it with the standard library only.
+"""
 
 import json
 import os
@@ -15,67 +18,89 @@
     unknown_classes,
 )
 
-if TYPE_CHECKING:  # nothing of a fleet is loaded where there is none
+if TYPE_CHECKING:  # a server without a fleet does not import these packages
     from pumicenotch.distribution.instance_settings import InstanceSettings
     from pumicenotch.fleet.member.settings import FleetSettings
 
-FORM = 1  # of the line; a server refuses what it does not know
+# A server refuses a line of another version.
+FORMAT_VERSION = 1
 
 
 class InvalidConfigError(InputError):
-    """The file or the line cannot be taken; the text says why, for each fault a line."""
+    """A file or a compiled line is invalid. The text has one line for each error."""
+
 
+class InstanceConfig(NamedTuple):
+    """The content of a server's file.
 
-class Ours(NamedTuple):
-    """All that a file of ours says."""
+    Attributes:
+        plan: The pools; None without pools.
+        node: This node's name in the cell map.
+        map: The path of the cell map; "" without cells.
+        fleet: The server's place in a fleet; None outside of one.
+        distribution: Which distributed configuration the server takes; None for none.
+    """
 
     plan: PoolsPlan | None = None
-    node: str = ""  # this node's name in the cell map
-    map: str = ""  # the file of the cell map; "": the node knows of no cells
-    fleet: "FleetSettings | None" = None  # its place in a fleet, if it is in one
-    distribution: "InstanceSettings | None" = (
-        None  # its part in distributing configuration, if it has one
-    )
+    node: str = ""
+    map: str = ""
+    fleet: "FleetSettings | None" = None
+    distribution: "InstanceSettings | None" = None
 
 
-def dump(ours: Ours) -> str:
-    plan = encode_plan(ours.plan) if ours.plan is not None else None
-    fleet = ours.fleet._asdict() if ours.fleet is not None else None
-    cells = {"node": ours.node, "map": ours.map}
+def dump(config: InstanceConfig) -> str:
+    """Returns the compiled line."""
+    plan = encode_plan(config.plan) if config.plan is not None else None
+    fleet = config.fleet._asdict() if config.fleet is not None else None
+    cells = {"node": config.node, "map": config.map}
     distribution = None
-    if ours.distribution is not None:
+    if config.distribution is not None:
         from pumicenotch.distribution.instance_settings import encode
 
-        distribution = encode(ours.distribution)
+        distribution = encode(config.distribution)
     return json.dumps(
-        {"form": FORM, "plan": plan, "cells": cells, "fleet": fleet, "distribution": distribution}
+        {
+            "form": FORMAT_VERSION,
+            "plan": plan,
+            "cells": cells,
+            "fleet": fleet,
+            "distribution": distribution,
+        }
     )
 
 
-def load(text: str, name: str) -> Ours:
-    """Raises InvalidConfigError on anything that `dump` does not write."""
+def load(text: str, name: str) -> InstanceConfig:
+    """Parses a compiled line.
+
+    Args:
+        text: The line.
+        name: The name of the source in errors, such as the path.
+
+    Raises:
+        InvalidConfigError: The text was not written by `dump` in a known version.
+    """
     try:
-        told = json.loads(text)
-        if told["form"] != FORM:
+        document = json.loads(text)
+        if document["form"] != FORMAT_VERSION:
             raise InvalidConfigError(
-                f"{name}:1: form: {told['form']!r} is unknown, {FORM} is allowed: compile it anew"
+                f"{name}:1: form: {document['form']!r} is unknown, {FORMAT_VERSION} is allowed: compile it anew"
             )
-        node, map_file = told["cells"]["node"], told["cells"]["map"]
+        node, map_file = document["cells"]["node"], document["cells"]["map"]
         if not isinstance(node, str) or not isinstance(map_file, str):
-            raise TypeError("no names")
+            raise TypeError("node and map must be text")
         fleet = None
-        if told.get("fleet") is not None:
+        if document.get("fleet") is not None:
             from pumicenotch.fleet.member.settings import read_settings
 
-            fleet = read_settings(told["fleet"])
+            fleet = read_settings(document["fleet"])
         distribution = None
-        if told.get("distribution") is not None:
+        if document.get("distribution") is not None:
             from pumicenotch.distribution.instance_settings import decode_instance_settings
 
-            distribution = decode_instance_settings(told["distribution"])
-        if told["plan"] is None:
-            return Ours(None, node, map_file, fleet, distribution)
-        plan = decode_plan(told["plan"])
+            distribution = decode_instance_settings(document["distribution"])
+        if document["plan"] is None:
+            return InstanceConfig(None, node, map_file, fleet, distribution)
+        plan = decode_plan(document["plan"])
     except InvalidPoolsPlanError as error:
         raise InvalidConfigError(f"{name}:1: plan: {error}") from None
     except (ValueError, KeyError, TypeError) as error:
@@ -84,16 +109,23 @@
         raise InvalidConfigError(
             f"{name}:1: no compiled plan ({type(error).__name__}): compile it anew"
         ) from None
-    return Ours(plan, node, map_file, fleet, distribution)
+    return InstanceConfig(plan, node, map_file, fleet, distribution)
+
 
+def compile_command(path: str) -> list[str]:
+    """Returns the command of a process that compiles the file.
 
-def command(path: str) -> list[str]:
-    """Reads the file in a process of its own, whose memory is given back with its end."""
+    The memory for reading HCL is freed when the process ends.
+    """
     return [sys.executable, "-m", "pumicenotch.config", path]
 
 
-def taken(path: str, status: int, out: bytes, errors: bytes) -> Ours:
-    """What such a process made of the file. Raises InvalidConfigError with what it said."""
+def parse_compiler_output(path: str, status: int, out: bytes, errors: bytes) -> InstanceConfig:
+    """Returns the result of the process of `compile_command`.
+
+    Raises:
+        InvalidConfigError: The process failed; the text is what it printed to standard error.
+    """
     if status:
         raise InvalidConfigError(
             errors.decode(errors="replace").strip()[:4000]
@@ -102,8 +134,8 @@
     return load(out.decode(errors="replace"), path)
 
 
-def from_file(path: str) -> Ours:
-    """A compiled plan, by its ending `.json`. Raises InvalidConfigError."""
+def load_file(path: str) -> InstanceConfig:
+    """Reads a compiled file, which has the suffix `.json`. Raises InvalidConfigError."""
     try:
         with open(path, encoding="utf-8") as file:
             return load(file.read(), path)
@@ -113,23 +145,28 @@
         ) from None
 
 
-def environment(path: str, ours: Ours) -> dict[str, str]:
-    """For a server that is started by one who has read the file already."""
-    return {**os.environ, "PUMICENOTCH_CONFIG": path, "PUMICENOTCH_PLAN": dump(ours)}
+def environment(path: str, config: InstanceConfig) -> dict[str, str]:
+    """Returns the environment for starting a server whose file has already been read."""
+    return {**os.environ, "PUMICENOTCH_CONFIG": path, "PUMICENOTCH_PLAN": dump(config)}
+
 
+def describe(config: InstanceConfig, stages: list[str]) -> dict[str, Any]:
+    """Returns a description of the file for operators.
 
-def describe(ours: Ours, stages: list[str]) -> dict[str, Any]:
-    """What it means, for a person."""
-    plan = ours.plan
-    cells = f"node {ours.node} by the map {ours.map}" if ours.map else ""
-    settings = ours.fleet
+    Args:
+        config: The content of the file.
+        stages: The names of all known request classes; empty if they are not known.
+    """
+    plan = config.plan
+    cells = f"node {config.node} by the map {config.map}" if config.map else ""
+    settings = config.fleet
     fleet = (
         f"{settings.name} of {settings.fleet}, among instances on {settings.listen}"
         if settings is not None
         else ""
     )
-    if ours.distribution is not None:
-        fleet += f"; takes published configuration of {ours.distribution.meaning()}"
+    if config.distribution is not None:
+        fleet += f"; takes published configuration of {config.distribution.meaning()}"
     if plan is None:
         return {
             "pools": [],
--- a/pumicenotch/lab/control_plane.py
+++ b/pumicenotch/lab/control_plane.py
@@ -10,8 +10,8 @@
 from pumicenotch.cells import moves
 from pumicenotch.cells.map import Cell, CellMap, Tenant, dump
 from pumicenotch.cells.place import Node as PlacedNode
-from pumicenotch.cells.place import bounded
-from pumicenotch.config.files import put
+from pumicenotch.cells.place import assign_tenants
+from pumicenotch.config.files import write_atomically
 from pumicenotch.lab.server_process import HERE, POLL_S, Node
 from pumicenotch.lab.world import World
 
@@ -33,7 +33,7 @@
         return self.folder / f"{name}-map.json"
 
     def write_map(self, name: str) -> None:
-        put(self.path(name), dump(self.map))
+        write_atomically(self.path(name), dump(self.map))
 
     def node_file(self, node: Node, pools: str) -> Path:
         self.write_map(f"n{node.number}")
@@ -109,7 +109,7 @@
     cells = {name: Cell(name, tuple(some)) for name, some in placed.items()}
     shares = {each.name: each.share for each in world.tenant}
     places = [PlacedNode(name, weight=float(len(some))) for name, some in placed.items()]
-    homes = bounded(shares, places, CELL_SLACK)
+    homes = assign_tenants(shares, places, CELL_SLACK)
     tenants = {name: Tenant(home) for name, home in homes.items()}
     window_ms = max(stage.window_ms for stage in world.stage) or DEFAULT_WINDOW_MS
     return CellMap(1, cells, tenants, window_ms)
--- a/pumicenotch/net/instance_file.py
+++ b/pumicenotch/net/instance_file.py
@@ -16,7 +16,7 @@
 if TYPE_CHECKING:
     from pumicenotch.cells.fence import Fence
     from pumicenotch.cells.map import CellMap
-    from pumicenotch.config.compiled import Ours
+    from pumicenotch.config.compiled import InstanceConfig
     from pumicenotch.net.start_values import StartValues
     from pumicenotch.pools.plan import PoolsPlan
     from pumicenotch.server.core import MakePools
@@ -28,7 +28,7 @@
 READ_TIMEOUT_S = 30.0  # Reading takes one second on an idle machine.
 
 
-def read_at_start(path: str) -> "Ours | None":
+def read_at_start(path: str) -> "InstanceConfig | None":
     """Reads the file at process start; returns None if no file is named.
 
     Raises:
@@ -42,17 +42,19 @@
     if compiled_text:
         return compiled.load(compiled_text, path)
     if path.endswith(COMPILED_SUFFIX):
-        return compiled.from_file(path)
+        return compiled.load_file(path)
     try:
         completed = subprocess.run(
-            compiled.command(path), capture_output=True, timeout=READ_TIMEOUT_S, check=False
+            compiled.compile_command(path), capture_output=True, timeout=READ_TIMEOUT_S, check=False
         )
     except subprocess.TimeoutExpired:
         raise compiled.InvalidConfigError(timeout_text(path)) from None
-    return compiled.taken(path, completed.returncode, completed.stdout, completed.stderr)
+    return compiled.parse_compiler_output(
+        path, completed.returncode, completed.stdout, completed.stderr
+    )
 
 
-async def read_for_reload(path: str) -> "Ours | None":
+async def read_for_reload(path: str) -> "InstanceConfig | None":
     """Reads the file for a reload, without blocking the server.
 
     The result and the errors are those of `read_at_start`.
@@ -62,10 +64,12 @@
     from pumicenotch.config import compiled
 
     if path.endswith(COMPILED_SUFFIX):
-        return compiled.from_file(path)
+        return compiled.load_file(path)
     with anyio.move_on_after(READ_TIMEOUT_S):
-        completed = await anyio.run_process(compiled.command(path), check=False)
-        return compiled.taken(path, completed.returncode, completed.stdout, completed.stderr)
+        completed = await anyio.run_process(compiled.compile_command(path), check=False)
+        return compiled.parse_compiler_output(
+            path, completed.returncode, completed.stdout, completed.stderr
+        )
     raise compiled.InvalidConfigError(timeout_text(path))
 
 
@@ -74,16 +78,16 @@
     return f"{path}:1: not read within {READ_TIMEOUT_S:g} s"
 
 
-def read_cell_map(instance: "Ours | None") -> "CellMap | None":
+def read_cell_map(instance: "InstanceConfig | None") -> "CellMap | None":
     """Reads the cell map that the file names, if any; raises ValueError if the map is invalid."""
     if instance is None or not instance.map:
         return None
-    from pumicenotch.config.files import cell_map
+    from pumicenotch.config.files import load_cell_map
 
-    return cell_map(instance.map)[0]
+    return load_cell_map(instance.map)[0]
 
 
-def make_fence(instance: "Ours | None") -> "Fence | None":
+def make_fence(instance: "InstanceConfig | None") -> "Fence | None":
     """Returns the fence for the cell map that the file names; None without a map.
 
     Raises:
--- a/pumicenotch/net/reloads.py
+++ b/pumicenotch/net/reloads.py
@@ -18,7 +18,7 @@
 
 if TYPE_CHECKING:  # Fleet modules are not loaded by servers without a fleet.
     from pumicenotch.cells.map import CellMap
-    from pumicenotch.config.compiled import Ours
+    from pumicenotch.config.compiled import InstanceConfig
     from pumicenotch.net.configuration import InstanceDistributionService
     from pumicenotch.net.peers import PeerHub
 
@@ -32,7 +32,7 @@
         instance: Content of the instance file; None if there is none.
     """
 
-    def __init__(self, values: StartValues, path: str, instance: "Ours | None") -> None:
+    def __init__(self, values: StartValues, path: str, instance: "InstanceConfig | None") -> None:
         self.values = values
         self.path = path
         self.instance = instance
@@ -117,7 +117,7 @@
             text = f"the cell map of epoch {cells.epoch} is in force"
             self.hub.deliver(CellMapReplaced(cells, text))
 
-    def _apply_distribution(self, instance: "Ours", current: "Ours") -> None:
+    def _apply_distribution(self, instance: "InstanceConfig", current: "InstanceConfig") -> None:
         settings = instance.distribution
         if settings == current.distribution:
             return
@@ -130,7 +130,7 @@
             logger.info("reload: this server subscribes to published configuration of {}", meaning)
         self.running.instance = current._replace(distribution=settings)
 
-    def _apply_pools(self, instance: "Ours", current: "Ours") -> None:
+    def _apply_pools(self, instance: "InstanceConfig", current: "InstanceConfig") -> None:
         if instance.plan == current.plan:
             return
         self.running.instance = instance
--- a/tests/fleet/test_agent_files.py
+++ b/tests/fleet/test_agent_files.py
@@ -9,7 +9,14 @@
 from pumicenotch.cli.agent import TRIES, environment_of
 from pumicenotch.config import agent, versions
 from pumicenotch.config.hcl import InvalidFileError
-from pumicenotch.config.versions import PART, InvalidVersionError, content, fetch, held, pack
+from pumicenotch.config.versions import (
+    PART,
+    InvalidVersionError,
+    fetch,
+    list_versions,
+    pack,
+    version_of,
+)
 
 
 def write_folder(path: Path, **files: str) -> Path:
@@ -24,46 +31,48 @@
 def test_a_versions_hash_covers_names_contents_and_executable_bits(tmp_path: Path) -> None:
     original = write_folder(tmp_path / "a", x="1", sub__y="2")
     copy = write_folder(tmp_path / "b", sub__y="2", x="1")
-    assert content(original) == content(copy)
+    assert version_of(original) == version_of(copy)
     write_folder(copy, **{"__pycache____z.pyc": "3"})
-    assert content(original) == content(copy), "compiled Python files do not count"
-    hashes = {content(original)}
+    assert version_of(original) == version_of(copy), "compiled Python files do not count"
+    hashes = {version_of(original)}
     for name, text in (("x", "2"), ("z", "1")):
-        hashes.add(content(write_folder(tmp_path / name, **{"x": "1", "sub__y": "2", name: text})))
+        hashes.add(
+            version_of(write_folder(tmp_path / name, **{"x": "1", "sub__y": "2", name: text}))
+        )
     os.chmod(copy / "x", 0o755)
-    hashes.add(content(copy))
+    hashes.add(version_of(copy))
     assert len(hashes) == 4
     (original / "link").symlink_to(original / "x")
     with pytest.raises(InvalidVersionError, match="a link"):
-        content(original)
+        version_of(original)
     (tmp_path / "empty").mkdir()
     with pytest.raises(InvalidVersionError, match="holds nothing"):
-        content(tmp_path / "empty")
+        version_of(tmp_path / "empty")
 
 
 def test_an_incomplete_copy_is_never_listed_as_stored(tmp_path: Path) -> None:
     source, target = tmp_path / "source", tmp_path / "into"
     version = pack(write_folder(tmp_path / "a", x="1", y="2"), source)
     assert pack(tmp_path / "a", source) == version, "packing again changes nothing"
-    assert held(target) == []
+    assert list_versions(target) == []
     (source / version / "y").unlink()
     with pytest.raises(InvalidVersionError, match="half a copy"):
         fetch(version, source, target)
-    assert held(target) == []
+    assert list_versions(target) == []
     (source / version / "y").write_text("2")
     fetch(version, source, target)
-    assert held(target) == [version]
+    assert list_versions(target) == [version]
     (target / version / "x").write_text("spoilt since")
     fetch(version, source, target)
-    assert content(target / version) == version
+    assert version_of(target / version) == version
     (target / f"{PART}other").mkdir()  # left by a killed agent
-    assert held(target) == [version] and not (target / f"{PART}other").exists()
+    assert list_versions(target) == [version] and not (target / f"{PART}other").exists()
     with pytest.raises(InvalidVersionError, match="No such file"):
         fetch("v-none", source, target)
     with pytest.raises(InvalidVersionError, match="names no version"):
         fetch(f"../source/{version}", source, target)
     versions.remove(target / version)
-    assert held(target) == []
+    assert list_versions(target) == []
 
 
 def test_a_fetch_to_a_full_disk_raises_and_leaves_no_files(
@@ -71,7 +80,7 @@
 ) -> None:
     source, target = tmp_path / "source", tmp_path / "into"
     version = pack(write_folder(tmp_path / "a", x="1"), source)
-    held(target)
+    list_versions(target)
 
     def raise_disk_full(*_: object, **__: object) -> None:
         raise OSError(28, "No space left on device", str(target))
@@ -79,7 +88,7 @@
     monkeypatch.setattr(shutil, "copytree", raise_disk_full)
     with pytest.raises(InvalidVersionError, match="No space left"):
         fetch(version, source, target)
-    assert held(target) == []
+    assert list_versions(target) == []
 
 
 AGENT_FILE = """\
@@ -109,7 +118,7 @@
     ("old", "new", "fault"),
     [
         ('slot "agent"', 'slot "engine"', "9: slot.*allowed: program, config, map, agent"),
-        ('slot "agent"', 'slot "program"', "1: slot program: stands twice"),
+        ('slot "agent"', 'slot "program"', "1: slot program: is defined twice"),
         ("PYTHONPATH={{program}}", "PYTHONPATH={{map}}", "1: .*map.*known"),
         ("PYTHONPATH={{program}}", "PYTHONPATH", "NAME=VALUE is wanted"),
         ("voters  =", "voter =", "3: voter: unknown attribute; did you mean voters"),
--- a/tests/fleet/test_alone.py
+++ b/tests/fleet/test_alone.py
@@ -51,7 +51,7 @@
     """Covers both servers and voters."""
     script = (
         "import sys, pumicenotch.__main__, pumicenotch.net.fleet, pumicenotch.config.compiled as compiled\n"
-        "compiled.load(compiled.dump(compiled.Ours()), 'plan')\n"
+        "compiled.load(compiled.dump(compiled.InstanceConfig()), 'plan')\n"
         "whole = ('pumicenotch.distribution', 'pumicenotch.net.configuration',"
         " 'pumicenotch.net.voter_configuration')\n"
         "print([name for name in sys.modules if name.startswith(whole)])"
--- a/tests/fleet/test_fleet_files.py
+++ b/tests/fleet/test_fleet_files.py
@@ -11,7 +11,7 @@
 import pytest
 
 from pumicenotch.config import compiled
-from pumicenotch.config.file import ours_of
+from pumicenotch.config.file import instance_config_of
 from pumicenotch.config.fleet import budgets_of, voter_of
 from pumicenotch.config.hcl import InvalidFileError
 from pumicenotch.fleet.drains.budgets import Member
@@ -49,7 +49,7 @@
 
 
 def test_the_compiled_plan_keeps_a_servers_whole_fleet_block(tmp_path: Path) -> None:
-    configuration = ours_of(write_file(tmp_path, SERVER))
+    configuration = instance_config_of(write_file(tmp_path, SERVER))
     settings = configuration.fleet
     assert settings is not None and settings.member("x")[:7] == (
         "n3",
@@ -62,9 +62,9 @@
     )
     assert compiled.load(compiled.dump(configuration), "plan").fleet == settings
     assert "n3 of accra" in compiled.describe(configuration, [])["fleet"]
-    older = json.loads(compiled.dump(compiled.Ours()))
+    older = json.loads(compiled.dump(compiled.InstanceConfig()))
     del older["fleet"]  # older programs compiled no such field
-    assert compiled.load(json.dumps(older), "plan") == compiled.Ours()
+    assert compiled.load(json.dumps(older), "plan") == compiled.InstanceConfig()
     invalid: list[Any] = [{"fleet": 1}, [], {"fleet": "a", "name": "b", "listen": 3, "voters": []}]
     for value in invalid:
         with pytest.raises(ValueError, match="fleet"):
@@ -82,7 +82,7 @@
 @pytest.mark.parametrize(
     "text, problem",
     [
-        (VOTER.replace('voter "v3"', 'voter "v2"'), "voter v2: stands twice"),
+        (VOTER.replace('voter "v3"', 'voter "v2"'), "voter v2: is defined twice"),
         (
             VOTER.replace('voter "v3" { address = "127.0.0.1:7103" }\n', ""),
             "2 voters: 3, 5 or 7 are allowed",
