--- a/pumicenotch/cli/__init__.py
+++ b/pumicenotch/cli/__init__.py
@@ -1,3 +1,5 @@
-"""The command `pumicenotch`. Exit status: 0 good, 1 it ran and the result falls short, 2 wrong use or a
-wrong file.
+"""The command line interface `pumicenotch`.
+
+Exit statuses: 0 for success, 1 if the command ran and its result is negative (a request refused, a bound
+not met), 2 for invalid usage or an invalid file.
 """
--- a/pumicenotch/cli/__main__.py
+++ b/pumicenotch/cli/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m pumicenotch.cli`."""
+"""Entry point of `python -m pumicenotch.cli`."""
 
 from pumicenotch.cli.app import main
 
--- a/pumicenotch/cli/fleet.py
+++ b/pumicenotch/cli/fleet.py
@@ -1,5 +1,7 @@
-"""`pumicenotch fleet`: what is agreed, and asking for more. Goes to any process of the fleet; from there to
-whoever leads.
+"""The commands `pumicenotch fleet`, which show and change the agreed state of a fleet.
+
+A request goes to any process of the fleet and from there to the leader. The helpers of this module are
+shared with the commands that distribute configuration and releases.
 """
 
 import getpass
@@ -13,104 +15,118 @@
 from cyclopts import App, Parameter
 
 from pumicenotch.cli.session import (
-    IN_ALL_S,
+    REQUEST_TIMEOUT_S,
     Connection,
     RequestRefusedError,
     ServerUnreachableError,
-    asked,
+    send_request,
 )
 
 fleet = App(
-    name="fleet", help="Drains agreed across the fleet: ask, see who waits and why, halt, resume."
+    name="fleet",
+    help="Drains agreed across the fleet: request them, show what waits and why, halt, resume.",
 )
-Json = Annotated[bool, Parameter(name="--json", negative="")]
-At = Annotated[list[str], Parameter(name="--at", env_var="PUMICENOTCH_FLEET_AT")]
-Name = Annotated[str, Parameter(name="--fleet", env_var="PUMICENOTCH_FLEET")]
+JsonFlag = Annotated[bool, Parameter(name="--json", negative="")]
+Addresses = Annotated[list[str], Parameter(name="--at", env_var="PUMICENOTCH_FLEET_AT")]
+FleetName = Annotated[str, Parameter(name="--fleet", env_var="PUMICENOTCH_FLEET")]
 
 
-def wrong(error: object, status: int = 2) -> NoReturn:
+def exit_with_error(error: object, status: int = 2) -> NoReturn:
+    """Prints an error to standard error and exits with the given status."""
     print(error, file=sys.stderr)
     sys.exit(status)
 
 
-def told(name: str, at: list[str], as_json: bool, verb: str, *args: Any) -> None:
-    """One request whose answer is a text."""
-    result = answer(name, at, verb, *args)
+def print_answer(name: str, at: list[str], as_json: bool, verb: str, *args: Any) -> None:
+    """Sends one request and prints the text of its answer, or the whole answer as JSON."""
+    result = request_or_exit(name, at, verb, *args)
     print(json.dumps(result) if as_json else result.get("text", ""))
 
 
-def answer(name: str, at: list[str], verb: str, *args: Any) -> Any:
+def request_or_exit(name: str, at: list[str], verb: str, *args: Any) -> Any:
+    """Returns the result of one request.
+
+    Exits with status 2 if no address is given, and with status 1 if the fleet refuses the request or
+    cannot be reached.
+    """
     if not at:
-        wrong("--at HOST:PORT is wanted: a process of the fleet, best several voters")
+        exit_with_error(
+            "--at HOST:PORT is required: the address of a process of the fleet, preferably of several voters"
+        )
     try:
-        return asked(name, at, verb, *args)
+        return send_request(name, at, verb, *args)
     except RequestRefusedError as error:
-        wrong(f"refused: {error}", 1)
+        exit_with_error(f"refused: {error}", 1)
     except ServerUnreachableError as error:
-        wrong(error, 1)
+        exit_with_error(error, 1)
 
 
-def me() -> str:
+def operator_name() -> str:
+    """Returns the user name that the fleet records with a request."""
     try:
         return getpass.getuser()
     except (KeyError, OSError):
         return "somebody"
 
 
-def new() -> str:
-    """A request's id: sent again by any way, it changes nothing."""
+def new_request_id() -> str:
+    """Returns a random request id. A request that arrives again with the same id has no effect."""
     return secrets.token_hex(8)
 
 
-def seconds(ms: float) -> str:
+def format_seconds(ms: float) -> str:
+    """Formats a duration in milliseconds as whole seconds; 0 gives an empty text."""
     return f"{ms / 1000.0:.0f} s" if ms else ""
 
 
-def table(rows: list[list[str]], head: list[str]) -> None:
+def print_table(rows: list[list[str]], header: list[str]) -> None:
+    """Prints rows in aligned columns below a header, or nothing if there are no rows."""
     if not rows:
         return
-    widths = [max(len(row[at]) for row in [head, *rows]) for at in range(len(head))]
-    for row in [head, *rows]:
+    widths = [max(len(row[at]) for row in [header, *rows]) for at in range(len(header))]
+    for row in [header, *rows]:
         print(
             "  ".join(cell.ljust(width) for cell, width in zip(row, widths, strict=True)).rstrip()
         )
 
 
 @fleet.command
-def status(*, at: At, fleet: Name, local: bool = False, as_json: Json = False) -> None:
-    """What the fleet has agreed: who is out and why, who waits, what is left of each budget.
+def status(
+    *, at: Addresses, fleet: FleetName, local: bool = False, as_json: JsonFlag = False
+) -> None:
+    """Show the agreed state of the fleet: members out of service and why, waiting drains, the use of each budget.
 
     Parameters
     ----------
     at
-        Addresses among instances of processes of the fleet; several, for when one is gone.
+        Addresses (HOST:PORT) on which processes of the fleet listen for other instances; give several in case one is down.
     fleet
-        The fleet's name.
+        The name of the fleet.
     local
-        What the first reachable process thinks by itself, without agreement: for when there is no majority.
+        Show the local view of the first reachable process, which is not agreed. For use when there is no majority.
     """
-    found = answer(fleet, at, "local" if local else "status")
+    reply = request_or_exit(fleet, at, "local" if local else "status")
     if as_json:
-        print(json.dumps(found))
+        print(json.dumps(reply))
         return
     if local:
-        halted = found["halted"] or "not halted"
-        print(f"{found['name']} of {found['fleet']}: opinions {found['opinions']}; {halted}")
+        halted = reply["halted"] or "not halted"
+        print(f"{reply['name']} of {reply['fleet']}: opinions {reply['opinions']}; {halted}")
         rows = [
-            [row["name"], row["zone"], row["standing"], row["opinion"]] for row in found["members"]
+            [row["name"], row["zone"], row["standing"], row["opinion"]] for row in reply["members"]
         ]
-        table(rows, ["member", "zone", "says", "is thought"])
+        print_table(rows, ["member", "zone", "says", "is thought"])
         return
     print(
-        f"fleet {found['fleet']}: {found['members']} members, {found['out']} out, as of {found['index']}"
+        f"fleet {reply['fleet']}: {reply['members']} members, {reply['out']} out, as of {reply['index']}"
     )
-    print(f"{found['leader']} leads in term {found['term']}; voters {', '.join(found['seats'])}")
-    if found["halted"]:
-        print(found["halted"])
-    for row in found.get("releases", ()):
+    print(f"{reply['leader']} leads in term {reply['term']}; voters {', '.join(reply['seats'])}")
+    if reply["halted"]:
+        print(reply["halted"])
+    for row in reply.get("releases", ()):
         print(f"release {row['name']}: {row['stands']}")
-    for over in found["over"]:
-        print(f"OVER: {over}")
+    for violation in reply["over"]:
+        print(f"OVER: {violation}")
     rows = [
         [
             row["name"],
@@ -118,31 +134,35 @@
             row["against"] or row["standing"],
             row["kind"],
             str(row["permit"] or ""),
-            seconds(row["ms"]),
+            format_seconds(row["ms"]),
             row["reason"],
         ]
-        for row in found["rows"]
+        for row in reply["rows"]
     ]
-    table(rows, ["out", "zone", "as", "permit", "epoch", "for", "reason"])
-    table(
-        [[row["name"], seconds(row["ms"]), row["by"], row["why"]] for row in found["waiting"]],
+    print_table(rows, ["out", "zone", "as", "permit", "epoch", "for", "reason"])
+    print_table(
+        [
+            [row["name"], format_seconds(row["ms"]), row["by"], row["why"]]
+            for row in reply["waiting"]
+        ],
         ["waits", "for", "asked by", "why"],
     )
-    table(
+    print_table(
         [
             [
                 row["budget"],
                 f"{row['each']} {row['group']}".strip(),
                 f"{row['out']} of {row['members']}",
-                limit(row),
+                describe_limit(row),
             ]
-            for row in found["budgets"]
+            for row in reply["budgets"]
         ],
         ["budget", "group", "out", "limit"],
     )
 
 
-def limit(row: dict[str, Any]) -> str:
+def describe_limit(row: dict[str, Any]) -> str:
+    """Describes the one limit that a budget sets."""
     if row["most_out"] >= 0:
         return f"at most {row['most_out']} out"
     if row["least_serving"] >= 0:
@@ -153,56 +173,66 @@
 
 
 @fleet.command
-def drain(name: list[str], /, *, reason: str, at: At, fleet: Name, as_json: Json = False) -> None:
-    """Ask for drains; each goes once the budgets allow, in the order of asking."""
-    told(fleet, at, as_json, "drain", new(), name, reason, me())
+def drain(
+    name: list[str], /, *, reason: str, at: Addresses, fleet: FleetName, as_json: JsonFlag = False
+) -> None:
+    """Request drains. Each begins once the budgets allow it, in the order of the requests."""
+    print_answer(fleet, at, as_json, "drain", new_request_id(), name, reason, operator_name())
 
 
 @fleet.command
-def undrain(name: list[str], /, *, reason: str, at: At, fleet: Name, as_json: Json = False) -> None:
-    """Take drains back that have not begun; a member by hand is back in service."""
-    told(fleet, at, as_json, "undrain", new(), name, reason, me())
+def undrain(
+    name: list[str], /, *, reason: str, at: Addresses, fleet: FleetName, as_json: JsonFlag = False
+) -> None:
+    """Withdraw drains that have not begun. A member declared with `by_hand` is put back into service."""
+    print_answer(fleet, at, as_json, "undrain", new_request_id(), name, reason, operator_name())
 
 
 @fleet.command
-def override(name: str, /, *, reason: str, at: At, fleet: Name, as_json: Json = False) -> None:
-    """A permit whatever the budgets say, on the record. Not while halted; never a majority of the voters."""
-    told(fleet, at, as_json, "override", new(), name, reason, me())
+def override(
+    name: str, /, *, reason: str, at: Addresses, fleet: FleetName, as_json: JsonFlag = False
+) -> None:
+    """Grant a permit regardless of the budgets; it is recorded. Refused during a halt, and for a majority of the voters."""
+    print_answer(fleet, at, as_json, "override", new_request_id(), name, reason, operator_name())
 
 
 @fleet.command
-def free(name: str, /, *, reason: str, at: At, fleet: Name, as_json: Json = False) -> None:
-    """End the permit of one that will not come back. It stays counted as out until it serves or is
+def free(
+    name: str, /, *, reason: str, at: Addresses, fleet: FleetName, as_json: JsonFlag = False
+) -> None:
+    """End the permit of a member that will not return. The member still counts as out until it serves or is
     forgotten.
     """
-    told(fleet, at, as_json, "free", new(), name, reason, me())
+    print_answer(fleet, at, as_json, "free", new_request_id(), name, reason, operator_name())
 
 
 @fleet.command
-def forget(name: str, /, *, reason: str, at: At, fleet: Name, as_json: Json = False) -> None:
-    """Count a member no more that is gone for good."""
-    told(fleet, at, as_json, "forget", new(), name, reason, me())
+def forget(
+    name: str, /, *, reason: str, at: Addresses, fleet: FleetName, as_json: JsonFlag = False
+) -> None:
+    """Remove a member that is permanently gone from the counts."""
+    print_answer(fleet, at, as_json, "forget", new_request_id(), name, reason, operator_name())
 
 
 @fleet.command
-def budget(file: Path, /, *, at: At, fleet: Name, as_json: Json = False) -> None:
-    """Put the budgets of an HCL file in the place of all that are in force."""
+def budget(file: Path, /, *, at: Addresses, fleet: FleetName, as_json: JsonFlag = False) -> None:
+    """Replace all budgets in force by those of an HCL file."""
     from pumicenotch.config.fleet import budgets_of
     from pumicenotch.config.hcl import InvalidFileError
 
     try:
-        made = budgets_of(file)
+        new_budgets = budgets_of(file)
     except InvalidFileError as error:
-        wrong(error)
-    told(fleet, at, as_json, "budget", new(), made, me())
+        exit_with_error(error)
+    print_answer(fleet, at, as_json, "budget", new_request_id(), new_budgets, operator_name())
 
 
 @fleet.command
-def halt(*, reason: str, at: At, fleet: Name, as_json: Json = False) -> None:
-    """No new step from now on: at the first process reached at once, then agreed."""
-    key, by, local = new(), me(), False
+def halt(*, reason: str, at: Addresses, fleet: FleetName, as_json: JsonFlag = False) -> None:
+    """Stop all new steps: at once at the first process reached, then by agreement of the fleet."""
+    key, by, local = new_request_id(), operator_name(), False
     if not at:
-        wrong("--at HOST:PORT is wanted: any process of the fleet")
+        exit_with_error("--at HOST:PORT is required: the address of any process of the fleet")
     for address in at:
         try:
             with Connection(fleet, address) as connection:
@@ -215,11 +245,11 @@
             print(json.dumps(result) if as_json else result["text"])
             return
     if not local:
-        wrong("nobody was reached: nothing is halted", 1)
-    until = time.monotonic() + IN_ALL_S
-    while time.monotonic() < until:
+        exit_with_error("no process was reached: nothing is halted", 1)
+    deadline = time.monotonic() + REQUEST_TIMEOUT_S
+    while time.monotonic() < deadline:
         try:
-            if key in asked(fleet, at, "halts")["halts"]:
+            if key in send_request(fleet, at, "halts")["halts"]:
                 print(
                     json.dumps({"text": "halted", "agreed": True})
                     if as_json
@@ -235,43 +265,46 @@
 
 
 @fleet.command
-def resume(*, reason: str, at: At, fleet: Name, as_json: Json = False) -> None:
-    """Go on after a halt: ends the halts that are agreed now, and no later one."""
-    halts = answer(fleet, at, "halts")["halts"]
+def resume(*, reason: str, at: Addresses, fleet: FleetName, as_json: JsonFlag = False) -> None:
+    """Continue after a halt. Ends the halts that are agreed now, not later ones."""
+    halts = request_or_exit(fleet, at, "halts")["halts"]
     if not halts:
         print(json.dumps({"text": "not halted"}) if as_json else "not halted")
         return
-    told(fleet, at, as_json, "resume", new(), halts, reason, me())
+    print_answer(fleet, at, as_json, "resume", new_request_id(), halts, reason, operator_name())
 
 
 @fleet.command
-def why(name: str, /, *, at: At, fleet: Name, as_json: Json = False) -> None:
-    """Why a member waits and for how long, or how else it stands."""
-    found = answer(fleet, at, "why", name)
+def why(name: str, /, *, at: Addresses, fleet: FleetName, as_json: JsonFlag = False) -> None:
+    """Show why and for how long a member waits, or its state if it does not wait."""
+    reply = request_or_exit(fleet, at, "why", name)
     if as_json:
-        print(json.dumps(found))
+        print(json.dumps(reply))
         return
-    stands = f"out against its will: {found['against']}" if found["against"] else found["standing"]
+    stands = f"out against its will: {reply['against']}" if reply["against"] else reply["standing"]
     permit = (
-        f"; permit of epoch {found['permit']} ({found['kind']}: {found['reason']})"
-        if found["permit"]
+        f"; permit of epoch {reply['permit']} ({reply['kind']}: {reply['reason']})"
+        if reply["permit"]
         else ""
     )
-    print(f"{name}: {stands}{permit}" + (f", for {seconds(found['ms'])}" if found["ms"] else ""))
-    if found["waits"]:
-        takes = found["a_drain_takes_ms"]
-        more = f"; the last drains took about {seconds(takes)} each" if takes else ""
-        print(f"waits: {found['waits']}; {found['ahead']} asked before it{more}")
-    for row in found["budgets"]:
+    print(
+        f"{name}: {stands}{permit}"
+        + (f", for {format_seconds(reply['ms'])}" if reply["ms"] else "")
+    )
+    if reply["waits"]:
+        takes = reply["a_drain_takes_ms"]
+        more = f"; the last drains took about {format_seconds(takes)} each" if takes else ""
+        print(f"waits: {reply['waits']}; {reply['ahead']} asked before it{more}")
+    for row in reply["budgets"]:
         print(f"{row['budget']}: out {', '.join(row['out']) or 'nobody'} of {row['members']}")
 
 
 @fleet.command
-def log(*, at: At, fleet: Name, many: int = 50, as_json: Json = False) -> None:
-    """What was agreed lately: permits, halts, overrides with their reasons."""
-    found = answer(fleet, at, "log", many)["log"]
+def log(*, at: Addresses, fleet: FleetName, many: int = 50, as_json: JsonFlag = False) -> None:
+    """Show recent decisions of the fleet: permits, halts and overrides, with their reasons."""
+    reply = request_or_exit(fleet, at, "log", many)["log"]
     if as_json:
-        print(json.dumps(found))
+        print(json.dumps(reply))
         return
-    for row in found:
+    for row in reply:
         print(f"{row['index']:>7}  {row['what']}")
--- a/pumicenotch/cli/lab.py
+++ b/pumicenotch/cli/lab.py
@@ -1,4 +1,7 @@
-"""`pumicenotch lab`: experiments, their results, and a world to look at."""
+"""The commands `pumicenotch lab`: experiments, soak tests and their results.
+
+The commands run real servers, or a simulation, in an emulated environment of gateways and clients.
+"""
 
 import json
 import signal
@@ -20,32 +23,38 @@
 
 lab = App(
     name="lab",
-    help="Real servers with an emulated world round them: experiments and their results.",
+    help="Real servers in an emulated environment: experiments and their results.",
 )
-Json = Annotated[bool, Parameter(name="--json", negative="")]
-Sets = Annotated[list[str] | None, Parameter(name="--set", negative="", consume_multiple=False)]
+JsonFlag = Annotated[bool, Parameter(name="--json", negative="")]
+Overrides = Annotated[
+    list[str] | None, Parameter(name="--set", negative="", consume_multiple=False)
+]
 
 
-def wrong(error: Exception, status: int = 2) -> None:
+def exit_with_error(error: Exception, status: int = 2) -> None:
+    """Prints an error to standard error and exits with the given status."""
     print(error, file=sys.stderr)
     sys.exit(status)
 
 
 @lab.command(name="list")
-def list_(*, as_json: Json = False) -> None:
-    """The project's experiments, one line each."""
-    found = []
+def list_(*, as_json: JsonFlag = False) -> None:
+    """List the experiments of the project, one per line."""
+    collected = []
     for path in sorted(experiment_file.FOLDER.glob("*.hcl")):
         try:
-            told, _ = experiment_file.read(str(path))
+            specification, _ = experiment_file.read(str(path))
         except InvalidFileError:
-            continue  # a file of pools beside them
-        found.append({"name": path.stem, "carrier": told.carrier, "about": told.about})
+            # The folder also holds files of pools, which are not experiments.
+            continue
+        collected.append(
+            {"name": path.stem, "carrier": specification.carrier, "about": specification.about}
+        )
     if as_json:
-        print(json.dumps(found))
+        print(json.dumps(collected))
     else:
-        for each in found:
-            print(f"{each['name']:<14} {each['carrier']:<10} {each['about']}")
+        for entry in collected:
+            print(f"{entry['name']:<14} {entry['carrier']:<10} {entry['about']}")
 
 
 @lab.command
@@ -55,70 +64,76 @@
     *,
     seed: int | None = None,
     seeds: int | None = None,
-    set_: Sets = None,
+    set_: Overrides = None,
     out: Path | None = None,
-    as_json: Json = False,
+    as_json: JsonFlag = False,
 ) -> None:
-    """Run an experiment. Exit status 1: a bound is not kept or a rule was broken.
+    """Run an experiment. The exit status is 1 if a bound is not met or a rule is violated.
 
     Parameters
     ----------
     name
-        One of `lab list`, or a path to an HCL file.
+        A name printed by `lab list`, or the path of an HCL file.
     seed
-        The first seed; the same seed and settings bring every arm the same arrivals.
+        The first seed. With the same seed and settings every arm has the same arrivals.
     seeds
-        Runs of each arm, by seeds that follow each other.
+        Number of runs of each arm, with consecutive seeds.
     set_
-        K=V in the place of what the file says: load=1.2, gateways.tries=10, stage.bake.work_ms=900.
+        K=V overrides a value of the file: load=1.2, gateways.tries=10, stage.bake.work_ms=900.
     out
-        A folder for summary.json, windows.csv and the servers' logs. It must not hold a result already.
+        The folder for summary.json, windows.csv and the logs of the servers. It must not hold a result already.
     as_json
-        The summary as JSON instead of tables.
+        Print the summary as JSON instead of tables.
     """
-    sets = list(set_ or [])
-    sets += [f"seed={seed}"] if seed is not None else []
-    sets += [f"seeds={seeds}"] if seeds is not None else []
+    overrides = list(set_ or [])
+    overrides += [f"seed={seed}"] if seed is not None else []
+    overrides += [f"seeds={seeds}"] if seeds is not None else []
     try:
-        told, path = experiment_file.read(name, sets)
+        specification, path = experiment_file.read(name, overrides)
         if out is not None and (out / "summary.json").exists():
             raise InvalidFileError(
                 f"{out}: holds a result already: name another folder, or remove it first"
             )
-        experiment.check_machine(told)
+        experiment.check_machine(specification)
     except (InvalidFileError, MachineTooSmallError) as error:
-        wrong(error)
-    signal.signal(signal.SIGTERM, signal.default_int_handler)  # as Ctrl-C: what runs is ended
-    found: list[experiment.Run] = []
-    whole = True
+        exit_with_error(error)
+    # SIGTERM ends the runs in the same way as Ctrl-C.
+    signal.signal(signal.SIGTERM, signal.default_int_handler)
+    collected: list[experiment.Run] = []
+    complete = True
     logs = str(out) if out is not None else ""
     try:
-        for _ in experiment.runs(told, path, logs, experiment.workers(told), found.append):
-            ran = found[-1]
+        for _ in experiment.runs(
+            specification, path, logs, experiment.workers(specification), collected.append
+        ):
+            latest_run = collected[-1]
             print(
-                f"{ran.arm} seed {ran.seed}: utility {ran.figures['utility']:.3f}", file=sys.stderr
+                f"{latest_run.arm} seed {latest_run.seed}: utility {latest_run.figures['utility']:.3f}",
+                file=sys.stderr,
             )
     except KeyboardInterrupt:
-        whole = False
-        signal.signal(signal.SIGTERM, signal.SIG_IGN)  # what runs is ending already
+        complete = False
+        # The runs are ending already; a further SIGTERM must not interrupt the summary.
+        signal.signal(signal.SIGTERM, signal.SIG_IGN)
         print("stopped: what had ended is kept and marked", file=sys.stderr)
     except RunFailedError as error:
-        if not found:
-            wrong(error, error.status)
-        whole = False
+        if not collected:
+            exit_with_error(error, error.status)
+        complete = False
         print(f"{error}; what had ended is kept and marked", file=sys.stderr)
-    summary = experiment_results.summary(told, path.stem, sets, found, whole)
+    summary = experiment_results.summary(specification, path.stem, overrides, collected, complete)
     try:
         if out is not None:
-            experiment_results.keep(out, summary, found)
+            experiment_results.keep(out, summary, collected)
     except OSError as error:
-        print(f"{out}: cannot be kept: {error.strerror}", file=sys.stderr)
-        whole = False
-    shown(summary, as_json)
-    sys.exit(0 if whole and all(row["kept"] for row in summary["verdict"]) else 1)
+        print(f"{out}: the result cannot be written: {error.strerror}", file=sys.stderr)
+        complete = False
+    print_summary(summary, as_json)
+    sys.exit(0 if complete and all(row["kept"] for row in summary["verdict"]) else 1)
 
 
-def shown(summary: dict[str, Any], as_json: bool) -> None:
+def print_summary(summary: dict[str, Any], as_json: bool) -> None:
+    """Prints the summary of an experiment as tables, or as JSON."""
     if as_json:
         print(json.dumps(summary))
         return
@@ -153,39 +168,40 @@
     seeds: int = 50,
     busy: int = 0,
     out: Path | None = None,
-    as_json: Json = False,
+    as_json: JsonFlag = False,
 ) -> None:
-    """Drain real servers under clients that never stop, up to the kill. Exit status 1: a rule was broken.
+    """Drain real servers, up to the kill, while clients keep sending. The exit status is 1 if a rule is violated.
 
     Parameters
     ----------
     seed
-        The first seed; a seed draws the whole run: load, signals, reloads, the moment of the notice.
+        The first seed. A seed determines the whole run: load, signals, reloads and the time of the notice.
     seeds
-        How many runs, by seeds that follow each other.
+        Number of runs, with consecutive seeds.
     busy
-        Processes that keep cores busy beside it.
+        Number of processes that keep cores busy during the runs.
     out
-        A folder for summary.json and the servers' logs. It must not hold a result already.
+        The folder for summary.json and the logs of the servers. It must not hold a result already.
     as_json
-        The summary as JSON instead of a line a run.
+        Print the summary as JSON instead of as text.
     """
     check_soak_options(seed, seeds, busy, out)
-    signal.signal(signal.SIGTERM, signal.default_int_handler)  # as Ctrl-C: what runs is ended
+    # SIGTERM ends the runs in the same way as Ctrl-C.
+    signal.signal(signal.SIGTERM, signal.default_int_handler)
     results: list[SoakResult] = []
-    whole = False
+    complete = False
     try:
         for result in soak_series(seed, seeds, busy, out):
             results.append(result)
             print(soak_report.describe(result), file=sys.stderr)
             if not soak_report.is_kept(result):
                 print(soak_report.describe_violations(result, busy), file=sys.stderr)
-        whole = True
+        complete = True
     except KeyboardInterrupt:
         print("stopped: what had ended is kept and marked", file=sys.stderr)
     except SoakStartError as error:
         print(error, file=sys.stderr)
-    summary = soak_report.summarize(results, busy, whole)
+    summary = soak_report.summarize(results, busy, complete)
     if out is not None:
         soak_report.write_summary(out, summary)
     if as_json:
@@ -193,46 +209,50 @@
     else:
         for name, value in summary.items():
             print(f"{name:<16} {value}")
-    sys.exit(0 if whole and not summary["broken_seeds"] else 1)
+    sys.exit(0 if complete and not summary["broken_seeds"] else 1)
 
 
 def check_soak_options(seed: int, seeds: int, busy: int, out: Path | None) -> None:
-    """Ends the command with 2 where an option makes no sense."""
+    """Exits with status 2 if an option is out of range or the output folder holds a result."""
     if seed < 0:
-        wrong(ValueError(f"--seed: {seed} is given, 0 or more is wanted"))
+        exit_with_error(ValueError(f"--seed: {seed} is given, 0 or more is allowed"))
     if seeds < 1:
-        wrong(ValueError(f"--seeds: {seeds} is given, 1 or more is wanted"))
+        exit_with_error(ValueError(f"--seeds: {seeds} is given, 1 or more is allowed"))
     if not 0 <= busy <= MAX_BUSY:
-        wrong(ValueError(f"--busy: {busy} is given, 0 to {MAX_BUSY} are wanted"))
+        exit_with_error(ValueError(f"--busy: {busy} is given, 0 to {MAX_BUSY} are allowed"))
     if out is not None and (out / soak_report.SUMMARY_NAME).exists():
-        wrong(ValueError(f"--out: {out} holds a result already: name another, or remove it first"))
+        exit_with_error(
+            ValueError(
+                f"--out: {out} holds a result already: name another folder, or remove it first"
+            )
+        )
 
 
 @lab.command
-def show(folder: Path, /, *, as_json: Json = False) -> None:
-    """A kept result's tables again."""
+def show(folder: Path, /, *, as_json: JsonFlag = False) -> None:
+    """Print the tables of a stored result."""
     try:
-        shown(experiment_results.kept_summary(folder), as_json)
+        print_summary(experiment_results.kept_summary(folder), as_json)
     except InvalidFileError as error:
-        wrong(error)
+        exit_with_error(error)
 
 
 @lab.command
-def up(*, seconds: float = 0.0, set_: Sets = None) -> None:
-    """One server with an emulated world round it, under load, until Ctrl-C: a line a second of what it does.
+def up(*, seconds: float = 0.0, set_: Overrides = None) -> None:
+    """Run one server under load in an emulated environment until Ctrl-C. Prints one line of figures per second.
 
     Parameters
     ----------
     seconds
-        End by itself after so long; 0: an hour.
+        Stop after this number of seconds; 0 means one hour.
     set_
-        K=V of experiments/up.hcl.
+        K=V overrides a value of experiments/up.hcl.
     """
     from pumicenotch.lab.up import watch
 
-    sets = [*(set_ or []), f"length_s={seconds or 3600.0}"]
+    overrides = [*(set_ or []), f"length_s={seconds or 3600.0}"]
     try:
-        told, path = experiment_file.read("up", sets)
+        specification, path = experiment_file.read("up", overrides)
     except InvalidFileError as error:
-        wrong(error)
-    sys.exit(watch(told, path))
+        exit_with_error(error)
+    sys.exit(watch(specification, path))
--- a/pumicenotch/cli/release.py
+++ b/pumicenotch/cli/release.py
@@ -1,4 +1,7 @@
-"""`pumicenotch release`: a version for the whole fleet, in waves that it agrees on."""
+"""The commands `pumicenotch release`, which roll out a version across a fleet.
+
+A release proceeds in waves of nodes. The fleet agrees on each step.
+"""
 
 import json
 import sys
@@ -8,32 +11,45 @@
 
 from cyclopts import App, Parameter
 
-from pumicenotch.cli.fleet import At, Json, Name, answer, me, new, table, told, wrong
-
-release = App(name="release", help="Releases agreed across the fleet: waves, a halt, a way back.")
-OVER = ("done", "abandoned")
-LOOK_S = 0.5  # between looks while a release is followed
-Why = Annotated[str, Parameter(name="--reason")]
+from pumicenotch.cli.fleet import (
+    Addresses,
+    FleetName,
+    JsonFlag,
+    exit_with_error,
+    new_request_id,
+    operator_name,
+    print_answer,
+    print_table,
+    request_or_exit,
+)
+
+release = App(
+    name="release", help="Releases agreed across the fleet: rollout in waves, halt, rollback."
+)
+FINAL_STATES = ("done", "abandoned")
+# Interval between status requests while a release is followed.
+POLL_INTERVAL_S = 0.5
+Reason = Annotated[str, Parameter(name="--reason")]
 
 
 @release.command
 def pack(folder: Path, /, *, into: Path) -> None:
-    """Put a folder among the versions that agents fetch from, and print its version.
+    """Store a folder as a version that agents can fetch, and print the version.
 
     Parameters
     ----------
     folder
-        What a version is to hold, whole: no links.
+        The complete contents of the version. Links are not allowed.
     into
-        The folder that agents have as `source`.
+        The folder that the files of the agents name as `source`.
     """
     from pumicenotch.config.versions import InvalidVersionError
-    from pumicenotch.config.versions import pack as packed
+    from pumicenotch.config.versions import pack as pack_version
 
     try:
-        print(packed(folder, into))
+        print(pack_version(folder, into))
     except InvalidVersionError as error:
-        wrong(error)
+        exit_with_error(error)
 
 
 @release.command
@@ -42,8 +58,8 @@
     /,
     *,
     version: str,
-    at: At,
-    fleet: Name,
+    at: Addresses,
+    fleet: FleetName,
     slot: Literal["program", "config", "map", "agent", "budgets"] = "program",
     replaces: str = "",
     level: int | None = None,
@@ -56,59 +72,61 @@
     gate: int = 0,
     urgent: bool = False,
     budgets: Path | None = None,
-    as_json: Json = False,
+    as_json: JsonFlag = False,
 ) -> None:
-    """Plan a release; nothing happens yet. Agents fetch the version meanwhile.
+    """Plan a release without starting it. Agents fetch the version in the meantime.
 
     Parameters
     ----------
     name
-        What it is called; never used twice.
+        The name of the release. A name cannot be used twice.
     version
-        As `release pack` prints it.
+        The version, as printed by `release pack`.
     slot
-        What of a node it replaces.
+        The part of a node that the release replaces.
     replaces
-        The version that it replaces; the one that the fleet is on if left out.
+        The version to replace. The default is the version that the fleet is on.
     level
-        The level of entries that its program speaks; that of this program if left out.
+        The level of log entries that the released program supports. The default is the level of this program.
     share
-        After one node, and one of each zone: parts of each zone that have it, rising.
+        Rising fractions of each zone that have the version, for the waves after the first node and after one node of each zone.
     mixed
-        Let one wave have nodes of several zones and cells.
+        Allow nodes of several zones and cells in one wave.
     order
-        Which go first: services below, or their callers.
+        Which nodes go first: those of the services below, or those of their callers.
     soak_s
-        How long a wave is watched.
+        How long a wave is observed, in seconds.
     wait_s
-        Beyond that, where too little is seen to tell, before a person is asked.
+        How many seconds longer a wave is observed if there is too little traffic to judge it, before an operator is asked.
     only_halt
-        On harm halt, and do not go back by itself.
+        Halt when harm is detected, without an automatic rollback.
     gate
-        Ask a person after so many waves in any case.
+        Always ask an operator after this number of waves.
     urgent
-        May take over a halted release.
+        Allow the release to take over a halted release.
     budgets
-        For the slot budgets: the HCL file.
+        The HCL file of the budgets, for the slot budgets only.
     """
     from pumicenotch.config.fleet import budgets_of
     from pumicenotch.config.hcl import InvalidFileError
     from pumicenotch.fleet.releases.release import BUDGETS, PROGRAM_LEVEL
 
     if (slot == BUDGETS) != (budgets is not None):
-        wrong("--budgets FILE goes with --slot budgets, and only with it")
+        exit_with_error("--budgets FILE is required with --slot budgets and not allowed without it")
     try:
-        made = budgets_of(budgets) if budgets is not None else ()
+        new_budgets = budgets_of(budgets) if budgets is not None else ()
     except InvalidFileError as error:
-        wrong(error)
+        exit_with_error(error)
     waves: Any = ((),)
     if slot != BUDGETS:
         shares = share or [0.34, 1.0]
-        if not all(0.0 < each <= 1.0 for each in shares) or shares[-1] != 1.0:
-            wrong("--share: parts of 1 are wanted, the last one 1: else some nodes never get it")
-        waves = answer(fleet, at, "waves", shares, mixed, order)["waves"]
+        if not all(0.0 < fraction <= 1.0 for fraction in shares) or shares[-1] != 1.0:
+            exit_with_error(
+                "--share: fractions above 0 and up to 1 are allowed, and the last must be 1, so that every node is included"
+            )
+        waves = request_or_exit(fleet, at, "waves", shares, mixed, order)["waves"]
         if not waves:
-            wrong("no agent has spoken: no node can take a version", 1)
+            exit_with_error("no agent has connected: no node can take a version", 1)
     entry = (
         name,
         slot,
@@ -122,9 +140,9 @@
         gate,
         urgent,
         mixed,
-        made,
+        new_budgets,
     )
-    result = answer(fleet, at, "plan", new(), entry, me())
+    result = request_or_exit(fleet, at, "plan", new_request_id(), entry, operator_name())
     if as_json:
         print(json.dumps({**result, "waves": waves}))
         return
@@ -134,16 +152,38 @@
             print(f"wave {number}: {', '.join(wave)}")
 
 
-def word(
+def send_order(
     name: str,
     what: str,
     reason: str,
     at: list[str],
     fleet: str,
     as_json: bool,
-    seen: list[str] | None = None,
+    known_halts: list[str] | None = None,
 ) -> None:
-    told(fleet, at, as_json, "release", new(), name, what, seen or [], reason, me())
+    """Sends an operator's order for one release and prints the answer.
+
+    Args:
+        name: The release.
+        what: The order: start, halt, resume, back, approve or abandon.
+        reason: The reason, recorded by the fleet.
+        at: Addresses of processes of the fleet.
+        fleet: The name of the fleet.
+        as_json: Whether to print the answer as JSON.
+        known_halts: Ids of the halts that the order ends.
+    """
+    print_answer(
+        fleet,
+        at,
+        as_json,
+        "release",
+        new_request_id(),
+        name,
+        what,
+        known_halts or [],
+        reason,
+        operator_name(),
+    )
 
 
 @release.command
@@ -151,48 +191,56 @@
     name: str,
     /,
     *,
-    at: At,
-    fleet: Name,
-    reason: Why = "as planned",
+    at: Addresses,
+    fleet: FleetName,
+    reason: Reason = "as planned",
     follow: bool = False,
-    as_json: Json = False,
+    as_json: JsonFlag = False,
 ) -> None:
     """Start a planned release.
 
     Parameters
     ----------
     follow
-        Show its progress until it is over or waits for a person; status 1 unless it is done.
+        Show the progress until the release ends or waits for an operator. The exit status is 1 unless it is done.
     """
-    word(name, "start", reason, at, fleet, as_json)
+    send_order(name, "start", reason, at, fleet, as_json)
     if not follow:
         return
-    before, last = "", {}
+    previous_line, latest = "", {}
     while True:
-        last = answer(fleet, at, "one_release", name)
-        line = f"{last['stands']}: {last['has']} of {last['nodes']} have it; {last['asks'] or last['judged']}"
-        if line != before and not as_json:
+        latest = request_or_exit(fleet, at, "one_release", name)
+        line = f"{latest['stands']}: {latest['has']} of {latest['nodes']} have it; {latest['asks'] or latest['judged']}"
+        if line != previous_line and not as_json:
             print(
                 line, file=sys.stderr, end="\r\x1b[K" if sys.stderr.isatty() else "\n", flush=True
             )
-        before = line
-        if last["state"] in (*OVER, "halted") or last["asks"]:
+        previous_line = line
+        if latest["state"] in (*FINAL_STATES, "halted") or latest["asks"]:
             break
-        time.sleep(LOOK_S)
-    print(json.dumps(last) if as_json else f"{last['stands']}: {last['asks'] or last['why']}")
-    sys.exit(0 if last["state"] == "done" else 1)
+        time.sleep(POLL_INTERVAL_S)
+    print(
+        json.dumps(latest) if as_json else f"{latest['stands']}: {latest['asks'] or latest['why']}"
+    )
+    sys.exit(0 if latest["state"] == "done" else 1)
 
 
 @release.command
-def status(name: str = "", /, *, at: At, fleet: Name, as_json: Json = False) -> None:
-    """What releases there are; of one, what stands where."""
-    found = answer(fleet, at, "one_release", name) if name else answer(fleet, at, "releases")
+def status(
+    name: str = "", /, *, at: Addresses, fleet: FleetName, as_json: JsonFlag = False
+) -> None:
+    """Show all releases, or the nodes of one release."""
+    reply = (
+        request_or_exit(fleet, at, "one_release", name)
+        if name
+        else request_or_exit(fleet, at, "releases")
+    )
     if as_json:
-        print(json.dumps(found))
+        print(json.dumps(reply))
         return
     if not name:
-        stands = ", ".join(f"{slot} {version}" for slot, version in found["stands"].items())
-        print(f"level {found['level']}; the fleet is on {stands or 'what its nodes have'}")
+        stands = ", ".join(f"{slot} {version}" for slot, version in reply["stands"].items())
+        print(f"level {reply['level']}; the fleet is on {stands or 'what its nodes have'}")
         rows = [
             [
                 row["name"],
@@ -202,17 +250,17 @@
                 f"{row['has']} of {row['nodes']}",
                 row["asks"] or row["why"],
             ]
-            for row in found["releases"]
+            for row in reply["releases"]
         ]
-        table(rows, ["release", "slot", "version", "stands", "has it", "why"])
+        print_table(rows, ["release", "slot", "version", "stands", "has it", "why"])
         return
-    print("{name}: {slot} {version} for {replaces}: {stands}".format(**found))
+    print("{name}: {slot} {version} for {replaces}: {stands}".format(**reply))
     for what in ("asks", "why", "judged"):
-        if found[what]:
-            print(f"{what}: {found[what]}")
-    for _, by, why in found["halts"]:
+        if reply[what]:
+            print(f"{what}: {reply[what]}")
+    for _, by, why in reply["halts"]:
         print(f"HALT by {by}: {why}")
-    table(
+    print_table(
         [
             [
                 row["name"],
@@ -222,54 +270,71 @@
                 "yes" if row["serves"] else "no",
                 row["trouble"] or row["waits"],
             ]
-            for row in found["rows"]
+            for row in reply["rows"]
         ],
         ["node", "zone", "wave", "runs", "serves", "trouble"],
     )
 
 
 @release.command
-def halt(name: str, /, *, reason: Why, at: At, fleet: Name, as_json: Json = False) -> None:
-    """No further step of that release: also none of its way back. `fleet halt` stops all there is."""
-    word(name, "halt", reason, at, fleet, as_json)
+def halt(
+    name: str, /, *, reason: Reason, at: Addresses, fleet: FleetName, as_json: JsonFlag = False
+) -> None:
+    """Stop all further steps of a release, including its rollback. `fleet halt` stops the steps of all releases and drains."""
+    send_order(name, "halt", reason, at, fleet, as_json)
 
 
-def seen(name: str, at: list[str], fleet: str) -> list[str]:
-    return [halt[0] for halt in answer(fleet, at, "one_release", name)["halts"]]
+def known_halts(name: str, at: list[str], fleet: str) -> list[str]:
+    """Returns the ids of the present halts of a release."""
+    return [halt[0] for halt in request_or_exit(fleet, at, "one_release", name)["halts"]]
 
 
 @release.command
-def resume(name: str, /, *, reason: Why, at: At, fleet: Name, as_json: Json = False) -> None:
-    """Go on, forwards or back, where a halt has stopped it: ends the halts that there are now, and no later
-    one.
-    """
-    word(name, "resume", reason, at, fleet, as_json, seen(name, at, fleet))
+def resume(
+    name: str, /, *, reason: Reason, at: Addresses, fleet: FleetName, as_json: JsonFlag = False
+) -> None:
+    """Continue a halted rollout or rollback. Ends the halts that exist now, not later ones."""
+    send_order(name, "resume", reason, at, fleet, as_json, known_halts(name, at, fleet))
 
 
 @release.command
-def back(name: str, /, *, reason: Why, at: At, fleet: Name, as_json: Json = False) -> None:
-    """Take it back everywhere, in the same budgets."""
-    word(name, "back", reason, at, fleet, as_json, seen(name, at, fleet))
+def back(
+    name: str, /, *, reason: Reason, at: Addresses, fleet: FleetName, as_json: JsonFlag = False
+) -> None:
+    """Roll a release back on all nodes, within the same budgets."""
+    send_order(name, "back", reason, at, fleet, as_json, known_halts(name, at, fleet))
 
 
 @release.command
-def approve(name: str, /, *, reason: Why, at: At, fleet: Name, as_json: Json = False) -> None:
-    """The wave is good, by a person's word: where too little was seen to tell."""
-    word(name, "approve", reason, at, fleet, as_json)
+def approve(
+    name: str, /, *, reason: Reason, at: Addresses, fleet: FleetName, as_json: JsonFlag = False
+) -> None:
+    """Accept the present wave as an operator, where there was too little traffic to judge it."""
+    send_order(name, "approve", reason, at, fleet, as_json)
 
 
 @release.command
-def abandon(name: str, /, *, reason: Why, at: At, fleet: Name, as_json: Json = False) -> None:
+def abandon(
+    name: str, /, *, reason: Reason, at: Addresses, fleet: FleetName, as_json: JsonFlag = False
+) -> None:
     """Drop a plan that has not started."""
-    word(name, "abandon", reason, at, fleet, as_json)
+    send_order(name, "abandon", reason, at, fleet, as_json)
 
 
 @release.command
-def log(name: str = "", /, *, at: At, fleet: Name, many: int = 100, as_json: Json = False) -> None:
-    """What was agreed of releases lately, by whom and why."""
+def log(
+    name: str = "",
+    /,
+    *,
+    at: Addresses,
+    fleet: FleetName,
+    many: int = 100,
+    as_json: JsonFlag = False,
+) -> None:
+    """Show recent decisions on releases, with who made them and why."""
     rows = [
         row
-        for row in answer(fleet, at, "log", many)["log"]
+        for row in request_or_exit(fleet, at, "log", many)["log"]
         if row["what"].startswith(f"release {name}") or " may move to " in row["what"]
     ]
     if as_json:
--- a/pumicenotch/cli/session.py
+++ b/pumicenotch/cli/session.py
@@ -1,4 +1,8 @@
-"""An operator's requests to a fleet: to any of its processes, and from there to whoever leads."""
+"""Client side of an operator's requests to a fleet.
+
+A request goes to any process of the fleet. A process that is not the leader names the leader, which is
+then tried next.
+"""
 
 import socket
 import time
@@ -9,45 +13,54 @@
 from pumicenotch import start
 from pumicenotch.errors import PumicenotchError
 
-ANSWER_S = 4.0  # of one process: longer than a leader waits for a majority
-IN_ALL_S = 15.0  # over all processes asked, changes of leaders between them
-PAUSE_S = 0.2  # before all are asked again
+# Time limit for the answer of one process: longer than a leader waits for a majority.
+ANSWER_TIMEOUT_S = 4.0
+# Time limit for a request over all processes tried, including changes of the leader in the meantime.
+REQUEST_TIMEOUT_S = 15.0
+# Pause before all addresses are tried again.
+RETRY_INTERVAL_S = 0.2
 
 
 class RequestRefusedError(PumicenotchError):
-    """The fleet's own no, with its reason."""
+    """The fleet refused the request. The text is its reason."""
 
 
 class ServerUnreachableError(PumicenotchError):
-    """Nobody who could say."""
+    """No process of the fleet could answer the request within the time limit."""
 
 
 class Connection:
-    """To one process of the fleet."""
+    """A MessagePack-RPC connection to one process of the fleet. Owns its socket."""
 
     def __init__(self, name: str, address: str) -> None:
-        self.sock = socket.create_connection(start.parse_address(address), timeout=ANSWER_S)
+        self.sock = socket.create_connection(start.parse_address(address), timeout=ANSWER_TIMEOUT_S)
         self.unpacker = msgpack.Unpacker(max_buffer_size=8 * 1024 * 1024, strict_map_key=False)
         self.number = 0
         self.sock.sendall(msgpack.packb([2, "hello", [name, "", "", ""]]))
 
     def ask(self, verb: str, *args: Any) -> tuple[Any, Any]:
-        """Error and result."""
+        """Sends one request and returns its error (None on success) and its result.
+
+        Raises:
+            RequestRefusedError: The process refuses the connection.
+            TimeoutError: There was no answer within ANSWER_TIMEOUT_S.
+            ConnectionError: The process closed the connection before its answer.
+        """
         self.number += 1
         self.sock.sendall(msgpack.packb([0, self.number, verb, args]))
-        until = time.monotonic() + ANSWER_S
+        deadline = time.monotonic() + ANSWER_TIMEOUT_S
         while True:
             for frame in self.unpacker:
                 match frame:
                     case [1, self.number, error, result]:
                         return error, result
-                    case [2, "refused", [why]]:
-                        raise RequestRefusedError(why)
-            if time.monotonic() > until:
-                raise TimeoutError("no answer")
+                    case [2, "refused", [reason]]:
+                        raise RequestRefusedError(reason)
+            if time.monotonic() > deadline:
+                raise TimeoutError("no answer within the time limit")
             data = self.sock.recv(65536)
             if not data:
-                raise ConnectionError("closed without an answer")
+                raise ConnectionError("connection closed before the answer")
             self.unpacker.feed(data)
 
     def close(self) -> None:
@@ -61,7 +74,11 @@
 
 
 class Session:
-    """Requests one after the other, each to whoever answered the last one while it does."""
+    """A sequence of requests to a fleet.
+
+    Each request goes first to the process that answered the previous one, and to other processes once
+    that one fails. Owns at most one connection at a time.
+    """
 
     def __init__(self, name: str, addresses: list[str]) -> None:
         self.name, self.addresses = name, addresses
@@ -69,33 +86,41 @@
         self.connection: Connection | None = None
 
     def ask(self, verb: str, *args: Any) -> Any:
-        """Each process in turn, and whoever is said to lead first. Raises RequestRefusedError and ServerUnreachableError."""
-        until, met = time.monotonic() + IN_ALL_S, ""
-        todo = [self.address, *self.addresses] if self.address else list(self.addresses)
-        while time.monotonic() < until:
-            if not todo:
-                time.sleep(PAUSE_S)
-                todo = list(self.addresses)
-            address = todo.pop(0)
+        """Sends one request to the processes in turn until one answers, and returns the result.
+
+        A process named as the leader by another one is tried next.
+
+        Raises:
+            RequestRefusedError: The fleet refused the request.
+            ServerUnreachableError: No process could answer within REQUEST_TIMEOUT_S.
+        """
+        deadline, last_error = time.monotonic() + REQUEST_TIMEOUT_S, ""
+        candidates = [self.address, *self.addresses] if self.address else list(self.addresses)
+        while time.monotonic() < deadline:
+            if not candidates:
+                time.sleep(RETRY_INTERVAL_S)
+                candidates = list(self.addresses)
+            address = candidates.pop(0)
             try:
-                error, result = self.connected(address).ask(verb, *args)
+                error, result = self.connect(address).ask(verb, *args)
             except (OSError, ValueError) as fault:
-                met = f"{address}: {fault}"
+                last_error = f"{address}: {fault}"
                 self.close()
                 continue
             if error is None:
                 return result
-            code, text, more = (*error, None, None, None)[:3]
+            code, text, leader_address = (*error, None, None, None)[:3]
             if code == "Refused":
                 raise RequestRefusedError(text)
-            met = f"{address}: {text}"
-            if code == "NotLeader" and more:
-                todo.insert(0, more)
+            last_error = f"{address}: {text}"
+            if code == "NotLeader" and leader_address:
+                candidates.insert(0, leader_address)
         raise ServerUnreachableError(
-            f"nobody of the fleet could say in {IN_ALL_S:g} s; last: {met}"
+            f"no process of the fleet could answer within {REQUEST_TIMEOUT_S:g} s; last error: {last_error}"
         )
 
-    def connected(self, address: str) -> Connection:
+    def connect(self, address: str) -> Connection:
+        """Returns the open connection if it leads to this address, otherwise a new one."""
         if self.connection is None or address != self.address:
             self.close()
             self.connection = Connection(self.name, address)
@@ -114,7 +139,12 @@
         self.close()
 
 
-def asked(name: str, addresses: list[str], verb: str, *args: Any) -> Any:
-    """One request. Raises RequestRefusedError and ServerUnreachableError."""
+def send_request(name: str, addresses: list[str], verb: str, *args: Any) -> Any:
+    """Sends one request in a session of its own and returns its result.
+
+    Raises:
+        RequestRefusedError: The fleet refused the request.
+        ServerUnreachableError: No process could answer within REQUEST_TIMEOUT_S.
+    """
     with Session(name, addresses) as session:
         return session.ask(verb, *args)
--- a/tests/fleet/test_agent_files.py
+++ b/tests/fleet/test_agent_files.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from pumicenotch.cli.agent import TRIES, environment_of
+from pumicenotch.cli.agent import MAX_UNCONFIRMED_STARTS, environment_of
 from pumicenotch.config import agent, versions
 from pumicenotch.config.hcl import InvalidFileError
 from pumicenotch.config.versions import PART, InvalidVersionError, content, fetch, held, pack
@@ -144,7 +144,7 @@
     first = agent.disk_of(told)
     bad = pack(folder(tmp_path / "r", x="3"), tmp_path / "source")
     agent.write(told, first._replace(runs={**first.runs, "agent": bad}))
-    for _ in range(TRIES):
+    for _ in range(MAX_UNCONFIRMED_STARTS):
         assert environment_of(str(path))["PYTHONPATH"].endswith(bad)
     assert environment_of(str(path))["PYTHONPATH"].endswith(first.runs["agent"])
     disk = agent.disk_of(told)
