--- a/tests/fleet/test_agent_files.py
+++ b/tests/fleet/test_agent_files.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from pumicenotch.cli.agent import TRIES, environment_of
+from pumicenotch.cli.agent import MAX_UNCONFIRMED_STARTS, environment_of
 from pumicenotch.config import agent, versions
 from pumicenotch.config.hcl import InvalidFileError
 from pumicenotch.config.versions import (
@@ -154,7 +154,7 @@
     initial = agent.disk_of(agent_file)
     bad_version = pack(write_folder(tmp_path / "r", x="3"), tmp_path / "source")
     agent.write(agent_file, initial._replace(runs={**initial.runs, "agent": bad_version}))
-    for _ in range(TRIES):
+    for _ in range(MAX_UNCONFIRMED_STARTS):
         assert environment_of(str(path))["PYTHONPATH"].endswith(bad_version)
     assert environment_of(str(path))["PYTHONPATH"].endswith(initial.runs["agent"])
     disk = agent.disk_of(agent_file)
